--- a/magnoliadyke/core/credits.py
+++ b/magnoliadyke/core/credits.py
@@ -14,7 +14,7 @@
 import bisect
 import collections
 
-from magnoliadyke.core import othersload
+from magnoliadyke.core import peerload
 
 __all__ = ['EndpointLoad', 'Lagged', 'allowed_streams']
 
@@ -107,7 +107,7 @@
         self.prompts = []
         self.prompts_at_s = 0.0
         self.backlog = Lagged()
-        self.others = othersload.OthersPrompts()
+        self.others = peerload.OthersPrompts()
         self.last_done_s = float('-inf')
 
     def clear(self):
@@ -118,7 +118,7 @@
         self.backlog.clear()
         self.reserved = 0
         self.prompts.clear()
-        self.others = othersload.OthersPrompts()
+        self.others = peerload.OthersPrompts()
 
     def undisturbed(self):
         """Whether no other node's prompts were there at the last report."""
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -12,7 +12,7 @@
 
 from magnoliadyke.core import catalog
 from magnoliadyke.core import costs
-from magnoliadyke.core import readingcost
+from magnoliadyke.core import prefillcost
 
 __all__ = ['HOP_S', 'EngineModel']
 
@@ -65,7 +65,7 @@
     :ivar alone: the engine had nothing to read when it came
     """
 
-    size: readingcost.PromptSize
+    size: prefillcost.PromptSize
     expected_s: float
     whole_s: float
     sent_s: float
@@ -94,7 +94,7 @@
     def __init__(
         self,
         endpoint: catalog.Endpoint,
-        cost: readingcost.ReadingCost,
+        cost: prefillcost.ReadingCost,
     ) -> None:
         self.endpoint = endpoint
         self.cost = cost
@@ -164,7 +164,7 @@
 
         :param before: cached tokens that come before them
         """
-        size = readingcost.PromptSize(tokens, before)
+        size = prefillcost.PromptSize(tokens, before)
         return self.cost.seconds(size) * self.slowness
 
     def free_s(self, now_s: float) -> float:
@@ -192,7 +192,7 @@
             engine has had it, and its end says little of the engine
         """
         all_tokens = max(tokens, all_tokens)
-        size = readingcost.PromptSize(tokens, all_tokens - tokens)
+        size = prefillcost.PromptSize(tokens, all_tokens - tokens)
         expected_s = self.cost.seconds(size)
         free_s = self.free_s(now_s)
         start_s = max(free_s, now_s + HOP_S + fetch_s)
@@ -200,7 +200,7 @@
         self.readings[job] = Reading(
             size,
             expected_s,
-            self.cost.seconds(readingcost.PromptSize(all_tokens)),
+            self.cost.seconds(prefillcost.PromptSize(all_tokens)),
             now_s + fetch_s,
             until_s,
             seen and not self.readings,
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -6,12 +6,12 @@
 import itertools
 from typing import NamedTuple
 
-from magnoliadyke.core import answerers
 from magnoliadyke.core import capacity
 from magnoliadyke.core import catalog
+from magnoliadyke.core import decodeengines
 from magnoliadyke.core import enginemodel
+from magnoliadyke.core import prefillcost
 from magnoliadyke.core import promptcache
-from magnoliadyke.core import readingcost
 from magnoliadyke.core import routes
 
 __all__ = ['EnginePool', 'Option', 'PoolSettings']
@@ -109,12 +109,12 @@
         self.traits = traits
         self.settings = settings or PoolSettings()
         self.engines: dict[str, enginemodel.EngineModel] = {}
-        self.answerers = answerers.Answerers(self.engines)
-        reading = readingcost.FittedCost()
-        self.costs: dict[catalog.Stage, readingcost.ReadingCost] = {
+        self.decode_engines = decodeengines.Answerers(self.engines)
+        reading = prefillcost.FittedCost()
+        self.costs: dict[catalog.Stage, prefillcost.ReadingCost] = {
             catalog.Stage.NONE: reading,
             catalog.Stage.PREFILL: reading,
-            catalog.Stage.DECODE: readingcost.AnsweringCost(reading),
+            catalog.Stage.DECODE: prefillcost.AnsweringCost(reading),
         }
         self.caches = promptcache.CacheIndex()
         self.open: dict[catalog.Stage, dict[str, None]] = {
@@ -141,7 +141,7 @@
             self._close(gone)
         for endpoint in endpoints:
             self._set_engine(endpoint)
-        self.answerers.listed()
+        self.decode_engines.listed()
         self._capacity_s = float('-inf')
 
     def _set_engine(self, endpoint: catalog.Endpoint) -> None:
@@ -325,7 +325,7 @@
             self.caches.expect(runner.endpoint.id, job, parts)
             runner.transfer_until_s = option.moved_s
             runner.expect_run(option.ready_s, now_s)
-        self.answerers.given(runner, now_s)
+        self.decode_engines.given(runner, now_s)
         self._note_room(reader, now_s)
 
     def adopt(
@@ -342,7 +342,7 @@
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.read(job, now_s)
-            self.answerers.served(engine_id, now_s)
+            self.decode_engines.served(engine_id, now_s)
             self._note_room(engine, now_s)
 
     def forget(self, job: int, engine_id: str, now_s: float) -> None:
@@ -368,15 +368,15 @@
 
     # What it costs.
 
-    def learned(self) -> readingcost.Figures | None:
+    def learned(self) -> prefillcost.Figures | None:
         """What prompts were found to take; None while it is a guess."""
         reading = self.costs[catalog.Stage.PREFILL]
         answering = self.costs[catalog.Stage.DECODE]
         if reading.count < ENOUGH_PROMPTS:
             return None
-        return readingcost.Figures(*reading.figures, answering.factor.median_s)
+        return prefillcost.Figures(*reading.figures, answering.factor.median_s)
 
-    def begin_with(self, figures: readingcost.Figures) -> None:
+    def begin_with(self, figures: prefillcost.Figures) -> None:
         """Take what another place has found; measurements go on."""
         *reading, factor = figures
         self.costs[catalog.Stage.PREFILL].guess(*reading)
@@ -386,12 +386,12 @@
         """Reading time of a prompt where most of it is kept."""
         cost = self.costs[catalog.Stage.PREFILL]
         most = kept.most_tokens
-        return cost.seconds(readingcost.PromptSize(tokens - most, most))
+        return cost.seconds(prefillcost.PromptSize(tokens - most, most))
 
     def saved_s(self, tokens: int) -> float:
         """Reading time of so many tokens at an engine that only reads."""
         cost = self.costs[catalog.Stage.PREFILL]
-        return cost.seconds(readingcost.PromptSize(tokens))
+        return cost.seconds(prefillcost.PromptSize(tokens))
 
     def capacity(self, now_s: float) -> capacity.Capacity:
         """Reading power of the engines that may read."""
@@ -449,7 +449,7 @@
     def relative(self, engine: enginemodel.EngineModel) -> float:
         """How much longer an engine reads than one of the reading stage."""
         cost = self.costs[catalog.Stage.PREFILL]
-        reference_s = cost.seconds(readingcost.PromptSize(TYPICAL_TOKENS))
+        reference_s = cost.seconds(prefillcost.PromptSize(TYPICAL_TOKENS))
         return max(0.2, engine.expected_s(TYPICAL_TOKENS) / reference_s)
 
     def best(
@@ -460,7 +460,7 @@
     ) -> Option | None:
         """The best way among the engines that have room."""
         kept = self.caches.kept(parts)
-        runner = self.answerers.for_read(avoid, now_s)
+        runner = self.decode_engines.for_read(avoid, now_s)
         best: Option | None = None
         for engine_id in self._candidates(kept, avoid):
             reader = self.engines[engine_id]
@@ -470,7 +470,7 @@
             if target is None:
                 continue
             option = self._option(kept, parts, reader, target, now_s)
-            if not answerers.has_slot(target, option.ready_s, now_s):
+            if not decodeengines.has_slot(target, option.ready_s, now_s):
                 continue
             if best is None or (
                 option.ready_s + option.cost_s < best.ready_s + best.cost_s
@@ -555,7 +555,7 @@
             # What an engine takes beside the transfer keeps no prompt off
             # its link: added up, it would soon put every prompt into the
             # next minute.
-            delay_s = self.answerers.delay_s(runner)
+            delay_s = self.decode_engines.delay_s(runner)
             ready_s = moved_s + delay_s
             cost_s += move_s + delay_s
         return Option(
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -13,7 +13,7 @@
 import dataclasses
 import heapq
 
-from magnoliadyke.core import answerers
+from magnoliadyke.core import decodeengines
 from magnoliadyke.core import enginemodel
 from magnoliadyke.core import enginepool
 from magnoliadyke.core import promptjobs
@@ -96,8 +96,8 @@
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
         """An engine with a slot for one more, None if there is none."""
-        engine = self.pool.answerers.for_short(avoid, now_s)
-        if engine is None or not answerers.has_long_slot(engine):
+        engine = self.pool.decode_engines.for_short(avoid, now_s)
+        if engine is None or not decodeengines.has_long_slot(engine):
             return None
         return engine
 
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -15,9 +15,9 @@
 from typing import Any
 from typing import NamedTuple
 
-from magnoliadyke.core import answerers
 from magnoliadyke.core import capacity as capacities
 from magnoliadyke.core import catalog
+from magnoliadyke.core import decodeengines
 from magnoliadyke.core import deferral
 from magnoliadyke.core import enginepool
 from magnoliadyke.core import limits
@@ -138,7 +138,7 @@
     def load(self, now_s: float) -> stageplan.Load:
         """What is asked of the engines now, refused work included."""
         long_answers = len(self.answers) + len(self.answers.waiting)
-        slots = answerers.long_slots(self.traits.slots)
+        slots = decodeengines.long_slots(self.traits.slots)
         beside, occupied = self.pool.reading_beside(now_s)
         return stageplan.Load(
             self.asked.now(now_s),
@@ -269,7 +269,7 @@
         hundredths of a second, at an engine that is down for a second or
         two; it is the best one there is, since no other one answers.
         """
-        engine = self.pool.answerers.for_short(job.avoid, now_s)
+        engine = self.pool.decode_engines.for_short(job.avoid, now_s)
         if engine is None or engine.endpoint.id not in job.avoid:
             return 0.0
         return engine.rest_until_s - now_s
@@ -348,7 +348,7 @@
         self, engine_id: str, took_s: float, now_s: float
     ) -> list[promptjobs.Decision]:
         """A prompt that was read elsewhere gave its first event."""
-        self.pool.answerers.moved(engine_id, took_s, now_s)
+        self.pool.decode_engines.moved(engine_id, took_s, now_s)
         return []
 
     def lapsed(
@@ -582,10 +582,10 @@
         self, job: promptjobs.Job, now_s: float
     ) -> promptjobs.Decision:
         """A short prompt goes straight to an engine that answers."""
-        engine = self.pool.answerers.for_short(job.avoid, now_s)
+        engine = self.pool.decode_engines.for_short(job.avoid, now_s)
         if engine is None:
             return self.refusals.refuse_unanswered(job, now_s)
-        self.pool.answerers.given(engine, now_s)
+        self.pool.decode_engines.given(engine, now_s)
         engine_id = engine.endpoint.id
         kept = self.pool.caches.kept(job.parts)
         missing = job.tokens - kept.tokens(engine_id)
@@ -597,7 +597,7 @@
         )
 
     def _nobody_answers(self, now_s: float) -> bool:
-        answering = self.pool.answerers.exist()
+        answering = self.pool.decode_engines.exist()
         self.refusals.note_answering(answering, now_s)
         return not answering
 
--- a/magnoliadyke/core/readingcost.py
+++ b/magnoliadyke/core/prefillcost.py
@@ -9,7 +9,7 @@
 import abc
 from typing import NamedTuple
 
-from magnoliadyke.core import typicaltime
+from magnoliadyke.core import medianestimator
 
 __all__ = [
     'AnsweringCost',
@@ -104,7 +104,7 @@
     """
 
     def __init__(self) -> None:
-        self.surprise = typicaltime.TypicalTime(1.0)
+        self.surprise = medianestimator.TypicalTime(1.0)
 
     @property
     @abc.abstractmethod
@@ -144,7 +144,7 @@
     def __init__(self, reference: ReadingCost) -> None:
         super().__init__()
         self.reference = reference
-        self.factor = typicaltime.TypicalTime(ANSWERING_FACTOR)
+        self.factor = medianestimator.TypicalTime(ANSWERING_FACTOR)
 
     @property
     def latency_s(self) -> float:
--- a/magnoliadyke/gateway/placing.py
+++ b/magnoliadyke/gateway/placing.py
@@ -20,11 +20,11 @@
 from magnoliadyke import app
 from magnoliadyke import clock as clocks
 from magnoliadyke.core import catalog
+from magnoliadyke.core import medianestimator
 from magnoliadyke.core import placement
 from magnoliadyke.core import position
+from magnoliadyke.core import prefillcost
 from magnoliadyke.core import promptjobs
-from magnoliadyke.core import readingcost
-from magnoliadyke.core import typicaltime
 from magnoliadyke import errors
 from magnoliadyke.gateway import handover
 from magnoliadyke.gateway import placing_codec
@@ -123,7 +123,7 @@
         self.leader: str | None = None
         self.term = position.START
         self.leading = False
-        self.after_reading_s = typicaltime.TypicalTime(AFTER_READING_S)
+        self.after_reading_s = medianestimator.TypicalTime(AFTER_READING_S)
         self.hosts = 1
         self.silent_until_s = 0.0
         self.served: dict[str, _Pool] = {}
@@ -142,7 +142,7 @@
         self.reads: collections.defaultdict[str, set[waitlimit.WaitLimit]] = (
             collections.defaultdict(set)
         )
-        self.learned: dict[str, readingcost.Figures] = {}
+        self.learned: dict[str, prefillcost.Figures] = {}
         self.tell: Callable[[placing_codec.Message], None] | None = None
         self.socket: socket.socket | None = None
         self.greenlets: list[gevent.Greenlet] = []
@@ -512,7 +512,7 @@
             self.send(sender, reply)
 
     def _take_learned(
-        self, service: str, figures: readingcost.Figures
+        self, service: str, figures: prefillcost.Figures
     ) -> None:
         if self.leading:
             return
--- a/magnoliadyke/gateway/placing_codec.py
+++ b/magnoliadyke/gateway/placing_codec.py
@@ -9,9 +9,9 @@
 from thrift import TSerialization
 
 from magnoliadyke.core import position
+from magnoliadyke.core import prefillcost
 from magnoliadyke.core import promptcache
 from magnoliadyke.core import promptjobs
-from magnoliadyke.core import readingcost
 from magnoliadyke import errors
 from magnoliadyke.gateway import duty_codec
 from magnoliadyke.gateway import store
@@ -148,7 +148,7 @@
     """What prompts were found to take, for the host that places next."""
 
     service: str
-    figures: readingcost.Figures
+    figures: prefillcost.Figures
 
 
 class KeyUpdates(NamedTuple):
@@ -367,7 +367,7 @@
 def _decode_learned(learned: ttypes.Learned) -> Learned:
     return Learned(
         learned.pool,
-        readingcost.Figures(
+        prefillcost.Figures(
             learned.latency_us / MICRO,
             learned.thousand_tokens_us / MICRO,
             learned.million_pairs_us / MICRO,
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,7 +1,7 @@
 """The placement under load: what callers get."""
 
-from magnoliadyke.core import answerers
 from magnoliadyke.core import catalog
+from magnoliadyke.core import decodeengines
 from magnoliadyke.core import enginepool
 from magnoliadyke.core import longanswers
 from magnoliadyke.core import placement
@@ -401,7 +401,7 @@
     placed = [
         d for d in flood(made, 60, 0.0) if isinstance(d, promptjobs.Placed)
     ]
-    assert len(placed) == 2 * (16 - answerers.SHORT_SLOTS)
+    assert len(placed) == 2 * (16 - decodeengines.SHORT_SLOTS)
     prompts = []
     for number in range(10):
         now_s = 0.2 + number * 0.02
@@ -541,7 +541,7 @@
     assert first.run == 'd0'
     made.moved('d0', 0.02, 5.1)
     engine = made.pool.engines['d0']
-    assert engine in made.pool.answerers.available((), 5.2)
+    assert engine in made.pool.decode_engines.available((), 5.2)
     assert engine.failures == 0
 
 
@@ -552,7 +552,7 @@
     they keep slots for short answers.
     """
     made = core(promptload.fleet(prefill=3, decode=2))
-    flood(made, 2 * (16 - answerers.SHORT_SLOTS), 0.0)
+    flood(made, 2 * (16 - decodeengines.SHORT_SLOTS), 0.0)
     plan = stageplan.StagePlan()
     fleet = stageplan.Fleet(reading=3, answering=2)
     plan.note(made.load(0.1), fleet, 0.1)
@@ -668,7 +668,7 @@
     made = core([promptload.engine('p0'), *promptload.fleet(0, 1)])
     busy_with(made, [1])
     for tenth in range(1, 40):
-        made.pool.answerers.served('p0', tenth / 10)
+        made.pool.decode_engines.served('p0', tenth / 10)
         assert made.find_silent(tenth / 10) == []
 
 
--- a/tests/test_readingcost.py
+++ b/tests/test_prefillcost.py
@@ -2,7 +2,7 @@
 
 import random
 
-from magnoliadyke.core import readingcost
+from magnoliadyke.core import prefillcost
 
 LATENCY_S = 0.040
 TOKEN_S = 9e-6
@@ -16,10 +16,10 @@
 
 def taught(count, step_s=0.0, seed=1):
     rng = random.Random(seed)
-    cost = readingcost.FittedCost()
+    cost = prefillcost.FittedCost()
     for number in range(count):
         tokens = rng.lognormvariate(7.5, 1.0)
-        size = readingcost.PromptSize(tokens, rng.choice((0, 6000, 13000)))
+        size = prefillcost.PromptSize(tokens, rng.choice((0, 6000, 13000)))
         alone = rng.random() < 0.5
         seconds = truth_s(size, alone) + rng.uniform(-step_s, step_s)
         cost.learn(size, max(0.0002, seconds), alone, number * 0.05)
@@ -28,7 +28,7 @@
 
 def assert_close(cost, share, least_s=0.0):
     for tokens, before in ((1000, 0), (3000, 13000), (17000, 0), (50000, 0)):
-        size = readingcost.PromptSize(tokens, before)
+        size = prefillcost.PromptSize(tokens, before)
         error_s = abs(cost.seconds(size) - truth_s(size, False))
         assert error_s <= max(least_s, share * truth_s(size, False))
 
@@ -66,7 +66,7 @@
     would make every prompt late for seconds.
     """
     cost = taught(0)
-    size = readingcost.PromptSize(9000)
+    size = prefillcost.PromptSize(9000)
     for number in range(8):
         cost.learn(size, 0.4, True, number * 0.01)
     assert cost.latency_s < 0.012
@@ -74,8 +74,8 @@
 
 def test_engine_that_answers_is_taken_for_half_as_fast_at_first():
     reference = taught(300)
-    cost = readingcost.AnsweringCost(reference)
-    size = readingcost.PromptSize(5000, 2000)
+    cost = prefillcost.AnsweringCost(reference)
+    size = prefillcost.PromptSize(5000, 2000)
     assert cost.seconds(size) == 2 * reference.seconds(size)
     for number in range(60):
         seconds = 3 * truth_s(size, False)
