--- a/magnoliadyke/core/credits.py
+++ b/magnoliadyke/core/credits.py
@@ -107,7 +107,7 @@
         self.prompts = []
         self.prompts_at_s = 0.0
         self.backlog = Lagged()
-        self.others = peerload.OthersPrompts()
+        self.others = peerload.PeerPrompts()
         self.last_done_s = float('-inf')
 
     def clear(self):
@@ -118,7 +118,7 @@
         self.backlog.clear()
         self.reserved = 0
         self.prompts.clear()
-        self.others = peerload.OthersPrompts()
+        self.others = peerload.PeerPrompts()
 
     def undisturbed(self):
         """Whether no other node's prompts were there at the last report."""
--- a/magnoliadyke/core/decodeengines.py
+++ b/magnoliadyke/core/decodeengines.py
@@ -5,15 +5,15 @@
 from magnoliadyke.core import catalog
 from magnoliadyke.core import enginemodel
 
-__all__ = ['SHORT_SLOTS', 'Answerers']
+__all__ = ['SHORT_SLOTS', 'DecodeEngines']
 
 #: Slots that long answers leave to short ones: without any, no prompt that
 #: was read elsewhere could be answered there.
 SHORT_SLOTS = 2
 #: Engines that answer which are slower than this are used last.
-SLOW = 2.0
+SLOW_FACTOR = 2.0
 #: Weight of a new measurement of what follows reading.
-MOVED_WEIGHT = 0.15
+TRANSFER_WEIGHT = 0.15
 #: From this many failures in a row on, an engine is taken for down.
 DOWN_FAILURES = 2
 #: One that is taken for down is given one request in this time, in seconds,
@@ -23,16 +23,16 @@
 
 #: Engines that are compared for one prompt.  The least busy of a dozen is
 #: as good as that of all: more of them take longer to compare.
-COMPARED = 12
+CANDIDATES_COMPARED = 12
 
 # How readily an engine is used; only the best class that there is, is.
 READY = 0
-TURNED_AWAY = 1
-RESTS = 2
+REJECTED_BEFORE = 1
+COOLING_DOWN = 2
 DOWN = 3
 
 
-class Answerers:
+class DecodeEngines:
     """The engines of a service in their part of answering.
 
     :param engines: all engines, by id; belongs to the pool
@@ -42,20 +42,20 @@
 
     def __init__(self, engines: dict[str, enginemodel.EngineModel]) -> None:
         self.engines = engines
-        self.after_s = 0.0
-        self.turns: collections.deque[str] = collections.deque()
+        self.first_event_s = 0.0
+        self.rotation: collections.deque[str] = collections.deque()
 
-    def listed(self) -> None:
+    def refresh(self) -> None:
         """The list of engines, or the stage of one, has changed."""
-        self.turns = collections.deque(
+        self.rotation = collections.deque(
             engine_id
             for engine_id, engine in self.engines.items()
             if engine.endpoint.stage is catalog.Stage.DECODE
         )
 
-    def exist(self) -> bool:
+    def has_any(self) -> bool:
         """Whether any engine of the answering stage is listed."""
-        return bool(self.turns)
+        return bool(self.rotation)
 
     def available(
         self, avoid: tuple[str, ...], now_s: float
@@ -71,12 +71,12 @@
                 classes[_readiness(engine, avoid, now_s)].append(engine)
         return classes[min(classes)] if classes else []
 
-    def for_read(
+    def for_prefilled(
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
         """The engine to answer what another one has read."""
         return min(
-            self._some(avoid, now_s) or self.available(avoid, now_s),
+            self._some_ready(avoid, now_s) or self.available(avoid, now_s),
             key=lambda e: (
                 len(e.runs) >= e.endpoint.slots,
                 max(e.transfer_until_s - now_s, 0.0)
@@ -87,7 +87,7 @@
             default=None,
         )
 
-    def _some(
+    def _some_ready(
         self, avoid: tuple[str, ...], now_s: float
     ) -> list[enginemodel.EngineModel]:
         """A few of the engines that can answer one more at once.
@@ -96,19 +96,19 @@
         not follow the number of engines while most of them have slots.
         """
         found = []
-        for engine_id in self.turns:
+        for engine_id in self.rotation:
             engine = self.engines[engine_id]
             if _readiness(engine, avoid, now_s) == READY and has_slot(
                 engine, now_s, now_s
             ):
                 found.append(engine)
-                if len(found) >= COMPARED:
+                if len(found) >= CANDIDATES_COMPARED:
                     break
-        if len(self.turns) > COMPARED:
-            self.turns.rotate(-COMPARED)
+        if len(self.rotation) > CANDIDATES_COMPARED:
+            self.rotation.rotate(-CANDIDATES_COMPARED)
         return found
 
-    def for_short(
+    def for_short_prompt(
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
         """The engine for a short prompt.
@@ -121,19 +121,23 @@
             default=None,
         )
 
-    def given(self, engine: enginemodel.EngineModel, now_s: float) -> None:
+    def record_assignment(
+        self, engine: enginemodel.EngineModel, now_s: float
+    ) -> None:
         """An engine is to answer a request."""
         if engine.failures >= DOWN_FAILURES:
             engine.probe_until_s = now_s + PROBE_S
 
-    def served(self, engine_id: str, now_s: float) -> None:
+    def record_success(self, engine_id: str, now_s: float) -> None:
         """An engine has shown that it works."""
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.failures = 0
-            engine.served_s = now_s
+            engine.last_success_s = now_s
 
-    def moved(self, engine_id: str, took_s: float, now_s: float) -> None:
+    def record_kv_transfer(
+        self, engine_id: str, took_s: float, now_s: float
+    ) -> None:
         """A prompt that was read elsewhere gave its first event.
 
         :param took_s: from when it had been read
@@ -141,17 +145,20 @@
         engine = self.engines.get(engine_id)
         if engine is None:
             return
-        engine.took_s = now_s
-        self.served(engine_id, now_s)
-        engine.after_s += MOVED_WEIGHT * (took_s - engine.after_s)
+        engine.last_accepted_s = now_s
+        self.record_success(engine_id, now_s)
+        engine.first_event_s += TRANSFER_WEIGHT * (
+            took_s - engine.first_event_s
+        )
         answering = self.engines.values()
-        self.after_s = min(
-            (e.after_s for e in answering if e.after_s > 0), default=0.0
+        self.first_event_s = min(
+            (e.first_event_s for e in answering if e.first_event_s > 0),
+            default=0.0,
         )
 
     def delay_s(self, engine: enginemodel.EngineModel) -> float:
         """How much later prompts come to an engine than to the quickest."""
-        return max(0.0, engine.after_s - self.after_s)
+        return max(0.0, engine.first_event_s - self.first_event_s)
 
 
 def has_slot(
@@ -162,7 +169,7 @@
     Without one it would turn the request away, and the prompt would have
     been read for nothing.
     """
-    return engine.taken(at_s, now_s) < engine.endpoint.slots
+    return engine.slots_in_use(at_s, now_s) < engine.endpoint.slots
 
 
 def long_slots(slots: int) -> int:
@@ -178,18 +185,18 @@
 def _readiness(
     engine: enginemodel.EngineModel, avoid: tuple[str, ...], now_s: float
 ) -> int:
-    rests = engine.rest_until_s > now_s
+    cooling_down = engine.cooldown_until_s > now_s
     if engine.failures >= DOWN_FAILURES:
-        if rests or engine.probe_until_s > now_s:
+        if cooling_down or engine.probe_until_s > now_s:
             return DOWN
-    if rests:
-        return RESTS
-    return TURNED_AWAY if engine.endpoint.id in avoid else READY
+    if cooling_down:
+        return COOLING_DOWN
+    return REJECTED_BEFORE if engine.endpoint.id in avoid else READY
 
 
 def _short_order(
     engine: enginemodel.EngineModel, now_s: float
 ) -> tuple[bool, bool, float]:
     if not has_long_slot(engine):
-        return (True, engine.slowness > SLOW, len(engine.runs))
-    return (False, engine.slowness > SLOW, -len(engine.runs))
+        return (True, engine.slowness > SLOW_FACTOR, len(engine.runs))
+    return (False, engine.slowness > SLOW_FACTOR, -len(engine.runs))
--- a/magnoliadyke/core/deferral.py
+++ b/magnoliadyke/core/deferral.py
@@ -15,11 +15,11 @@
 
 #: Tokens that another engine is reading for which a prompt waits: fewer take
 #: hardly longer to read again than to fetch.
-LEAST_TOKENS = 1000
+MIN_SHARED_TOKENS = 1000
 #: Part of the time to read them again that it waits at most.
-SHARE = 0.5
+MAX_WAIT_SHARE = 0.5
 #: Times that a prompt waits so: what was to be read may fail to come.
-MOST_TIMES = 2
+MAX_DEFERRALS = 2
 
 
 class Deferral:
@@ -31,13 +31,13 @@
 
     def __init__(self, pool: enginepool.EnginePool) -> None:
         self.pool = pool
-        self.moments: list[tuple[float, int]] = []
+        self.resume_heap: list[tuple[float, int]] = []
         self.jobs: dict[int, tuple[promptjobs.Job, promptjobs.JobQueue]] = {}
 
     def __contains__(self, job_id: int) -> bool:
         return job_id in self.jobs
 
-    def put(
+    def try_defer(
         self,
         job: promptjobs.Job,
         option: enginepool.Option,
@@ -50,44 +50,50 @@
         for is a forecast, and one that waited as long as it would have read
         came late too often.
         """
-        kept_tokens = self.pool.caches.kept(job.parts).most_tokens
-        again = option.tokens - (job.tokens - kept_tokens)
-        if again < LEAST_TOKENS or job.deferred >= MOST_TIMES:
+        cached_tokens = self.pool.caches.cached_prefixes(job.parts).max_tokens
+        repeated_tokens = option.tokens - (job.tokens - cached_tokens)
+        if (
+            repeated_tokens < MIN_SHARED_TOKENS
+            or job.deferred >= MAX_DEFERRALS
+        ):
             return False
-        coming_s = self.pool.coming_s(job.parts, kept_tokens, now_s)
-        if coming_s is None or coming_s <= now_s:
+        prefilled_s = self.pool.prefilled_at_s(job.parts, cached_tokens, now_s)
+        if prefilled_s is None or prefilled_s <= now_s:
             return False
         begins_s = option.ready_s - option.read_s
-        if coming_s > begins_s + self.pool.saved_s(again) * SHARE:
+        if (
+            prefilled_s
+            > begins_s + self.pool.prefill_s(repeated_tokens) * MAX_WAIT_SHARE
+        ):
             return False
         job.deferred += 1
-        self.hold(job, queue, coming_s)
+        self.hold(job, queue, prefilled_s)
         return True
 
     def hold(
         self, job: promptjobs.Job, queue: promptjobs.JobQueue, until_s: float
     ) -> None:
         """Keep a job out of its queue until a moment."""
-        heapq.heappush(self.moments, (until_s, job.id))
+        heapq.heappush(self.resume_heap, (until_s, job.id))
         self.jobs[job.id] = (job, queue)
 
     def resume(self, now_s: float) -> None:
         """Queue those again whose parts should have been read by now."""
-        while self.moments and self.moments[0][0] <= now_s:
-            _, job_id = heapq.heappop(self.moments)
+        while self.resume_heap and self.resume_heap[0][0] <= now_s:
+            _, job_id = heapq.heappop(self.resume_heap)
             job, queue = self.jobs.pop(job_id, (None, None))
             if job is not None:
                 queue.put(job)
 
     def resumes_s(self) -> float | None:
         """When :meth:`resume` has something to do next."""
-        return self.moments[0][0] if self.moments else None
+        return self.resume_heap[0][0] if self.resume_heap else None
 
-    def take(self, job_id: int) -> None:
+    def pop(self, job_id: int) -> None:
         """A job waits no longer."""
         self.jobs.pop(job_id, None)
 
-    def take_all(self) -> list[promptjobs.Job]:
+    def pop_all(self) -> list[promptjobs.Job]:
         """No job waits any longer; returns those that did."""
         waiting = [job for job, _ in self.jobs.values()]
         self.jobs.clear()
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -20,7 +20,7 @@
 LATENCY_WEIGHT = 0.1
 #: An engine's latency above this multiple of the usual one is the wait for
 #: prompts that nobody here knows of; it says nothing of the next prompt.
-MOST_LATENCY = 2.0
+MAX_LATENCY_FACTOR = 2.0
 MAX_LATENCY_S = 0.3
 #: Reading time after which most of what an engine has shown is forgotten, in
 #: seconds, and what its first guess counts for.  Counted by time and not by
@@ -34,7 +34,7 @@
 MIN_SLOWNESS = 0.5
 MAX_SLOWNESS = 20.0
 #: Samples of engines within this range of slowness teach the common fit.
-SOUND_SLOWNESS = 1.5
+NORMAL_SLOWNESS = 1.5
 #: One way between a host and an engine, and between hosts; a thousandth of
 #: a second is what hops inside an area take.
 HOP_S = 0.001
@@ -46,17 +46,17 @@
 #: due with a prompt, and for so many times what it takes to read all of that
 #: prompt, reads nothing.  One that is busy with what nobody here knows of,
 #: or that reads at half of its usual speed, is back within it.
-SILENT_S = 0.5
-SILENT_FACTOR = 2.0
+STALL_TIMEOUT_S = 0.5
+STALL_FACTOR = 2.0
 #: How long a short answer holds a slot after its prompt was moved, in
 #: seconds: a few steps, and the way of the request there.
 SHORT_RUN_S = 0.02
 #: Shortest time that counts as measured.
-LEAST_S = 0.0002
+MIN_SAMPLE_S = 0.0002
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
+class PendingPrefill:
     """A prompt that an engine has been given.
 
     :ivar expected_s: reading time at ordinary speed
@@ -70,7 +70,7 @@
     whole_s: float
     sent_s: float
     until_s: float
-    alone: bool
+    was_idle: bool
 
 
 class EngineModel:
@@ -94,26 +94,26 @@
     def __init__(
         self,
         endpoint: catalog.Endpoint,
-        cost: prefillcost.ReadingCost,
+        cost: prefillcost.PrefillCost,
     ) -> None:
         self.endpoint = endpoint
         self.cost = cost
         self.pace = _new_pace()
         self.extra_s = 0.0
-        self.readings: dict[int, Reading] = {}
+        self.pending_prefills: dict[int, PendingPrefill] = {}
         self.runs: set[int] = set()
         self.short_ends: collections.deque[float] = collections.deque()
         self.freed_s = 0.0
         self.transfer_until_s = 0.0
-        self.after_s = 0.0
-        self.rest_until_s = float('-inf')
+        self.first_event_s = 0.0
+        self.cooldown_until_s = float('-inf')
         self.failures = 0
         self.probe_until_s = float('-inf')
-        self.lapsed_at = ('', float('-inf'))
-        self.took_s = float('-inf')
-        self.turned_away: dict[str, float] = {}
-        self.served_s = float('-inf')
-        self.silent_s = float('-inf')
+        self.last_rejected = ('', float('-inf'))
+        self.last_accepted_s = float('-inf')
+        self.rejected_at_s: dict[str, float] = {}
+        self.last_success_s = float('-inf')
+        self.last_stalled_s = float('-inf')
         self.no_fetch_until_s = float('-inf')
 
     @property
@@ -136,15 +136,15 @@
         return self.cost.latency_s + max(0.0, self.extra_s)
 
     @property
-    def latency_beside_s(self) -> float:
+    def overlapped_latency_s(self) -> float:
         """The part of its latency in which it can read the next prompt."""
-        return min(self.latency_s, MOST_LATENCY * self.cost.latency_s)
+        return min(self.latency_s, MAX_LATENCY_FACTOR * self.cost.latency_s)
 
     def expect_run(self, ready_s: float, now_s: float) -> None:
         """A short answer follows a prompt that was read elsewhere."""
         self.short_ends.append(max(ready_s, now_s) + SHORT_RUN_S)
 
-    def taken(self, at_s: float, now_s: float) -> int:
+    def slots_in_use(self, at_s: float, now_s: float) -> int:
         """Slots that answers hold at a moment.
 
         Short answers hold one only for their expected time, not while
@@ -159,30 +159,30 @@
             short += 1
         return len(self.runs) + short
 
-    def expected_s(self, tokens: float, before: float = 0.0) -> float:
+    def expected_s(self, tokens: float, cached_tokens: float = 0.0) -> float:
         """Time that this engine needs to read uncached tokens.
 
         :param before: cached tokens that come before them
         """
-        size = prefillcost.PromptSize(tokens, before)
+        size = prefillcost.PromptSize(tokens, cached_tokens)
         return self.cost.seconds(size) * self.slowness
 
     def free_s(self, now_s: float) -> float:
         """When it has read all that it was given."""
         latest_s = now_s
-        for reading in self.readings.values():
-            if reading.until_s > latest_s:
-                latest_s = reading.until_s
+        for prefill in self.pending_prefills.values():
+            if prefill.until_s > latest_s:
+                latest_s = prefill.until_s
         return latest_s
 
-    def give(
+    def assign(
         self,
         job: int,
         tokens: int,
         fetch_s: float,
         now_s: float,
-        all_tokens: int = 0,
-        seen: bool = True,
+        prompt_tokens: int = 0,
+        sent_now: bool = True,
     ) -> float:
         """Account a prompt; returns when it is expected to be read.
 
@@ -191,44 +191,44 @@
         :param seen: it is sent now; else nobody here knows how long the
             engine has had it, and its end says little of the engine
         """
-        all_tokens = max(tokens, all_tokens)
-        size = prefillcost.PromptSize(tokens, all_tokens - tokens)
+        prompt_tokens = max(tokens, prompt_tokens)
+        size = prefillcost.PromptSize(tokens, prompt_tokens - tokens)
         expected_s = self.cost.seconds(size)
         free_s = self.free_s(now_s)
         start_s = max(free_s, now_s + HOP_S + fetch_s)
         until_s = start_s + expected_s * self.slowness
-        self.readings[job] = Reading(
+        self.pending_prefills[job] = PendingPrefill(
             size,
             expected_s,
-            self.cost.seconds(prefillcost.PromptSize(all_tokens)),
+            self.cost.seconds(prefillcost.PromptSize(prompt_tokens)),
             now_s + fetch_s,
             until_s,
-            seen and not self.readings,
+            sent_now and not self.pending_prefills,
         )
         return until_s
 
-    def read(self, job: int, now_s: float) -> None:
+    def record_prefill_done(self, job: int, now_s: float) -> None:
         """A prompt has been read; its host has just said so."""
-        reading = self.readings.pop(job, None)
-        if reading is None:
+        prefill = self.pending_prefills.pop(job, None)
+        if prefill is None:
             return
-        latency_s = self.latency_beside_s
-        arrived_s = reading.sent_s + HOP_S
+        latency_s = self.overlapped_latency_s
+        arrived_s = prefill.sent_s + HOP_S
         freed_s = now_s - 2 * HOP_S - latency_s
         took_s = freed_s - max(arrived_s, self.freed_s)
-        if reading.alone:
+        if prefill.was_idle:
             whole_s = now_s - 2 * HOP_S - arrived_s
-            self._bound_slowness(reading, whole_s)
-            self._learn_alone(reading, whole_s, now_s)
+            self._bound_slowness(prefill, whole_s)
+            self._learn_from_idle(prefill, whole_s, now_s)
         elif arrived_s + latency_s <= self.freed_s:
-            self._learn(reading, max(LEAST_S, took_s), now_s)
+            self._learn(prefill, max(MIN_SAMPLE_S, took_s), now_s)
         self.freed_s = max(self.freed_s, freed_s)
-        self._shift(now_s)
+        self._reschedule(now_s)
 
     def forget(self, job: int, now_s: float) -> None:
         """A prompt will not be read here after all."""
-        if self.readings.pop(job, None) is not None:
-            self._shift(now_s)
+        if self.pending_prefills.pop(job, None) is not None:
+            self._reschedule(now_s)
 
     def expire(self, now_s: float) -> list[int]:
         """Drop jobs whose end was never reported; returns them.
@@ -238,27 +238,29 @@
         """
         lost = [
             job
-            for job, reading in self.readings.items()
-            if now_s > self._lost_s(reading)
+            for job, prefill in self.pending_prefills.items()
+            if now_s > self._lost_s(prefill)
         ]
         for job in lost:
-            del self.readings[job]
+            del self.pending_prefills[job]
         return lost
 
-    def _lost_s(self, reading: Reading) -> float:
+    def _lost_s(self, prefill: PendingPrefill) -> float:
         """From when on a prompt counts as lost.
 
         An engine that has read others since is done with it.  One that has
         not is busy still, or reads nothing, and then the hosts are told so:
         taken for free it would be given more.
         """
-        length_s = reading.until_s - reading.sent_s
-        lost_s = reading.sent_s + max(LOST_S, length_s * LOST_FACTOR)
-        if self.served_s > reading.until_s:
+        length_s = prefill.until_s - prefill.sent_s
+        lost_s = prefill.sent_s + max(LOST_S, length_s * LOST_FACTOR)
+        if self.last_success_s > prefill.until_s:
             return lost_s
-        return max(lost_s, reading.until_s + 2 * self._patience_s(reading))
+        return max(
+            lost_s, prefill.until_s + 2 * self._stall_timeout_s(prefill)
+        )
 
-    def is_silent(self, now_s: float) -> bool:
+    def is_stalled(self, now_s: float) -> bool:
         """Whether it reads nothing of what it was given.
 
         A prompt that takes long says little: its engine may be busy with
@@ -266,34 +268,38 @@
         meantime, and each of them is a sign of life; one that is down gives
         none at all.
         """
-        if not self.readings:
+        if not self.pending_prefills:
             return False
-        first = next(iter(self.readings.values()))
-        life_s = max(first.until_s, self.served_s)
-        return now_s - life_s > self._patience_s(first)
+        first = next(iter(self.pending_prefills.values()))
+        life_s = max(first.until_s, self.last_success_s)
+        return now_s - life_s > self._stall_timeout_s(first)
 
-    def _patience_s(self, reading: Reading) -> float:
+    def _stall_timeout_s(self, prefill: PendingPrefill) -> float:
         """How long an engine may show no life while it reads a prompt.
 
         What was believed to be kept may be gone; then all of it is read.
         """
-        return max(SILENT_S, reading.whole_s * self.slowness * SILENT_FACTOR)
+        return max(
+            STALL_TIMEOUT_S, prefill.whole_s * self.slowness * STALL_FACTOR
+        )
 
-    def _learn_alone(
-        self, reading: Reading, whole_s: float, now_s: float
+    def _learn_from_idle(
+        self, prefill: PendingPrefill, whole_s: float, now_s: float
     ) -> None:
         """A prompt came alone; its time has the latency in it.
 
         What is beyond the usual is kept by engine: one that has turned slow
         shows it here also while it gets few prompts.
         """
-        extra_s = whole_s - reading.expected_s * self.slowness
+        extra_s = whole_s - prefill.expected_s * self.slowness
         extra_s = min(MAX_LATENCY_S, extra_s - self.cost.latency_s)
         self.extra_s += LATENCY_WEIGHT * (extra_s - self.extra_s)
-        if self._is_sound():
-            self.cost.learn(reading.size, max(LEAST_S, whole_s), True, now_s)
+        if self._has_normal_speed():
+            self.cost.learn(
+                prefill.size, max(MIN_SAMPLE_S, whole_s), True, now_s
+            )
 
-    def _bound_slowness(self, reading: Reading, whole_s: float) -> None:
+    def _bound_slowness(self, prefill: PendingPrefill, whole_s: float) -> None:
         """A prompt that came alone was read within the time it took.
 
         An engine that is taken for slow gets few prompts, each of them
@@ -301,33 +307,35 @@
         recovered, and with several of them nearly all callers would be
         refused by idle engines.
         """
-        ratio = max(MIN_SLOWNESS, whole_s / reading.expected_s)
+        ratio = max(MIN_SLOWNESS, whole_s / prefill.expected_s)
         if ratio < self.slowness:
             ratio = self.slowness + RECOVERY_WEIGHT * (ratio - self.slowness)
             self.pace = _new_pace(ratio)
 
-    def _learn(self, reading: Reading, took_s: float, now_s: float) -> None:
-        self.pace.add(reading.expected_s, took_s)
-        self.cost.surprise.add(self.slowness)
-        if self._is_sound():
-            self.cost.learn(reading.size, took_s, False, now_s)
+    def _learn(
+        self, prefill: PendingPrefill, took_s: float, now_s: float
+    ) -> None:
+        self.pace.add(prefill.expected_s, took_s)
+        self.cost.typical_slowness.add(self.slowness)
+        if self._has_normal_speed():
+            self.cost.learn(prefill.size, took_s, False, now_s)
 
-    def _is_sound(self) -> bool:
+    def _has_normal_speed(self) -> bool:
         """Whether what it takes says something of engines in general.
 
         Measured against what prompts usually take: while the expectation is
         too low for all, none of them is slow.
         """
-        usual = max(1.0, self.cost.surprise.median_s)
-        return self.slowness < SOUND_SLOWNESS * usual
+        usual = max(1.0, self.cost.typical_slowness.median_s)
+        return self.slowness < NORMAL_SLOWNESS * usual
 
-    def _shift(self, now_s: float) -> None:
+    def _reschedule(self, now_s: float) -> None:
         """Expect the remaining prompts anew, one after another."""
         until_s = self.freed_s
-        for reading in self.readings.values():
-            until_s = max(until_s, reading.sent_s + HOP_S)
-            until_s += reading.expected_s * self.slowness
-            reading.until_s = until_s
+        for prefill in self.pending_prefills.values():
+            until_s = max(until_s, prefill.sent_s + HOP_S)
+            until_s += prefill.expected_s * self.slowness
+            prefill.until_s = until_s
 
 
 def _new_pace(ratio: float = 1.0) -> costs.RatioFit:
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -32,7 +32,7 @@
     """
 
     ahead_s: float = 0.005
-    most_ahead: int = 8
+    max_ahead: int = 8
     fetch_gain: float = 0.6
     candidates: int = 12
 
@@ -49,27 +49,27 @@
 #: rest.
 CACHE_SHARE = 0.9
 #: An engine that failed a send rests this long, doubled each time in a row.
-REST_S = 0.5
-MAX_REST_S = 4.0
+COOLDOWN_S = 0.5
+MAX_COOLDOWN_S = 4.0
 #: An engine that has served somebody within this time is not down.
-SERVED_S = 0.4
+RECENT_SUCCESS_S = 0.4
 #: Nothing is fetched for this long from an engine whose transfers hang.
-DISTRUST_S = 3.0
+FETCH_SUSPENSION_S = 3.0
 #: Two lapses of an engine's read prompts within this time make it rest for
 #: this long, in seconds: it reads for nothing.
-LAPSED_AGAIN_S = 1.0
-LAPSED_REST_S = 2.0
+REJECTION_WINDOW_S = 1.0
+REJECTION_COOLDOWN_S = 2.0
 #: An engine that reads nothing is told of again after this time, in seconds,
 #: while prompts wait there: the word of it may have been lost.
-SILENT_AGAIN_S = 0.5
+STALL_REPORT_INTERVAL_S = 0.5
 #: Measured prompts after which the figures are no guess any more.
-ENOUGH_PROMPTS = 40
+MIN_PROMPTS = 40
 #: Prompt length at which the speeds of two engines are compared.
 TYPICAL_TOKENS = 4000
 #: How long a computed capacity is used, in seconds: a job more or less.
-CAPACITY_S = 0.01
+CAPACITY_MAX_AGE_S = 0.01
 #: Holders of a part that are considered for fetching it.
-SOURCES = 3
+MAX_SOURCES = 3
 
 
 @dataclasses.dataclass(slots=True)
@@ -82,14 +82,14 @@
     :ivar moved_s: moment at which the runner's link is free of it
     """
 
-    reader: enginemodel.EngineModel
-    runner: enginemodel.EngineModel
+    prefill_engine: enginemodel.EngineModel
+    decode_engine: enginemodel.EngineModel
     source: enginemodel.EngineModel | None
     tokens: int
     fetch_s: float
     read_s: float
     ready_s: float
-    moved_s: float
+    transferred_s: float
     cost_s: float
 
 
@@ -109,19 +109,19 @@
         self.traits = traits
         self.settings = settings or PoolSettings()
         self.engines: dict[str, enginemodel.EngineModel] = {}
-        self.decode_engines = decodeengines.Answerers(self.engines)
+        self.decode_engines = decodeengines.DecodeEngines(self.engines)
         reading = prefillcost.FittedCost()
-        self.costs: dict[catalog.Stage, prefillcost.ReadingCost] = {
+        self.costs: dict[catalog.Stage, prefillcost.PrefillCost] = {
             catalog.Stage.NONE: reading,
             catalog.Stage.PREFILL: reading,
-            catalog.Stage.DECODE: prefillcost.AnsweringCost(reading),
+            catalog.Stage.DECODE: prefillcost.DecodeStagePrefillCost(reading),
         }
         self.caches = promptcache.CacheIndex()
         self.open: dict[catalog.Stage, dict[str, None]] = {
             stage: {} for stage in catalog.Stage
         }
-        self.beside = False
-        self._opens: list[tuple[float, str]] = []
+        self.allow_interference = False
+        self._opening_heap: list[tuple[float, str]] = []
         self._capacity = capacity.Capacity(())
         self._capacity_s = float('-inf')
 
@@ -133,15 +133,15 @@
         One that left keeps nothing: it would come back without its memory.
         """
         listed = {each.id: each for each in endpoints}
-        for gone in [e for e in self.engines if e not in listed]:
-            del self.engines[gone]
+        for removed_id in [e for e in self.engines if e not in listed]:
+            del self.engines[removed_id]
             for engine in self.engines.values():
-                engine.turned_away.pop(gone, None)
-            self.caches.drop(gone)
-            self._close(gone)
+                engine.rejected_at_s.pop(removed_id, None)
+            self.caches.drop(removed_id)
+            self._close(removed_id)
         for endpoint in endpoints:
             self._set_engine(endpoint)
-        self.decode_engines.listed()
+        self.decode_engines.refresh()
         self._capacity_s = float('-inf')
 
     def _set_engine(self, endpoint: catalog.Endpoint) -> None:
@@ -159,18 +159,18 @@
         if changed:
             model.forget_pace()
             model.cost = self.costs[endpoint.stage]
-            model.rest_until_s = float('-inf')
+            model.cooldown_until_s = float('-inf')
             self._close(endpoint.id)
-            if self._may_read(model):
+            if self._can_prefill(model):
                 self.open[endpoint.stage][endpoint.id] = None
 
-    def rest(self, engine_id: str, until_s: float) -> None:
+    def cool_down(self, engine_id: str, until_s: float) -> None:
         """Give an engine no work for a time."""
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.rest_until_s = until_s
+            engine.cooldown_until_s = until_s
             self._close(engine_id)
-            heapq.heappush(self._opens, (until_s, engine_id))
+            heapq.heappush(self._opening_heap, (until_s, engine_id))
             self._capacity_s = float('-inf')
 
     def failed(self, engine_id: str, job: int, now_s: float) -> None:
@@ -184,41 +184,43 @@
         if engine is None:
             return
         engine.forget(job, now_s)
-        if now_s - engine.served_s < SERVED_S:
-            self._note_room(engine, now_s)
+        if now_s - engine.last_success_s < RECENT_SUCCESS_S:
+            self._update_open(engine, now_s)
             return
-        if now_s - engine.silent_s < SILENT_AGAIN_S:
+        if now_s - engine.last_stalled_s < STALL_REPORT_INTERVAL_S:
             # It was found to read nothing, and all its prompts are given up
             # at once.  That is one failure: counted each, one engine that
             # was busy for a moment would be left idle for seconds.
             return
         engine.failures += 1
-        rest_s = REST_S * 2 ** min(engine.failures - 1, 3)
-        self.rest(engine_id, now_s + min(rest_s, MAX_REST_S))
+        cooldown_s = COOLDOWN_S * 2 ** min(engine.failures - 1, 3)
+        self.cool_down(engine_id, now_s + min(cooldown_s, MAX_COOLDOWN_S))
 
-    def find_silent(self, now_s: float) -> list[str]:
+    def find_stalled(self, now_s: float) -> list[str]:
         """Engines that read nothing of what they were given; they rest."""
-        silent = []
+        stalled = []
         for engine_id, engine in self.engines.items():
-            if now_s - engine.silent_s < SILENT_AGAIN_S:
+            if now_s - engine.last_stalled_s < STALL_REPORT_INTERVAL_S:
                 continue
             if engine.endpoint.stage is catalog.Stage.DECODE:
                 # Its answers show whether it lives, event by event.
                 continue
-            if engine.is_silent(now_s):
-                engine.silent_s = now_s
+            if engine.is_stalled(now_s):
+                engine.last_stalled_s = now_s
                 engine.failures += 1
-                self.rest(engine_id, now_s + REST_S)
-                silent.append(engine_id)
-        return silent
+                self.cool_down(engine_id, now_s + COOLDOWN_S)
+                stalled.append(engine_id)
+        return stalled
 
-    def distrust(self, engine_id: str, now_s: float) -> None:
+    def suspend_fetch(self, engine_id: str, now_s: float) -> None:
         """Fetching from an engine took far too long; read for a while."""
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.no_fetch_until_s = now_s + DISTRUST_S
+            engine.no_fetch_until_s = now_s + FETCH_SUSPENSION_S
 
-    def lapsed(self, reader_id: str, runner_id: str, now_s: float) -> None:
+    def record_rejection(
+        self, prefill_engine_id: str, decode_engine_id: str, now_s: float
+    ) -> None:
         """An engine turned away a request whose prompt another had read.
 
         Either it is full or changing, or what was read is gone; both say
@@ -229,43 +231,45 @@
         that answers rests first.  Taken for the readers' fault, one engine
         that is down would make all of them rest, and nobody be served.
         """
-        reader = self.engines.get(reader_id)
-        runner = self.engines.get(runner_id)
-        if reader is None or runner is None:
+        prefill_engine = self.engines.get(prefill_engine_id)
+        decode_engine = self.engines.get(decode_engine_id)
+        if prefill_engine is None or decode_engine is None:
             return
-        since_s = now_s - LAPSED_AGAIN_S
-        last_runner, before_s = reader.lapsed_at
-        reader.lapsed_at = (runner_id, now_s)
-        runner.turned_away[reader_id] = now_s
-        of_late = [s for s in runner.turned_away.values() if s > since_s]
-        if len(of_late) > 1:
-            self.rest(runner_id, now_s + REST_S)
+        since_s = now_s - REJECTION_WINDOW_S
+        last_decode_engine_id, before_s = prefill_engine.last_rejected
+        prefill_engine.last_rejected = (decode_engine_id, now_s)
+        decode_engine.rejected_at_s[prefill_engine_id] = now_s
+        recent = [
+            s for s in decode_engine.rejected_at_s.values() if s > since_s
+        ]
+        if len(recent) > 1:
+            self.cool_down(decode_engine_id, now_s + COOLDOWN_S)
         elif before_s <= since_s:
             return
         elif (
-            last_runner != runner_id
-            or runner.took_s > since_s
-            or runner.rest_until_s > since_s
+            last_decode_engine_id != decode_engine_id
+            or decode_engine.last_accepted_s > since_s
+            or decode_engine.cooldown_until_s > since_s
         ):
-            self.rest(reader_id, now_s + LAPSED_REST_S)
+            self.cool_down(prefill_engine_id, now_s + REJECTION_COOLDOWN_S)
         else:
-            self.rest(runner_id, now_s + REST_S)
+            self.cool_down(decode_engine_id, now_s + COOLDOWN_S)
 
     # Who has room.
 
     def refresh(self, now_s: float) -> None:
         """Note the engines that have got room by now."""
-        while self._opens and self._opens[0][0] <= now_s:
-            _, engine_id = heapq.heappop(self._opens)
+        while self._opening_heap and self._opening_heap[0][0] <= now_s:
+            _, engine_id = heapq.heappop(self._opening_heap)
             engine = self.engines.get(engine_id)
             if engine is not None:
                 for lost in engine.expire(now_s):
                     self.caches.abandon(lost)
-                self._note_room(engine, now_s)
+                self._update_open(engine, now_s)
 
     def opens_s(self) -> float | None:
         """When an engine is expected to get room without further word."""
-        return self._opens[0][0] if self._opens else None
+        return self._opening_heap[0][0] if self._opening_heap else None
 
     def has_open(self) -> bool:
         """Whether any engine may be given a prompt to read."""
@@ -275,29 +279,29 @@
         for of_stage in self.open.values():
             of_stage.pop(engine_id, None)
 
-    def _note_room(
+    def _update_open(
         self, engine: enginemodel.EngineModel, now_s: float
     ) -> None:
         engine_id = engine.endpoint.id
-        if engine.rest_until_s > now_s or not self._may_read(engine):
+        if engine.cooldown_until_s > now_s or not self._can_prefill(engine):
             self._close(engine_id)
             return
         of_stage = self.open[engine.endpoint.stage]
-        if not engine.readings:
+        if not engine.pending_prefills:
             of_stage[engine_id] = None
             return
-        ahead_s = self.settings.ahead_s + engine.latency_beside_s
+        ahead_s = self.settings.ahead_s + engine.overlapped_latency_s
         opens_s = engine.free_s(now_s) - ahead_s
-        full = len(engine.readings) >= self._most_ahead(engine)
+        full = len(engine.pending_prefills) >= self._max_ahead(engine)
         if opens_s <= now_s and not full:
             of_stage[engine_id] = None
             return
         of_stage.pop(engine_id, None)
         if full:
             opens_s = max(opens_s, now_s + enginemodel.LOST_S)
-        heapq.heappush(self._opens, (opens_s, engine_id))
+        heapq.heappush(self._opening_heap, (opens_s, engine_id))
 
-    def _most_ahead(self, engine: enginemodel.EngineModel) -> int:
+    def _max_ahead(self, engine: enginemodel.EngineModel) -> int:
         """A prompt takes a slot, also while it waits for the one before.
 
         An engine that failed is tried with one: were it still down, all
@@ -305,11 +309,11 @@
         """
         if engine.failures:
             return 1
-        return min(self.settings.most_ahead, max(1, engine.endpoint.slots - 1))
+        return min(self.settings.max_ahead, max(1, engine.endpoint.slots - 1))
 
     # What becomes of prompts.
 
-    def take(
+    def assign(
         self,
         job: int,
         parts: tuple[promptcache.PromptPart, ...],
@@ -317,33 +321,40 @@
         now_s: float,
     ) -> None:
         """Give a prompt to the engines of an option."""
-        reader, runner = option.reader, option.runner
+        prefill_engine, decode_engine = (
+            option.prefill_engine,
+            option.decode_engine,
+        )
         tokens = promptcache.total_tokens(parts)
-        reader.give(job, option.tokens, option.fetch_s, now_s, tokens)
-        self.caches.expect(reader.endpoint.id, job, parts)
-        if runner is not reader:
-            self.caches.expect(runner.endpoint.id, job, parts)
-            runner.transfer_until_s = option.moved_s
-            runner.expect_run(option.ready_s, now_s)
-        self.decode_engines.given(runner, now_s)
-        self._note_room(reader, now_s)
+        prefill_engine.assign(
+            job, option.tokens, option.fetch_s, now_s, tokens
+        )
+        self.caches.expect(prefill_engine.endpoint.id, job, parts)
+        if decode_engine is not prefill_engine:
+            self.caches.expect(decode_engine.endpoint.id, job, parts)
+            decode_engine.transfer_until_s = option.transferred_s
+            decode_engine.expect_run(option.ready_s, now_s)
+        self.decode_engines.record_assignment(decode_engine, now_s)
+        self._update_open(prefill_engine, now_s)
 
     def adopt(
         self, job: int, engine_id: str, tokens: int, now_s: float
     ) -> None:
         """An engine is at work on a prompt that somebody else gave it."""
         engine = self.engines[engine_id]
-        engine.give(job, tokens, 0.0, now_s, seen=False)
-        self._note_room(engine, now_s)
+        engine.assign(job, tokens, 0.0, now_s, sent_now=False)
+        self._update_open(engine, now_s)
 
-    def has_read(self, job: int, engine_id: str, now_s: float) -> None:
+    def record_prefill_done(
+        self, job: int, engine_id: str, now_s: float
+    ) -> None:
         """An engine has read a prompt."""
-        self.caches.arrived(job)
+        self.caches.record_prefill_done(job)
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.read(job, now_s)
-            self.decode_engines.served(engine_id, now_s)
-            self._note_room(engine, now_s)
+            engine.record_prefill_done(job, now_s)
+            self.decode_engines.record_success(engine_id, now_s)
+            self._update_open(engine, now_s)
 
     def forget(self, job: int, engine_id: str, now_s: float) -> None:
         """An engine will not read a prompt after all."""
@@ -351,61 +362,64 @@
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.forget(job, now_s)
-            self._note_room(engine, now_s)
+            self._update_open(engine, now_s)
 
     def begin_run(self, job: int, engine_id: str, now_s: float) -> None:
         """An engine gives a long answer, and may not read beside it."""
         engine = self.engines[engine_id]
         engine.runs.add(job)
-        self._note_room(engine, now_s)
+        self._update_open(engine, now_s)
 
     def end_run(self, job: int, engine_id: str, now_s: float) -> None:
         """A long answer has ended, or goes on elsewhere."""
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.runs.discard(job)
-            self._note_room(engine, now_s)
+            self._update_open(engine, now_s)
 
     # What it costs.
 
-    def learned(self) -> prefillcost.Figures | None:
+    def learned_costs(self) -> prefillcost.CostCoefficients | None:
         """What prompts were found to take; None while it is a guess."""
         reading = self.costs[catalog.Stage.PREFILL]
         answering = self.costs[catalog.Stage.DECODE]
-        if reading.count < ENOUGH_PROMPTS:
+        if reading.count < MIN_PROMPTS:
             return None
-        return prefillcost.Figures(*reading.figures, answering.factor.median_s)
+        return prefillcost.CostCoefficients(
+            *reading.coefficients, answering.factor.median_s
+        )
 
-    def begin_with(self, figures: prefillcost.Figures) -> None:
+    def restore_costs(self, figures: prefillcost.CostCoefficients) -> None:
         """Take what another place has found; measurements go on."""
         *reading, factor = figures
-        self.costs[catalog.Stage.PREFILL].guess(*reading)
+        self.costs[catalog.Stage.PREFILL].set_coefficients(*reading)
         self.costs[catalog.Stage.DECODE].factor.median_s = factor
 
-    def need_s(self, kept: promptcache.Kept, tokens: int) -> float:
+    def need_s(self, cached: promptcache.CachedPrefixes, tokens: int) -> float:
         """Reading time of a prompt where most of it is kept."""
         cost = self.costs[catalog.Stage.PREFILL]
-        most = kept.most_tokens
+        most = cached.max_tokens
         return cost.seconds(prefillcost.PromptSize(tokens - most, most))
 
-    def saved_s(self, tokens: int) -> float:
+    def prefill_s(self, tokens: int) -> float:
         """Reading time of so many tokens at an engine that only reads."""
         cost = self.costs[catalog.Stage.PREFILL]
         return cost.seconds(prefillcost.PromptSize(tokens))
 
     def capacity(self, now_s: float) -> capacity.Capacity:
         """Reading power of the engines that may read."""
-        if now_s - self._capacity_s >= CAPACITY_S:
+        if now_s - self._capacity_s >= CAPACITY_MAX_AGE_S:
             self._capacity_s = now_s
-            self._look_for_readers(now_s)
+            self._update_interference(now_s)
             self._capacity = capacity.Capacity(
-                (engine.free_s(now_s) - now_s, 1 / self.relative(engine))
+                (engine.free_s(now_s) - now_s, 1 / self.relative_cost(engine))
                 for engine in self.engines.values()
-                if engine.rest_until_s <= now_s and self._may_read(engine)
+                if engine.cooldown_until_s <= now_s
+                and self._can_prefill(engine)
             )
         return self._capacity
 
-    def reading_beside(self, now_s: float) -> tuple[float, int]:
+    def decode_stage_capacity(self, now_s: float) -> tuple[float, int]:
         """What engines that answer can read.
 
         :returns: engines' worth of reading, and the number of those that
@@ -417,13 +431,13 @@
             if engine.endpoint.stage is catalog.Stage.DECODE
         ]
         power = sum(
-            1 / self.relative(engine)
+            1 / self.relative_cost(engine)
             for engine in answering
-            if engine.rest_until_s <= now_s and self._may_read(engine)
+            if engine.cooldown_until_s <= now_s and self._can_prefill(engine)
         )
         return power, sum(1 for each in answering if each.long_runs)
 
-    def _look_for_readers(self, now_s: float) -> None:
+    def _update_interference(self, now_s: float) -> None:
         """Have engines read beside long answers while no other one can.
 
         The engines that read have left, are down or are changing, and each
@@ -433,43 +447,43 @@
         nothing.
         """
         beside = not any(
-            engine.rest_until_s <= now_s and may_read(engine)
+            engine.cooldown_until_s <= now_s and can_prefill(engine)
             for engine in self.engines.values()
         )
-        if beside is self.beside:
+        if beside is self.allow_interference:
             return
-        self.beside = beside
+        self.allow_interference = beside
         for engine in self.engines.values():
             if engine.long_runs:
-                self._note_room(engine, now_s)
+                self._update_open(engine, now_s)
 
-    def _may_read(self, engine: enginemodel.EngineModel) -> bool:
-        return self.beside or may_read(engine)
+    def _can_prefill(self, engine: enginemodel.EngineModel) -> bool:
+        return self.allow_interference or can_prefill(engine)
 
-    def relative(self, engine: enginemodel.EngineModel) -> float:
+    def relative_cost(self, engine: enginemodel.EngineModel) -> float:
         """How much longer an engine reads than one of the reading stage."""
         cost = self.costs[catalog.Stage.PREFILL]
         reference_s = cost.seconds(prefillcost.PromptSize(TYPICAL_TOKENS))
         return max(0.2, engine.expected_s(TYPICAL_TOKENS) / reference_s)
 
-    def best(
+    def best_option(
         self,
         parts: tuple[promptcache.PromptPart, ...],
         avoid: tuple[str, ...],
         now_s: float,
     ) -> Option | None:
         """The best way among the engines that have room."""
-        kept = self.caches.kept(parts)
-        runner = self.decode_engines.for_read(avoid, now_s)
+        cached = self.caches.cached_prefixes(parts)
+        decode_engine = self.decode_engines.for_prefilled(avoid, now_s)
         best: Option | None = None
-        for engine_id in self._candidates(kept, avoid):
-            reader = self.engines[engine_id]
-            target = runner
-            if reader.endpoint.stage is catalog.Stage.DECODE:
-                target = reader
+        for engine_id in self._candidates(cached, avoid):
+            prefill_engine = self.engines[engine_id]
+            target = decode_engine
+            if prefill_engine.endpoint.stage is catalog.Stage.DECODE:
+                target = prefill_engine
             if target is None:
                 continue
-            option = self._option(kept, parts, reader, target, now_s)
+            option = self._option(cached, parts, prefill_engine, target, now_s)
             if not decodeengines.has_slot(target, option.ready_s, now_s):
                 continue
             if best is None or (
@@ -478,7 +492,7 @@
                 best = option
         return best
 
-    def coming_s(
+    def prefilled_at_s(
         self,
         parts: tuple[promptcache.PromptPart, ...],
         tokens: int,
@@ -488,26 +502,26 @@
 
         :param tokens: of the first parts, to be kept there
         """
-        kept = self.caches.kept(parts)
+        cached = self.caches.cached_prefixes(parts)
         moments = []
-        for engine_id in kept.holders(SOURCES):
-            if kept.tokens(engine_id) < tokens:
+        for engine_id in cached.holders(MAX_SOURCES):
+            if cached.tokens(engine_id) < tokens:
                 continue
             engine = self.engines[engine_id]
             if self.caches.ready_tokens(engine_id, parts) >= tokens:
                 moments.append(now_s)
                 continue
-            reading_s = [
-                engine.readings[job].until_s
-                for job in self.caches.awaited(engine_id, parts)
-                if job in engine.readings
+            completions_s = [
+                engine.pending_prefills[job].until_s
+                for job in self.caches.pending_jobs(engine_id, parts)
+                if job in engine.pending_prefills
             ]
-            if reading_s:
-                moments.append(max(reading_s) + engine.latency_s)
+            if completions_s:
+                moments.append(max(completions_s) + engine.latency_s)
         return min(moments, default=None)
 
     def _candidates(
-        self, kept: promptcache.Kept, avoid: tuple[str, ...]
+        self, cached: promptcache.CachedPrefixes, avoid: tuple[str, ...]
     ) -> Iterable[str]:
         """Engines to compare for a prompt.
 
@@ -522,59 +536,61 @@
             usable = (each for each in of_stage if each not in avoid)
             found.update(dict.fromkeys(itertools.islice(usable, most)))
             if len(of_stage) > most:
-                for holder in kept.holders(SOURCES):
+                for holder in cached.holders(MAX_SOURCES):
                     if holder in of_stage and holder not in avoid:
                         found[holder] = None
         return found
 
     def _option(
         self,
-        kept: promptcache.Kept,
+        cached: promptcache.CachedPrefixes,
         parts: tuple[promptcache.PromptPart, ...],
-        reader: enginemodel.EngineModel,
-        runner: enginemodel.EngineModel,
+        prefill_engine: enginemodel.EngineModel,
+        decode_engine: enginemodel.EngineModel,
         now_s: float,
     ) -> Option:
         tokens = promptcache.total_tokens(parts)
-        missing = tokens - kept.tokens(reader.endpoint.id)
+        missing = tokens - cached.tokens(prefill_engine.endpoint.id)
         source, missing, fetch_s = self._source(
-            kept, parts, reader, missing, now_s
+            cached, parts, prefill_engine, missing, now_s
         )
-        read_s = reader.expected_s(missing, tokens - missing) + fetch_s
+        read_s = prefill_engine.expected_s(missing, tokens - missing) + fetch_s
         ready_s = (
-            reader.free_s(now_s)
+            prefill_engine.free_s(now_s)
             + enginemodel.HOP_S
             + read_s
-            + reader.latency_s
+            + prefill_engine.latency_s
         )
         cost_s = read_s
-        moved_s = ready_s
-        if runner is not reader:
-            move_s = self._transfer_s(reader, runner, tokens)
-            moved_s = max(ready_s, runner.transfer_until_s) + move_s
+        transferred_s = ready_s
+        if decode_engine is not prefill_engine:
+            move_s = self._transfer_s(prefill_engine, decode_engine, tokens)
+            transferred_s = (
+                max(ready_s, decode_engine.transfer_until_s) + move_s
+            )
             # What an engine takes beside the transfer keeps no prompt off
             # its link: added up, it would soon put every prompt into the
             # next minute.
-            delay_s = self.decode_engines.delay_s(runner)
-            ready_s = moved_s + delay_s
+            delay_s = self.decode_engines.delay_s(decode_engine)
+            ready_s = transferred_s + delay_s
             cost_s += move_s + delay_s
         return Option(
-            reader,
-            runner,
+            prefill_engine,
+            decode_engine,
             source,
             missing,
             fetch_s,
             read_s,
             ready_s,
-            moved_s,
+            transferred_s,
             cost_s,
         )
 
     def _source(
         self,
-        kept: promptcache.Kept,
+        cached: promptcache.CachedPrefixes,
         parts: tuple[promptcache.PromptPart, ...],
-        reader: enginemodel.EngineModel,
+        prefill_engine: enginemodel.EngineModel,
         missing: int,
         now_s: float,
     ) -> tuple[enginemodel.EngineModel | None, int, float]:
@@ -583,17 +599,17 @@
         :returns: the engine or None, tokens left to read, time to fetch
         """
         has = promptcache.total_tokens(parts) - missing
-        if kept.most_tokens <= has:
+        if cached.max_tokens <= has:
             return None, missing, 0.0
-        for holder in kept.holders(SOURCES):
+        for holder in cached.holders(MAX_SOURCES):
             source = self.engines.get(holder)
-            if source is None or source is reader:
+            if source is None or source is prefill_engine:
                 continue
             gained = self.caches.ready_tokens(holder, parts) - has
             if gained <= 0 or source.no_fetch_until_s > now_s:
                 continue
-            saved_s = reader.expected_s(gained, has)
-            fetch_s = self._transfer_s(source, reader, gained)
+            saved_s = prefill_engine.expected_s(gained, has)
+            fetch_s = self._transfer_s(source, prefill_engine, gained)
             if fetch_s <= saved_s * self.settings.fetch_gain:
                 return source, missing - gained, fetch_s
         return None, missing, 0.0
@@ -611,7 +627,7 @@
             return seconds * REMOTE_FACTOR
         return seconds
 
-    def taking_over_s(self, tokens: int) -> float:
+    def handoff_s(self, tokens: int) -> float:
         """Time that an engine needs to take over what another has read.
 
         Any other engine is as likely to have read it, so most transfers
@@ -626,7 +642,7 @@
         return seconds * (1 + (REMOTE_FACTOR - 1) * remote) + FIRST_STEP_S
 
 
-def may_read(engine: enginemodel.EngineModel) -> bool:
+def can_prefill(engine: enginemodel.EngineModel) -> bool:
     """Whether an engine may be given prompts while others can read too.
 
     Not beside long answers: each step of these would wait for a piece of
--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -2,8 +2,8 @@
 
 __all__ = ['Learner']
 
-LEAST_SLOWNESS = 0.5
-MOST_SLOWNESS = 4.0
+MIN_SLOWNESS = 0.5
+MAX_SLOWNESS = 4.0
 #: Steps of the decoding engine between a KV cache's arrival and a token.
 STEPS_TO_FIRST_TOKEN = 1.5
 
@@ -21,7 +21,7 @@
         self.beliefs = beliefs
         self.router = router
 
-    def first_token(self, run, was_read, now_s):
+    def record_first_token(self, run, prefill_reported, now_s):
         """The first token came.
 
         :param was_read: whether the end of the prefill was told before
@@ -31,7 +31,7 @@
         error_s = now_s - run.expected_s
         self.router.observe(run.read_by.role, run.job.priority, error_s)
         split = run.read_by is not run.stream_at
-        if not was_read or not split or run.stream_at is None:
+        if not prefill_reported or not split or run.stream_at is None:
             return
         model = self.models.of_job(run.job)
         streams = run.stream_at.load.streams.total()
@@ -40,7 +40,7 @@
             took_s -= model.pace.at(streams) * STEPS_TO_FIRST_TOKEN
             model.transfer.add(run.job.prompt_tokens, max(0.0, took_s))
 
-    def finished(self, run, result, now_s):
+    def record_finish(self, run, result, now_s):
         """The whole answer has come.
 
         :returns: engine-seconds that the job took in truth
@@ -63,7 +63,7 @@
         decode_s = result.output_tokens * model.decode_s_per_token()
         return read_tokens * model.prefill.ratio + decode_s
 
-    def prompt_read(self, run, endpoint, now_s):
+    def record_prefill_done(self, run, endpoint, now_s):
         """A prompt was read; the time since the last one tells its cost."""
         load = endpoint.load
         since_s = max(run.dispatched_s, load.last_done_s)
@@ -96,4 +96,4 @@
         model.observe_pace(streams, steps, took_s)
         endpoint.pace.add(expected_s, took_s)
         ratio = endpoint.pace.ratio
-        endpoint.slowness = min(max(ratio, LEAST_SLOWNESS), MOST_SLOWNESS)
+        endpoint.slowness = min(max(ratio, MIN_SLOWNESS), MAX_SLOWNESS)
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -56,7 +56,7 @@
         self.pool = pool
         self.long_run_s = long_run_s
         self.runs: dict[int, _Run] = {}
-        self.lost_runs: list[tuple[float, int]] = []
+        self.expiry_heap: list[tuple[float, int]] = []
         self.output_s = PRIOR_OUTPUT_S
         self.waiting = promptjobs.JobQueue()
 
@@ -75,7 +75,7 @@
             return
         self.pool.begin_run(job_id, engine_id, now_s)
         self.runs[job_id] = _Run(engine_id, now_s, output_tokens)
-        heapq.heappush(self.lost_runs, (now_s + RUN_LOST_S, job_id))
+        heapq.heappush(self.expiry_heap, (now_s + RUN_LOST_S, job_id))
 
     def ended(self, job_id: int, now_s: float) -> None:
         """An answer is complete, or was broken off."""
@@ -92,11 +92,11 @@
         self.pool.end_run(job_id, run.engine, now_s)
         return run
 
-    def engine(
+    def available_engine(
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
         """An engine with a slot for one more, None if there is none."""
-        engine = self.pool.decode_engines.for_short(avoid, now_s)
+        engine = self.pool.decode_engines.for_short_prompt(avoid, now_s)
         if engine is None or not decodeengines.has_long_slot(engine):
             return None
         return engine
@@ -114,6 +114,6 @@
 
     def expire(self, now_s: float) -> None:
         """Give up answers of which no end was reported."""
-        while self.lost_runs and self.lost_runs[0][0] <= now_s:
-            _, job_id = heapq.heappop(self.lost_runs)
+        while self.expiry_heap and self.expiry_heap[0][0] <= now_s:
+            _, job_id = heapq.heappop(self.expiry_heap)
             self.release(job_id, now_s)
--- a/magnoliadyke/core/medianestimator.py
+++ b/magnoliadyke/core/medianestimator.py
@@ -1,6 +1,6 @@
 """The usual length of something that is measured again and again."""
 
-__all__ = ['TypicalTime']
+__all__ = ['MedianEstimator']
 
 #: Step towards a new measurement, as a share; twenty of them double it.
 MEDIAN_STEP = 0.035
@@ -8,7 +8,7 @@
 HIGH_SHARE = 1.4
 
 
-class TypicalTime:
+class MedianEstimator:
     """The median of measured times, followed by small steps.
 
     A mean would follow the few that wait for an engine that is down, or
@@ -18,8 +18,8 @@
     :param first_s: value before anything was measured, above zero
     """
 
-    def __init__(self, first_s: float) -> None:
-        self.median_s = first_s
+    def __init__(self, initial_s: float) -> None:
+        self.median_s = initial_s
 
     @property
     def high_s(self) -> float:
--- a/magnoliadyke/core/peerload.py
+++ b/magnoliadyke/core/peerload.py
@@ -3,18 +3,18 @@
 import collections
 import math
 
-__all__ = ['OthersPrompts']
+__all__ = ['PeerPrompts']
 
 #: How long a report of others' prompts says more than their mean.
 MEMORY_S = 1.0
 MEAN_STEP = 0.05
 #: For so long after their last word, others are taken to tell all they send.
-TALKING_S = 10.0
+NOTICE_TIMEOUT_S = 10.0
 #: Part of the engine's time that others' prompts get while ours wait too.
-SHARED = 0.5
+PEER_SHARE = 0.5
 
 
-class OthersPrompts:
+class PeerPrompts:
     """How long an engine will read what other nodes have sent it.
 
     A report is old when it comes: it lacks what was sent since. Eight nodes
@@ -31,8 +31,8 @@
         self.reported_s = 0.0
         self.reported_at_s = float('-inf')
         self.mean_s = 0.0
-        self.word = collections.deque()
-        self.heard_s = float('-inf')
+        self.sent_prompts = collections.deque()
+        self.last_notice_s = float('-inf')
 
     def report(self, seconds, at_s):
         """Take what a report says beyond our own part.
@@ -44,39 +44,39 @@
         self.reported_s = seconds
         self.reported_at_s = at_s
         self.mean_s += MEAN_STEP * (seconds - self.mean_s)
-        while self.word and self.word[0][0] <= at_s:
-            self.word.popleft()
+        while self.sent_prompts and self.sent_prompts[0][0] <= at_s:
+            self.sent_prompts.popleft()
 
-    def told(self, seconds, now_s):
+    def record_peer_prompt(self, seconds, now_s):
         """Another node has just sent a prompt that takes so long."""
-        self.word.append((now_s, seconds))
-        self.heard_s = now_s
+        self.sent_prompts.append((now_s, seconds))
+        self.last_notice_s = now_s
 
-    def wait_s(self, now_s, shared):
+    def wait_s(self, now_s, has_local_prompts):
         """Return the seconds of others' prompts that are still unread.
 
         :param shared: whether our own prompts wait there too
         """
-        if not self.talking(now_s):
-            return self.faded_s(now_s)
-        rate = SHARED if shared else 1.0
+        if not self.has_recent_notices(now_s):
+            return self.decayed_s(now_s)
+        rate = PEER_SHARE if has_local_prompts else 1.0
         left_s = self.reported_s
         at_s = self.reported_at_s
-        for heard_s, seconds in self.word:
-            left_s = max(0.0, left_s - rate * max(0.0, heard_s - at_s))
+        for last_notice_s, seconds in self.sent_prompts:
+            left_s = max(0.0, left_s - rate * max(0.0, last_notice_s - at_s))
             left_s += seconds
-            at_s = max(at_s, heard_s)
+            at_s = max(at_s, last_notice_s)
         return max(0.0, left_s - rate * (now_s - at_s))
 
-    def unseen_s(self, now_s):
+    def unreported_s(self, now_s):
         """Return how much of others' prompts may be there unseen."""
-        return 0.0 if self.talking(now_s) else self.mean_s
+        return 0.0 if self.has_recent_notices(now_s) else self.mean_s
 
-    def talking(self, now_s):
+    def has_recent_notices(self, now_s):
         """Tell whether other nodes say what they send."""
-        return now_s - self.heard_s <= TALKING_S
+        return now_s - self.last_notice_s <= NOTICE_TIMEOUT_S
 
-    def faded_s(self, now_s):
+    def decayed_s(self, now_s):
         """Return the last report, the nearer to the mean the older it is.
 
         What it told has been read after a while, and other nodes have sent
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -62,16 +62,16 @@
 BIAS_WEIGHT = 0.03
 #: Late jobs are looked through this often, in seconds: a wait that grows by
 #: this much costs no caller anything.
-SORT_S = 0.02
+LATE_CHECK_INTERVAL_S = 0.02
 #: Jobs that no free engine may take which a look at the queue passes over.
-MOST_PASSED_OVER = 8
+MAX_SKIPPED_JOBS = 8
 #: Longest time between two looks at the queue, in seconds.
-PUMP_S = 0.05
+PUMP_INTERVAL_S = 0.05
 #: Time constant of measured demand, in seconds: half a swing of the load.
-DEMAND_S = 1.5
+DEMAND_TIME_CONSTANT_S = 1.5
 
 
-class _Reader(NamedTuple):
+class _Prefill(NamedTuple):
     """Where a prompt is being read, and from where parts are fetched."""
 
     engine: str
@@ -98,21 +98,21 @@
         self.settings = settings or PlacementSettings()
         self.sharers = sharers
         self.pool = enginepool.EnginePool(traits, pool_settings)
-        self.fresh = promptjobs.SlackQueue()
+        self.on_time = promptjobs.SlackQueue()
         self.late = promptjobs.JobQueue()
-        self.returned = promptjobs.JobQueue()
+        self.resubmitted = promptjobs.JobQueue()
         self.deferral = deferral.Deferral(self.pool)
         self.refusals = refusals.Refusals(traits.stage_change_s, rng)
-        self.readers: dict[int, _Reader] = {}
+        self.prefills: dict[int, _Prefill] = {}
         self.answers = longanswers.LongAnswers(
             self.pool, self.settings.long_run_s
         )
-        self.asked = limits.Rate(DEMAND_S, 0.0)
-        self.asked_fresh = limits.Rate(DEMAND_S, 0.0)
-        self.asked_moves = limits.Rate(DEMAND_S, 0.0)
-        self.turns = 0
+        self.prefill_demand = limits.Rate(DEMAND_TIME_CONSTANT_S, 0.0)
+        self.on_time_demand = limits.Rate(DEMAND_TIME_CONSTANT_S, 0.0)
+        self.transfer_demand = limits.Rate(DEMAND_TIME_CONSTANT_S, 0.0)
+        self.placements = 0
         self.bias = 1.0
-        self.sorted_s = 0.0
+        self.late_checked_s = 0.0
 
     # The engines.
 
@@ -126,9 +126,9 @@
         """An engine was ordered to change; it takes no work until it has."""
         engine = self.pool.engines.get(engine_id)
         if engine is not None and engine.endpoint.stage is not stage:
-            self.pool.rest(engine_id, until_s)
+            self.pool.cool_down(engine_id, until_s)
 
-    def busyness(self, engine_id: str, now_s: float) -> tuple[float, float]:
+    def load_order(self, engine_id: str, now_s: float) -> tuple[float, float]:
         """How much would wait for an engine that changes its stage."""
         engine = self.pool.engines.get(engine_id)
         if engine is None:
@@ -139,34 +139,34 @@
         """What is asked of the engines now, refused work included."""
         long_answers = len(self.answers) + len(self.answers.waiting)
         slots = decodeengines.long_slots(self.traits.slots)
-        beside, occupied = self.pool.reading_beside(now_s)
+        decode_capacity, busy_engines = self.pool.decode_stage_capacity(now_s)
         return stageplan.Load(
-            self.asked.now(now_s),
-            self.asked_moves.now(now_s),
+            self.prefill_demand.now(now_s),
+            self.transfer_demand.now(now_s),
             long_answers / max(1, slots),
-            beside,
-            occupied,
+            decode_capacity,
+            busy_engines,
         )
 
-    def figures(self) -> dict[str, str]:
+    def log_fields(self) -> dict[str, str]:
         """What has been learned, for the log."""
         found = {
-            'fresh': str(len(self.fresh)),
-            'late': str(len(self.late) + len(self.returned)),
+            'fresh': str(len(self.on_time)),
+            'late': str(len(self.late) + len(self.resubmitted)),
             'bias': f'{self.bias:.2f}',
             'output': f'{self.answers.output_s * 1000:.1f}ms/token',
         }
         for stage, cost in self.pool.costs.items():
             if stage is not catalog.Stage.NONE:
-                found[stage.value] = cost.figures_text()
+                found[stage.value] = cost.coefficients_text()
         for engine in self.pool.engines.values():
             found[engine.endpoint.id] = (
                 f'{engine.endpoint.stage.value}/{engine.slowness:.2f}/'
-                f'{len(engine.readings)}/{len(engine.runs)}'
+                f'{len(engine.pending_prefills)}/{len(engine.runs)}'
             )
         return found
 
-    def recall(
+    def restore_cache(
         self, engine_id: str, parts: tuple[promptcache.PromptPart, ...]
     ) -> None:
         """An engine was given a prompt by the place before this one."""
@@ -187,9 +187,9 @@
         """
         if engine_id not in self.pool.engines:
             return
-        if read_tokens is not None and job_id not in self.readers:
+        if read_tokens is not None and job_id not in self.prefills:
             self.pool.adopt(job_id, engine_id, read_tokens, now_s)
-            self.readers[job_id] = _Reader(engine_id, None)
+            self.prefills[job_id] = _Prefill(engine_id, None)
         if holds_slot:
             self.answers.hold(job_id, engine_id, 0, now_s)
 
@@ -199,19 +199,19 @@
         self, job: promptjobs.Job, now_s: float
     ) -> list[promptjobs.Decision]:
         """Take a job: it is placed, refused, or waits."""
-        job.came_s = now_s
-        if self._nobody_answers(now_s):
+        job.submitted_s = now_s
+        if self._has_no_decode_engine(now_s):
             return [self.refusals.refuse_unanswered(job, now_s)]
         if job.resumed or job.tokens <= self.settings.short_tokens:
             return self._submit_short(job, now_s)
-        kept = self.pool.caches.kept(job.parts)
-        job.need_s = self.pool.need_s(kept, job.tokens) * self.bias
-        self.asked.add(job.need_s, now_s)
-        self.asked_moves.add(self.pool.taking_over_s(job.tokens), now_s)
-        job.latest_s = self._due_s(job) - job.need_s
-        if now_s + self._wait_s(job, now_s) <= job.latest_s:
-            self.asked_fresh.add(job.need_s, now_s)
-            self.fresh.put(job)
+        cached = self.pool.caches.cached_prefixes(job.parts)
+        job.need_s = self.pool.need_s(cached, job.tokens) * self.bias
+        self.prefill_demand.add(job.need_s, now_s)
+        self.transfer_demand.add(self.pool.handoff_s(job.tokens), now_s)
+        job.latest_start_s = self._due_s(job) - job.need_s
+        if now_s + self._wait_s(job, now_s) <= job.latest_start_s:
+            self.on_time_demand.add(job.need_s, now_s)
+            self.on_time.put(job)
             return self.pump(now_s)
         refused = self._put_late_or_refuse(job, now_s)
         return [refused] if refused is not None else self.pump(now_s)
@@ -226,14 +226,14 @@
         self._put_late(job)
         return None
 
-    def waits(self, job_id: int) -> bool:
+    def is_waiting(self, job_id: int) -> bool:
         """Whether a job is in a queue."""
         return job_id in self.deferral or any(
             job_id in queue.jobs for queue in self._queues()
         )
 
     def _queues(self) -> tuple[promptjobs.JobQueue, ...]:
-        return self.fresh, self.returned, self.late, self.answers.waiting
+        return self.on_time, self.resubmitted, self.late, self.answers.waiting
 
     def _submit_short(
         self, job: promptjobs.Job, now_s: float
@@ -242,12 +242,12 @@
 
         Besides, whoever has just failed at the only engine that answers.
         """
-        if (rest_s := self._rest_s(job, now_s)) > 0:
-            return self._hold(job, rest_s, 'the engine is down', now_s)
+        if (cooldown_s := self._cooldown_s(job, now_s)) > 0:
+            return self._hold(job, cooldown_s, 'the engine is down', now_s)
         if job.resumed or not self.answers.is_long(job.output_tokens):
             return [self._place_short(job, now_s)]
         if not len(self.answers.waiting):
-            if self.answers.engine(job.avoid, now_s) is not None:
+            if self.answers.available_engine(job.avoid, now_s) is not None:
                 return [self._place_short(job, now_s)]
         wait_s = self.answers.wait_s(now_s)
         return self._hold(job, wait_s, 'no slot in time', now_s)
@@ -262,17 +262,17 @@
         self.answers.waiting.put(job)
         return []
 
-    def _rest_s(self, job: promptjobs.Job, now_s: float) -> float:
+    def _cooldown_s(self, job: promptjobs.Job, now_s: float) -> float:
         """How long the engine to answer a job rests after failing it.
 
         Sent there again at once a job would use up its tries within some
         hundredths of a second, at an engine that is down for a second or
         two; it is the best one there is, since no other one answers.
         """
-        engine = self.pool.decode_engines.for_short(job.avoid, now_s)
+        engine = self.pool.decode_engines.for_short_prompt(job.avoid, now_s)
         if engine is None or engine.endpoint.id not in job.avoid:
             return 0.0
-        return engine.rest_until_s - now_s
+        return engine.cooldown_until_s - now_s
 
     def _pump_answers(
         self, now_s: float, decisions: list[promptjobs.Decision]
@@ -281,49 +281,52 @@
         waiting = self.answers.waiting
         while len(waiting):
             job = waiting.first()
-            if self._rest_s(job, now_s) > 0:
+            if self._cooldown_s(job, now_s) > 0:
                 return
             is_long = self.answers.is_long(job.output_tokens)
-            if is_long and self.answers.engine(job.avoid, now_s) is None:
+            if (
+                is_long
+                and self.answers.available_engine(job.avoid, now_s) is None
+            ):
                 return
-            waiting.take(job.id)
+            waiting.pop(job.id)
             decisions.append(self._place_short(job, now_s))
 
     def _put_late(self, job: promptjobs.Job) -> None:
         """Who has been refused before goes first: it has no further try."""
-        queue = self.returned if job.returning else self.late
+        queue = self.resubmitted if job.returning else self.late
         queue.put(job)
 
     def withdraw(self, job_id: int, now_s: float) -> list[promptjobs.Decision]:
         """The caller has left, or the host takes the job elsewhere."""
-        self.deferral.take(job_id)
+        self.deferral.pop(job_id)
         for queue in self._queues():
-            queue.take(job_id)
+            queue.pop(job_id)
         return self.ended(job_id, now_s)
 
-    def has_read(
+    def record_prefill_done(
         self, job_id: int, engine_id: str, now_s: float
     ) -> list[promptjobs.Decision]:
         """An engine has read a job's prompt."""
-        self.readers.pop(job_id, None)
-        self.pool.has_read(job_id, engine_id, now_s)
+        self.prefills.pop(job_id, None)
+        self.pool.record_prefill_done(job_id, engine_id, now_s)
         return self.pump(now_s)
 
     def hand_over(
         self, job_id: int, now_s: float
     ) -> list[promptjobs.Decision]:
         """A job's end will be told to another place."""
-        reader = self.readers.pop(job_id, None)
-        if reader is not None:
-            self.pool.forget(job_id, reader.engine, now_s)
+        prefill = self.prefills.pop(job_id, None)
+        if prefill is not None:
+            self.pool.forget(job_id, prefill.engine, now_s)
         self.answers.release(job_id, now_s)
         return self.pump(now_s)
 
     def ended(self, job_id: int, now_s: float) -> list[promptjobs.Decision]:
         """A job's answer is complete, or was broken off."""
-        reader = self.readers.pop(job_id, None)
-        if reader is not None:
-            self.pool.forget(job_id, reader.engine, now_s)
+        prefill = self.prefills.pop(job_id, None)
+        if prefill is not None:
+            self.pool.forget(job_id, prefill.engine, now_s)
         self.answers.ended(job_id, now_s)
         return self.pump(now_s)
 
@@ -331,32 +334,36 @@
         self, job_id: int, engine_id: str, now_s: float
     ) -> list[promptjobs.Decision]:
         """An engine refused a job, or could not be reached."""
-        reader = self.readers.pop(job_id, None)
+        prefill = self.prefills.pop(job_id, None)
         self.answers.release(job_id, now_s)
-        if reader is not None and reader.source is not None:
-            self.pool.distrust(reader.source, now_s)
+        if prefill is not None and prefill.source is not None:
+            self.pool.suspend_fetch(prefill.source, now_s)
             self.pool.forget(job_id, engine_id, now_s)
             return self.pump(now_s)
         self.pool.failed(engine_id, job_id, now_s)
         return self.pump(now_s)
 
-    def find_silent(self, now_s: float) -> list[str]:
+    def find_stalled(self, now_s: float) -> list[str]:
         """Engines that read nothing: their prompts should go elsewhere."""
-        return self.pool.find_silent(now_s)
+        return self.pool.find_stalled(now_s)
 
-    def moved(
+    def record_kv_transfer(
         self, engine_id: str, took_s: float, now_s: float
     ) -> list[promptjobs.Decision]:
         """A prompt that was read elsewhere gave its first event."""
-        self.pool.decode_engines.moved(engine_id, took_s, now_s)
+        self.pool.decode_engines.record_kv_transfer(engine_id, took_s, now_s)
         return []
 
-    def lapsed(
-        self, job_id: int, reader_id: str, runner_id: str, now_s: float
+    def record_rejection(
+        self,
+        job_id: int,
+        prefill_engine_id: str,
+        decode_engine_id: str,
+        now_s: float,
     ) -> list[promptjobs.Decision]:
         """An engine turned away a request whose prompt another had read."""
         self.answers.release(job_id, now_s)
-        self.pool.lapsed(reader_id, runner_id, now_s)
+        self.pool.record_rejection(prefill_engine_id, decode_engine_id, now_s)
         return self.pump(now_s)
 
     # The queues.
@@ -365,37 +372,37 @@
         """Place what can be placed now; refuse what can't be in time."""
         decisions: list[promptjobs.Decision] = []
         self.pool.refresh(now_s)
-        if self._nobody_answers(now_s):
+        if self._has_no_decode_engine(now_s):
             return self._refuse_waiting(now_s)
         self.deferral.resume(now_s)
         self.answers.expire(now_s)
         self._pump_answers(now_s, decisions)
-        self._sort_out(now_s, decisions)
-        passed_over: list[tuple[promptjobs.JobQueue, promptjobs.Job]] = []
+        self._update_queues(now_s, decisions)
+        skipped: list[tuple[promptjobs.JobQueue, promptjobs.Job]] = []
         while (
             self.pool.has_open() and (queue := self._next_queue()) is not None
         ):
             job = queue.first()
-            option = self.pool.best(job.parts, job.avoid, now_s)
+            option = self.pool.best_option(job.parts, job.avoid, now_s)
             if option is None:
-                if not job.avoid or len(passed_over) >= MOST_PASSED_OVER:
+                if not job.avoid or len(skipped) >= MAX_SKIPPED_JOBS:
                     break
                 # Others may take the engines that are free.
-                queue.take(job.id)
-                passed_over.append((queue, job))
+                queue.pop(job.id)
+                skipped.append((queue, job))
                 continue
-            queue.take(job.id)
-            if self.deferral.put(job, option, queue, now_s):
+            queue.pop(job.id)
+            if self.deferral.try_defer(job, option, queue, now_s):
                 continue
-            self.turns += 1
-            decisions.append(self._take(job, option, now_s))
-        for queue, job in reversed(passed_over):
+            self.placements += 1
+            decisions.append(self._place(job, option, now_s))
+        for queue, job in reversed(skipped):
             queue.put_back(job)
         return decisions
 
     def wake_s(self, now_s: float) -> float | None:
         """When :meth:`pump` has something to do without further word."""
-        latest_s = now_s + PUMP_S
+        latest_s = now_s + PUMP_INTERVAL_S
         resumes_s = self.deferral.resumes_s()
         if resumes_s is not None:
             latest_s = min(latest_s, max(now_s, resumes_s))
@@ -408,31 +415,31 @@
         return max(now_s + 0.001, min(opens_s, latest_s))
 
     def _next_queue(self) -> promptjobs.JobQueue | None:
-        late = self.returned if len(self.returned) else self.late
-        if not len(self.fresh):
+        late = self.resubmitted if len(self.resubmitted) else self.late
+        if not len(self.on_time):
             return late if len(late) else None
-        if len(late) and self.turns % self.settings.late_turn == 0:
+        if len(late) and self.placements % self.settings.late_turn == 0:
             return late
-        return self.fresh
+        return self.on_time
 
-    def _sort_out(
+    def _update_queues(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
         """Move on whoever has waited too long for its queue."""
-        while len(self.fresh):
-            job = self.fresh.first()
-            if now_s <= job.latest_s:
+        while len(self.on_time):
+            job = self.on_time.first()
+            if now_s <= job.latest_start_s:
                 break
-            self.fresh.take(job.id)
+            self.on_time.pop(job.id)
             self._put_late(job)
-        if now_s - self.sorted_s < SORT_S:
+        if now_s - self.late_checked_s < LATE_CHECK_INTERVAL_S:
             return
-        self.sorted_s = now_s
-        self._thin_out(now_s, decisions)
-        self._sort_out_waiting(now_s, decisions)
-        self._sort_out_late(now_s, decisions)
+        self.late_checked_s = now_s
+        self._demote_late(now_s, decisions)
+        self._shed_waiting(now_s, decisions)
+        self._shed_late(now_s, decisions)
 
-    def _thin_out(
+    def _demote_late(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
         """Keep as many in time as can be; the others are late.
@@ -445,46 +452,46 @@
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
             return
-        factor = self._turns_factor()
+        factor = self._late_share_factor()
         longest: list[tuple[float, int]] = []
         work_s = 0.0
-        for job in self.fresh.in_order():
+        for job in self.on_time.in_order():
             wait_s = capacity.wait_s(work_s * factor) * self.sharers
             heapq.heappush(longest, (-job.need_s, job.id))
             work_s += job.need_s
-            if now_s + wait_s <= job.latest_s:
+            if now_s + wait_s <= job.latest_start_s:
                 continue
             _, job_id = heapq.heappop(longest)
-            late = self.fresh.take(job_id)
+            late = self.on_time.pop(job_id)
             work_s -= late.need_s
             refused = self._put_late_or_refuse(late, now_s)
             if refused is not None:
                 decisions.append(refused)
 
-    def _turns_factor(self) -> float:
+    def _late_share_factor(self) -> float:
         """What a place takes, with the turns of those that are late."""
-        if len(self.late) or len(self.returned):
+        if len(self.late) or len(self.resubmitted):
             return 1 + 1 / (self.settings.late_turn - 1)
         return 1.0
 
-    def _sort_out_waiting(
+    def _shed_waiting(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
         """Refuse whoever has waited for a slot for as long as it may."""
         waiting = self.answers.waiting
         for job in list(waiting.jobs.values()):
             may_wait_s = self.settings.hold_share * (
-                job.deadline_s - job.came_s
+                job.deadline_s - job.submitted_s
             )
-            if now_s - job.came_s > may_wait_s:
-                waiting.take(job.id)
+            if now_s - job.submitted_s > may_wait_s:
+                waiting.pop(job.id)
                 wait_s = self.answers.wait_s(now_s)
                 refused = self.refusals.refuse(
                     job, now_s, wait_s, 'no slot in time'
                 )
                 decisions.append(refused)
 
-    def _sort_out_late(
+    def _shed_late(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
         """Refuse whoever will not be served in time, as soon as it shows."""
@@ -493,14 +500,14 @@
             return
         share = self._late_share(capacity, now_s)
         ahead_s = 0.0
-        for queue in (self.returned, self.late):
+        for queue in (self.resubmitted, self.late):
             for job in list(queue.jobs.values()):
                 wait_s = capacity.wait_s(ahead_s / share) * self.sharers
                 ends_s = now_s + wait_s + job.need_s + self.settings.reserve_s
                 if ends_s <= job.deadline_s:
                     ahead_s += job.need_s
                     continue
-                queue.take(job.id)
+                queue.pop(job.id)
                 decisions.append(
                     self.refusals.refuse(job, now_s, wait_s, 'too late')
                 )
@@ -515,8 +522,8 @@
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
             return refusals.NO_ENGINE_S
-        work_s = self.fresh.need_before_s(job.latest_s)
-        work_s *= self._turns_factor()
+        work_s = self.on_time.need_before_s(job.latest_start_s)
+        work_s *= self._late_share_factor()
         return capacity.wait_s(work_s) * self.sharers
 
     def _late_wait_s(self, now_s: float) -> float:
@@ -528,8 +535,8 @@
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
             return refusals.NO_ENGINE_S
-        late_s = self.returned.need_s + self.late.need_s
-        work_s = self.fresh.need_s
+        late_s = self.resubmitted.need_s + self.late.need_s
+        work_s = self.on_time.need_s
         work_s += late_s / self._late_share(capacity, now_s)
         return capacity.wait_s(work_s) * self.sharers
 
@@ -537,27 +544,27 @@
         self, capacity: capacities.Capacity, now_s: float
     ) -> float:
         """Part of the engines' time that is left for late prompts."""
-        taken = self.asked_fresh.now(now_s) * self.sharers / capacity.speed
+        taken = self.on_time_demand.now(now_s) * self.sharers / capacity.speed
         return max(1 / self.settings.late_turn, 1 - taken)
 
     # Placing and refusing.
 
-    def _take(
+    def _place(
         self, job: promptjobs.Job, option: enginepool.Option, now_s: float
     ) -> promptjobs.Placed:
-        self.pool.take(job.id, job.parts, option, now_s)
-        reader, runner = option.reader, option.runner
+        self.pool.assign(job.id, job.parts, option, now_s)
+        prefill, decode_engine = option.prefill_engine, option.decode_engine
         self._learn_bias(job, option)
         source = option.source
-        self.readers[job.id] = _Reader(
-            reader.endpoint.id,
+        self.prefills[job.id] = _Prefill(
+            prefill.endpoint.id,
             source.endpoint.id if source is not None else None,
         )
-        is_long = self._begin_run(job, runner.endpoint.id, now_s)
+        is_long = self._begin_run(job, decode_engine.endpoint.id, now_s)
         return promptjobs.Placed(
             job.id,
-            reader.endpoint.id if runner is not reader else None,
-            runner.endpoint.id,
+            prefill.endpoint.id if decode_engine is not prefill else None,
+            decode_engine.endpoint.id,
             source.endpoint.address if source is not None else None,
             option.tokens,
             option.ready_s - now_s,
@@ -573,7 +580,7 @@
         that engine is busy, and parts are read again or fetched.  Without
         the ratio too many are let in, and all of them come late.
         """
-        took_s = option.read_s / self.pool.relative(option.reader)
+        took_s = option.read_s / self.pool.relative_cost(option.prefill_engine)
         ratio = took_s / max(job.need_s / self.bias, 0.0005)
         ratio = min(4.0, max(0.5, ratio))
         self.bias += BIAS_WEIGHT * (ratio - self.bias)
@@ -582,13 +589,13 @@
         self, job: promptjobs.Job, now_s: float
     ) -> promptjobs.Decision:
         """A short prompt goes straight to an engine that answers."""
-        engine = self.pool.decode_engines.for_short(job.avoid, now_s)
+        engine = self.pool.decode_engines.for_short_prompt(job.avoid, now_s)
         if engine is None:
             return self.refusals.refuse_unanswered(job, now_s)
-        self.pool.decode_engines.given(engine, now_s)
+        self.pool.decode_engines.record_assignment(engine, now_s)
         engine_id = engine.endpoint.id
-        kept = self.pool.caches.kept(job.parts)
-        missing = job.tokens - kept.tokens(engine_id)
+        cached = self.pool.caches.cached_prefixes(job.parts)
+        missing = job.tokens - cached.tokens(engine_id)
         self.pool.caches.use(engine_id, job.parts)
         is_long = self._begin_run(job, engine_id, now_s)
         expected_s = engine.expected_s(missing)
@@ -596,10 +603,10 @@
             job.id, None, engine_id, None, missing, expected_s, is_long
         )
 
-    def _nobody_answers(self, now_s: float) -> bool:
-        answering = self.pool.decode_engines.exist()
-        self.refusals.note_answering(answering, now_s)
-        return not answering
+    def _has_no_decode_engine(self, now_s: float) -> bool:
+        available = self.pool.decode_engines.has_any()
+        self.refusals.record_availability(available, now_s)
+        return not available
 
     def _refuse_waiting(self, now_s: float) -> list[promptjobs.Decision]:
         """Refuse all that wait, as no engine answers.
@@ -607,9 +614,9 @@
         Held back they would wait until their time is over: no queue moves,
         and few callers have as much time left as a change of stage takes.
         """
-        waiting = self.deferral.take_all()
+        waiting = self.deferral.pop_all()
         for queue in self._queues():
-            waiting += [queue.take(job_id) for job_id in list(queue.jobs)]
+            waiting += [queue.pop(job_id) for job_id in list(queue.jobs)]
         return [self.refusals.refuse_unanswered(job, now_s) for job in waiting]
 
     def _begin_run(
--- a/magnoliadyke/core/prefillcost.py
+++ b/magnoliadyke/core/prefillcost.py
@@ -12,11 +12,11 @@
 from magnoliadyke.core import medianestimator
 
 __all__ = [
-    'AnsweringCost',
+    'DecodeStagePrefillCost',
     'FittedCost',
-    'Figures',
+    'CostCoefficients',
     'PromptSize',
-    'ReadingCost',
+    'PrefillCost',
 ]
 
 #: Before anything was measured, in seconds: beside reading, for a token and
@@ -31,34 +31,34 @@
 PRIOR_WEIGHT = 1.0
 #: Measured prompts that are remembered; a few seconds' worth at a busy
 #: engine.
-MEMORY = 300
+MEMORY_PROMPTS = 300
 #: A prompt that takes longer than so many times what was expected has waited
 #: behind others that nobody here knows of, or its engine has turned slow; it
 #: counts as if it had taken so much, and the less the longer it took.  A
 #: guess that is too low by a factor of four is mended by twenty prompts all
 #: the same.
-MOST_SURPRISE = 2.0
-UNUSUAL_POWER = 4
+OUTLIER_FACTOR = 2.0
+OUTLIER_WEIGHT_EXPONENT = 4
 #: And beyond that, in seconds: engines work in steps of some hundredths of a
 #: second, and a prompt may get one more or less than its share of them.
-LEAST_SURPRISE_S = 0.025
+OUTLIER_MARGIN_S = 0.025
 #: A prompt that came alone and is read so many times quicker than expected
 #: counts as many: no other one can have had a part in that, and while engines
 #: are taken for slow callers are refused that would have shown the contrary.
-QUICK = 1.5
-QUICK_WEIGHT = 10.0
+FAST_FACTOR = 1.5
+FAST_WEIGHT = 10.0
 #: The latency doubles at most in this time, in seconds.  What engines still
 #: read for a place before this one holds up the first prompts of all of them
 #: for some tenths of a second: taken for latency, that would make every
 #: prompt look late long after the engines are free.
-DOUBLE_S = 0.4
+LATENCY_DOUBLING_S = 0.4
 #: Shortest reading time that is expected, in seconds.
-LEAST_S = 0.0005
+MIN_PREFILL_S = 0.0005
 #: An engine that also answers reads at half the speed, before its own was
 #: measured; and bounds of what it is taken for.
-ANSWERING_FACTOR = 2.0
-LEAST_FACTOR = 0.5
-MOST_FACTOR = 10.0
+DECODE_STAGE_FACTOR = 2.0
+MIN_FACTOR = 0.5
+MAX_FACTOR = 10.0
 #: Keeps the three figures apart while prompts of one size come.
 RIDGE = 1e-6
 
@@ -74,15 +74,15 @@
     """
 
     tokens: float
-    before: float = 0.0
+    cached_tokens: float = 0.0
 
     @property
-    def pairs(self) -> float:
+    def attention_pairs(self) -> float:
         """Pairs of a token to be read with one before it."""
-        return self.tokens * (self.before + self.tokens / 2)
+        return self.tokens * (self.cached_tokens + self.tokens / 2)
 
 
-class Figures(NamedTuple):
+class CostCoefficients(NamedTuple):
     """What one place has learned, for the next.
 
     :param latency_s: of a prompt beside being read
@@ -94,17 +94,17 @@
     latency_s: float
     thousand_tokens_s: float
     million_pairs_s: float
-    answering_factor: float
+    decode_stage_factor: float
 
 
-class ReadingCost(abc.ABC):
+class PrefillCost(abc.ABC):
     """Seconds that engines of one stage take to read a prompt.
 
     :ivar surprise: usual share of the expected time that prompts take
     """
 
     def __init__(self) -> None:
-        self.surprise = medianestimator.TypicalTime(1.0)
+        self.typical_slowness = medianestimator.MedianEstimator(1.0)
 
     @property
     @abc.abstractmethod
@@ -130,21 +130,21 @@
         """
 
     @abc.abstractmethod
-    def figures_text(self) -> str:
+    def coefficients_text(self) -> str:
         """What was learned, for the log."""
 
 
-class AnsweringCost(ReadingCost):
+class DecodeStagePrefillCost(PrefillCost):
     """That of engines which also answer, by what the others take.
 
     They read few prompts, or none for a long time: too few to learn more
     than how much slower they are.
     """
 
-    def __init__(self, reference: ReadingCost) -> None:
+    def __init__(self, reference: PrefillCost) -> None:
         super().__init__()
         self.reference = reference
-        self.factor = medianestimator.TypicalTime(ANSWERING_FACTOR)
+        self.factor = medianestimator.MedianEstimator(DECODE_STAGE_FACTOR)
 
     @property
     def latency_s(self) -> float:
@@ -163,13 +163,13 @@
         if with_latency:
             seconds -= self.latency_s
         factor = seconds / self.reference.seconds(size)
-        self.factor.add(min(MOST_FACTOR, max(LEAST_FACTOR, factor)))
+        self.factor.add(min(MAX_FACTOR, max(MIN_FACTOR, factor)))
 
-    def figures_text(self) -> str:
+    def coefficients_text(self) -> str:
         return f'{self.factor.median_s:.2f}x'
 
 
-class FittedCost(ReadingCost):
+class FittedCost(PrefillCost):
     """That of engines which only read, by least squares.
 
     :ivar count: prompts that were measured
@@ -179,29 +179,29 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.keep = 1.0 - 1.0 / MEMORY
+        self.decay = 1.0 - 1.0 / MEMORY_PROMPTS
         self.count = 0
-        self.guess(
+        self.set_coefficients(
             PRIOR_LATENCY_S, PRIOR_TOKEN_S * THOUSAND, PRIOR_MILLION_PAIRS_S
         )
 
-    def guess(
+    def set_coefficients(
         self,
         latency_s: float,
         thousand_tokens_s: float,
         million_pairs_s: float,
     ) -> None:
         """Begin with these figures."""
-        self.grown_s = float('inf')
-        self.left = [[0.0] * 3 for _ in range(3)]
-        self.right = [0.0] * 3
-        self.figures = (latency_s, thousand_tokens_s, million_pairs_s)
+        self.latency_updated_s = float('inf')
+        self.normal_matrix = [[0.0] * 3 for _ in range(3)]
+        self.normal_vector = [0.0] * 3
+        self.coefficients = (latency_s, thousand_tokens_s, million_pairs_s)
         for size, with_latency in (
             (PromptSize(0), True),
             (PromptSize(PRIOR_TOKENS), False),
         ):
             features = _features(size, with_latency)
-            seconds = _product(features, self.figures)
+            seconds = _product(features, self.coefficients)
             self._add(features, seconds, PRIOR_WEIGHT)
         pairs = _features(PromptSize(PRIOR_TOKENS), False)[2]
         pairs_s = pairs * million_pairs_s
@@ -209,17 +209,17 @@
 
     @property
     def latency_s(self) -> float:
-        return self.figures[0]
+        return self.coefficients[0]
 
-    def figures_text(self) -> str:
-        latency_s, token_s, pairs_s = self.figures
+    def coefficients_text(self) -> str:
+        latency_s, token_s, pairs_s = self.coefficients
         return f'{latency_s:.4f}s+{token_s:.5f}s/1000+{pairs_s:.6f}s/1e6'
 
     def seconds(self, size: PromptSize) -> float:
-        _, token_s, pairs_s = self.figures
+        _, token_s, pairs_s = self.coefficients
         seconds = token_s * size.tokens / THOUSAND
-        seconds += pairs_s * size.pairs / MILLION
-        return max(LEAST_S, seconds)
+        seconds += pairs_s * size.attention_pairs / MILLION
+        return max(MIN_PREFILL_S, seconds)
 
     def learn(
         self,
@@ -229,62 +229,65 @@
         now_s: float,
     ) -> None:
         features = _features(size, with_latency)
-        expected_s = max(LEAST_S, _product(features, self.figures))
-        most_s = expected_s * MOST_SURPRISE + LEAST_SURPRISE_S
+        expected_s = max(MIN_PREFILL_S, _product(features, self.coefficients))
+        max_s = expected_s * OUTLIER_FACTOR + OUTLIER_MARGIN_S
         weight = 1.0
-        if seconds > most_s:
-            weight = (most_s / seconds) ** UNUSUAL_POWER
-        elif with_latency and seconds * QUICK < expected_s:
-            weight = QUICK_WEIGHT
+        if seconds > max_s:
+            weight = (max_s / seconds) ** OUTLIER_WEIGHT_EXPONENT
+        elif with_latency and seconds * FAST_FACTOR < expected_s:
+            weight = FAST_WEIGHT
         self.count += 1
-        self._add(features, min(seconds, most_s), weight)
+        self._add(features, min(seconds, max_s), weight)
         self._solve(now_s)
 
     def _add(
         self, features: tuple[float, ...], seconds: float, weight: float
     ) -> None:
         for row, feature in enumerate(features):
-            self.right[row] = (
-                self.right[row] * self.keep + weight * feature * seconds
+            self.normal_vector[row] = (
+                self.normal_vector[row] * self.decay
+                + weight * feature * seconds
             )
             for column, other in enumerate(features):
-                self.left[row][column] = (
-                    self.left[row][column] * self.keep
+                self.normal_matrix[row][column] = (
+                    self.normal_matrix[row][column] * self.decay
                     + weight * feature * other
                 )
 
     def _solve(self, now_s: float) -> None:
         """Least squares; a figure that comes out below zero is zero."""
-        found = _solved(self._steady(), self.right)
+        found = _solve_linear(self._regularized_matrix(), self.normal_vector)
         if found[2] < 0:
-            found = self._without(2)
+            found = self._solve_without(2)
         if found[0] < 0:
-            found = self._without(0)
+            found = self._solve_without(0)
         latency_s, token_s, pairs_s = (max(0.0, each) for each in found)
-        since_s = min(10 * DOUBLE_S, max(0.0, now_s - self.grown_s))
-        grown = 2 ** (since_s / DOUBLE_S)
+        since_s = min(
+            10 * LATENCY_DOUBLING_S, max(0.0, now_s - self.latency_updated_s)
+        )
+        growth = 2 ** (since_s / LATENCY_DOUBLING_S)
         latency_s = min(
-            latency_s, max(PRIOR_LATENCY_S, self.latency_s) * grown
+            latency_s, max(PRIOR_LATENCY_S, self.latency_s) * growth
         )
-        self.grown_s = now_s
-        self.figures = (latency_s, token_s, pairs_s)
+        self.latency_updated_s = now_s
+        self.coefficients = (latency_s, token_s, pairs_s)
 
-    def _steady(self) -> list[list[float]]:
-        left = [list(row) for row in self.left]
+    def _regularized_matrix(self) -> list[list[float]]:
+        normal_matrix = [list(row) for row in self.normal_matrix]
         for each in range(3):
-            left[each][each] += RIDGE
-        return left
+            normal_matrix[each][each] += RIDGE
+        return normal_matrix
 
-    def _without(self, index: int) -> tuple[float, float, float]:
+    def _solve_without(self, index: int) -> tuple[float, float, float]:
         """The same with one figure held at zero."""
-        left = self._steady()
-        right = list(self.right)
+        normal_matrix = self._regularized_matrix()
+        normal_vector = list(self.normal_vector)
         for each in range(3):
-            left[each][index] = 0.0
-            left[index][each] = 0.0
-        left[index][index] = 1.0
-        right[index] = 0.0
-        return _solved(left, right)
+            normal_matrix[each][index] = 0.0
+            normal_matrix[index][each] = 0.0
+        normal_matrix[index][index] = 1.0
+        normal_vector[index] = 0.0
+        return _solve_linear(normal_matrix, normal_vector)
 
 
 def _features(
@@ -293,7 +296,7 @@
     return (
         1.0 if with_latency else 0.0,
         size.tokens / THOUSAND,
-        size.pairs / MILLION,
+        size.attention_pairs / MILLION,
     )
 
 
@@ -301,18 +304,18 @@
     return sum(a * b for a, b in zip(one, other, strict=True))
 
 
-def _solved(
-    left: list[list[float]], right: list[float]
+def _solve_linear(
+    normal_matrix: list[list[float]], normal_vector: list[float]
 ) -> tuple[float, float, float]:
     """Solve three linear equations, by Cramer's rule."""
-    whole = _determinant(left)
+    whole = _determinant(normal_matrix)
     if not whole:
         return (0.0, 0.0, 0.0)
     found = []
     for column in range(3):
-        replaced = [list(row) for row in left]
+        replaced = [list(row) for row in normal_matrix]
         for row in range(3):
-            replaced[row][column] = right[row]
+            replaced[row][column] = normal_vector[row]
         found.append(_determinant(replaced) / whole)
     return tuple(found)
 
--- a/magnoliadyke/core/promptcache.py
+++ b/magnoliadyke/core/promptcache.py
@@ -5,7 +5,13 @@
 import itertools
 from typing import NamedTuple
 
-__all__ = ['CacheIndex', 'Kept', 'PromptCache', 'PromptPart', 'total_tokens']
+__all__ = [
+    'CacheIndex',
+    'CachedPrefixes',
+    'PromptCache',
+    'PromptPart',
+    'total_tokens',
+]
 
 
 class PromptPart(NamedTuple):
@@ -64,7 +70,7 @@
             self.used_tokens -= tokens
 
 
-class Kept:
+class CachedPrefixes:
     """Which engines keep how much of one prompt.
 
     A part is of use only where all parts before it are kept too, so the
@@ -78,7 +84,7 @@
         self.levels = levels
 
     @property
-    def most_tokens(self) -> int:
+    def max_tokens(self) -> int:
         """What the engine that keeps most has of the prompt."""
         return self.levels[-1][1] if self.levels else 0
 
@@ -89,15 +95,15 @@
                 return tokens
         return 0
 
-    def holders(self, most: int) -> list[str]:
+    def holders(self, limit: int) -> list[str]:
         """Engines that have the most of the prompt, a few of them."""
         found: dict[str, None] = {}
         for engines, _ in reversed(self.levels):
-            for engine in itertools.islice(engines, most):
+            for engine in itertools.islice(engines, limit):
                 found[engine] = None
-            if len(found) >= most:
+            if len(found) >= limit:
                 break
-        return list(itertools.islice(found, most))
+        return list(itertools.islice(found, limit))
 
 
 class CacheIndex:
@@ -119,18 +125,18 @@
     def __init__(self) -> None:
         self.caches: dict[str, PromptCache] = {}
         self.by_part: dict[int, set[str]] = {}
-        self.unread: dict[str, dict[int, int]] = {}
+        self.pending: dict[str, dict[int, int]] = {}
         self.expected: dict[int, list[tuple[str, int]]] = {}
 
     def add(self, engine: str, capacity_tokens: float) -> None:
         """An engine with an empty cache has come."""
         self.drop(engine)
         self.caches[engine] = PromptCache(capacity_tokens)
-        self.unread[engine] = {}
+        self.pending[engine] = {}
 
     def drop(self, engine: str) -> None:
         """An engine is gone, and its cache with it."""
-        self.unread.pop(engine, None)
+        self.pending.pop(engine, None)
         cache = self.caches.pop(engine, None)
         if cache is not None:
             for part in cache.parts:
@@ -155,45 +161,47 @@
             return
         missing = [part.id for part in parts if part.id not in cache.parts]
         self.use(engine, parts)
-        self.unread[engine].update(dict.fromkeys(missing, job))
-        awaited = self.expected.setdefault(job, [])
-        awaited.extend((engine, part) for part in missing)
+        self.pending[engine].update(dict.fromkeys(missing, job))
+        pending_jobs = self.expected.setdefault(job, [])
+        pending_jobs.extend((engine, part) for part in missing)
 
-    def arrived(self, job: int) -> None:
+    def record_prefill_done(self, job: int) -> None:
         """A job's prompt has been read."""
         for engine, part in self.expected.pop(job, ()):
-            unread = self.unread.get(engine, {})
-            if unread.get(part) == job:
-                del unread[part]
+            pending = self.pending.get(engine, {})
+            if pending.get(part) == job:
+                del pending[part]
 
     def abandon(self, job: int) -> None:
         """A job's prompt will not be read; its parts are not kept."""
         for engine, part in self.expected.pop(job, ()):
-            unread = self.unread.get(engine, {})
-            if unread.get(part) == job:
-                del unread[part]
+            pending = self.pending.get(engine, {})
+            if pending.get(part) == job:
+                del pending[part]
                 self.caches[engine].drop(part)
                 self._forget(engine, part)
 
-    def awaited(self, engine: str, parts: Sequence[PromptPart]) -> set[int]:
+    def pending_jobs(
+        self, engine: str, parts: Sequence[PromptPart]
+    ) -> set[int]:
         """Jobs with which an engine gets parts that it has not read yet."""
-        unread = self.unread.get(engine, {})
-        return {unread[part.id] for part in parts if part.id in unread}
+        pending = self.pending.get(engine, {})
+        return {pending[part.id] for part in parts if part.id in pending}
 
     def ready_tokens(self, engine: str, parts: Sequence[PromptPart]) -> int:
         """What another engine could fetch of a prompt now."""
         cache = self.caches.get(engine)
         if cache is None:
             return 0
-        unread = self.unread[engine]
+        pending = self.pending[engine]
         tokens = 0
         for part in parts:
-            if part.id not in cache.parts or part.id in unread:
+            if part.id not in cache.parts or part.id in pending:
                 break
             tokens += part.tokens
         return tokens
 
-    def kept(self, parts: Sequence[PromptPart]) -> Kept:
+    def cached_prefixes(self, parts: Sequence[PromptPart]) -> CachedPrefixes:
         """Which engines keep how much of a prompt."""
         levels: list[tuple[set[str], int]] = []
         engines: set[str] | None = None
@@ -207,7 +215,7 @@
                 break
             tokens += part.tokens
             levels.append((engines, tokens))
-        return Kept(levels)
+        return CachedPrefixes(levels)
 
     def _forget(self, engine: str, part: int) -> None:
         holders = self.by_part.get(part)
--- a/magnoliadyke/core/promptjobs.py
+++ b/magnoliadyke/core/promptjobs.py
@@ -37,8 +37,8 @@
     avoid: tuple[str, ...] = ()
     tokens: int = 0
     need_s: float = 0.0
-    came_s: float = 0.0
-    latest_s: float = 0.0
+    submitted_s: float = 0.0
+    latest_start_s: float = 0.0
     deferred: int = 0
 
     def __post_init__(self) -> None:
@@ -93,7 +93,7 @@
         self.jobs[job.id] = job
         self.need_s += job.need_s
 
-    def take(self, job_id: int) -> Job | None:
+    def pop(self, job_id: int) -> Job | None:
         job = self.jobs.pop(job_id, None)
         if job is not None:
             self.need_s = max(0.0, self.need_s - job.need_s)
@@ -122,11 +122,11 @@
 
     def put(self, job: Job) -> None:
         super().put(job)
-        heapq.heappush(self.order, (job.latest_s, job.id))
+        heapq.heappush(self.order, (job.latest_start_s, job.id))
 
     def put_back(self, job: Job) -> None:
         super().put(job)
-        entry = (job.latest_s, job.id)
+        entry = (job.latest_start_s, job.id)
         # Its entry is still there unless another job was looked for since.
         if not self.order or self.order[0] != entry:
             heapq.heappush(self.order, entry)
@@ -138,12 +138,12 @@
 
     def in_order(self) -> list[Job]:
         """All of them, first who has the least to spare."""
-        return sorted(self.jobs.values(), key=lambda job: job.latest_s)
+        return sorted(self.jobs.values(), key=lambda job: job.latest_start_s)
 
-    def need_before_s(self, latest_s: float) -> float:
+    def need_before_s(self, latest_start_s: float) -> float:
         """Reading time of those that would go before one of this moment."""
         return sum(
             job.need_s
             for job in self.jobs.values()
-            if job.latest_s <= latest_s
+            if job.latest_start_s <= latest_start_s
         )
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -534,7 +534,8 @@
         best = min(candidates, key=_score_s)
         settings = self.settings
         blind_s = max(
-            each.endpoint.load.others.unseen_s(now_s) for each in candidates
+            each.endpoint.load.others.unreported_s(now_s)
+            for each in candidates
         )
         slack_s = settings.slack_s + settings.blind_slack * blind_s
         good = [
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -344,7 +344,7 @@
             self._prompt_done(run, now_s)
         run.first_token_s = now_s
         run.tokens = max(run.tokens, 1)
-        self.learner.first_token(run, was_read, now_s)
+        self.learner.record_first_token(run, was_read, now_s)
         if run.timing.strict:
             pool = self.pools[run.job.pool]
             pool.lateness.add(now_s - run.expected_s)
@@ -636,7 +636,7 @@
         endpoint = run.prompt_at
         run.prefill_done_s = now_s
         if endpoint is not None:
-            self.learner.prompt_read(run, endpoint, now_s)
+            self.learner.record_prefill_done(run, endpoint, now_s)
             endpoint.health.succeeded()
             run.leave_prompt(now_s)
         run.begin_stream(now_s)
@@ -644,7 +644,7 @@
     def _whole(self, run, result, now_s):
         """A job's whole answer has come."""
         self.quarantine.ran_whole(run.fingerprint, now_s)
-        self._recharge(run, self.learner.finished(run, result, now_s))
+        self._recharge(run, self.learner.record_finish(run, result, now_s))
         tokens = result.prompt_tokens + result.output_tokens
         if run.job.kind == 'model':
             self.limits.correct(run.job.customer, tokens - run.admitted_tokens)
@@ -760,7 +760,7 @@
         """
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
-            endpoint.load.others.told(read_s, now_s)
+            endpoint.load.others.record_peer_prompt(read_s, now_s)
 
     def demand(self, pool_name, now_s):
         """What the pool is asked for, by all nodes heard of late."""
--- a/magnoliadyke/gateway/placing.py
+++ b/magnoliadyke/gateway/placing.py
@@ -123,7 +123,7 @@
         self.leader: str | None = None
         self.term = position.START
         self.leading = False
-        self.after_reading_s = medianestimator.TypicalTime(AFTER_READING_S)
+        self.after_reading_s = medianestimator.MedianEstimator(AFTER_READING_S)
         self.hosts = 1
         self.silent_until_s = 0.0
         self.served: dict[str, _Pool] = {}
@@ -142,7 +142,7 @@
         self.reads: collections.defaultdict[str, set[waitlimit.WaitLimit]] = (
             collections.defaultdict(set)
         )
-        self.learned: dict[str, prefillcost.Figures] = {}
+        self.learned: dict[str, prefillcost.CostCoefficients] = {}
         self.tell: Callable[[placing_codec.Message], None] | None = None
         self.socket: socket.socket | None = None
         self.greenlets: list[gevent.Greenlet] = []
@@ -261,7 +261,7 @@
                 continue
             now_s = self.clock.now_s()
             for pool in list(self.served.values()):
-                for engine in pool.core.find_silent(now_s):
+                for engine in pool.core.find_stalled(now_s):
                     self._end_reads(engine)
                     if self.tell is not None:
                         self.tell(placing_codec.Silent(engine))
@@ -273,7 +273,7 @@
             if not self.leading:
                 continue
             for service, pool in list(self.served.items()):
-                figures = pool.core.pool.learned()
+                figures = pool.core.pool.learned_costs()
                 if figures is None:
                     continue
                 self.learned[service] = figures
@@ -293,7 +293,7 @@
         core = self._pool(self.served, recall.service).core
         now_s = self.clock.now_s()
         for engine, parts, job, read_tokens, answers in recall.memories:
-            core.recall(engine, parts)
+            core.restore_cache(engine, parts)
             if job is not None:
                 core.adopt(job, engine, read_tokens, answers, now_s)
 
@@ -455,7 +455,7 @@
             traits = self.catalog.configuration.services[service].engine
             core = placement.Placement(traits, self.rng)
             if service in self.learned:
-                core.pool.begin_with(self.learned[service])
+                core.pool.restore_costs(self.learned[service])
             pool = pools[service] = _Pool(core)
         pool.core.sharers = 1 if pools is self.served else self.hosts
         if pool.generation != self.catalog.generation:
@@ -512,13 +512,13 @@
             self.send(sender, reply)
 
     def _take_learned(
-        self, service: str, figures: prefillcost.Figures
+        self, service: str, figures: prefillcost.CostCoefficients
     ) -> None:
         if self.leading:
             return
         self.learned[service] = figures
         if service in self.local:
-            self.local[service].core.pool.begin_with(figures)
+            self.local[service].core.pool.restore_costs(figures)
 
     def _take_ask(
         self, service: str, job: promptjobs.Job, sender: str
@@ -532,7 +532,7 @@
             return
         pool = self._pool(self.served, service)
         waits = placing_codec.Waits(job.id)
-        if pool.core.waits(job.id):
+        if pool.core.is_waiting(job.id):
             self.send(sender, waits)
             return
         now_s = self.clock.now_s()
@@ -555,17 +555,21 @@
         core = pool.core
         match report.event:
             case placing_codec.Event.READ:
-                decisions = core.has_read(report.job, report.endpoint, now_s)
+                decisions = core.record_prefill_done(
+                    report.job, report.endpoint, now_s
+                )
             case placing_codec.Event.ENDED:
                 decisions = core.ended(report.job, now_s)
             case placing_codec.Event.FAILED:
                 decisions = core.failed(report.job, report.endpoint, now_s)
             case placing_codec.Event.LAPSED:
-                decisions = core.lapsed(
+                decisions = core.record_rejection(
                     report.job, report.endpoint, report.runner, now_s
                 )
             case placing_codec.Event.MOVED:
-                decisions = core.moved(report.endpoint, report.took_s, now_s)
+                decisions = core.record_kv_transfer(
+                    report.endpoint, report.took_s, now_s
+                )
             case placing_codec.Event.WITHDRAWN:
                 decisions = core.withdraw(report.job, now_s)
         self._publish(pool, decisions)
--- a/magnoliadyke/gateway/placing_codec.py
+++ b/magnoliadyke/gateway/placing_codec.py
@@ -148,7 +148,7 @@
     """What prompts were found to take, for the host that places next."""
 
     service: str
-    figures: prefillcost.Figures
+    figures: prefillcost.CostCoefficients
 
 
 class KeyUpdates(NamedTuple):
@@ -223,7 +223,7 @@
                 _micro(figures.latency_s),
                 _micro(figures.thousand_tokens_s),
                 _micro(figures.million_pairs_s),
-                round(figures.answering_factor * PERMILLE),
+                round(figures.decode_stage_factor * PERMILLE),
             )
         case KeyUpdates():
             datagram.updates = _encode_updates(message)
@@ -367,7 +367,7 @@
 def _decode_learned(learned: ttypes.Learned) -> Learned:
     return Learned(
         learned.pool,
-        prefillcost.Figures(
+        prefillcost.CostCoefficients(
             learned.latency_us / MICRO,
             learned.thousand_tokens_us / MICRO,
             learned.million_pairs_us / MICRO,
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -144,7 +144,7 @@
         candidates = self._candidates(change, fleet, now_s)
         if not candidates:
             return Hindrance.LEFT_ALONE
-        candidates.sort(key=lambda e: core.busyness(e.id, now_s))
+        candidates.sort(key=lambda e: core.load_order(e.id, now_s))
         target = catalog.Stage.DECODE
         if change.to_reading:
             target = catalog.Stage.PREFILL
--- a/tests/promptload.py
+++ b/tests/promptload.py
@@ -134,7 +134,7 @@
 
     def read(self, number, engine_id):
         self.done.setdefault(number, self.now_s)
-        self.take(self.core.has_read(number, engine_id, self.now_s))
+        self.take(self.core.record_prefill_done(number, engine_id, self.now_s))
 
     def take(self, decisions):
         for decision in decisions:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -125,7 +125,7 @@
         placing_codec.Leads('h1', '10.0.0.1', 1787, position.Position(2, 40)),
         placing_codec.Silent('e1'),
         placing_codec.Learned(
-            'model', prefillcost.Figures(0.04, 0.009, 0.0002, 2.5)
+            'model', prefillcost.CostCoefficients(0.04, 0.009, 0.0002, 2.5)
         ),
         placing_codec.Leads(
             'h1', '10.0.0.1', 1787, position.Position(2, 40), True
@@ -152,7 +152,7 @@
     A mean would grow to a quarter of a second, and every prompt would be
     taken for too late.
     """
-    typical = medianestimator.TypicalTime(0.015)
+    typical = medianestimator.MedianEstimator(0.015)
     for number in range(400):
         typical.add(1.0 if number % 4 == 0 else 0.02)
     assert typical.high_s < 0.06
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -281,7 +281,7 @@
     core, engine = only_engine(node)
     former = engine.endpoint.id
     parts = (promptcache.PromptPart(1, 4000),)
-    core.recall(former, parts)
+    core.restore_cache(former, parts)
     core.answers.hold(7, former, 100, 0.0)
     engine.failures = 5
     core.pool.rest(former, node.clock.now_s() + 60.0)
@@ -293,8 +293,8 @@
     assert engine.endpoint.name == 'd1'
     assert engine.endpoint.id != former
     assert not engine.runs and not engine.failures
-    assert engine.rest_until_s == float('-inf')
-    assert core.pool.caches.kept(parts).most_tokens == 0
+    assert engine.cooldown_until_s == float('-inf')
+    assert core.pool.caches.cached_prefixes(parts).max_tokens == 0
 
 
 def test_late_word_of_a_former_process_changes_nothing(world):
@@ -318,8 +318,8 @@
     node.placer.moved('model', 3, former, 0.5)
     _, engine = only_engine(node)
     assert engine.failures == 0
-    assert engine.served_s == float('-inf')
-    assert engine.rest_until_s == float('-inf')
+    assert engine.last_success_s == float('-inf')
+    assert engine.cooldown_until_s == float('-inf')
 
 
 def test_entry_of_a_former_process_is_not_taken_back(world):
@@ -408,10 +408,10 @@
     old, new = (first, second) if first.placer.leading else (second, first)
     core = old.placer._pool(old.placer.served, 'model').core
     reading = core.pool.costs[catalog.Stage.PREFILL]
-    reading.guess(0.04, 0.009, 0.0002)
+    reading.set_coefficients(0.04, 0.009, 0.0002)
     reading.count = 1000
     gatewayworld.wait_for(lambda: new.placer.learned, 'what was learned')
     new.placer.lead()
     core = new.placer._pool(new.placer.served, 'model').core
-    found = core.pool.costs[catalog.Stage.PREFILL].figures
+    found = core.pool.costs[catalog.Stage.PREFILL].coefficients
     assert [round(each, 6) for each in found] == [0.04, 0.009, 0.0002]
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -481,7 +481,7 @@
     def is_free():
         pools = [*node.placer.served.values(), *node.placer.local.values()]
         return all(
-            not engine.readings
+            not engine.pending_prefills
             for pool in pools
             for engine in pool.core.pool.engines.values()
         )
@@ -726,10 +726,12 @@
     model = leader.placer.served['model'].core.pool.engines['e1']
     client = gatewayworld.Client(other)
     client.request('POST', '/chat/1', 'r1', b'text', **PROMPT)
-    gatewayworld.wait_for(lambda: model.readings, 'word of the prompt')
+    gatewayworld.wait_for(lambda: model.pending_prefills, 'word of the prompt')
     assert client.answer()[0].status == 200
-    gatewayworld.wait_for(lambda: not model.readings, 'word of its end')
-    assert model.served_s > 0
+    gatewayworld.wait_for(
+        lambda: not model.pending_prefills, 'word of its end'
+    )
+    assert model.last_success_s > 0
 
 
 def test_hosts_that_place_alone_do_not_all_take_the_same_engine(world):
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -68,7 +68,7 @@
     engine = node.placer.served['model'].core.pool.engines[changed.name]
     # The engine has the order before the host has its answer.
     gatewayworld.wait_for(
-        lambda: engine.rest_until_s > node.clock.now_s(), 'the rest'
+        lambda: engine.cooldown_until_s > node.clock.now_s(), 'the rest'
     )
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -86,9 +86,9 @@
     decisions = core.submit(fresh, 10.0)
     assert not any(isinstance(each, promptjobs.Placed) for each in decisions)
     for number in range(40):
-        core.has_read(number, f'p{number % 2}', 10.1)
-        core.has_read(100 + number, f'd{number % 2}', 10.1)
-    assert 500 in core.readers
+        core.record_prefill_done(number, f'p{number % 2}', 10.1)
+        core.record_prefill_done(100 + number, f'd{number % 2}', 10.1)
+    assert 500 in core.prefills
 
 
 def test_adopted_answer_holds_its_slot_until_it_ends():
@@ -101,10 +101,10 @@
     for number in range(4):
         core.adopt(number, 'd0', None, True, 10.0)
     engine = core.pool.engines['d0']
-    assert engine.taken(10.0, 10.0) == 4
+    assert engine.slots_in_use(10.0, 10.0) == 4
     before_s = core.answers.output_s
     core.ended(0, 15.0)
-    assert engine.taken(10.0, 10.0) == 3
+    assert engine.slots_in_use(10.0, 10.0) == 3
     assert core.answers.output_s == before_s
 
 
@@ -124,7 +124,7 @@
     before_s = core.answers.output_s
     core.hand_over(7, 10.1)
     engines = core.pool.engines.values()
-    assert not any(engine.readings for engine in engines)
+    assert not any(engine.pending_prefills for engine in engines)
     assert not any(engine.runs for engine in engines)
     assert core.answers.output_s == before_s
 
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -39,7 +39,7 @@
     learner = make_learner()
     endpoint = make_endpoint('prefill')
     for number in range(1, 300):
-        learner.prompt_read(make_run(), endpoint, number * 0.5)
+        learner.record_prefill_done(make_run(), endpoint, number * 0.5)
     ratio = learner.models.of('m').prefill.ratio
     assert ratio == pytest.approx(0.0005, rel=0.1)
 
@@ -55,11 +55,11 @@
             run.begin_stream(0.0)
             run.first_token_s = 1.0
             result = jobs.Finished(1000, 101, 0)
-            learner.finished(run, result, 1.0 + 100 * pace_s)
+            learner.record_finish(run, result, 1.0 + 100 * pace_s)
             run.leave_stream(9.0)
     slow, *others = [each.slowness for each in endpoints]
     assert slow > 1.5 * max(others)
-    assert slow <= learning.MOST_SLOWNESS
+    assert slow <= learning.MAX_SLOWNESS
 
 
 def test_late_first_tokens_correct_the_prediction():
@@ -69,6 +69,6 @@
         run = make_run()
         run.read_by = endpoint
         run.expected_s = 1.0
-        learner.first_token(run, False, 1.4)
+        learner.record_first_token(run, False, 1.4)
     bias_s = learner.router.bias_s['prefill', 5]
     assert bias_s == pytest.approx(0.4, abs=0.02)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -186,14 +186,14 @@
     """
     made = core(promptload.fleet(1, 1))
     for number in (1, 2, 3):
-        made.lapsed(number, 'p0', 'd0', 0.1)
+        made.record_rejection(number, 'p0', 'd0', 0.1)
     placed = []
     for number in range(10, 13):
         now_s = 0.2 + number / 10
         placed += made.submit(
             job(number, [*LONG, part(number, 2900)], now_s), now_s
         )
-        made.has_read(number, 'd0', now_s + 0.05)
+        made.record_prefill_done(number, 'd0', now_s + 0.05)
     assert placed
     assert all(each.prefill is None for each in placed)
 
@@ -205,10 +205,10 @@
     """
     made = core(promptload.fleet(2, 2))
     for number, reader in enumerate(('p0', 'p1', 'p0', 'p1')):
-        made.lapsed(number, reader, 'd0', 0.1)
-    assert made.pool.engines['d0'].rest_until_s > 0.1
-    assert made.pool.engines['p0'].rest_until_s <= 0.1
-    assert made.pool.engines['p1'].rest_until_s <= 0.1
+        made.record_rejection(number, reader, 'd0', 0.1)
+    assert made.pool.engines['d0'].cooldown_until_s > 0.1
+    assert made.pool.engines['p0'].cooldown_until_s <= 0.1
+    assert made.pool.engines['p1'].cooldown_until_s <= 0.1
 
 
 def test_engine_that_serves_others_does_not_rest_for_one_failure():
@@ -219,8 +219,8 @@
     """
     made = core(promptload.fleet(2, 1))
     made.submit(job(1, [*LONG, part(5, 2900)]), 0.0)
-    made.has_read(1, 'p0', 0.02)
-    made.has_read(1, 'p1', 0.02)
+    made.record_prefill_done(1, 'p0', 0.02)
+    made.record_prefill_done(1, 'p1', 0.02)
     decision = None
     for number in range(2, 5):
         for each in made.submit(
@@ -231,7 +231,7 @@
     assert decision is not None
     reader = decision.prefill or decision.run
     made.failed(decision.job, reader, 0.2)
-    assert made.pool.engines[reader].rest_until_s <= 0.2
+    assert made.pool.engines[reader].cooldown_until_s <= 0.2
     again = made.submit(job(9, [*LONG, part(99, 2900)], 0.2), 0.2)
     assert all(each.fetch_from is None for each in again)
 
@@ -243,7 +243,7 @@
     made.pump(5.0)
     for engine in made.pool.engines.values():
         engine.expire(5.0)
-        assert not engine.readings
+        assert not engine.pending_prefills
 
 
 def test_long_answer_without_an_end_frees_its_slot():
@@ -275,7 +275,7 @@
             promptload.engine('d1', catalog.Stage.DECODE),
         ]
     )
-    assert made.pool.engines['d0'].rest_until_s <= 0.0
+    assert made.pool.engines['d0'].cooldown_until_s <= 0.0
 
 
 def test_placement_cost_does_not_follow_the_number_of_engines():
@@ -283,7 +283,7 @@
     looked = {}
     for count in (5, 500):
         made = core(promptload.fleet(count, count))
-        kept = made.pool.caches.kept(LONG)
+        kept = made.pool.caches.cached_prefixes(LONG)
         looked[count] = len(list(made.pool._candidates(kept, ())))
     assert looked[500] <= made.pool.settings.candidates + 3
     assert looked[5] <= looked[500]
@@ -331,10 +331,10 @@
     half a minute within a second, and says of slots that they are free.
     """
     made = core()
-    made.moved('d1', 0.02, 0.0)
+    made.record_kv_transfer('d1', 0.02, 0.0)
     for _ in range(20):
-        made.moved('d0', 0.3, 0.0)
-    made.pool.rest('d1', 60.0)
+        made.record_kv_transfer('d0', 0.3, 0.0)
+    made.pool.cool_down('d1', 60.0)
     expected_s = []
     for number in range(40):
         now_s = number * 0.02
@@ -342,7 +342,9 @@
         for decision in made.submit(job(number, parts, now_s), now_s):
             assert isinstance(decision, promptjobs.Placed)
             expected_s.append(decision.expected_s)
-            made.has_read(decision.job, decision.prefill, now_s + 0.012)
+            made.record_prefill_done(
+                decision.job, decision.prefill, now_s + 0.012
+            )
     assert len(expected_s) == 40
     assert max(expected_s) < 1.0
 
@@ -407,7 +409,7 @@
         now_s = 0.2 + number * 0.02
         asked = job(number, [*LONG, part(100 + number, 1000)], now_s)
         prompts += made.submit(asked, now_s)
-        made.has_read(number, prompts[-1].prefill, now_s + 0.012)
+        made.record_prefill_done(number, prompts[-1].prefill, now_s + 0.012)
     assert all(isinstance(each, promptjobs.Placed) for each in prompts)
 
 
@@ -415,7 +417,7 @@
     made = core()
     decisions = flood(made, 30, 0.0, output=80)
     assert len(decisions) == 28
-    assert made.waits(10_028)
+    assert made.is_waiting(10_028)
     (next_one,) = made.ended(10_000, 1.0)
     assert isinstance(next_one, promptjobs.Placed)
     assert next_one.job == 10_028
@@ -454,11 +456,11 @@
     made = core(promptload.fleet(prefill=3))
     for number, reader in enumerate(('p0', 'p0', 'p1', 'p1', 'p2', 'p2')):
         now_s = 0.1 * number
-        made.moved('d1', 0.02, now_s)
-        made.lapsed(number, reader, 'd0', now_s)
+        made.record_kv_transfer('d1', 0.02, now_s)
+        made.record_rejection(number, reader, 'd0', now_s)
     engines = made.pool.engines
-    assert engines['d0'].rest_until_s > now_s
-    assert all(engines[f'p{n}'].rest_until_s <= now_s for n in range(3))
+    assert engines['d0'].cooldown_until_s > now_s
+    assert all(engines[f'p{n}'].cooldown_until_s <= now_s for n in range(3))
 
 
 def test_reader_that_reads_for_nothing_is_found_beside_others():
@@ -467,12 +469,12 @@
     The engine that turns it away takes the prompts of others: it is sound.
     """
     made = core(promptload.fleet(prefill=3))
-    made.moved('d0', 0.02, 0.05)
-    made.lapsed(1, 'p0', 'd0', 0.1)
-    made.lapsed(2, 'p0', 'd0', 0.3)
+    made.record_kv_transfer('d0', 0.02, 0.05)
+    made.record_rejection(1, 'p0', 'd0', 0.1)
+    made.record_rejection(2, 'p0', 'd0', 0.3)
     engines = made.pool.engines
-    assert engines['p0'].rest_until_s > 1.0
-    assert engines['d0'].rest_until_s <= 0.3
+    assert engines['p0'].cooldown_until_s > 1.0
+    assert engines['d0'].cooldown_until_s <= 0.3
 
 
 def test_only_reader_and_only_answerer_rest_in_turn():
@@ -483,10 +485,10 @@
     """
     made = core(promptload.fleet(prefill=1, decode=1))
     for number in range(4):
-        made.lapsed(number, 'p0', 'd0', 0.1 * number)
+        made.record_rejection(number, 'p0', 'd0', 0.1 * number)
     engines = made.pool.engines
-    assert engines['d0'].rest_until_s > 0.3
-    assert engines['p0'].rest_until_s > 0.3
+    assert engines['d0'].cooldown_until_s > 0.3
+    assert engines['p0'].cooldown_until_s > 0.3
 
 
 def test_engine_that_is_down_gets_one_request_a_second():
@@ -519,7 +521,7 @@
     again = job(2, [part(1, 300)], 0.0, avoid=(placed.run,))
     assert made.submit(again, 0.012) == []
     assert made.pump(0.3) == []
-    (placed,) = made.pump(0.01 + enginepool.REST_S)
+    (placed,) = made.pump(0.01 + enginepool.COOLDOWN_S)
     assert (placed.job, placed.run) == (2, 'd0')
 
 
@@ -539,7 +541,7 @@
         made.failed(number, 'd0', 0.1 * number)
     (first,) = made.submit(job(10, [part(1, 300)], 5.0), 5.0)
     assert first.run == 'd0'
-    made.moved('d0', 0.02, 5.1)
+    made.record_kv_transfer('d0', 0.02, 5.1)
     engine = made.pool.engines['d0']
     assert engine in made.pool.decode_engines.available((), 5.2)
     assert engine.failures == 0
@@ -617,7 +619,7 @@
     for number in range(1, 20):
         fields = {'objective_s': 3.0, 'deadline_s': 9.0}
         made.submit(job(number, [part(number, 9200)], **fields), 0.0)
-    waiting = len(made.fresh)
+    waiting = len(made.on_time)
     assert waiting
     placed = made.ended(1000, 0.001)
     assert 'd0' in [each.run for each in placed if each.prefill is None]
@@ -668,8 +670,8 @@
     made = core([promptload.engine('p0'), *promptload.fleet(0, 1)])
     busy_with(made, [1])
     for tenth in range(1, 40):
-        made.pool.decode_engines.served('p0', tenth / 10)
-        assert made.find_silent(tenth / 10) == []
+        made.pool.decode_engines.record_success('p0', tenth / 10)
+        assert made.find_stalled(tenth / 10) == []
 
 
 def test_slow_engine_shows_life_before_it_is_taken_for_silent():
@@ -677,7 +679,7 @@
     made = core(promptload.fleet(1, 1))
     expected_s = made.pool.engines['p0'].expected_s(9200)
     busy_with(made, [1])
-    assert made.find_silent(3 * expected_s) == []
+    assert made.find_stalled(3 * expected_s) == []
 
 
 def test_engine_that_reads_nothing_is_found_and_rests():
@@ -690,11 +692,11 @@
     made = core(promptload.fleet(1, 2))
     busy_with(made, [1, 2])
     expected_s = made.pool.engines['p0'].expected_s(9200)
-    assert made.find_silent(expected_s + 0.4) == []
-    assert made.find_silent(expected_s + 0.7) == ['p0']
-    assert made.pool.engines['p0'].rest_until_s > expected_s + 0.7
-    assert made.find_silent(expected_s + 0.8) == []
-    assert made.find_silent(expected_s + 1.3) == ['p0']
+    assert made.find_stalled(expected_s + 0.4) == []
+    assert made.find_stalled(expected_s + 0.7) == ['p0']
+    assert made.pool.engines['p0'].cooldown_until_s > expected_s + 0.7
+    assert made.find_stalled(expected_s + 0.8) == []
+    assert made.find_stalled(expected_s + 1.3) == ['p0']
 
 
 def test_prompts_given_up_together_are_one_failure():
@@ -705,13 +707,13 @@
     """
     made = core(promptload.fleet(1, 2))
     busy_with(made, [1, 2, 3, 4])
-    assert made.find_silent(2.0) == ['p0']
+    assert made.find_stalled(2.0) == ['p0']
     for number in (1, 2, 3, 4):
         made.failed(number, 'p0', 2.01)
     engine = made.pool.engines['p0']
     assert engine.failures == 1
-    assert not engine.readings
-    assert engine.rest_until_s == 2.0 + enginepool.REST_S
+    assert not engine.pending_prefills
+    assert engine.cooldown_until_s == 2.0 + enginepool.COOLDOWN_S
 
 
 def test_prompts_of_an_engine_without_life_hold_their_place_until_told():
@@ -724,7 +726,7 @@
     busy_with(made, [1])
     engine = made.pool.engines['p0']
     assert engine.expire(0.6) == []
-    assert made.find_silent(0.8) == ['p0']
+    assert made.find_stalled(0.8) == ['p0']
     assert engine.expire(2.0) == [1]
 
 
@@ -743,7 +745,7 @@
     busy = job(2, [shared, part(3, 3000)], objective_s=9.0, deadline_s=9.0)
     for decision in made.submit(busy, 0.001):
         assert decision.fetch_from is None
-    made.has_read(1, reader, 0.3)
+    made.record_prefill_done(1, reader, 0.3)
     assert kept.ready_tokens(reader, [shared]) == 30_000
 
 
@@ -753,7 +755,7 @@
     parts = [part(1, 30_000), part(2, 3000)]
     (first,) = made.submit(job(1, parts), 0.0)
     made.failed(1, first.prefill or first.run, 0.1)
-    assert made.pool.caches.kept(parts).most_tokens == 0
+    assert made.pool.caches.cached_prefixes(parts).max_tokens == 0
 
 
 def test_who_is_due_soon_does_not_wait_behind_who_has_time():
@@ -770,7 +772,7 @@
         made.submit(patient, 0.001)
     urgent = job(20, [part(20, 4000)], objective_s=0.2, deadline_s=8.0)
     made.submit(urgent, 0.001)
-    assert made.fresh.first() is urgent
+    assert made.on_time.first() is urgent
 
 
 def test_longest_makes_room_where_not_all_can_be_in_time():
@@ -790,11 +792,11 @@
     ]
     for each in short:
         made.submit(each, 0.002)
-        made.fresh.take(each.id) or made.late.take(each.id)
-        made.fresh.put(each)
-    assert made.fresh.first() is long
-    made._thin_out(0.003, [])
-    assert list(made.fresh.jobs) == [each.id for each in short]
+        made.on_time.pop(each.id) or made.late.pop(each.id)
+        made.on_time.put(each)
+    assert made.on_time.first() is long
+    made._demote_late(0.003, [])
+    assert list(made.on_time.jobs) == [each.id for each in short]
 
 
 def test_shared_parts_that_are_being_read_are_waited_for():
@@ -809,8 +811,11 @@
     fields = {'objective_s': 2.0, 'deadline_s': 9.0}
     (first,) = made.submit(job(1, [shared, part(2, 2000)], **fields), 0.0)
     assert made.submit(job(2, [shared, part(3, 2000)], **fields), 0.08) == []
-    assert made.waits(2)
-    (second,) = [*made.has_read(1, first.prefill, 0.13), *made.pump(0.25)]
+    assert made.is_waiting(2)
+    (second,) = [
+        *made.record_prefill_done(1, first.prefill, 0.13),
+        *made.pump(0.25),
+    ]
     assert second.read_tokens == 2000
 
 
@@ -835,7 +840,7 @@
     made.submit(job(1, [shared, part(2, 2000)], **fields), 0.0)
     made.submit(job(2, [shared, part(3, 2000)], **fields), 0.08)
     made.withdraw(2, 0.1)
-    assert not made.waits(2)
+    assert not made.is_waiting(2)
     assert made.pump(0.5) == []
 
 
@@ -866,7 +871,7 @@
     fields = {'objective_s': 3.0, 'deadline_s': 9.0}
     for number in range(30):
         made.submit(job(number, [part(number, 9200)], **fields), 0.0)
-    waiting = len(made.fresh)
+    waiting = len(made.on_time)
     assert waiting
     made.set_engines([promptload.engine('p0')])
     told = made.pump(1.0)
@@ -874,7 +879,7 @@
     told += made.submit(job(100, [part(100, 9200)], 1.0, **fields), 1.0)
     told += made.submit(job(101, [part(101, 50)], 1.0, **fields), 1.0)
     assert {each.reason for each in told} == {'no engine answers'}
-    assert not any(made.waits(each.job) for each in told)
+    assert not any(made.is_waiting(each.job) for each in told)
     # More than a third of the time left is asked of nobody.
     assert all(each.retry_after_s == 8.0 / 3 for each in told)
     patient = job(103, [part(103, 9200)], deadline_s=31.0)
@@ -889,11 +894,11 @@
     """A prompt held for parts that are being read is in no queue."""
     made = core(promptload.fleet(1, 1))
     held = job(1, [part(1, 9200)], objective_s=3.0, deadline_s=9.0)
-    made.deferral.hold(held, made.fresh, 1.0)
+    made.deferral.hold(held, made.on_time, 1.0)
     made.set_engines([promptload.engine('p0')])
     (told,) = made.pump(0.1)
     assert told.job == 1
-    assert not made.waits(1)
+    assert not made.is_waiting(1)
 
 
 def test_job_that_no_free_engine_may_take_holds_up_no_other():
@@ -905,23 +910,23 @@
     (decision,) = made.submit(job(2, [*LONG, part(4, 2900)], 0.01), 0.01)
     assert isinstance(decision, promptjobs.Placed)
     assert decision.job == 2
-    assert made.waits(1)
+    assert made.is_waiting(1)
 
 
 def test_jobs_that_are_passed_over_keep_their_order():
     queue = promptjobs.SlackQueue()
     jobs = [job(n, [part(n, 300)], float(n)) for n in range(4)]
     for each in jobs:
-        each.latest_s = each.objective_s
+        each.latest_start_s = each.objective_s
         queue.put(each)
     for _ in range(5):
-        taken = [queue.take(queue.first().id) for _ in range(3)]
+        taken = [queue.pop(queue.first().id) for _ in range(3)]
         for each in reversed(taken):
             queue.put_back(each)
         assert queue.in_order() == jobs
         assert queue.first() is jobs[0]
         assert len(queue.order) == 4
     for _ in range(2):
-        for each in reversed([queue.take(queue.first().id) for _ in jobs]):
+        for each in reversed([queue.pop(queue.first().id) for _ in jobs]):
             queue.put_back(each)
     assert len(queue.order) == 4
--- a/tests/test_prefillcost.py
+++ b/tests/test_prefillcost.py
@@ -10,7 +10,7 @@
 
 
 def truth_s(size, with_latency):
-    seconds = size.tokens * TOKEN_S + size.pairs * PAIR_S
+    seconds = size.tokens * TOKEN_S + size.attention_pairs * PAIR_S
     return seconds + (LATENCY_S if with_latency else 0.0)
 
 
@@ -74,7 +74,7 @@
 
 def test_engine_that_answers_is_taken_for_half_as_fast_at_first():
     reference = taught(300)
-    cost = prefillcost.AnsweringCost(reference)
+    cost = prefillcost.DecodeStagePrefillCost(reference)
     size = prefillcost.PromptSize(5000, 2000)
     assert cost.seconds(size) == 2 * reference.seconds(size)
     for number in range(60):
