--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -284,7 +284,7 @@
     core.restore_cache(former, parts)
     core.answers.hold(7, former, 100, 0.0)
     engine.failures = 5
-    core.pool.rest(former, node.clock.now_s() + 60.0)
+    core.pool.cool_down(former, node.clock.now_s() + 60.0)
     reborn(world, 'd1', BORN_MS + 5000)
     gatewayworld.wait_for(
         lambda: former not in node.catalog.endpoints, 'the new process'
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -35,7 +35,7 @@
 def press(node):
     """Ask for more reading than the engines that read can do."""
     pool = served(node)
-    pool.core.asked.add(50.0, node.clock.now_s())
+    pool.core.prefill_demand.add(50.0, node.clock.now_s())
     return pool.core
 
 
