--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -1,14 +1,16 @@
-"""Which engine reads a prompt, which one answers it, and when it is refused.
-
-The load that this answers: prompts of thousands of tokens, of which two
-thirds are shared with others, come in bursts of seconds at up to twice what
-the engines can read.  Reading is what is scarce; answers are short.
-
-One place decides for all hosts of a service, so it knows what each engine
-has been given.  Prompts wait here, not at the engines: the order can still
-change, a caller that leaves costs nothing, and who can't be served is told
-at once.  An engine gets the next prompt a little before it has read the one
-before, enough to cover the way there and back.
+"""Chooses the prefill and the decode engine of each request, or refuses it.
+
+Designed for prompts of thousands of tokens, of which two thirds are shared
+with other prompts, that arrive in bursts of seconds at up to twice the
+prefill capacity of the engines.  Prefill is the scarce resource; answers are
+short.
+
+One host, the placement leader, decides for all hosts of a service, so it has
+a record of all prompts sent to each engine.  Prompts queue at the leader, not
+at the engines: their order can still change, a request that the caller
+cancels costs no engine time, and a request that can't be served is refused at
+once.  An engine is sent the next prompt shortly before it completes the
+prefill of the previous one, early enough to cover the network round trip.
 """
 
 import heapq
@@ -35,19 +37,22 @@
 
 
 class PlacementSettings(NamedTuple):
-    """Constants of the placement.
-
-    :param reserve_s: kept free between the forecast and the objective, for
-        the ways to the caller and back, which nobody here can measure
-    :param short_tokens: prompts up to this size are read beside the answers
-        of others without delaying them
-    :param hold_share: share of a caller's time that it may wait here for a
-        place that comes too late for its objective
-    :param late_turn: one of so many places goes to a request that is late
-        already; without it a long burst would leave them all unserved
-    :param long_run_s: answers that take longer than this are kept away from
-        engines that read prompts beside them: each step of the answer would
-        wait for a piece of a prompt, and its pauses grow several times over
+    """Parameters of the placement.
+
+    :param reserve_s: margin between the expected first event and the
+        objective, for the network time to the caller and back, which the
+        placement can't measure
+    :param short_tokens: decode engines prefill prompts of up to this size
+        without a noticeable delay to the answers that they generate
+    :param hold_share: share of the time until its deadline for which a
+        request that will miss its objective may queue
+    :param late_turn: while requests in time are queued, one of this many
+        placements goes to a late request; without it a long burst would
+        leave all late requests unserved
+    :param long_run_s: an answer that takes longer than this keeps its engine
+        from prefilling prompts at the same time: each decode step would wait
+        for a chunk of a prompt, and the pauses between tokens would grow
+        several times over
     """
 
     reserve_s: float = 0.016
@@ -57,22 +62,29 @@
     long_run_s: float = 0.3
 
 
-#: Weight of a placed prompt in the ratio of what placing it took to what
-#: was expected when it came.
+#: Weight of a newly placed prompt in the moving average of the ratio between
+#: the prefill time at placement and the estimate made on arrival.
 BIAS_WEIGHT = 0.03
-#: Late jobs are looked through this often, in seconds: a wait that grows by
-#: this much costs no caller anything.
+#: Interval of the checks for jobs to demote or refuse; a refusal that is
+#: delayed by this much costs no caller anything.
 LATE_CHECK_INTERVAL_S = 0.02
-#: Jobs that no free engine may take which a look at the queue passes over.
+#: Jobs that one pass over the queue may skip because all open engines are
+#: among those that they avoid.
 MAX_SKIPPED_JOBS = 8
-#: Longest time between two looks at the queue, in seconds.
+#: Longest time between two passes over the queue, in seconds.
 PUMP_INTERVAL_S = 0.05
-#: Time constant of measured demand, in seconds: half a swing of the load.
+#: Time constant of measured demand, in seconds: half a period of the load's
+#: fluctuation.
 DEMAND_TIME_CONSTANT_S = 1.5
 
 
 class _Prefill(NamedTuple):
-    """Where a prompt is being read, and from where parts are fetched."""
+    """The engine that prefills a prompt.
+
+    :param engine: id of the engine
+    :param source: id of the engine from which cached parts are fetched, if
+        any
+    """
 
     engine: str
     source: str | None
@@ -82,8 +94,13 @@
     """Places the requests of one model service.
 
     :param rng: source of randomness, with ``random()``
-    :param sharers: hosts that place on these engines at the same time, each
-        without knowing of the others; 1 when this is the only place
+    :param sharers: number of hosts that place on these engines at the same
+        time without coordination; 1 on the placement leader
+    :ivar on_time: jobs that can still meet their objective
+    :ivar late: jobs that will miss their objective, on their first attempt
+    :ivar resubmitted: those that will miss it and were refused before
+    :ivar prefills: prompts sent to engines and not yet prefilled, by job
+    :ivar bias: average ratio of prefill time at placement to the estimate
     """
 
     def __init__(
@@ -114,29 +131,38 @@
         self.bias = 1.0
         self.late_checked_s = 0.0
 
-    # The engines.
+    # Engines.
 
     def set_engines(self, endpoints: list[catalog.Endpoint]) -> None:
-        """Take the engines that may be given work."""
+        """Replace the list of engines that requests may be placed on."""
         self.pool.set_engines(endpoints)
 
     def change_stage(
         self, engine_id: str, stage: catalog.Stage, until_s: float
     ) -> None:
-        """An engine was ordered to change; it takes no work until it has."""
+        """Place no work on an engine while it changes its stage.
+
+        :param stage: the stage that the engine was ordered to change to
+        :param until_s: when the change is expected to be complete
+        """
         engine = self.pool.engines.get(engine_id)
         if engine is not None and engine.endpoint.stage is not stage:
             self.pool.cool_down(engine_id, until_s)
 
     def load_order(self, engine_id: str, now_s: float) -> tuple[float, float]:
-        """How much would wait for an engine that changes its stage."""
+        """Return a sort key by which engines are chosen for a stage change.
+
+        An engine with less work sorts first.
+
+        :returns: long answers in progress, and seconds of queued prefill
+        """
         engine = self.pool.engines.get(engine_id)
         if engine is None:
             return (0.0, 0.0)
         return (len(engine.runs), engine.free_s(now_s) - now_s)
 
     def load(self, now_s: float) -> stageplan.Load:
-        """What is asked of the engines now, refused work included."""
+        """Return the current demand on the engines, refused work included."""
         long_answers = len(self.answers) + len(self.answers.waiting)
         slots = decodeengines.long_slots(self.traits.slots)
         decode_capacity, busy_engines = self.pool.decode_stage_capacity(now_s)
@@ -149,7 +175,7 @@
         )
 
     def log_fields(self) -> dict[str, str]:
-        """What has been learned, for the log."""
+        """Return queue lengths and learned estimates as log fields."""
         found = {
             'fresh': str(len(self.on_time)),
             'late': str(len(self.late) + len(self.resubmitted)),
@@ -169,7 +195,7 @@
     def restore_cache(
         self, engine_id: str, parts: tuple[promptcache.PromptPart, ...]
     ) -> None:
-        """An engine was given a prompt by the place before this one."""
+        """Add parts that the previous leader placed to an engine's cache."""
         self.pool.caches.use(engine_id, parts)
 
     def adopt(
@@ -180,10 +206,10 @@
         holds_slot: bool,
         now_s: float,
     ) -> None:
-        """An engine works on a job that the place before this one gave it.
+        """Account a job that the previous leader placed on an engine.
 
-        :param read_tokens: still to be read, None if they have been
-        :param holds_slot: it gives a long answer
+        :param read_tokens: tokens still to prefill, None if prefill is done
+        :param holds_slot: whether the engine generates a long answer
         """
         if engine_id not in self.pool.engines:
             return
@@ -198,7 +224,11 @@
     def submit(
         self, job: promptjobs.Job, now_s: float
     ) -> list[promptjobs.Decision]:
-        """Take a job: it is placed, refused, or waits."""
+        """Place, queue or refuse a job.
+
+        :returns: decisions on this and on other jobs; none on this job if it
+            was queued
+        """
         job.submitted_s = now_s
         if self._has_no_decode_engine(now_s):
             return [self.refusals.refuse_unanswered(job, now_s)]
@@ -227,7 +257,7 @@
         return None
 
     def is_waiting(self, job_id: int) -> bool:
-        """Whether a job is in a queue."""
+        """Whether a job is queued or deferred."""
         return job_id in self.deferral or any(
             job_id in queue.jobs for queue in self._queues()
         )
@@ -238,9 +268,11 @@
     def _submit_short(
         self, job: promptjobs.Job, now_s: float
     ) -> list[promptjobs.Decision]:
-        """Only a long answer waits, and not if part of it was given.
+        """Place a job whose prompt the decode engine prefills itself.
 
-        Besides, whoever has just failed at the only engine that answers.
+        Two kinds of job are queued: one with a long answer, unless part of
+        the answer was already sent to the caller, and one that has just
+        failed at the only available decode engine.
         """
         if (cooldown_s := self._cooldown_s(job, now_s)) > 0:
             return self._hold(job, cooldown_s, 'the engine is down', now_s)
@@ -255,7 +287,11 @@
     def _hold(
         self, job: promptjobs.Job, wait_s: float, reason: str, now_s: float
     ) -> list[promptjobs.Decision]:
-        """Have a job wait for an engine to answer it, or refuse it."""
+        """Queue a job for a decode engine, or refuse it.
+
+        :param wait_s: expected wait for a decode engine
+        :param reason: reason of the refusal, if the wait is too long
+        """
         left_s = job.deadline_s - now_s
         if wait_s > left_s * self.settings.hold_share:
             return [self.refusals.refuse(job, now_s, wait_s, reason)]
@@ -263,11 +299,13 @@
         return []
 
     def _cooldown_s(self, job: promptjobs.Job, now_s: float) -> float:
-        """How long the engine to answer a job rests after failing it.
+        """Return the remaining cooldown of a decode engine that failed a job.
 
-        Sent there again at once a job would use up its tries within some
-        hundredths of a second, at an engine that is down for a second or
-        two; it is the best one there is, since no other one answers.
+        Zero or less if the job may be sent to a decode engine now.  The
+        engine that failed the job is chosen again only if no other decode
+        engine is available.  Retried there at once, a job would use up its
+        attempts within some hundredths of a second while the engine is down
+        for a second or two.
         """
         engine = self.pool.decode_engines.for_short_prompt(job.avoid, now_s)
         if engine is None or engine.endpoint.id not in job.avoid:
@@ -277,7 +315,7 @@
     def _pump_answers(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
-        """Give the slots that are free to those that wait for one."""
+        """Place queued jobs with short prompts on free decode slots."""
         waiting = self.answers.waiting
         while len(waiting):
             job = waiting.first()
@@ -293,12 +331,15 @@
             decisions.append(self._place_short(job, now_s))
 
     def _put_late(self, job: promptjobs.Job) -> None:
-        """Who has been refused before goes first: it has no further try."""
+        """Queue a late job; one that was refused before has priority.
+
+        The caller of a job that was refused before does not retry again.
+        """
         queue = self.resubmitted if job.returning else self.late
         queue.put(job)
 
     def withdraw(self, job_id: int, now_s: float) -> list[promptjobs.Decision]:
-        """The caller has left, or the host takes the job elsewhere."""
+        """Drop a job that its caller cancelled or its host places itself."""
         self.deferral.pop(job_id)
         for queue in self._queues():
             queue.pop(job_id)
@@ -307,7 +348,7 @@
     def record_prefill_done(
         self, job_id: int, engine_id: str, now_s: float
     ) -> list[promptjobs.Decision]:
-        """An engine has read a job's prompt."""
+        """Record that an engine has completed the prefill of a job."""
         self.prefills.pop(job_id, None)
         self.pool.record_prefill_done(job_id, engine_id, now_s)
         return self.pump(now_s)
@@ -315,7 +356,7 @@
     def hand_over(
         self, job_id: int, now_s: float
     ) -> list[promptjobs.Decision]:
-        """A job's end will be told to another place."""
+        """Stop accounting a job whose end another leader will receive."""
         prefill = self.prefills.pop(job_id, None)
         if prefill is not None:
             self.pool.forget(job_id, prefill.engine, now_s)
@@ -323,7 +364,7 @@
         return self.pump(now_s)
 
     def ended(self, job_id: int, now_s: float) -> list[promptjobs.Decision]:
-        """A job's answer is complete, or was broken off."""
+        """Record that a job's answer is complete, or was aborted."""
         prefill = self.prefills.pop(job_id, None)
         if prefill is not None:
             self.pool.forget(job_id, prefill.engine, now_s)
@@ -333,7 +374,11 @@
     def failed(
         self, job_id: int, engine_id: str, now_s: float
     ) -> list[promptjobs.Decision]:
-        """An engine refused a job, or could not be reached."""
+        """Record that an engine refused a job or could not be reached.
+
+        Where the prompt was to be fetched from another engine's cache, that
+        engine is held at fault, and fetches from it are suspended.
+        """
         prefill = self.prefills.pop(job_id, None)
         self.answers.release(job_id, now_s)
         if prefill is not None and prefill.source is not None:
@@ -344,13 +389,20 @@
         return self.pump(now_s)
 
     def find_stalled(self, now_s: float) -> list[str]:
-        """Engines that read nothing: their prompts should go elsewhere."""
+        """Return the ids of engines whose prefill makes no progress.
+
+        The prompts sent to them should be placed elsewhere.
+        """
         return self.pool.find_stalled(now_s)
 
     def record_kv_transfer(
         self, engine_id: str, took_s: float, now_s: float
     ) -> list[promptjobs.Decision]:
-        """A prompt that was read elsewhere gave its first event."""
+        """Record the first event of an answer after a KV transfer.
+
+        :param engine_id: the decode engine
+        :param took_s: seconds from the end of prefill to the first event
+        """
         self.pool.decode_engines.record_kv_transfer(engine_id, took_s, now_s)
         return []
 
@@ -361,15 +413,18 @@
         decode_engine_id: str,
         now_s: float,
     ) -> list[promptjobs.Decision]:
-        """An engine turned away a request whose prompt another had read."""
+        """Record that a decode engine rejected a prefilled request."""
         self.answers.release(job_id, now_s)
         self.pool.record_rejection(prefill_engine_id, decode_engine_id, now_s)
         return self.pump(now_s)
 
-    # The queues.
+    # Queues.
 
     def pump(self, now_s: float) -> list[promptjobs.Decision]:
-        """Place what can be placed now; refuse what can't be in time."""
+        """Place queued jobs on open engines; refuse those that are too late.
+
+        :returns: the decisions made in this pass
+        """
         decisions: list[promptjobs.Decision] = []
         self.pool.refresh(now_s)
         if self._has_no_decode_engine(now_s):
@@ -387,7 +442,7 @@
             if option is None:
                 if not job.avoid or len(skipped) >= MAX_SKIPPED_JOBS:
                     break
-                # Others may take the engines that are free.
+                # Jobs behind this one may still fit on the open engines.
                 queue.pop(job.id)
                 skipped.append((queue, job))
                 continue
@@ -401,7 +456,10 @@
         return decisions
 
     def wake_s(self, now_s: float) -> float | None:
-        """When :meth:`pump` has something to do without further word."""
+        """Return when to call :meth:`pump` next if no event comes first.
+
+        :returns: a moment in seconds, or None if no job is queued
+        """
         latest_s = now_s + PUMP_INTERVAL_S
         resumes_s = self.deferral.resumes_s()
         if resumes_s is not None:
@@ -425,7 +483,7 @@
     def _update_queues(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
-        """Move on whoever has waited too long for its queue."""
+        """Demote jobs that can't be on time; refuse those past their wait."""
         while len(self.on_time):
             job = self.on_time.first()
             if now_s <= job.latest_start_s:
@@ -442,12 +500,12 @@
     def _demote_late(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
-        """Keep as many in time as can be; the others are late.
+        """Demote the fewest jobs such that the others meet their objective.
 
-        By the rule of Moore and Hodgson: where the next one would be late,
-        the longest so far makes room.  Without it each one that is due soon
-        pushes others beyond their time, and under more load than can be read
-        nearly all of them end late.
+        Uses the Moore-Hodgson algorithm: where the next job would be late,
+        the longest job so far is demoted.  Otherwise each job that is due
+        soon would delay others past their objective, and under overload
+        nearly all jobs would miss it.
         """
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
@@ -469,7 +527,7 @@
                 decisions.append(refused)
 
     def _late_share_factor(self) -> float:
-        """What a place takes, with the turns of those that are late."""
+        """Return the factor by which turns of late jobs lengthen a wait."""
         if len(self.late) or len(self.resubmitted):
             return 1 + 1 / (self.settings.late_turn - 1)
         return 1.0
@@ -477,7 +535,7 @@
     def _shed_waiting(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
-        """Refuse whoever has waited for a slot for as long as it may."""
+        """Refuse jobs that have used up their time to wait for a slot."""
         waiting = self.answers.waiting
         for job in list(waiting.jobs.values()):
             may_wait_s = self.settings.hold_share * (
@@ -494,7 +552,7 @@
     def _shed_late(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
-        """Refuse whoever will not be served in time, as soon as it shows."""
+        """Refuse late jobs whose first event would miss their deadline."""
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
             return
@@ -513,12 +571,12 @@
                 )
 
     def _due_s(self, job: promptjobs.Job) -> float:
-        """When an engine has to be done with a job that is to be in time."""
+        """Return when the prefill has to be complete to meet the objective."""
         latency_s = self.pool.costs[catalog.Stage.PREFILL].latency_s
         return job.objective_s - self.settings.reserve_s - latency_s
 
     def _wait_s(self, job: promptjobs.Job, now_s: float) -> float:
-        """Time until a prompt that can still be in time gets an engine."""
+        """Return the expected wait of a job that can still be on time."""
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
             return refusals.NO_ENGINE_S
@@ -527,10 +585,10 @@
         return capacity.wait_s(work_s) * self.sharers
 
     def _late_wait_s(self, now_s: float) -> float:
-        """Time until one who is late already gets a place.
+        """Return the expected wait of a late job until it is placed.
 
-        Those who can be in time go first, so the late have what these leave
-        over, and one turn in several at least.
+        Jobs that can be on time go first.  Late jobs get the capacity that
+        remains, and at least one of ``late_turn`` placements.
         """
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
@@ -543,11 +601,11 @@
     def _late_share(
         self, capacity: capacities.Capacity, now_s: float
     ) -> float:
-        """Part of the engines' time that is left for late prompts."""
+        """Return the share of prefill capacity that is left for late jobs."""
         taken = self.on_time_demand.now(now_s) * self.sharers / capacity.speed
         return max(1 / self.settings.late_turn, 1 - taken)
 
-    # Placing and refusing.
+    # Placement and refusal.
 
     def _place(
         self, job: promptjobs.Job, option: enginepool.Option, now_s: float
@@ -574,11 +632,12 @@
     def _learn_bias(
         self, job: promptjobs.Job, option: enginepool.Option
     ) -> None:
-        """Expect of later prompts what this one takes.
+        """Update the ratio of actual to estimated prefill time.
 
-        A prompt is expected to find all that is kept of it anywhere; often
-        that engine is busy, and parts are read again or fetched.  Without
-        the ratio too many are let in, and all of them come late.
+        The estimate on arrival assumes that a prompt goes to the engine that
+        caches most of it.  Often that engine is busy, and cached parts are
+        prefilled again or fetched.  Without the ratio too many jobs are
+        admitted, and all of them are late.
         """
         took_s = option.read_s / self.pool.relative_cost(option.prefill_engine)
         ratio = took_s / max(job.need_s / self.bias, 0.0005)
@@ -588,7 +647,7 @@
     def _place_short(
         self, job: promptjobs.Job, now_s: float
     ) -> promptjobs.Decision:
-        """A short prompt goes straight to an engine that answers."""
+        """Place a job with a short prompt on a decode engine, or refuse it."""
         engine = self.pool.decode_engines.for_short_prompt(job.avoid, now_s)
         if engine is None:
             return self.refusals.refuse_unanswered(job, now_s)
@@ -609,10 +668,11 @@
         return not available
 
     def _refuse_waiting(self, now_s: float) -> list[promptjobs.Decision]:
-        """Refuse all that wait, as no engine answers.
+        """Refuse all queued and deferred jobs, as there is no decode engine.
 
-        Held back they would wait until their time is over: no queue moves,
-        and few callers have as much time left as a change of stage takes.
+        Left in the queues they would wait until their deadline: nothing can
+        be placed, and few callers have as much time left as an engine needs
+        to change its stage.
         """
         waiting = self.deferral.pop_all()
         for queue in self._queues():
@@ -622,7 +682,10 @@
     def _begin_run(
         self, job: promptjobs.Job, engine_id: str, now_s: float
     ) -> bool:
-        """Account an answer if it takes long enough to hold a slot."""
+        """Reserve a decode slot if the answer is long.
+
+        :returns: whether the answer is long
+        """
         if not self.answers.is_long(job.output_tokens):
             return False
         self.answers.hold(job.id, engine_id, job.output_tokens, now_s)
