--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -1,4 +1,4 @@
-"""The engines of a model service: who has room, and what a way costs."""
+"""Engines of a model service: free capacity and the cost of each placement."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -18,17 +18,19 @@
 
 
 class PoolSettings(NamedTuple):
-    """Constants of the pool.
-
-    :param ahead_s: an engine gets its next prompt this long before it is
-        expected to be free, and the measured latency beside reading: the
-        way there is part of that, and on narrow links most of it
-    :param most_ahead: prompts at one engine, for when the forecast is off
+    """Parameters of the pool.
+
+    :param ahead_s: an engine is sent its next prompt this long, plus its
+        measured fixed latency, before it is expected to complete the last
+        one; that latency includes the network time to the engine, which is
+        most of it on narrow links
+    :param max_ahead: limit of prompts sent to one engine and not yet
+        prefilled, in case the estimates are wrong
     :param fetch_gain: a cached part is fetched from another engine if that
-        takes less than this share of the time to read it again
-    :param candidates: engines that are compared for one prompt, beside
-        those that keep part of it, the same number of each stage; more gain
-        little and cost time
+        takes at most this share of the time to prefill it again
+    :param candidates: engines that are compared for one prompt, divided
+        evenly among the stages, besides those that cache part of it; more
+        gain little and cost time
     """
 
     ahead_s: float = 0.005
@@ -37,49 +39,58 @@
     candidates: int = 12
 
 
-#: What a transfer takes before its first byte, in seconds.
+#: Time until a transfer between engines sends its first byte, in seconds.
 TRANSFER_SETUP_S = 0.0007
-#: Transfers between failure domains take twice as long.
+#: Factor by which transfers between failure domains take longer.
 REMOTE_FACTOR = 2.0
-#: What a prompt that was read elsewhere takes of the engine that answers it
-#: beside the transfer, in seconds: a step for its first token, in which it
-#: takes over no other.
+#: Time of a decode engine that a transferred prompt takes besides the
+#: transfer, in seconds: one step for its first token, in which the engine
+#: receives no other prompt.
 FIRST_STEP_S = 0.005
-#: Part of the memory that cached parts may fill; running requests use the
-#: rest.
+#: Share of KV cache memory that cached parts may fill; running requests use
+#: the remainder.
 CACHE_SHARE = 0.9
-#: An engine that failed a send rests this long, doubled each time in a row.
+#: Cooldown of an engine after a failed job, in seconds; it doubles with each
+#: consecutive failure.
 COOLDOWN_S = 0.5
 MAX_COOLDOWN_S = 4.0
-#: An engine that has served somebody within this time is not down.
+#: An engine that has served a request within this time, in seconds, is not
+#: taken for down when it fails another.
 RECENT_SUCCESS_S = 0.4
-#: Nothing is fetched for this long from an engine whose transfers hang.
+#: No cached parts are fetched for this long, in seconds, from an engine whose
+#: transfers hang.
 FETCH_SUSPENSION_S = 3.0
-#: Two lapses of an engine's read prompts within this time make it rest for
-#: this long, in seconds: it reads for nothing.
+#: A prefill engine whose prompts are rejected twice within this window, in
+#: seconds, is placed in a cooldown, as its prefills are wasted.
 REJECTION_WINDOW_S = 1.0
 REJECTION_COOLDOWN_S = 2.0
-#: An engine that reads nothing is told of again after this time, in seconds,
-#: while prompts wait there: the word of it may have been lost.
+#: A stalled engine is reported again after this time, in seconds, while
+#: prompts are queued there: the first report may have been lost.
 STALL_REPORT_INTERVAL_S = 0.5
-#: Measured prompts after which the figures are no guess any more.
+#: Measured prompts from which on the cost coefficients count as learned.
 MIN_PROMPTS = 40
-#: Prompt length at which the speeds of two engines are compared.
+#: Prompt length at which the speeds of two engines are compared, in tokens.
 TYPICAL_TOKENS = 4000
-#: How long a computed capacity is used, in seconds: a job more or less.
+#: Age up to which a computed capacity is reused, in seconds; it is off by
+#: about one job at most.
 CAPACITY_MAX_AGE_S = 0.01
-#: Holders of a part that are considered for fetching it.
+#: Engines that are considered as the source of cached parts.
 MAX_SOURCES = 3
 
 
 @dataclasses.dataclass(slots=True)
 class Option:
-    """One way to serve a prompt.
-
-    :ivar source: address of an engine that keeps more of it
-    :ivar tokens: to be read
-    :ivar ready_s: moment at which it is read, and moved if it has to be
-    :ivar moved_s: moment at which the runner's link is free of it
+    """One placement of a prompt, with its expected times.
+
+    :ivar source: engine to fetch cached parts from, if any
+    :ivar tokens: tokens to prefill
+    :ivar fetch_s: time to fetch the cached parts
+    :ivar read_s: time to fetch and prefill
+    :ivar ready_s: moment at which the prompt is prefilled, and its KV cache
+        is at the decode engine
+    :ivar transferred_s: moment at which the decode engine's link is free
+        again
+    :ivar cost_s: engine time that the prompt takes, with its transfer
     """
 
     prefill_engine: enginemodel.EngineModel
@@ -94,11 +105,13 @@
 
 
 class EnginePool:
-    """The engines, what they were given and what they keep.
+    """The engines, the prompts sent to them, and their estimated caches.
 
-    :ivar open: engines that may be given a prompt to read now, by stage;
-        first the one that has been waiting longest
-    :ivar beside: engines read beside their long answers, as no other can
+    :ivar costs: cost model of prefill, by the engine's stage
+    :ivar open: engines that may be sent a prompt now, by stage; the one that
+        has been open longest is first
+    :ivar allow_interference: decode engines prefill prompts even while they
+        generate long answers, as no other engine can
     """
 
     def __init__(
@@ -125,12 +138,13 @@
         self._capacity = capacity.Capacity(())
         self._capacity_s = float('-inf')
 
-    # Which engines there are.
+    # Membership and cooldowns.
 
     def set_engines(self, endpoints: list[catalog.Endpoint]) -> None:
-        """Take the engines that may be given work.
+        """Replace the list of engines that requests may be placed on.
 
-        One that left keeps nothing: it would come back without its memory.
+        The cache of a removed engine is taken for lost: an engine that
+        returns has been restarted.
         """
         listed = {each.id: each for each in endpoints}
         for removed_id in [e for e in self.engines if e not in listed]:
@@ -165,7 +179,7 @@
                 self.open[endpoint.stage][endpoint.id] = None
 
     def cool_down(self, engine_id: str, until_s: float) -> None:
-        """Give an engine no work for a time."""
+        """Place no work on an engine until the given moment."""
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.cooldown_until_s = until_s
@@ -174,10 +188,11 @@
             self._capacity_s = float('-inf')
 
     def failed(self, engine_id: str, job: int, now_s: float) -> None:
-        """An engine refused a job, did not answer, or was out of reach.
+        """Record that an engine refused a job, timed out or was unreachable.
 
-        One that has just served others rests no time: what failed was this
-        job, and each engine that rests without need is missed by many.
+        The engine gets a cooldown, unless it has just served other requests:
+        then the fault is taken for the job's, as an unneeded cooldown costs
+        capacity.
         """
         self.caches.abandon(job)
         engine = self.engines.get(engine_id)
@@ -188,22 +203,25 @@
             self._update_open(engine, now_s)
             return
         if now_s - engine.last_stalled_s < STALL_REPORT_INTERVAL_S:
-            # It was found to read nothing, and all its prompts are given up
-            # at once.  That is one failure: counted each, one engine that
-            # was busy for a moment would be left idle for seconds.
+            # The engine was found stalled, and all its prompts fail at once.
+            # They count as one failure: counted singly, an engine that was
+            # busy for a moment would get a cooldown of seconds.
             return
         engine.failures += 1
         cooldown_s = COOLDOWN_S * 2 ** min(engine.failures - 1, 3)
         self.cool_down(engine_id, now_s + min(cooldown_s, MAX_COOLDOWN_S))
 
     def find_stalled(self, now_s: float) -> list[str]:
-        """Engines that read nothing of what they were given; they rest."""
+        """Put engines whose prefill makes no progress in a cooldown.
+
+        :returns: ids of these engines
+        """
         stalled = []
         for engine_id, engine in self.engines.items():
             if now_s - engine.last_stalled_s < STALL_REPORT_INTERVAL_S:
                 continue
             if engine.endpoint.stage is catalog.Stage.DECODE:
-                # Its answers show whether it lives, event by event.
+                # The events of its answers show whether it works.
                 continue
             if engine.is_stalled(now_s):
                 engine.last_stalled_s = now_s
@@ -213,7 +231,10 @@
         return stalled
 
     def suspend_fetch(self, engine_id: str, now_s: float) -> None:
-        """Fetching from an engine took far too long; read for a while."""
+        """Fetch no cached parts from an engine for a while.
+
+        Called when a fetch from it hangs; the parts are prefilled instead.
+        """
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.no_fetch_until_s = now_s + FETCH_SUSPENSION_S
@@ -221,15 +242,18 @@
     def record_rejection(
         self, prefill_engine_id: str, decode_engine_id: str, now_s: float
     ) -> None:
-        """An engine turned away a request whose prompt another had read.
-
-        Either it is full or changing, or what was read is gone; both say
-        the same.  An engine that turns away the prompts of two readers is
-        at fault itself; a reader whose prompts are turned away by two
-        engines, or by one that takes those of others, reads for nothing.
-        Where one turns away all that one reads it may be either: the engine
-        that answers rests first.  Taken for the readers' fault, one engine
-        that is down would make all of them rest, and nobody be served.
+        """Record that a decode engine rejected a prefilled request.
+
+        Either the decode engine is full or changes its stage, or the KV
+        cache of the prompt is lost at the prefill engine; the rejection is
+        the same for both.  A decode engine that rejects the prompts of two
+        prefill engines is at fault itself.  A prefill engine is at fault if
+        its prompts are rejected by two decode engines, or by one that
+        accepts the prompts of others.  Where one decode engine rejects all
+        prompts of one prefill engine, either may be at fault, and the decode
+        engine gets the first cooldown: otherwise one decode engine that is
+        down would put all prefill engines in a cooldown, and no request
+        would be served.
         """
         prefill_engine = self.engines.get(prefill_engine_id)
         decode_engine = self.engines.get(decode_engine_id)
@@ -255,10 +279,10 @@
         else:
             self.cool_down(decode_engine_id, now_s + COOLDOWN_S)
 
-    # Who has room.
+    # Open engines.
 
     def refresh(self, now_s: float) -> None:
-        """Note the engines that have got room by now."""
+        """Mark the engines as open that can be sent a prompt by now."""
         while self._opening_heap and self._opening_heap[0][0] <= now_s:
             _, engine_id = heapq.heappop(self._opening_heap)
             engine = self.engines.get(engine_id)
@@ -268,11 +292,14 @@
                 self._update_open(engine, now_s)
 
     def opens_s(self) -> float | None:
-        """When an engine is expected to get room without further word."""
+        """Return when the next engine is expected to become open.
+
+        :returns: a moment in seconds, or None if no opening is scheduled
+        """
         return self._opening_heap[0][0] if self._opening_heap else None
 
     def has_open(self) -> bool:
-        """Whether any engine may be given a prompt to read."""
+        """Whether any engine may be sent a prompt to prefill."""
         return any(self.open.values())
 
     def _close(self, engine_id: str) -> None:
@@ -302,16 +329,17 @@
         heapq.heappush(self._opening_heap, (opens_s, engine_id))
 
     def _max_ahead(self, engine: enginemodel.EngineModel) -> int:
-        """A prompt takes a slot, also while it waits for the one before.
+        """Return how many prompts an engine may have at a time.
 
-        An engine that failed is tried with one: were it still down, all
-        that it was given would be late.
+        A prompt holds a slot also while it is queued at the engine.  An
+        engine that failed is tried with a single prompt: if it is still
+        down, all prompts sent to it are late.
         """
         if engine.failures:
             return 1
         return min(self.settings.max_ahead, max(1, engine.endpoint.slots - 1))
 
-    # What becomes of prompts.
+    # Prompts and answers in flight.
 
     def assign(
         self,
@@ -320,7 +348,7 @@
         option: Option,
         now_s: float,
     ) -> None:
-        """Give a prompt to the engines of an option."""
+        """Account a prompt that is sent to the engines of an option."""
         prefill_engine, decode_engine = (
             option.prefill_engine,
             option.decode_engine,
@@ -340,7 +368,7 @@
     def adopt(
         self, job: int, engine_id: str, tokens: int, now_s: float
     ) -> None:
-        """An engine is at work on a prompt that somebody else gave it."""
+        """Account a prompt that the previous leader sent to an engine."""
         engine = self.engines[engine_id]
         engine.assign(job, tokens, 0.0, now_s, sent_now=False)
         self._update_open(engine, now_s)
@@ -348,7 +376,7 @@
     def record_prefill_done(
         self, job: int, engine_id: str, now_s: float
     ) -> None:
-        """An engine has read a prompt."""
+        """Record that an engine has completed the prefill of a prompt."""
         self.caches.record_prefill_done(job)
         engine = self.engines.get(engine_id)
         if engine is not None:
@@ -357,7 +385,7 @@
             self._update_open(engine, now_s)
 
     def forget(self, job: int, engine_id: str, now_s: float) -> None:
-        """An engine will not read a prompt after all."""
+        """Stop accounting a prompt that an engine will not prefill."""
         self.caches.abandon(job)
         engine = self.engines.get(engine_id)
         if engine is not None:
@@ -365,22 +393,25 @@
             self._update_open(engine, now_s)
 
     def begin_run(self, job: int, engine_id: str, now_s: float) -> None:
-        """An engine gives a long answer, and may not read beside it."""
+        """Record that an engine starts a long answer."""
         engine = self.engines[engine_id]
         engine.runs.add(job)
         self._update_open(engine, now_s)
 
     def end_run(self, job: int, engine_id: str, now_s: float) -> None:
-        """A long answer has ended, or goes on elsewhere."""
+        """Record that a long answer has ended or continues elsewhere."""
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.runs.discard(job)
             self._update_open(engine, now_s)
 
-    # What it costs.
+    # Cost estimates and choice of engines.
 
     def learned_costs(self) -> prefillcost.CostCoefficients | None:
-        """What prompts were found to take; None while it is a guess."""
+        """Return the learned cost coefficients.
+
+        :returns: None until :data:`MIN_PROMPTS` prompts have been measured
+        """
         reading = self.costs[catalog.Stage.PREFILL]
         answering = self.costs[catalog.Stage.DECODE]
         if reading.count < MIN_PROMPTS:
@@ -390,24 +421,27 @@
         )
 
     def restore_costs(self, figures: prefillcost.CostCoefficients) -> None:
-        """Take what another place has found; measurements go on."""
+        """Start from the coefficients that another host has learned."""
         *reading, factor = figures
         self.costs[catalog.Stage.PREFILL].set_coefficients(*reading)
         self.costs[catalog.Stage.DECODE].factor.median_s = factor
 
     def need_s(self, cached: promptcache.CachedPrefixes, tokens: int) -> float:
-        """Reading time of a prompt where most of it is kept."""
+        """Return the prefill time at the engine that caches most of a prompt.
+
+        :param tokens: length of the whole prompt
+        """
         cost = self.costs[catalog.Stage.PREFILL]
         most = cached.max_tokens
         return cost.seconds(prefillcost.PromptSize(tokens - most, most))
 
     def prefill_s(self, tokens: int) -> float:
-        """Reading time of so many tokens at an engine that only reads."""
+        """Return the time of a prefill engine for this many tokens."""
         cost = self.costs[catalog.Stage.PREFILL]
         return cost.seconds(prefillcost.PromptSize(tokens))
 
     def capacity(self, now_s: float) -> capacity.Capacity:
-        """Reading power of the engines that may read."""
+        """Return the prefill capacity of all engines that may prefill."""
         if now_s - self._capacity_s >= CAPACITY_MAX_AGE_S:
             self._capacity_s = now_s
             self._update_interference(now_s)
@@ -420,10 +454,10 @@
         return self._capacity
 
     def decode_stage_capacity(self, now_s: float) -> tuple[float, int]:
-        """What engines that answer can read.
+        """Return the prefill capacity of the decode engines.
 
-        :returns: engines' worth of reading, and the number of those that
-            give long answers and read nothing
+        :returns: their capacity in units of one prefill engine, and the
+            number of decode engines that generate long answers
         """
         answering = [
             engine
@@ -438,13 +472,13 @@
         return power, sum(1 for each in answering if each.long_runs)
 
     def _update_interference(self, now_s: float) -> None:
-        """Have engines read beside long answers while no other one can.
+        """Allow prefill on engines with long answers while no other can.
 
-        The engines that read have left, are down or are changing, and each
-        of the others gives a long answer nearly always: prompts were refused
-        to the last one by engines that had time for many of them.  Answers
-        beside which prompts are read take longer, but a refused caller has
-        nothing.
+        When all prefill engines have left, are down or change their stage,
+        nearly every decode engine generates a long answer at any time.  If
+        these did not prefill, all prompts would be refused although the
+        engines have time for many of them.  Prefill slows down the long
+        answers on the same engine, which is better than refused requests.
         """
         beside = not any(
             engine.cooldown_until_s <= now_s and can_prefill(engine)
@@ -461,7 +495,7 @@
         return self.allow_interference or can_prefill(engine)
 
     def relative_cost(self, engine: enginemodel.EngineModel) -> float:
-        """How much longer an engine reads than one of the reading stage."""
+        """Return an engine's prefill time relative to a prefill engine's."""
         cost = self.costs[catalog.Stage.PREFILL]
         reference_s = cost.seconds(prefillcost.PromptSize(TYPICAL_TOKENS))
         return max(0.2, engine.expected_s(TYPICAL_TOKENS) / reference_s)
@@ -472,7 +506,10 @@
         avoid: tuple[str, ...],
         now_s: float,
     ) -> Option | None:
-        """The best way among the engines that have room."""
+        """Return the cheapest placement among the open engines, if any.
+
+        :param avoid: ids of engines that may not prefill the prompt
+        """
         cached = self.caches.cached_prefixes(parts)
         decode_engine = self.decode_engines.for_prefilled(avoid, now_s)
         best: Option | None = None
@@ -498,9 +535,11 @@
         tokens: int,
         now_s: float,
     ) -> float | None:
-        """When an engine will have read so much of a prompt; None if none is.
+        """Return when an engine will have prefilled the start of a prompt.
 
-        :param tokens: of the first parts, to be kept there
+        :param tokens: length of the prefix that the engine has to cache
+        :returns: the earliest moment, or None if no engine has the prefix or
+            is prefilling it
         """
         cached = self.caches.cached_prefixes(parts)
         moments = []
@@ -523,11 +562,11 @@
     def _candidates(
         self, cached: promptcache.CachedPrefixes, avoid: tuple[str, ...]
     ) -> Iterable[str]:
-        """Engines to compare for a prompt.
+        """Return the ids of the open engines to compare for a prompt.
 
-        Some of each stage: where the first ones were taken whatever their
-        stage, a dozen that could not take the prompt hid all others, and
-        callers were refused by a fleet that idled.
+        The candidates come from each stage.  Chosen regardless of stage, a
+        dozen engines that can't take the prompt could hide all others, and
+        requests would be refused while engines are idle.
         """
         found: dict[str, None] = {}
         stages = [of_stage for of_stage in self.open.values() if of_stage]
@@ -568,9 +607,9 @@
             transferred_s = (
                 max(ready_s, decode_engine.transfer_until_s) + move_s
             )
-            # What an engine takes beside the transfer keeps no prompt off
-            # its link: added up, it would soon put every prompt into the
-            # next minute.
+            # The delay after a transfer does not occupy the engine's link.
+            # Included in transferred_s it would add up from prompt to
+            # prompt, and soon every prompt would be expected a minute late.
             delay_s = self.decode_engines.delay_s(decode_engine)
             ready_s = transferred_s + delay_s
             cost_s += move_s + delay_s
@@ -594,9 +633,10 @@
         missing: int,
         now_s: float,
     ) -> tuple[enginemodel.EngineModel | None, int, float]:
-        """Another engine to fetch cached parts from, if that is quicker.
+        """Choose an engine to fetch cached parts from, if that is quicker.
 
-        :returns: the engine or None, tokens left to read, time to fetch
+        :param missing: tokens of the prompt that the prefill engine lacks
+        :returns: the engine or None, tokens left to prefill, time to fetch
         """
         has = promptcache.total_tokens(parts) - missing
         if cached.max_tokens <= has:
@@ -628,10 +668,10 @@
         return seconds
 
     def handoff_s(self, tokens: int) -> float:
-        """Time that an engine needs to take over what another has read.
+        """Return the time of a decode engine to receive a prefilled prompt.
 
-        Any other engine is as likely to have read it, so most transfers
-        come from another failure domain.
+        The prompt is equally likely to come from each engine, so most
+        transfers come from another failure domain.
         """
         domains = {
             engine.endpoint.failure_domain for engine in self.engines.values()
@@ -643,10 +683,10 @@
 
 
 def can_prefill(engine: enginemodel.EngineModel) -> bool:
-    """Whether an engine may be given prompts while others can read too.
+    """Whether an engine may prefill prompts while other engines can too.
 
-    Not beside long answers: each step of these would wait for a piece of
-    the prompt.
+    A decode engine with long answers may not: each of their decode steps
+    would wait for a chunk of the prompt.
     """
     return not (
         engine.endpoint.stage is catalog.Stage.DECODE and engine.long_runs
