--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -1,10 +1,11 @@
-"""When an engine will be done with the prompts it was given.
-
-An engine reads prompts one after another at a steady rate; each also takes
-a fixed time that does not keep it from reading the next one.  Taken for
-reading time, that latency made an engine look half as fast as it is, and it
-idled between prompts.  So both are measured apart: reading time where one
-prompt follows another without a gap, latency where a prompt came alone.
+"""Estimates when an engine completes the prompts that were sent to it.
+
+An engine prefills prompts one after another at a steady rate.  Each prompt
+also has a fixed latency, which overlaps with the prefill of the next one.
+Counted as prefill time, that latency would make an engine look half as fast
+as it is, and it would idle between prompts.  So the two are measured
+separately: prefill time where one prompt follows another without a gap,
+latency where a prompt was sent to an idle engine.
 """
 
 import collections
@@ -16,53 +17,57 @@
 
 __all__ = ['HOP_S', 'EngineModel']
 
-#: Weight of a new measurement in the latency of one engine.
+#: Weight of a new sample in the moving average of one engine's latency.
 LATENCY_WEIGHT = 0.1
-#: An engine's latency above this multiple of the usual one is the wait for
-#: prompts that nobody here knows of; it says nothing of the next prompt.
+#: An engine's latency above this multiple of the usual latency is queueing
+#: behind prompts from elsewhere, and does not overlap with the next prompt.
 MAX_LATENCY_FACTOR = 2.0
+#: Upper bound of the excess latency of one sample, in seconds.
 MAX_LATENCY_S = 0.3
-#: Reading time after which most of what an engine has shown is forgotten, in
-#: seconds, and what its first guess counts for.  Counted by time and not by
-#: prompts: engines work in steps, and of two short prompts in one step the
-#: first seems to take all of it and the second nothing.
+#: Prefill time over which most of an engine's earlier speed samples decay,
+#: and the weight of the prior, in seconds.  Samples are weighted by time and
+#: not by prompt: engines work in steps, and of two short prompts in one step
+#: the first seems to take all of it and the second nothing.
 PACE_MEMORY_S = 0.5
 PACE_PRIOR_S = 0.1
-#: Weight of a sample that shows an engine faster than it was taken for, in
-#: which no other prompt can have had a part: three take away four fifths.
+#: Weight of a sample from an idle engine that is faster than estimated, which
+#: no other prompt can have affected: three such samples remove four fifths of
+#: the error.
 RECOVERY_WEIGHT = 0.4
 MIN_SLOWNESS = 0.5
 MAX_SLOWNESS = 20.0
-#: Samples of engines within this range of slowness teach the common fit.
+#: Only engines below this multiple of the typical slowness contribute samples
+#: to the common cost model.
 NORMAL_SLOWNESS = 1.5
-#: One way between a host and an engine, and between hosts; a thousandth of
-#: a second is what hops inside an area take.
+#: One-way network time between a host and an engine, and between hosts, in
+#: seconds, as usual within an area.
 HOP_S = 0.001
-#: A job whose end was never reported is taken as lost after this many
-#: times its expected length, and never before this many seconds.
+#: A job whose end was not reported is taken for lost after this multiple of
+#: its expected duration, and not before this many seconds.
 LOST_FACTOR = 5.0
 LOST_S = 0.5
-#: An engine that has shown no life for this long, in seconds, since it was
-#: due with a prompt, and for so many times what it takes to read all of that
-#: prompt, reads nothing.  One that is busy with what nobody here knows of,
-#: or that reads at half of its usual speed, is back within it.
+#: An engine is stalled if it shows no progress for this many seconds after a
+#: prompt was due, and for this multiple of the time to prefill all of that
+#: prompt.  An engine that is busy with prompts from elsewhere, or that runs
+#: at half of its usual speed, makes progress within that time.
 STALL_TIMEOUT_S = 0.5
 STALL_FACTOR = 2.0
-#: How long a short answer holds a slot after its prompt was moved, in
-#: seconds: a few steps, and the way of the request there.
+#: Time for which a short answer holds a slot after the KV transfer, in
+#: seconds: a few decode steps, and the network time of the request.
 SHORT_RUN_S = 0.02
-#: Shortest time that counts as measured.
+#: Lower bound of a measured prefill time, in seconds.
 MIN_SAMPLE_S = 0.0002
 
 
 @dataclasses.dataclass(slots=True)
 class PendingPrefill:
-    """A prompt that an engine has been given.
+    """A prompt that was sent to an engine and is not yet prefilled.
 
-    :ivar expected_s: reading time at ordinary speed
-    :ivar whole_s: the same if none of it is kept after all
-    :ivar until_s: when the engine is expected to be free of it
-    :ivar alone: the engine had nothing to read when it came
+    :ivar expected_s: prefill time at ordinary speed
+    :ivar whole_s: prefill time at ordinary speed if nothing is cached
+    :ivar sent_s: when the prompt was sent, and cached parts were fetched
+    :ivar until_s: when the prefill is expected to be complete
+    :ivar was_idle: whether the engine was idle when the prompt was sent
     """
 
     size: prefillcost.PromptSize
@@ -74,21 +79,31 @@
 
 
 class EngineModel:
-    """One engine as the placement sees it.
-
-    :ivar pace: what reading took, over what it was expected to
-    :ivar extra_s: what prompts take here beside being read, beyond the usual
-    :ivar readings: prompts given and not yet reported as read
-    :ivar runs: long answers, which hold a slot
-    :ivar after_s: time from a prompt read elsewhere to its first event
-    :ivar failures: in a row
-    :ivar probe_until_s: one that may be down is tried by a request until
-        then, and gets no other
-    :ivar turned_away: whose prompts it turned away, and when last
-    :ivar lapsed_at: who turned away a prompt that it had read, and when
-    :ivar took_s: when it last answered a prompt that another had read
-    :ivar freed_s: when it was last free of a prompt, as far as reported
-    :ivar silent_s: when it was last found to read nothing
+    """The placement's model of one engine.
+
+    :ivar pace: ratio of measured to expected prefill time
+    :ivar extra_s: latency of this engine above the usual latency
+    :ivar pending_prefills: prompts sent and not yet reported as prefilled,
+        by job
+    :ivar runs: jobs with a long answer in progress; each holds a slot
+    :ivar short_ends: expected end of each short answer, in order
+    :ivar transfer_until_s: when the engine's link is free of KV transfers
+    :ivar first_event_s: average time from the end of a prefill on another
+        engine to the first event here
+    :ivar cooldown_until_s: no work is placed on the engine until then
+    :ivar failures: consecutive failures
+    :ivar probe_until_s: an engine that may be down is probed with one request
+        until then, and gets no other
+    :ivar last_rejected: the decode engine that last rejected a prompt
+        prefilled here, and when
+    :ivar last_accepted_s: when the engine last accepted a prompt that another
+        engine prefilled
+    :ivar rejected_at_s: when this engine last rejected a prompt of each
+        prefill engine, by the id of the latter
+    :ivar last_success_s: when the engine last showed that it works
+    :ivar freed_s: when it last completed a prefill, as far as reported
+    :ivar last_stalled_s: when it was last found stalled
+    :ivar no_fetch_until_s: no cached parts are fetched from it until then
     """
 
     def __init__(
@@ -118,37 +133,42 @@
 
     @property
     def slowness(self) -> float:
-        """Measured over expected reading time."""
+        """Ratio of measured to expected prefill time, within bounds."""
         return min(MAX_SLOWNESS, max(MIN_SLOWNESS, self.pace.ratio))
 
     def forget_pace(self) -> None:
-        """Nothing is known of how fast it reads."""
+        """Reset the estimate of the engine's speed."""
         self.pace = _new_pace()
 
     @property
     def long_runs(self) -> int:
-        """How many long answers it gives; prompts would disturb them."""
+        """Number of long answers in progress, which prefill would delay."""
         return len(self.runs)
 
     @property
     def latency_s(self) -> float:
-        """What a prompt takes here beside being read."""
+        """Latency of a prompt on this engine besides its prefill time."""
         return self.cost.latency_s + max(0.0, self.extra_s)
 
     @property
     def overlapped_latency_s(self) -> float:
-        """The part of its latency in which it can read the next prompt."""
+        """The part of the latency that overlaps with the next prefill."""
         return min(self.latency_s, MAX_LATENCY_FACTOR * self.cost.latency_s)
 
     def expect_run(self, ready_s: float, now_s: float) -> None:
-        """A short answer follows a prompt that was read elsewhere."""
+        """Account a short answer to a prompt that another engine prefills.
+
+        :param ready_s: when the KV cache is expected to be here
+        """
         self.short_ends.append(max(ready_s, now_s) + SHORT_RUN_S)
 
     def slots_in_use(self, at_s: float, now_s: float) -> int:
-        """Slots that answers hold at a moment.
+        """Return the number of slots that answers hold at a moment.
 
-        Short answers hold one only for their expected time, not while
-        their prompt is still being read elsewhere.
+        Short answers count only for their expected duration, not while
+        another engine still prefills their prompt.
+
+        :param at_s: the moment
         """
         while self.short_ends and self.short_ends[0] <= now_s:
             self.short_ends.popleft()
@@ -160,15 +180,16 @@
         return len(self.runs) + short
 
     def expected_s(self, tokens: float, cached_tokens: float = 0.0) -> float:
-        """Time that this engine needs to read uncached tokens.
+        """Return the time that this engine needs to prefill tokens.
 
-        :param before: cached tokens that come before them
+        :param tokens: uncached tokens
+        :param cached_tokens: cached tokens that precede them
         """
         size = prefillcost.PromptSize(tokens, cached_tokens)
         return self.cost.seconds(size) * self.slowness
 
     def free_s(self, now_s: float) -> float:
-        """When it has read all that it was given."""
+        """Return when the engine completes all pending prefills."""
         latest_s = now_s
         for prefill in self.pending_prefills.values():
             if prefill.until_s > latest_s:
@@ -184,12 +205,14 @@
         prompt_tokens: int = 0,
         sent_now: bool = True,
     ) -> float:
-        """Account a prompt; returns when it is expected to be read.
-
-        :param all_tokens: of the prompt, with those that are kept
-        :param fetch_s: time in which cached parts come from elsewhere
-        :param seen: it is sent now; else nobody here knows how long the
-            engine has had it, and its end says little of the engine
+        """Account a prompt that is sent to this engine.
+
+        :param tokens: tokens to prefill
+        :param fetch_s: time to fetch cached parts from another engine
+        :param prompt_tokens: length of the prompt, with its cached tokens
+        :param sent_now: whether the prompt is sent now; if it was sent at an
+            unknown time before, its end is no sample of the engine's speed
+        :returns: when the prefill is expected to be complete
         """
         prompt_tokens = max(tokens, prompt_tokens)
         size = prefillcost.PromptSize(tokens, prompt_tokens - tokens)
@@ -208,7 +231,10 @@
         return until_s
 
     def record_prefill_done(self, job: int, now_s: float) -> None:
-        """A prompt has been read; its host has just said so."""
+        """Record that a prompt is prefilled, and learn from its time.
+
+        :param now_s: when the report of the prompt's host arrived
+        """
         prefill = self.pending_prefills.pop(job, None)
         if prefill is None:
             return
@@ -226,15 +252,17 @@
         self._reschedule(now_s)
 
     def forget(self, job: int, now_s: float) -> None:
-        """A prompt will not be read here after all."""
+        """Stop accounting a prompt that will not be prefilled here."""
         if self.pending_prefills.pop(job, None) is not None:
             self._reschedule(now_s)
 
     def expire(self, now_s: float) -> list[int]:
-        """Drop jobs whose end was never reported; returns them.
+        """Drop prompts whose end was never reported.
+
+        The host that sent them died, or its report was lost.  Without this
+        the engine would count as busy for good.
 
-        The host that sent them died, or its datagram was lost: without
-        this the engine would count as busy for good.
+        :returns: ids of the dropped jobs
         """
         lost = [
             job
@@ -246,11 +274,12 @@
         return lost
 
     def _lost_s(self, prefill: PendingPrefill) -> float:
-        """From when on a prompt counts as lost.
+        """Return when a prompt counts as lost.
 
-        An engine that has read others since is done with it.  One that has
-        not is busy still, or reads nothing, and then the hosts are told so:
-        taken for free it would be given more.
+        An engine that has completed others since is done with it.  An engine
+        that has not is still busy or is stalled.  A stalled engine is
+        reported to the hosts first: dropped earlier, its prompts would make
+        it look idle, and it would be sent more.
         """
         length_s = prefill.until_s - prefill.sent_s
         lost_s = prefill.sent_s + max(LOST_S, length_s * LOST_FACTOR)
@@ -261,12 +290,11 @@
         )
 
     def is_stalled(self, now_s: float) -> bool:
-        """Whether it reads nothing of what it was given.
+        """Whether the engine makes no progress with its pending prefills.
 
-        A prompt that takes long says little: its engine may be busy with
-        others, slow, or down.  One that is busy or slow reads others in the
-        meantime, and each of them is a sign of life; one that is down gives
-        none at all.
+        A single slow prompt proves little: its engine may be busy with other
+        prompts, slow, or down.  A busy or slow engine completes others in
+        the meantime; one that is down completes none.
         """
         if not self.pending_prefills:
             return False
@@ -275,9 +303,10 @@
         return now_s - life_s > self._stall_timeout_s(first)
 
     def _stall_timeout_s(self, prefill: PendingPrefill) -> float:
-        """How long an engine may show no life while it reads a prompt.
+        """Return how long an engine may show no progress with a prompt.
 
-        What was believed to be kept may be gone; then all of it is read.
+        The time covers a prefill of the whole prompt, as the parts that are
+        estimated to be cached may have been evicted.
         """
         return max(
             STALL_TIMEOUT_S, prefill.whole_s * self.slowness * STALL_FACTOR
@@ -286,10 +315,13 @@
     def _learn_from_idle(
         self, prefill: PendingPrefill, whole_s: float, now_s: float
     ) -> None:
-        """A prompt came alone; its time has the latency in it.
+        """Learn from a prompt that was sent to the idle engine.
 
-        What is beyond the usual is kept by engine: one that has turned slow
-        shows it here also while it gets few prompts.
+        Its time includes the latency.  The excess over the usual latency is
+        kept per engine, so that an engine that has become slow is noticed
+        even while it gets few prompts.
+
+        :param whole_s: time from arrival to completion
         """
         extra_s = whole_s - prefill.expected_s * self.slowness
         extra_s = min(MAX_LATENCY_S, extra_s - self.cost.latency_s)
@@ -300,12 +332,14 @@
             )
 
     def _bound_slowness(self, prefill: PendingPrefill, whole_s: float) -> None:
-        """A prompt that came alone was read within the time it took.
+        """Lower the slowness if a prompt sent to the idle engine disproves it.
+
+        An engine that is taken for slow gets few prompts, and is idle when
+        they arrive.  Without this it would be taken for slow long after its
+        recovery, and with several such engines nearly all requests would be
+        refused while the engines are idle.
 
-        An engine that is taken for slow gets few prompts, each of them
-        alone: it would keep the name for good, long after it has
-        recovered, and with several of them nearly all callers would be
-        refused by idle engines.
+        :param whole_s: time from arrival to completion
         """
         ratio = max(MIN_SLOWNESS, whole_s / prefill.expected_s)
         if ratio < self.slowness:
@@ -321,16 +355,16 @@
             self.cost.learn(prefill.size, took_s, False, now_s)
 
     def _has_normal_speed(self) -> bool:
-        """Whether what it takes says something of engines in general.
+        """Whether the engine's samples are fit for the common cost model.
 
-        Measured against what prompts usually take: while the expectation is
-        too low for all, none of them is slow.
+        The engine's slowness is compared with the typical one: while the
+        model's estimates are too low for all engines, no engine is slow.
         """
         usual = max(1.0, self.cost.typical_slowness.median_s)
         return self.slowness < NORMAL_SLOWNESS * usual
 
     def _reschedule(self, now_s: float) -> None:
-        """Expect the remaining prompts anew, one after another."""
+        """Recompute the expected completion of all pending prefills."""
         until_s = self.freed_s
         for prefill in self.pending_prefills.values():
             until_s = max(until_s, prefill.sent_s + HOP_S)
--- a/magnoliadyke/core/prefillcost.py
+++ b/magnoliadyke/core/prefillcost.py
@@ -1,9 +1,9 @@
-"""What it takes to read a prompt, learned from prompts that were read.
+"""Cost models of prefill, fitted to measured prompts.
 
-A prompt takes a fixed time, in which the engine already reads the next one,
-a time for each token, and one for each pair of a token with one before it:
-attention looks back at the whole prompt, so a prompt of fifty thousand
-tokens takes nearly twice as long for each of them as one of a thousand.
+A prompt takes a fixed latency, which overlaps with the prefill of the next
+one, a time for each token, and a time for each pair of a token with an
+earlier one: attention covers the whole prompt, so that a token takes nearly
+twice as long in a prompt of fifty thousand tokens as in one of a thousand.
 """
 
 import abc
@@ -19,47 +19,51 @@
     'PrefillCost',
 ]
 
-#: Before anything was measured, in seconds: beside reading, for a token and
-#: for a million pairs.  Low rather than high: too low a guess is mended by
-#: the first few measured prompts, too high a one refuses the callers that
-#: would have measured it.
+#: Prior coefficients in seconds: latency, time of a token, and time of a
+#: million pairs.  They are low on purpose: the first few measured prompts
+#: correct a prior that is too low, while one that is too high refuses the
+#: requests that would correct it.
 PRIOR_LATENCY_S = 0.004
 PRIOR_TOKEN_S = 4e-6
 PRIOR_MILLION_PAIRS_S = 0.0
-#: Prompts of this size anchor the guess, as if so many had been measured.
+#: Size in tokens of the prompt that represents the prior in the fit, and its
+#: weight in measured prompts.
 PRIOR_TOKENS = 8000
 PRIOR_WEIGHT = 1.0
-#: Measured prompts that are remembered; a few seconds' worth at a busy
-#: engine.
+#: Measured prompts over which earlier samples decay; a few seconds of load at
+#: a busy engine.
 MEMORY_PROMPTS = 300
-#: A prompt that takes longer than so many times what was expected has waited
-#: behind others that nobody here knows of, or its engine has turned slow; it
-#: counts as if it had taken so much, and the less the longer it took.  A
-#: guess that is too low by a factor of four is mended by twenty prompts all
-#: the same.
+#: A prompt that takes longer than this multiple of its expected time was
+#: queued behind prompts from elsewhere, or its engine has become slow.  Its
+#: time is clipped to this multiple, and its weight falls with this power of
+#: the excess.  Estimates that are too low by a factor of four are still
+#: corrected within twenty prompts.
 OUTLIER_FACTOR = 2.0
 OUTLIER_WEIGHT_EXPONENT = 4
-#: And beyond that, in seconds: engines work in steps of some hundredths of a
-#: second, and a prompt may get one more or less than its share of them.
+#: Margin above that multiple, in seconds: engines work in steps of some
+#: hundredths of a second, and a prompt may take one step more or less.
 OUTLIER_MARGIN_S = 0.025
-#: A prompt that came alone and is read so many times quicker than expected
-#: counts as many: no other one can have had a part in that, and while engines
-#: are taken for slow callers are refused that would have shown the contrary.
+#: A prompt sent to an idle engine that completes this many times faster than
+#: expected gets this weight: no other prompt can have affected it, and while
+#: the estimates are too high, the requests that would correct them are
+#: refused.
 FAST_FACTOR = 1.5
 FAST_WEIGHT = 10.0
-#: The latency doubles at most in this time, in seconds.  What engines still
-#: read for a place before this one holds up the first prompts of all of them
-#: for some tenths of a second: taken for latency, that would make every
-#: prompt look late long after the engines are free.
+#: Minimum time in which the fitted latency may double, in seconds.  After a
+#: change of the placement leader, prompts sent by the previous leader delay
+#: the first prompts of all engines by some tenths of a second.  Fitted as
+#: latency, that delay would make every prompt look late long after the
+#: engines are free.
 LATENCY_DOUBLING_S = 0.4
-#: Shortest reading time that is expected, in seconds.
+#: Lower bound of the expected prefill time, in seconds.
 MIN_PREFILL_S = 0.0005
-#: An engine that also answers reads at half the speed, before its own was
-#: measured; and bounds of what it is taken for.
+#: Prior factor by which decode engines prefill more slowly than prefill
+#: engines, and the bounds of one sample of it.
 DECODE_STAGE_FACTOR = 2.0
 MIN_FACTOR = 0.5
 MAX_FACTOR = 10.0
-#: Keeps the three figures apart while prompts of one size come.
+#: Ridge regularization: keeps the fit solvable while all prompts have the
+#: same size.
 RIDGE = 1e-6
 
 MILLION = 1e6
@@ -67,10 +71,10 @@
 
 
 class PromptSize(NamedTuple):
-    """What there is to read of a prompt.
+    """The part of a prompt that has to be prefilled.
 
-    :param tokens: that are not kept
-    :param before: kept tokens that come before them
+    :param tokens: tokens that are not cached
+    :param cached_tokens: cached tokens that precede them
     """
 
     tokens: float
@@ -78,17 +82,17 @@
 
     @property
     def attention_pairs(self) -> float:
-        """Pairs of a token to be read with one before it."""
+        """Number of pairs of a token to prefill with an earlier token."""
         return self.tokens * (self.cached_tokens + self.tokens / 2)
 
 
 class CostCoefficients(NamedTuple):
-    """What one place has learned, for the next.
+    """Learned coefficients, as one placement leader hands them to the next.
 
-    :param latency_s: of a prompt beside being read
-    :param thousand_tokens_s: for a thousand tokens
-    :param million_pairs_s: for a million pairs of tokens
-    :param answering_factor: how much longer engines take that also answer
+    :param latency_s: latency of a prompt besides its prefill time
+    :param thousand_tokens_s: prefill time of a thousand tokens
+    :param million_pairs_s: prefill time of a million pairs of tokens
+    :param decode_stage_factor: factor by which decode engines take longer
     """
 
     latency_s: float
@@ -98,9 +102,10 @@
 
 
 class PrefillCost(abc.ABC):
-    """Seconds that engines of one stage take to read a prompt.
+    """Cost model of prefill on the engines of one stage.
 
-    :ivar surprise: usual share of the expected time that prompts take
+    :ivar typical_slowness: median slowness of these engines, which is the
+        ratio of measured to expected prefill time
     """
 
     def __init__(self) -> None:
@@ -109,11 +114,11 @@
     @property
     @abc.abstractmethod
     def latency_s(self) -> float:
-        """What a prompt usually takes beside being read."""
+        """Usual latency of a prompt besides its prefill time."""
 
     @abc.abstractmethod
     def seconds(self, size: PromptSize) -> float:
-        """Expected time to read a prompt, without the latency."""
+        """Return the expected prefill time, without the latency."""
 
     @abc.abstractmethod
     def learn(
@@ -123,22 +128,25 @@
         with_latency: bool,
         now_s: float,
     ) -> None:
-        """An engine of ordinary speed took this long.
+        """Add a sample from an engine of ordinary speed.
 
-        :param with_latency: the time begins when the engine got it, not when
-            it was free to read it
+        :param seconds: the measured time
+        :param with_latency: whether the time was measured from the arrival
+            of the prompt, and not from when the engine was free for it
         """
 
     @abc.abstractmethod
     def coefficients_text(self) -> str:
-        """What was learned, for the log."""
+        """Return the learned coefficients as text for the log."""
 
 
 class DecodeStagePrefillCost(PrefillCost):
-    """That of engines which also answer, by what the others take.
+    """Cost model of decode engines, relative to that of prefill engines.
 
-    They read few prompts, or none for a long time: too few to learn more
-    than how much slower they are.
+    Decode engines prefill few prompts, or none for a long time: too few to
+    learn more than the factor by which they are slower.
+
+    :param reference: cost model of the prefill engines
     """
 
     def __init__(self, reference: PrefillCost) -> None:
@@ -170,11 +178,13 @@
 
 
 class FittedCost(PrefillCost):
-    """That of engines which only read, by least squares.
+    """Cost model of prefill engines, fitted by least squares.
 
-    :ivar count: prompts that were measured
-    :ivar figures: latency in seconds, seconds for a thousand tokens and for
-        a million pairs
+    :ivar count: number of measured prompts
+    :ivar coefficients: latency, time of a thousand tokens and time of a
+        million pairs, in seconds
+    :ivar normal_matrix: matrix of the normal equations
+    :ivar normal_vector: right-hand side of the normal equations
     """
 
     def __init__(self) -> None:
@@ -191,7 +201,7 @@
         thousand_tokens_s: float,
         million_pairs_s: float,
     ) -> None:
-        """Begin with these figures."""
+        """Restart the fit from the given coefficients as its prior."""
         self.latency_updated_s = float('inf')
         self.normal_matrix = [[0.0] * 3 for _ in range(3)]
         self.normal_vector = [0.0] * 3
@@ -255,7 +265,7 @@
                 )
 
     def _solve(self, now_s: float) -> None:
-        """Least squares; a figure that comes out below zero is zero."""
+        """Solve for the coefficients; a negative one is held at zero."""
         found = _solve_linear(self._regularized_matrix(), self.normal_vector)
         if found[2] < 0:
             found = self._solve_without(2)
@@ -279,7 +289,7 @@
         return normal_matrix
 
     def _solve_without(self, index: int) -> tuple[float, float, float]:
-        """The same with one figure held at zero."""
+        """Solve for the coefficients with one of them held at zero."""
         normal_matrix = self._regularized_matrix()
         normal_vector = list(self.normal_vector)
         for each in range(3):
@@ -307,7 +317,10 @@
 def _solve_linear(
     normal_matrix: list[list[float]], normal_vector: list[float]
 ) -> tuple[float, float, float]:
-    """Solve three linear equations, by Cramer's rule."""
+    """Solve three linear equations by Cramer's rule.
+
+    :returns: the solution; zeros if the matrix is singular
+    """
     whole = _determinant(normal_matrix)
     if not whole:
         return (0.0, 0.0, 0.0)
