--- a/magnoliadyke/core/promptcache.py
+++ b/magnoliadyke/core/promptcache.py
@@ -1,4 +1,4 @@
-"""A model of the engines' prompt caches: parts in order of their last use."""
+"""Estimates which prompt parts the engines' LRU prefix caches hold."""
 
 import collections
 from collections.abc import Sequence
@@ -15,9 +15,10 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt; requests may share it.
+    """A part of a prompt, which other prompts may share.
 
-    :param id: hash of its identity
+    :param id: hash of the part's identity
+    :param tokens: length of the part
     """
 
     id: int
@@ -25,17 +26,18 @@
 
 
 def total_tokens(parts: Sequence[PromptPart]) -> int:
-    """Tokens of all parts together."""
+    """Return the total length of the parts in tokens."""
     return sum(part.tokens for part in parts)
 
 
 class PromptCache:
-    """What an engine is believed to keep, by what it was given to read.
+    """Estimated prefix cache of one engine, from the prompts sent to it.
 
-    Engines drop the least recently used parts, so the order of use and the
-    size of the memory say what is left; no word from the engine is needed.
+    Engines evict the least recently used parts, so the contents follow from
+    the order of use and the cache size, without reports from the engine.
 
-    :param capacity_tokens: memory for cached parts
+    :param capacity_tokens: cache size
+    :ivar parts: tokens of each cached part, least recently used first
     """
 
     def __init__(self, capacity_tokens: float) -> None:
@@ -46,9 +48,9 @@
         self.used_tokens = 0
 
     def use(self, parts: Sequence[PromptPart]) -> list[int]:
-        """The engine reads these parts, or takes them over from another.
+        """Add parts that the engine prefills or receives from another.
 
-        :returns: ids of the parts that had to make room
+        :returns: ids of the evicted parts
         """
         for part in parts:
             known = self.parts.pop(part.id, None)
@@ -64,20 +66,20 @@
         return dropped
 
     def drop(self, part_id: int) -> None:
-        """A part is not there after all."""
+        """Remove a part that is not in the engine's cache."""
         tokens = self.parts.pop(part_id, None)
         if tokens is not None:
             self.used_tokens -= tokens
 
 
 class CachedPrefixes:
-    """Which engines keep how much of one prompt.
+    """Lengths of the prefix of one prompt that engines cache.
 
-    A part is of use only where all parts before it are kept too, so the
-    levels are sets that shrink from the first part to the last.
+    A cached part is of use only if all parts before it are cached too, so
+    the sets of engines shrink from the first level to the last.
 
-    :ivar levels: engines that keep the first 1, 2, ... parts, and the
-        tokens of these together
+    :ivar levels: for the first 1, 2, ... parts, the engines that cache all
+        of these, and their total tokens
     """
 
     def __init__(self, levels: list[tuple[set[str], int]]) -> None:
@@ -85,18 +87,21 @@
 
     @property
     def max_tokens(self) -> int:
-        """What the engine that keeps most has of the prompt."""
+        """Length of the longest prefix that any engine caches, in tokens."""
         return self.levels[-1][1] if self.levels else 0
 
     def tokens(self, engine: str) -> int:
-        """What an engine has of the prompt."""
+        """Return the length of the prefix that an engine caches, in tokens."""
         for engines, tokens in reversed(self.levels):
             if engine in engines:
                 return tokens
         return 0
 
     def holders(self, limit: int) -> list[str]:
-        """Engines that have the most of the prompt, a few of them."""
+        """Return the engines that cache the longest prefixes.
+
+        :param limit: maximum number of engines
+        """
         found: dict[str, None] = {}
         for engines, _ in reversed(self.levels):
             for engine in itertools.islice(engines, limit):
@@ -107,19 +112,21 @@
 
 
 class CacheIndex:
-    """The caches of all engines, found by part.
+    """Estimated prefix caches of all engines, with an index by part.
 
-    With it the cost of a placement follows the depth of the prompt and not
-    the number of engines.
+    With the index the cost of a lookup depends on the number of parts of the
+    prompt, not on the number of engines.
 
-    An engine that was given a prompt keeps its parts for those that follow
-    at the same engine, which reads one prompt after another.  For others it
-    has them only when it has read them: fetched sooner, nothing would come,
-    and the prompt of tens of thousands of tokens would be read anew.
+    As an engine prefills one prompt after another, the parts of a prompt
+    that was sent to it count as cached for later prompts at that engine.
+    Other engines can fetch them only after the prefill: an earlier fetch
+    returns nothing, and a prompt of tens of thousands of tokens would be
+    prefilled again.
 
-    :ivar unread: parts that an engine has been given and not read yet, and
-        the job with which it gets them
-    :ivar expected: where a job's parts are still to come, by job
+    :ivar by_part: engines that cache a part, by part
+    :ivar pending: parts that were sent to an engine and are not prefilled
+        yet, with the job that contains them, by engine
+    :ivar expected: engines and parts that are pending for a job, by job
     """
 
     def __init__(self) -> None:
@@ -129,13 +136,13 @@
         self.expected: dict[int, list[tuple[str, int]]] = {}
 
     def add(self, engine: str, capacity_tokens: float) -> None:
-        """An engine with an empty cache has come."""
+        """Add an engine with an empty cache."""
         self.drop(engine)
         self.caches[engine] = PromptCache(capacity_tokens)
         self.pending[engine] = {}
 
     def drop(self, engine: str) -> None:
-        """An engine is gone, and its cache with it."""
+        """Remove an engine and its cache."""
         self.pending.pop(engine, None)
         cache = self.caches.pop(engine, None)
         if cache is not None:
@@ -143,7 +150,11 @@
                 self._forget(engine, part)
 
     def use(self, engine: str, parts: Sequence[PromptPart]) -> None:
-        """An engine keeps these parts, or will before it is asked."""
+        """Add parts to an engine's cache.
+
+        The engine has the parts, or will have them before it prefills the
+        next prompt.
+        """
         cache = self.caches.get(engine)
         if cache is None:
             return
@@ -155,7 +166,7 @@
     def expect(
         self, engine: str, job: int, parts: Sequence[PromptPart]
     ) -> None:
-        """An engine is to read these parts, or to take them over."""
+        """Add parts that an engine will prefill or receive with a job."""
         cache = self.caches.get(engine)
         if cache is None:
             return
@@ -166,14 +177,14 @@
         pending_jobs.extend((engine, part) for part in missing)
 
     def record_prefill_done(self, job: int) -> None:
-        """A job's prompt has been read."""
+        """Record that the prompt of a job is prefilled."""
         for engine, part in self.expected.pop(job, ()):
             pending = self.pending.get(engine, {})
             if pending.get(part) == job:
                 del pending[part]
 
     def abandon(self, job: int) -> None:
-        """A job's prompt will not be read; its parts are not kept."""
+        """Remove the pending parts of a job that will not be prefilled."""
         for engine, part in self.expected.pop(job, ()):
             pending = self.pending.get(engine, {})
             if pending.get(part) == job:
@@ -184,12 +195,15 @@
     def pending_jobs(
         self, engine: str, parts: Sequence[PromptPart]
     ) -> set[int]:
-        """Jobs with which an engine gets parts that it has not read yet."""
+        """Return the jobs for which an engine has yet to prefill the parts."""
         pending = self.pending.get(engine, {})
         return {pending[part.id] for part in parts if part.id in pending}
 
     def ready_tokens(self, engine: str, parts: Sequence[PromptPart]) -> int:
-        """What another engine could fetch of a prompt now."""
+        """Return the length of the prefix that others can fetch now.
+
+        :returns: tokens of the leading parts that the engine has prefilled
+        """
         cache = self.caches.get(engine)
         if cache is None:
             return 0
@@ -202,7 +216,7 @@
         return tokens
 
     def cached_prefixes(self, parts: Sequence[PromptPart]) -> CachedPrefixes:
-        """Which engines keep how much of a prompt."""
+        """Return which engines cache how much of a prompt."""
         levels: list[tuple[set[str], int]] = []
         engines: set[str] | None = None
         tokens = 0
--- a/magnoliadyke/core/promptjobs.py
+++ b/magnoliadyke/core/promptjobs.py
@@ -1,4 +1,4 @@
-"""Requests that need an engine, and what was decided of them."""
+"""Jobs to place on engines, their queues, and the decisions on them."""
 
 import collections
 import dataclasses
@@ -12,18 +12,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """A request that needs an engine.
-
-    :param objective_s: moment at which its first event is due
-    :param deadline_s: moment at which its caller gives up
-    :param returning: it has been refused before
-    :param resumed: part of its answer was given by another engine
-    :param avoid: engines that failed it
-    :ivar tokens: of the whole prompt
-    :ivar came_s: when it was submitted
-    :ivar deferred: times that it has waited for parts that are being read
-    :ivar latest_s: when an engine has to begin for it to be in time
-    :ivar need_s: reading time, where most of the prompt is kept
+    """A request to place on engines.
+
+    :param objective_s: moment at which the first event is due
+    :param deadline_s: moment at which the caller gives up
+    :param returning: whether the request is a retry after a refusal
+    :param resumed: whether another engine generated part of the answer
+    :param avoid: ids of engines that failed the job
+    :ivar tokens: length of the whole prompt
+    :ivar submitted_s: when the job was submitted
+    :ivar deferred: number of times that the job was deferred until another
+        prompt's prefill
+    :ivar latest_start_s: when the prefill has to start to meet the objective
+    :ivar need_s: prefill time at the engine that caches most of the prompt
     """
 
     id: int
@@ -46,15 +47,15 @@
 
 
 class Placed(NamedTuple):
-    """Where a job goes.
-
-    :param prefill: engine that reads the prompt; None if ``run`` does
-    :param run: engine that answers
-    :param fetch_from: address of an engine that keeps more of the prompt
-        than the reader does
-    :param read_tokens: tokens expected to be read
-    :param expected_s: time until they are read
-    :param tell_end: the end of the answer is to be reported
+    """The decision to place a job.
+
+    :param prefill: id of the prefill engine; None if ``run`` prefills
+    :param run: id of the engine that generates the answer
+    :param fetch_from: address of an engine to fetch cached parts from, if
+        any
+    :param read_tokens: tokens expected to be prefilled
+    :param expected_s: expected time until the answer can start
+    :param tell_end: whether the end of the answer has to be reported
     """
 
     job: int
@@ -67,7 +68,7 @@
 
 
 class Refused(NamedTuple):
-    """The job is not placed; come back after so many seconds."""
+    """The decision to refuse a job, with the time until a retry."""
 
     job: int
     retry_after_s: float
@@ -78,7 +79,10 @@
 
 
 class JobQueue:
-    """Jobs in the order in which they came, and their reading time."""
+    """A first-in, first-out queue of jobs.
+
+    :ivar need_s: total prefill time of the jobs
+    """
 
     def __init__(self) -> None:
         self.jobs: collections.OrderedDict[int, Job] = (
@@ -100,7 +104,7 @@
         return job
 
     def put_back(self, job: Job) -> None:
-        """Put a job that was taken where it was, before all others."""
+        """Return a popped job to the head of the queue."""
         self.put(job)
         self.jobs.move_to_end(job.id, last=False)
 
@@ -109,11 +113,14 @@
 
 
 class SlackQueue(JobQueue):
-    """Jobs that can still be in time; first who has the least to spare.
+    """A queue of jobs that can be on time, ordered by least slack.
 
-    The load that this answers: some requests are due in half the time of
-    others and take twice as long.  In the order of their coming they wait
-    behind those that have seconds to spare, and come late one and all.
+    Some requests have half the time to their objective of others and take
+    twice as long.  In first-in, first-out order they would all wait behind
+    jobs with seconds of slack and miss their objective.
+
+    :ivar order: heap of the latest start and the id of each job; entries of
+        removed jobs are dropped when they reach the top
     """
 
     def __init__(self) -> None:
@@ -127,7 +134,7 @@
     def put_back(self, job: Job) -> None:
         super().put(job)
         entry = (job.latest_start_s, job.id)
-        # Its entry is still there unless another job was looked for since.
+        # The heap entry remains unless first() was called in the meantime.
         if not self.order or self.order[0] != entry:
             heapq.heappush(self.order, entry)
 
@@ -137,11 +144,14 @@
         return self.jobs[self.order[0][1]]
 
     def in_order(self) -> list[Job]:
-        """All of them, first who has the least to spare."""
+        """Return all jobs, least slack first."""
         return sorted(self.jobs.values(), key=lambda job: job.latest_start_s)
 
     def need_before_s(self, latest_start_s: float) -> float:
-        """Reading time of those that would go before one of this moment."""
+        """Return the total prefill time of the jobs ahead of a new one.
+
+        :param latest_start_s: latest start of the new job
+        """
         return sum(
             job.need_s
             for job in self.jobs.values()
