--- a/magnoliadyke/core/decodeengines.py
+++ b/magnoliadyke/core/decodeengines.py
@@ -1,4 +1,4 @@
-"""The engines that answer: who may, who has a slot, who is quickest."""
+"""Chooses decode engines by availability, free slots and latency."""
 
 import collections
 
@@ -7,25 +7,26 @@
 
 __all__ = ['SHORT_SLOTS', 'DecodeEngines']
 
-#: Slots that long answers leave to short ones: without any, no prompt that
-#: was read elsewhere could be answered there.
+#: Slots of an engine reserved for short answers: without any, prompts from
+#: prefill engines could not be answered there.
 SHORT_SLOTS = 2
-#: Engines that answer which are slower than this are used last.
+#: Slowness above which a decode engine is used last for short prompts.
 SLOW_FACTOR = 2.0
-#: Weight of a new measurement of what follows reading.
+#: Weight of a new sample in the average time from the end of prefill to the
+#: first event.
 TRANSFER_WEIGHT = 0.15
-#: From this many failures in a row on, an engine is taken for down.
+#: Consecutive failures from which on an engine is taken for down.
 DOWN_FAILURES = 2
-#: One that is taken for down is given one request in this time, in seconds,
-#: until it has served one: that is how long a connection to nobody takes to
-#: fail, and how long its caller loses.
+#: Interval in which an engine that is taken for down is probed with one
+#: request, in seconds, until it serves one.  It equals the connect time-out,
+#: which is the time that the probing request loses.
 PROBE_S = 1.0
 
 #: Engines that are compared for one prompt.  The least busy of a dozen is
-#: as good as that of all: more of them take longer to compare.
+#: about as good as the least busy of all, and quicker to find.
 CANDIDATES_COMPARED = 12
 
-# How readily an engine is used; only the best class that there is, is.
+# Readiness classes of an engine; only engines of the lowest class are used.
 READY = 0
 REJECTED_BEFORE = 1
 COOLING_DOWN = 2
@@ -33,11 +34,13 @@
 
 
 class DecodeEngines:
-    """The engines of a service in their part of answering.
+    """The decode engines of a model service.
 
-    :param engines: all engines, by id; belongs to the pool
-    :ivar after_s: what the quickest takes from a prompt that was read
-        elsewhere to its first event
+    :param engines: all engines, by id; maintained by the pool
+    :ivar first_event_s: average time from the end of a prefill elsewhere to
+        the first event, on the fastest decode engine
+    :ivar rotation: ids of the decode engines, in the order in which they are
+        considered
     """
 
     def __init__(self, engines: dict[str, enginemodel.EngineModel]) -> None:
@@ -46,7 +49,7 @@
         self.rotation: collections.deque[str] = collections.deque()
 
     def refresh(self) -> None:
-        """The list of engines, or the stage of one, has changed."""
+        """Rebuild the rotation after a change of engines or their stages."""
         self.rotation = collections.deque(
             engine_id
             for engine_id, engine in self.engines.items()
@@ -54,16 +57,19 @@
         )
 
     def has_any(self) -> bool:
-        """Whether any engine of the answering stage is listed."""
+        """Whether any engine of the decode stage is listed."""
         return bool(self.rotation)
 
     def available(
         self, avoid: tuple[str, ...], now_s: float
     ) -> list[enginemodel.EngineModel]:
-        """Engines that may answer; those that rest only if none else.
+        """Return the decode engines of the best readiness class.
 
-        One that is down comes last: a request that finds nobody there has
-        lost a second, one that is turned away has lost a moment.
+        Engines in a cooldown are returned only if there are no others, and
+        engines that are down come last: a request to an engine that is down
+        loses a second, one that is rejected only a moment.
+
+        :param avoid: ids of engines that have rejected the request
         """
         classes = collections.defaultdict(list)
         for engine in self.engines.values():
@@ -74,7 +80,7 @@
     def for_prefilled(
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
-        """The engine to answer what another one has read."""
+        """Choose the decode engine for a prompt prefilled on another one."""
         return min(
             self._some_ready(avoid, now_s) or self.available(avoid, now_s),
             key=lambda e: (
@@ -90,10 +96,11 @@
     def _some_ready(
         self, avoid: tuple[str, ...], now_s: float
     ) -> list[enginemodel.EngineModel]:
-        """A few of the engines that can answer one more at once.
+        """Return some of the decode engines that are ready and have a slot.
 
-        In a large fleet each has its turn, so the cost of a placement does
-        not follow the number of engines while most of them have slots.
+        In a large fleet the engines are considered in rotation, so that the
+        cost of a placement does not grow with the number of engines while
+        most of them have free slots.
         """
         found = []
         for engine_id in self.rotation:
@@ -111,9 +118,10 @@
     def for_short_prompt(
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
-        """The engine for a short prompt.
+        """Choose the decode engine for a short prompt.
 
-        Long answers share few engines, so that the others can read.
+        Requests are packed onto engines that generate long answers already,
+        so that the other decode engines can prefill.
         """
         return min(
             self.available(avoid, now_s),
@@ -124,12 +132,15 @@
     def record_assignment(
         self, engine: enginemodel.EngineModel, now_s: float
     ) -> None:
-        """An engine is to answer a request."""
+        """Record that a request is sent to an engine.
+
+        For an engine that is taken for down, the request is the probe.
+        """
         if engine.failures >= DOWN_FAILURES:
             engine.probe_until_s = now_s + PROBE_S
 
     def record_success(self, engine_id: str, now_s: float) -> None:
-        """An engine has shown that it works."""
+        """Record that an engine works, and reset its failure count."""
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.failures = 0
@@ -138,9 +149,9 @@
     def record_kv_transfer(
         self, engine_id: str, took_s: float, now_s: float
     ) -> None:
-        """A prompt that was read elsewhere gave its first event.
+        """Record the first event of an answer after a KV transfer.
 
-        :param took_s: from when it had been read
+        :param took_s: seconds from the end of prefill to the first event
         """
         engine = self.engines.get(engine_id)
         if engine is None:
@@ -157,28 +168,30 @@
         )
 
     def delay_s(self, engine: enginemodel.EngineModel) -> float:
-        """How much later prompts come to an engine than to the quickest."""
+        """Return the time to first event in excess of the fastest engine's."""
         return max(0.0, engine.first_event_s - self.first_event_s)
 
 
 def has_slot(
     engine: enginemodel.EngineModel, at_s: float, now_s: float
 ) -> bool:
-    """Whether an engine that answers has a slot for one more then.
+    """Whether a decode engine has a free slot at a moment.
+
+    Without a free slot it would reject the request, and the prefill would be
+    wasted.
 
-    Without one it would turn the request away, and the prompt would have
-    been read for nothing.
+    :param at_s: the moment
     """
     return engine.slots_in_use(at_s, now_s) < engine.endpoint.slots
 
 
 def long_slots(slots: int) -> int:
-    """How many of an engine's slots long answers may hold."""
+    """Return how many of an engine's slots long answers may hold."""
     return slots - min(SHORT_SLOTS, slots // 2)
 
 
 def has_long_slot(engine: enginemodel.EngineModel) -> bool:
-    """Whether an engine has a slot that short answers don't need."""
+    """Whether an engine has a free slot for a long answer."""
     return len(engine.runs) < long_slots(engine.endpoint.slots)
 
 
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -1,13 +1,13 @@
-"""Long answers: which engines give them, and for how long they hold a slot.
+"""Accounts long answers and the decode slots that they hold.
 
-Short answers take a few steps and are over before another request wants
-their slot; only the long ones have to be accounted.
+A short answer takes a few decode steps and releases its slot before another
+request needs it, so only long answers are accounted.
 
-The load that this answers: within seconds long answers become so many that
-they fill every slot, until more engines answer.  Left to it, none of the
-prompts that are read elsewhere could begin, though each of them needs a slot
-for a few hundredths of a second only; engines that read would idle.  So some
-slots are kept for short answers, and long ones wait for the others.
+Under a burst, long answers can fill every slot within seconds, until more
+engines change to the decode stage.  Then no prompt from a prefill engine
+could start, although each needs a slot for only a few hundredths of a second,
+and the prefill engines would idle.  So some slots are reserved for short
+answers, and long answers queue for the others.
 """
 
 import dataclasses
@@ -20,23 +20,23 @@
 
 __all__ = ['LongAnswers']
 
-#: Slots counted as taken no longer than this without word of the end, in
-#: seconds.
+#: Time after which a slot counts as free if the end of the answer was not
+#: reported, in seconds.
 RUN_LOST_S = 20.0
-#: Seconds for each token of an answer before any was measured.
+#: Prior decode time per token, in seconds.
 PRIOR_OUTPUT_S = 0.02
-#: Weight of a new answer in that figure.
+#: Weight of a new answer in the average decode time per token.
 OUTPUT_WEIGHT = 0.1
-#: Expected time until a slot is free when nobody can say, in seconds; a long
-#: answer takes about a second or two.
+#: Expected wait for a slot, in seconds, when there are more queued jobs than
+#: answers with a known end; a long answer takes a second or two.
 UNKNOWN_SLOT_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Run:
-    """A long answer under way.
+    """A long answer in progress.
 
-    :ivar output_tokens: 0 if it is not known when it began
+    :ivar output_tokens: expected length; 0 if the start time is unknown
     """
 
     engine: str
@@ -45,11 +45,12 @@
 
 
 class LongAnswers:
-    """The long answers under way.
+    """The long answers in progress.
 
-    :param long_run_s: answers expected to take longer are long
-    :ivar output_s: seconds for each token of an answer
-    :ivar waiting: jobs that wait for a slot, in the order of their coming
+    :param long_run_s: duration above which an answer counts as long
+    :ivar expiry_heap: when to give up each answer, with its job
+    :ivar output_s: average decode time per token
+    :ivar waiting: queue of the jobs that wait for a slot
     """
 
     def __init__(self, pool: enginepool.EnginePool, long_run_s: float) -> None:
@@ -64,13 +65,17 @@
         return len(self.runs)
 
     def is_long(self, output_tokens: int) -> bool:
-        """Whether an answer of so many tokens holds a slot."""
+        """Whether an answer of this many tokens holds a slot."""
         return output_tokens * self.output_s > self.long_run_s
 
     def hold(
         self, job_id: int, engine_id: str, output_tokens: int, now_s: float
     ) -> None:
-        """An answer begins; 0 tokens if it began some time ago."""
+        """Account the slot of an answer that starts.
+
+        :param output_tokens: expected length; 0 if the answer started at an
+            unknown time before
+        """
         if job_id in self.runs:
             return
         self.pool.begin_run(job_id, engine_id, now_s)
@@ -78,14 +83,17 @@
         heapq.heappush(self.expiry_heap, (now_s + RUN_LOST_S, job_id))
 
     def ended(self, job_id: int, now_s: float) -> None:
-        """An answer is complete, or was broken off."""
+        """Release the slot of an answer that is complete or was aborted."""
         run = self.release(job_id, now_s)
         if run is not None and run.output_tokens:
             took_s = (now_s - run.begun_s) / run.output_tokens
             self.output_s += OUTPUT_WEIGHT * (took_s - self.output_s)
 
     def release(self, job_id: int, now_s: float) -> _Run | None:
-        """An answer will not be given there; its slot is free."""
+        """Release the slot of an answer without learning from it.
+
+        :returns: the answer, or None if it was not accounted
+        """
         run = self.runs.pop(job_id, None)
         if run is None:
             return None
@@ -95,14 +103,17 @@
     def available_engine(
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
-        """An engine with a slot for one more, None if there is none."""
+        """Return an engine with a free slot for a long answer, if any.
+
+        :param avoid: ids of engines to use only if there are no others
+        """
         engine = self.pool.decode_engines.for_short_prompt(avoid, now_s)
         if engine is None or not decodeengines.has_long_slot(engine):
             return None
         return engine
 
     def wait_s(self, now_s: float) -> float:
-        """Time until one more that waits is expected to get a slot."""
+        """Return the expected wait of a new job in the queue for a slot."""
         ends_s = sorted(
             run.begun_s + run.output_tokens * self.output_s
             for run in self.runs.values()
@@ -113,7 +124,7 @@
         return max(0.0, ends_s[len(self.waiting)] - now_s)
 
     def expire(self, now_s: float) -> None:
-        """Give up answers of which no end was reported."""
+        """Release the slots of answers whose end was not reported in time."""
         while self.expiry_heap and self.expiry_heap[0][0] <= now_s:
             _, job_id = heapq.heappop(self.expiry_heap)
             self.release(job_id, now_s)
