--- a/magnoliadyke/core/deferral.py
+++ b/magnoliadyke/core/deferral.py
@@ -1,9 +1,8 @@
-"""Prompts that wait for parts which an engine is reading now.
+"""Defers prompts until the prefill of a shared prefix on another engine ends.
 
-Several prompts of one subject come within the time in which the first of them
-is read.  Read by another engine in the meantime, the parts that they share
-take its time for nothing; fetched, they are there in a few hundredths of a
-second.
+Several prompts with a shared prefix often arrive during the prefill of the
+first of them.  A second engine that prefills the same prefix wastes its time,
+while a fetch of the prefilled prefix takes a few hundredths of a second.
 """
 
 import heapq
@@ -13,20 +12,21 @@
 
 __all__ = ['Deferral']
 
-#: Tokens that another engine is reading for which a prompt waits: fewer take
-#: hardly longer to read again than to fetch.
+#: Minimum of shared tokens for which a prompt is deferred: with fewer, a
+#: second prefill takes hardly longer than the fetch.
 MIN_SHARED_TOKENS = 1000
-#: Part of the time to read them again that it waits at most.
+#: Longest deferral as a share of the time to prefill the shared tokens again.
 MAX_WAIT_SHARE = 0.5
-#: Times that a prompt waits so: what was to be read may fail to come.
+#: Number of times that a prompt may be deferred: the prefill that it waits
+#: for may fail.
 MAX_DEFERRALS = 2
 
 
 class Deferral:
-    """Jobs that are in no queue until parts of their prompt are read.
+    """Jobs that are held out of their queue until a shared prefix is ready.
 
-    :ivar moments: when parts should have been read, and whose; a heap
-    :ivar jobs: the jobs that wait, and the queue that each goes back to
+    :ivar resume_heap: expected end of the prefill and the waiting job
+    :ivar jobs: the deferred jobs, and the queue that each returns to, by job
     """
 
     def __init__(self, pool: enginepool.EnginePool) -> None:
@@ -44,11 +44,15 @@
         queue: promptjobs.JobQueue,
         now_s: float,
     ) -> bool:
-        """Have a job wait if it gains by it; returns whether it waits.
+        """Defer a job if it is expected to be served clearly sooner for it.
 
-        Waits only who is served clearly sooner for it: what a prompt waits
-        for is a forecast, and one that waited as long as it would have read
-        came late too often.
+        The end of the awaited prefill is an estimate: jobs that were
+        deferred for as long as a second prefill takes would be late too
+        often.
+
+        :param option: the placement that the job would get now
+        :param queue: the queue that the job returns to
+        :returns: whether the job is deferred
         """
         cached_tokens = self.pool.caches.cached_prefixes(job.parts).max_tokens
         repeated_tokens = option.tokens - (job.tokens - cached_tokens)
@@ -73,12 +77,12 @@
     def hold(
         self, job: promptjobs.Job, queue: promptjobs.JobQueue, until_s: float
     ) -> None:
-        """Keep a job out of its queue until a moment."""
+        """Keep a job out of its queue until the given moment."""
         heapq.heappush(self.resume_heap, (until_s, job.id))
         self.jobs[job.id] = (job, queue)
 
     def resume(self, now_s: float) -> None:
-        """Queue those again whose parts should have been read by now."""
+        """Return the jobs to their queues whose deferral has ended."""
         while self.resume_heap and self.resume_heap[0][0] <= now_s:
             _, job_id = heapq.heappop(self.resume_heap)
             job, queue = self.jobs.pop(job_id, (None, None))
@@ -86,15 +90,15 @@
                 queue.put(job)
 
     def resumes_s(self) -> float | None:
-        """When :meth:`resume` has something to do next."""
+        """Return when the next deferral ends, None if no job is deferred."""
         return self.resume_heap[0][0] if self.resume_heap else None
 
     def pop(self, job_id: int) -> None:
-        """A job waits no longer."""
+        """Remove a job from the deferred jobs, if it is one."""
         self.jobs.pop(job_id, None)
 
     def pop_all(self) -> list[promptjobs.Job]:
-        """No job waits any longer; returns those that did."""
+        """Remove and return all deferred jobs."""
         waiting = [job for job, _ in self.jobs.values()]
         self.jobs.clear()
         return waiting
--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -1,15 +1,15 @@
-"""What finished work teaches about costs, caches and endpoints."""
+"""Updates cost models and cache estimates from the progress of requests."""
 
 __all__ = ['Learner']
 
 MIN_SLOWNESS = 0.5
 MAX_SLOWNESS = 4.0
-#: Steps of the decoding engine between a KV cache's arrival and a token.
+#: Decode steps between the arrival of a KV cache and the first token.
 STEPS_TO_FIRST_TOKEN = 1.5
 
 
 class Learner:
-    """Feeds cost models, cache beliefs and predictions.
+    """Feeds measurements to cost models, cache estimates and predictions.
 
     :param models: :class:`magnoliadyke.core.costs.CostModels`
     :param beliefs: :class:`magnoliadyke.core.prefixes.PrefixBeliefs`
@@ -22,9 +22,10 @@
         self.router = router
 
     def record_first_token(self, run, prefill_reported, now_s):
-        """The first token came.
+        """Record the first token of a run.
 
-        :param was_read: whether the end of the prefill was told before
+        :param prefill_reported: whether the end of the prefill was reported
+            before
         """
         if run.read_by is None:
             return
@@ -41,9 +42,9 @@
             model.transfer.add(run.job.prompt_tokens, max(0.0, took_s))
 
     def record_finish(self, run, result, now_s):
-        """The whole answer has come.
+        """Record that the answer of a run is complete.
 
-        :returns: engine-seconds that the job took in truth
+        :returns: engine-seconds that the job actually took
         """
         job = run.job
         model = self.models.of_job(job)
@@ -64,7 +65,11 @@
         return read_tokens * model.prefill.ratio + decode_s
 
     def record_prefill_done(self, run, endpoint, now_s):
-        """A prompt was read; the time since the last one tells its cost."""
+        """Record the end of a prefill.
+
+        The cost sample is the time since the engine's previous prefill
+        ended, or since the dispatch of this prompt if that is later.
+        """
         load = endpoint.load
         since_s = max(run.dispatched_s, load.last_done_s)
         load.last_done_s = now_s
--- a/magnoliadyke/core/medianestimator.py
+++ b/magnoliadyke/core/medianestimator.py
@@ -1,21 +1,21 @@
-"""The usual length of something that is measured again and again."""
+"""Online estimate of the median of a stream of measured times."""
 
 __all__ = ['MedianEstimator']
 
-#: Step towards a new measurement, as a share; twenty of them double it.
+#: Relative step towards a new sample; twenty steps double the estimate.
 MEDIAN_STEP = 0.035
-#: What is kept free for those above the median, as a share of it.
+#: Ratio of the upper estimate to the median.
 HIGH_SHARE = 1.4
 
 
 class MedianEstimator:
-    """The median of measured times, followed by small steps.
+    """Median of measured times, updated by a small step for each sample.
 
-    A mean would follow the few that wait for an engine that is down, or
-    behind work that nobody here knows of: all prompts would then be taken
-    for too late, whatever engine they go to.
+    A mean would follow the few requests that wait for an engine that is
+    down, or behind work from elsewhere.  All prompts would then be expected
+    to be late, whatever engine they go to.
 
-    :param first_s: value before anything was measured, above zero
+    :param initial_s: estimate before the first sample, above zero
     """
 
     def __init__(self, initial_s: float) -> None:
@@ -23,10 +23,10 @@
 
     @property
     def high_s(self) -> float:
-        """What most of the measured times stay under."""
+        """A time that most samples stay below."""
         return self.median_s * HIGH_SHARE
 
     def add(self, seconds: float) -> None:
-        """Take a measurement."""
+        """Add a sample."""
         step = MEDIAN_STEP if seconds > self.median_s else -MEDIAN_STEP
         self.median_s *= 1 + step
--- a/magnoliadyke/core/peerload.py
+++ b/magnoliadyke/core/peerload.py
@@ -1,30 +1,37 @@
-"""Prompts of other nodes on one engine, from reports and from their word."""
+"""Estimates the prefill load that peers put on one engine."""
 
 import collections
 import math
 
 __all__ = ['PeerPrompts']
 
-#: How long a report of others' prompts says more than their mean.
+#: Time constant with which a report decays to the mean, in seconds.
 MEMORY_S = 1.0
+#: Weight of a new report in the mean.
 MEAN_STEP = 0.05
-#: For so long after their last word, others are taken to tell all they send.
+#: Time after the last notification of a peer for which peers are assumed to
+#: send a notification for each of their prompts, in seconds.
 NOTICE_TIMEOUT_S = 10.0
-#: Part of the engine's time that others' prompts get while ours wait too.
+#: Share of the engine's time that peers' prompts get while prompts of this
+#: node are queued there too.
 PEER_SHARE = 0.5
 
 
 class PeerPrompts:
-    """How long an engine will read what other nodes have sent it.
-
-    A report is old when it comes: it lacks what was sent since. Eight nodes
-    that see one idle engine in it would all send it their next prompt,
-    which then wait behind one another while another engine idles. Nodes of
-    a small fleet therefore tell each other of each prompt, and what they
-    told since the report's time is added to it. Without such word, a report
-    fades into the mean of all reports.
-
-    :ivar reported_s: seconds of others' prompts in the last report
+    """Prefill time of the prompts that peers have sent to one engine.
+
+    A report of the engine is old when it arrives: it lacks the prompts that
+    were sent since. Eight nodes that see an idle engine in the same report
+    would all send it their next prompt, and these would queue there while
+    another engine is idle. Nodes of a small fleet therefore notify each
+    other of each prompt, and the prompts of notifications after the report
+    are added to it. Without notifications, a report decays to the mean of
+    all reports.
+
+    :ivar reported_s: seconds of peers' prompts in the last report
+    :ivar reported_at_s: when the last report was true
+    :ivar sent_prompts: time and prefill seconds of the peers' prompts since
+        then
     """
 
     def __init__(self):
@@ -35,9 +42,11 @@
         self.last_notice_s = float('-inf')
 
     def report(self, seconds, at_s):
-        """Take what a report says beyond our own part.
+        """Record the load of peers from a report of the engine.
 
-        :param at_s: when it was true
+        :param seconds: prefill time of all queued prompts, less that of the
+            prompts of this node
+        :param at_s: when the report was true
         """
         if at_s < self.reported_at_s:
             return
@@ -48,14 +57,18 @@
             self.sent_prompts.popleft()
 
     def record_peer_prompt(self, seconds, now_s):
-        """Another node has just sent a prompt that takes so long."""
+        """Record a peer's notification of a prompt that it has just sent.
+
+        :param seconds: prefill time of the prompt
+        """
         self.sent_prompts.append((now_s, seconds))
         self.last_notice_s = now_s
 
     def wait_s(self, now_s, has_local_prompts):
-        """Return the seconds of others' prompts that are still unread.
+        """Return the seconds of peers' prompts that are not prefilled yet.
 
-        :param shared: whether our own prompts wait there too
+        :param has_local_prompts: whether prompts of this node are queued
+            there too
         """
         if not self.has_recent_notices(now_s):
             return self.decayed_s(now_s)
@@ -69,19 +82,19 @@
         return max(0.0, left_s - rate * (now_s - at_s))
 
     def unreported_s(self, now_s):
-        """Return how much of others' prompts may be there unseen."""
+        """Return the seconds of peers' prompts that may be unreported."""
         return 0.0 if self.has_recent_notices(now_s) else self.mean_s
 
     def has_recent_notices(self, now_s):
-        """Tell whether other nodes say what they send."""
+        """Return whether peers send notifications of their prompts."""
         return now_s - self.last_notice_s <= NOTICE_TIMEOUT_S
 
     def decayed_s(self, now_s):
-        """Return the last report, the nearer to the mean the older it is.
+        """Return the last report, decayed to the mean by its age.
 
-        What it told has been read after a while, and other nodes have sent
-        as much as ever. An idle engine in an old report is none, and a busy
-        one not busier than usual.
+        After a while the engine has prefilled the reported prompts, and
+        peers have sent others at their usual rate. So an engine that was
+        idle or busy in an old report is assumed to have the usual load.
         """
         keep = math.exp((self.reported_at_s - now_s) / MEMORY_S)
         return self.mean_s + (self.reported_s - self.mean_s) * keep
--- a/magnoliadyke/core/refusals.py
+++ b/magnoliadyke/core/refusals.py
@@ -1,4 +1,4 @@
-"""What callers are told whom no engine serves, and when to come back."""
+"""Refuses jobs, with the time after which their callers may retry."""
 
 from typing import Any
 
@@ -6,28 +6,32 @@
 
 __all__ = ['NO_ENGINE_S', 'Refusals']
 
-#: Shortest time to tell a refused caller to stay away, in seconds.
+#: Lower bound of the expected wait from which a retry time is drawn, in
+#: seconds.
 MIN_RETRY_S = 0.1
-#: Largest part of its remaining time that a caller can be asked to wait.
+#: Longest retry time as a share of the time left until the deadline.
 MAX_RETRY_SHARE = 1 / 3
-#: Refused callers return spread over this range, in shares of their wait: all
-#: at once they would be a burst of their own.
+#: Jitter of the retry time: its lower bound and its range, in shares of the
+#: expected wait.  Without jitter the retries would arrive as a burst.
 MIN_SPREAD = 0.75
 SPREAD = 0.5
-#: Wait told when no engine can read or answer at all, in seconds.
+#: Expected wait when no engine can prefill or decode at all, in seconds.
 NO_ENGINE_S = 1.0
-#: From when no engine answers to the order that has another one answer, in
-#: seconds: the plan looks twice a second, and its calls to the engine and the
-#: store take some hundredths.
+#: Time from the loss of the last decode engine to the order by which another
+#: engine changes its stage, in seconds: the stage plan is evaluated twice a
+#: second, and its calls to the engine and the store take some hundredths of a
+#: second.
 STAGE_ORDER_S = 0.6
 
 
 class Refusals:
-    """Refuses jobs.
+    """Refuses jobs and computes their retry times.
 
-    :param stage_change_s: how long a change of stage takes an engine away
+    :param stage_change_s: time for which an engine is unavailable while it
+        changes its stage
     :param rng: source of randomness, with ``random()``
-    :ivar unanswered_s: since when no engine answers; None while one does
+    :ivar outage_since_s: since when there is no decode engine; None while
+        there is one
     """
 
     def __init__(self, stage_change_s: float, rng: Any) -> None:
@@ -38,7 +42,11 @@
     def refuse(
         self, job: promptjobs.Job, now_s: float, wait_s: float, reason: str
     ) -> promptjobs.Refused:
-        """Tell when there will be room, spread over half of that time."""
+        """Refuse a job with a retry time around the expected wait.
+
+        :param wait_s: expected time until an engine has capacity
+        :param reason: why the job is refused
+        """
         left_s = max(0.0, job.deadline_s - now_s)
         spread = MIN_SPREAD + SPREAD * self.rng.random()
         after_s = max(MIN_RETRY_S, wait_s) * spread
@@ -47,7 +55,7 @@
         )
 
     def record_availability(self, available: bool, now_s: float) -> None:
-        """Take whether any engine answers."""
+        """Record whether there is any decode engine."""
         if available:
             self.outage_since_s = None
         elif self.outage_since_s is None:
@@ -56,11 +64,12 @@
     def refuse_unanswered(
         self, job: promptjobs.Job, now_s: float
     ) -> promptjobs.Refused:
-        """No engine answers; tell when there should be one that does.
+        """Refuse a job because there is no decode engine.
 
-        By then one of the engines that read has changed its stage; nobody
-        knows how long it takes where that is over.  Held in the queue instead,
-        callers would lose the time in which they could come back.
+        The retry time covers the stage change of a prefill engine.  If that
+        change should be over already, the retry time is based on
+        :data:`NO_ENGINE_S`.  A job that is queued instead would use up the
+        time left for a retry.
         """
         wait_s = NO_ENGINE_S
         if self.outage_since_s is not None:
