--- a/magnoliadyke/core/deferral.py
+++ b/magnoliadyke/core/deferral.py
@@ -64,7 +64,7 @@
         prefilled_s = self.pool.prefilled_at_s(job.parts, cached_tokens, now_s)
         if prefilled_s is None or prefilled_s <= now_s:
             return False
-        begins_s = option.ready_s - option.read_s
+        begins_s = option.ready_s - option.prefill_s
         if (
             prefilled_s
             > begins_s + self.pool.prefill_s(repeated_tokens) * MAX_WAIT_SHARE
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -136,7 +136,7 @@
         """Ratio of measured to expected prefill time, within bounds."""
         return min(MAX_SLOWNESS, max(MIN_SLOWNESS, self.pace.ratio))
 
-    def forget_pace(self) -> None:
+    def reset_pace(self) -> None:
         """Reset the estimate of the engine's speed."""
         self.pace = _new_pace()
 
@@ -281,8 +281,8 @@
         reported to the hosts first: dropped earlier, its prompts would make
         it look idle, and it would be sent more.
         """
-        length_s = prefill.until_s - prefill.sent_s
-        lost_s = prefill.sent_s + max(LOST_S, length_s * LOST_FACTOR)
+        duration_s = prefill.until_s - prefill.sent_s
+        lost_s = prefill.sent_s + max(LOST_S, duration_s * LOST_FACTOR)
         if self.last_success_s > prefill.until_s:
             return lost_s
         return max(
@@ -299,8 +299,8 @@
         if not self.pending_prefills:
             return False
         first = next(iter(self.pending_prefills.values()))
-        life_s = max(first.until_s, self.last_success_s)
-        return now_s - life_s > self._stall_timeout_s(first)
+        progress_s = max(first.until_s, self.last_success_s)
+        return now_s - progress_s > self._stall_timeout_s(first)
 
     def _stall_timeout_s(self, prefill: PendingPrefill) -> float:
         """Return how long an engine may show no progress with a prompt.
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -98,7 +98,7 @@
     source: enginemodel.EngineModel | None
     tokens: int
     fetch_s: float
-    read_s: float
+    prefill_s: float
     ready_s: float
     transferred_s: float
     cost_s: float
@@ -123,11 +123,13 @@
         self.settings = settings or PoolSettings()
         self.engines: dict[str, enginemodel.EngineModel] = {}
         self.decode_engines = decodeengines.DecodeEngines(self.engines)
-        reading = prefillcost.FittedCost()
+        prefill_cost = prefillcost.FittedCost()
         self.costs: dict[catalog.Stage, prefillcost.PrefillCost] = {
-            catalog.Stage.NONE: reading,
-            catalog.Stage.PREFILL: reading,
-            catalog.Stage.DECODE: prefillcost.DecodeStagePrefillCost(reading),
+            catalog.Stage.NONE: prefill_cost,
+            catalog.Stage.PREFILL: prefill_cost,
+            catalog.Stage.DECODE: prefillcost.DecodeStagePrefillCost(
+                prefill_cost
+            ),
         }
         self.caches = promptcache.CacheIndex()
         self.open: dict[catalog.Stage, dict[str, None]] = {
@@ -171,7 +173,7 @@
         changed = model.endpoint.stage is not endpoint.stage
         model.endpoint = endpoint
         if changed:
-            model.forget_pace()
+            model.reset_pace()
             model.cost = self.costs[endpoint.stage]
             model.cooldown_until_s = float('-inf')
             self._close(endpoint.id)
@@ -187,7 +189,7 @@
             heapq.heappush(self._opening_heap, (until_s, engine_id))
             self._capacity_s = float('-inf')
 
-    def failed(self, engine_id: str, job: int, now_s: float) -> None:
+    def record_failure(self, engine_id: str, job: int, now_s: float) -> None:
         """Record that an engine refused a job, timed out or was unreachable.
 
         The engine gets a cooldown, unless it has just served other requests:
@@ -412,18 +414,20 @@
 
         :returns: None until :data:`MIN_PROMPTS` prompts have been measured
         """
-        reading = self.costs[catalog.Stage.PREFILL]
-        answering = self.costs[catalog.Stage.DECODE]
-        if reading.count < MIN_PROMPTS:
+        prefill_cost = self.costs[catalog.Stage.PREFILL]
+        decode_stage = self.costs[catalog.Stage.DECODE]
+        if prefill_cost.count < MIN_PROMPTS:
             return None
         return prefillcost.CostCoefficients(
-            *reading.coefficients, answering.factor.median_s
+            *prefill_cost.coefficients, decode_stage.factor.median_s
         )
 
-    def restore_costs(self, figures: prefillcost.CostCoefficients) -> None:
+    def restore_costs(
+        self, coefficients: prefillcost.CostCoefficients
+    ) -> None:
         """Start from the coefficients that another host has learned."""
-        *reading, factor = figures
-        self.costs[catalog.Stage.PREFILL].set_coefficients(*reading)
+        *prefill_cost, factor = coefficients
+        self.costs[catalog.Stage.PREFILL].set_coefficients(*prefill_cost)
         self.costs[catalog.Stage.DECODE].factor.median_s = factor
 
     def need_s(self, cached: promptcache.CachedPrefixes, tokens: int) -> float:
@@ -459,17 +463,17 @@
         :returns: their capacity in units of one prefill engine, and the
             number of decode engines that generate long answers
         """
-        answering = [
+        decode_stage = [
             engine
             for engine in self.engines.values()
             if engine.endpoint.stage is catalog.Stage.DECODE
         ]
-        power = sum(
+        speed = sum(
             1 / self.relative_cost(engine)
-            for engine in answering
+            for engine in decode_stage
             if engine.cooldown_until_s <= now_s and self._can_prefill(engine)
         )
-        return power, sum(1 for each in answering if each.long_runs)
+        return speed, sum(1 for each in decode_stage if each.long_runs)
 
     def _update_interference(self, now_s: float) -> None:
         """Allow prefill on engines with long answers while no other can.
@@ -480,13 +484,13 @@
         engines have time for many of them.  Prefill slows down the long
         answers on the same engine, which is better than refused requests.
         """
-        beside = not any(
+        none_can_prefill = not any(
             engine.cooldown_until_s <= now_s and can_prefill(engine)
             for engine in self.engines.values()
         )
-        if beside is self.allow_interference:
+        if none_can_prefill is self.allow_interference:
             return
-        self.allow_interference = beside
+        self.allow_interference = none_can_prefill
         for engine in self.engines.values():
             if engine.long_runs:
                 self._update_open(engine, now_s)
@@ -593,33 +597,37 @@
         source, missing, fetch_s = self._source(
             cached, parts, prefill_engine, missing, now_s
         )
-        read_s = prefill_engine.expected_s(missing, tokens - missing) + fetch_s
+        prefill_s = (
+            prefill_engine.expected_s(missing, tokens - missing) + fetch_s
+        )
         ready_s = (
             prefill_engine.free_s(now_s)
             + enginemodel.HOP_S
-            + read_s
+            + prefill_s
             + prefill_engine.latency_s
         )
-        cost_s = read_s
+        cost_s = prefill_s
         transferred_s = ready_s
         if decode_engine is not prefill_engine:
-            move_s = self._transfer_s(prefill_engine, decode_engine, tokens)
+            transfer_s = self._transfer_s(
+                prefill_engine, decode_engine, tokens
+            )
             transferred_s = (
-                max(ready_s, decode_engine.transfer_until_s) + move_s
+                max(ready_s, decode_engine.transfer_until_s) + transfer_s
             )
             # The delay after a transfer does not occupy the engine's link.
             # Included in transferred_s it would add up from prompt to
             # prompt, and soon every prompt would be expected a minute late.
             delay_s = self.decode_engines.delay_s(decode_engine)
             ready_s = transferred_s + delay_s
-            cost_s += move_s + delay_s
+            cost_s += transfer_s + delay_s
         return Option(
             prefill_engine,
             decode_engine,
             source,
             missing,
             fetch_s,
-            read_s,
+            prefill_s,
             ready_s,
             transferred_s,
             cost_s,
@@ -638,17 +646,17 @@
         :param missing: tokens of the prompt that the prefill engine lacks
         :returns: the engine or None, tokens left to prefill, time to fetch
         """
-        has = promptcache.total_tokens(parts) - missing
-        if cached.max_tokens <= has:
+        cached_tokens = promptcache.total_tokens(parts) - missing
+        if cached.max_tokens <= cached_tokens:
             return None, missing, 0.0
         for holder in cached.holders(MAX_SOURCES):
             source = self.engines.get(holder)
             if source is None or source is prefill_engine:
                 continue
-            gained = self.caches.ready_tokens(holder, parts) - has
+            gained = self.caches.ready_tokens(holder, parts) - cached_tokens
             if gained <= 0 or source.no_fetch_until_s > now_s:
                 continue
-            saved_s = prefill_engine.expected_s(gained, has)
+            saved_s = prefill_engine.expected_s(gained, cached_tokens)
             fetch_s = self._transfer_s(source, prefill_engine, gained)
             if fetch_s <= saved_s * self.settings.fetch_gain:
                 return source, missing - gained, fetch_s
@@ -662,8 +670,8 @@
     ) -> float:
         bits = tokens * self.traits.bytes_per_token * 8
         seconds = TRANSFER_SETUP_S + bits / (self.traits.link_bits_s or 1e9)
-        here = source.endpoint.failure_domain
-        if here != target.endpoint.failure_domain:
+        source_domain = source.endpoint.failure_domain
+        if source_domain != target.endpoint.failure_domain:
             return seconds * REMOTE_FACTOR
         return seconds
 
@@ -676,10 +684,12 @@
         domains = {
             engine.endpoint.failure_domain for engine in self.engines.values()
         }
-        remote = 1 - 1 / max(1, len(domains))
+        remote_share = 1 - 1 / max(1, len(domains))
         bits = tokens * self.traits.bytes_per_token * 8
         seconds = TRANSFER_SETUP_S + bits / (self.traits.link_bits_s or 1e9)
-        return seconds * (1 + (REMOTE_FACTOR - 1) * remote) + FIRST_STEP_S
+        return (
+            seconds * (1 + (REMOTE_FACTOR - 1) * remote_share) + FIRST_STEP_S
+        )
 
 
 def can_prefill(engine: enginemodel.EngineModel) -> bool:
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -82,7 +82,7 @@
         self.runs[job_id] = _Run(engine_id, now_s, output_tokens)
         heapq.heappush(self.expiry_heap, (now_s + RUN_LOST_S, job_id))
 
-    def ended(self, job_id: int, now_s: float) -> None:
+    def record_end(self, job_id: int, now_s: float) -> None:
         """Release the slot of an answer that is complete or was aborted."""
         run = self.release(job_id, now_s)
         if run is not None and run.output_tokens:
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -176,7 +176,7 @@
 
     def log_fields(self) -> dict[str, str]:
         """Return queue lengths and learned estimates as log fields."""
-        found = {
+        fields = {
             'fresh': str(len(self.on_time)),
             'late': str(len(self.late) + len(self.resubmitted)),
             'bias': f'{self.bias:.2f}',
@@ -184,13 +184,13 @@
         }
         for stage, cost in self.pool.costs.items():
             if stage is not catalog.Stage.NONE:
-                found[stage.value] = cost.coefficients_text()
+                fields[stage.value] = cost.coefficients_text()
         for engine in self.pool.engines.values():
-            found[engine.endpoint.id] = (
+            fields[engine.endpoint.id] = (
                 f'{engine.endpoint.stage.value}/{engine.slowness:.2f}/'
                 f'{len(engine.pending_prefills)}/{len(engine.runs)}'
             )
-        return found
+        return fields
 
     def restore_cache(
         self, engine_id: str, parts: tuple[promptcache.PromptPart, ...]
@@ -343,7 +343,7 @@
         self.deferral.pop(job_id)
         for queue in self._queues():
             queue.pop(job_id)
-        return self.ended(job_id, now_s)
+        return self.record_end(job_id, now_s)
 
     def record_prefill_done(
         self, job_id: int, engine_id: str, now_s: float
@@ -363,15 +363,17 @@
         self.answers.release(job_id, now_s)
         return self.pump(now_s)
 
-    def ended(self, job_id: int, now_s: float) -> list[promptjobs.Decision]:
+    def record_end(
+        self, job_id: int, now_s: float
+    ) -> list[promptjobs.Decision]:
         """Record that a job's answer is complete, or was aborted."""
         prefill = self.prefills.pop(job_id, None)
         if prefill is not None:
             self.pool.forget(job_id, prefill.engine, now_s)
-        self.answers.ended(job_id, now_s)
+        self.answers.record_end(job_id, now_s)
         return self.pump(now_s)
 
-    def failed(
+    def record_failure(
         self, job_id: int, engine_id: str, now_s: float
     ) -> list[promptjobs.Decision]:
         """Record that an engine refused a job or could not be reached.
@@ -385,7 +387,7 @@
             self.pool.suspend_fetch(prefill.source, now_s)
             self.pool.forget(job_id, engine_id, now_s)
             return self.pump(now_s)
-        self.pool.failed(engine_id, job_id, now_s)
+        self.pool.record_failure(engine_id, job_id, now_s)
         return self.pump(now_s)
 
     def find_stalled(self, now_s: float) -> list[str]:
@@ -538,10 +540,10 @@
         """Refuse jobs that have used up their time to wait for a slot."""
         waiting = self.answers.waiting
         for job in list(waiting.jobs.values()):
-            may_wait_s = self.settings.hold_share * (
+            max_wait_s = self.settings.hold_share * (
                 job.deadline_s - job.submitted_s
             )
-            if now_s - job.submitted_s > may_wait_s:
+            if now_s - job.submitted_s > max_wait_s:
                 waiting.pop(job.id)
                 wait_s = self.answers.wait_s(now_s)
                 refused = self.refusals.refuse(
@@ -639,7 +641,9 @@
         prefilled again or fetched.  Without the ratio too many jobs are
         admitted, and all of them are late.
         """
-        took_s = option.read_s / self.pool.relative_cost(option.prefill_engine)
+        took_s = option.prefill_s / self.pool.relative_cost(
+            option.prefill_engine
+        )
         ratio = took_s / max(job.need_s / self.bias, 0.0005)
         ratio = min(4.0, max(0.5, ratio))
         self.bias += BIAS_WEIGHT * (ratio - self.bias)
--- a/magnoliadyke/core/prefillcost.py
+++ b/magnoliadyke/core/prefillcost.py
@@ -321,15 +321,15 @@
 
     :returns: the solution; zeros if the matrix is singular
     """
-    whole = _determinant(normal_matrix)
-    if not whole:
+    determinant = _determinant(normal_matrix)
+    if not determinant:
         return (0.0, 0.0, 0.0)
     found = []
     for column in range(3):
         replaced = [list(row) for row in normal_matrix]
         for row in range(3):
             replaced[row][column] = normal_vector[row]
-        found.append(_determinant(replaced) / whole)
+        found.append(_determinant(replaced) / determinant)
     return tuple(found)
 
 
--- a/magnoliadyke/gateway/placing.py
+++ b/magnoliadyke/gateway/placing.py
@@ -559,9 +559,11 @@
                     report.job, report.endpoint, now_s
                 )
             case placing_codec.Event.ENDED:
-                decisions = core.ended(report.job, now_s)
+                decisions = core.record_end(report.job, now_s)
             case placing_codec.Event.FAILED:
-                decisions = core.failed(report.job, report.endpoint, now_s)
+                decisions = core.record_failure(
+                    report.job, report.endpoint, now_s
+                )
             case placing_codec.Event.LAPSED:
                 decisions = core.record_rejection(
                     report.job, report.endpoint, report.runner, now_s
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -103,7 +103,7 @@
     engine = core.pool.engines['d0']
     assert engine.slots_in_use(10.0, 10.0) == 4
     before_s = core.answers.output_s
-    core.ended(0, 15.0)
+    core.record_end(0, 15.0)
     assert engine.slots_in_use(10.0, 10.0) == 3
     assert core.answers.output_s == before_s
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -162,8 +162,8 @@
     """
     made = core(promptload.fleet(1, 1))
     (first,) = made.submit(job(1, [*LONG, part(5, 2900)]), 0.0)
-    made.failed(1, 'p0', 0.1)
-    made.failed(1, 'd0', 0.1)
+    made.record_failure(1, 'p0', 0.1)
+    made.record_failure(1, 'd0', 0.1)
     placed = []
     for number in range(10, 16):
         placed += made.submit(
@@ -230,7 +230,7 @@
                 decision = each
     assert decision is not None
     reader = decision.prefill or decision.run
-    made.failed(decision.job, reader, 0.2)
+    made.record_failure(decision.job, reader, 0.2)
     assert made.pool.engines[reader].cooldown_until_s <= 0.2
     again = made.submit(job(9, [*LONG, part(99, 2900)], 0.2), 0.2)
     assert all(each.fetch_from is None for each in again)
@@ -418,7 +418,7 @@
     decisions = flood(made, 30, 0.0, output=80)
     assert len(decisions) == 28
     assert made.is_waiting(10_028)
-    (next_one,) = made.ended(10_000, 1.0)
+    (next_one,) = made.record_end(10_000, 1.0)
     assert isinstance(next_one, promptjobs.Placed)
     assert next_one.job == 10_028
 
@@ -499,7 +499,7 @@
     """
     made = core(promptload.fleet(prefill=2, decode=2))
     for number in range(3):
-        made.failed(number, 'd0', 0.1 * number)
+        made.record_failure(number, 'd0', 0.1 * number)
     to_dark = 0
     for number in range(100):
         now_s = 1.0 + 0.03 * number
@@ -517,7 +517,7 @@
     """
     made = core(promptload.fleet(prefill=1, decode=1))
     (placed,) = made.submit(job(1, [part(1, 300)], 0.0), 0.0)
-    made.failed(1, 'd0', 0.01)
+    made.record_failure(1, 'd0', 0.01)
     again = job(2, [part(1, 300)], 0.0, avoid=(placed.run,))
     assert made.submit(again, 0.012) == []
     assert made.pump(0.3) == []
@@ -528,7 +528,7 @@
 def test_request_that_can_not_wait_for_the_engine_is_told_when_it_may():
     made = core(promptload.fleet(prefill=1, decode=1))
     made.submit(job(1, [part(1, 300)], 0.0), 0.0)
-    made.failed(1, 'd0', 0.01)
+    made.record_failure(1, 'd0', 0.01)
     again = job(2, [part(1, 300)], 0.0, avoid=('d0',), deadline_s=1.0)
     (refused,) = made.submit(again, 0.012)
     assert isinstance(refused, promptjobs.Refused)
@@ -538,7 +538,7 @@
 def test_engine_that_comes_back_is_used_again():
     made = core(promptload.fleet(prefill=1, decode=1))
     for number in range(3):
-        made.failed(number, 'd0', 0.1 * number)
+        made.record_failure(number, 'd0', 0.1 * number)
     (first,) = made.submit(job(10, [part(1, 300)], 5.0), 5.0)
     assert first.run == 'd0'
     made.record_kv_transfer('d0', 0.02, 5.1)
@@ -621,7 +621,7 @@
         made.submit(job(number, [part(number, 9200)], **fields), 0.0)
     waiting = len(made.on_time)
     assert waiting
-    placed = made.ended(1000, 0.001)
+    placed = made.record_end(1000, 0.001)
     assert 'd0' in [each.run for each in placed if each.prefill is None]
 
 
@@ -709,7 +709,7 @@
     busy_with(made, [1, 2, 3, 4])
     assert made.find_stalled(2.0) == ['p0']
     for number in (1, 2, 3, 4):
-        made.failed(number, 'p0', 2.01)
+        made.record_failure(number, 'p0', 2.01)
     engine = made.pool.engines['p0']
     assert engine.failures == 1
     assert not engine.pending_prefills
@@ -754,7 +754,7 @@
     made = core(promptload.fleet(1, 1))
     parts = [part(1, 30_000), part(2, 3000)]
     (first,) = made.submit(job(1, parts), 0.0)
-    made.failed(1, first.prefill or first.run, 0.1)
+    made.record_failure(1, first.prefill or first.run, 0.1)
     assert made.pool.caches.cached_prefixes(parts).max_tokens == 0
 
 
@@ -827,7 +827,7 @@
     fields = {'objective_s': 2.0, 'deadline_s': 9.0}
     (first,) = made.submit(job(1, [shared, part(2, 2000)], **fields), 0.0)
     made.submit(job(2, [shared, part(3, 2000)], **fields), 0.08)
-    made.failed(1, first.prefill, 0.1)
+    made.record_failure(1, first.prefill, 0.1)
     placed = made.pump(0.25)
     assert [each.job for each in placed] == [2]
 
