--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -156,9 +156,9 @@
         return min(self.latency_s, MAX_LATENCY_FACTOR * self.cost.latency_s)
 
     def expect_run(self, ready_s: float, now_s: float) -> None:
-        """Account a short answer to a prompt that another engine prefills.
+        """Account for a short answer to a prompt that another engine prefills.
 
-        :param ready_s: when the KV cache is expected to be here
+        :param ready_s: when the KV cache is expected to be transferred
         """
         self.short_ends.append(max(ready_s, now_s) + SHORT_RUN_S)
 
@@ -205,7 +205,7 @@
         prompt_tokens: int = 0,
         sent_now: bool = True,
     ) -> float:
-        """Account a prompt that is sent to this engine.
+        """Account for a prompt that is sent to this engine.
 
         :param tokens: tokens to prefill
         :param fetch_s: time to fetch cached parts from another engine
@@ -252,7 +252,7 @@
         self._reschedule(now_s)
 
     def forget(self, job: int, now_s: float) -> None:
-        """Stop accounting a prompt that will not be prefilled here."""
+        """Stop accounting for a prompt that will not be prefilled here."""
         if self.pending_prefills.pop(job, None) is not None:
             self._reschedule(now_s)
 
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -51,7 +51,7 @@
 #: the remainder.
 CACHE_SHARE = 0.9
 #: Cooldown of an engine after a failed job, in seconds; it doubles with each
-#: consecutive failure.
+#: consecutive failure up to the maximum.
 COOLDOWN_S = 0.5
 MAX_COOLDOWN_S = 4.0
 #: An engine that has served a request within this time, in seconds, is not
@@ -85,7 +85,7 @@
     :ivar source: engine to fetch cached parts from, if any
     :ivar tokens: tokens to prefill
     :ivar fetch_s: time to fetch the cached parts
-    :ivar read_s: time to fetch and prefill
+    :ivar prefill_s: time to fetch and prefill
     :ivar ready_s: moment at which the prompt is prefilled, and its KV cache
         is at the decode engine
     :ivar transferred_s: moment at which the decode engine's link is free
@@ -350,7 +350,7 @@
         option: Option,
         now_s: float,
     ) -> None:
-        """Account a prompt that is sent to the engines of an option."""
+        """Account for a prompt that is sent to the engines of an option."""
         prefill_engine, decode_engine = (
             option.prefill_engine,
             option.decode_engine,
@@ -370,7 +370,7 @@
     def adopt(
         self, job: int, engine_id: str, tokens: int, now_s: float
     ) -> None:
-        """Account a prompt that the previous leader sent to an engine."""
+        """Account for a prompt that the previous leader sent to an engine."""
         engine = self.engines[engine_id]
         engine.assign(job, tokens, 0.0, now_s, sent_now=False)
         self._update_open(engine, now_s)
@@ -387,7 +387,7 @@
             self._update_open(engine, now_s)
 
     def forget(self, job: int, engine_id: str, now_s: float) -> None:
-        """Stop accounting a prompt that an engine will not prefill."""
+        """Stop accounting for a prompt that an engine will not prefill."""
         self.caches.abandon(job)
         engine = self.engines.get(engine_id)
         if engine is not None:
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -1,7 +1,7 @@
-"""Accounts long answers and the decode slots that they hold.
+"""Accounts for long answers and the decode slots that they hold.
 
 A short answer takes a few decode steps and releases its slot before another
-request needs it, so only long answers are accounted.
+request needs it, so only long answers are tracked.
 
 Under a burst, long answers can fill every slot within seconds, until more
 engines change to the decode stage.  Then no prompt from a prefill engine
@@ -71,7 +71,7 @@
     def hold(
         self, job_id: int, engine_id: str, output_tokens: int, now_s: float
     ) -> None:
-        """Account the slot of an answer that starts.
+        """Account for the slot of an answer that starts.
 
         :param output_tokens: expected length; 0 if the answer started at an
             unknown time before
@@ -92,7 +92,7 @@
     def release(self, job_id: int, now_s: float) -> _Run | None:
         """Release the slot of an answer without learning from it.
 
-        :returns: the answer, or None if it was not accounted
+        :returns: the answer, or None if it was not tracked
         """
         run = self.runs.pop(job_id, None)
         if run is None:
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -46,9 +46,9 @@
         without a noticeable delay to the answers that they generate
     :param hold_share: share of the time until its deadline for which a
         request that will miss its objective may queue
-    :param late_turn: while requests in time are queued, one of this many
-        placements goes to a late request; without it a long burst would
-        leave all late requests unserved
+    :param late_turn: one of this many placements goes to a request that will
+        miss its objective, even while others can still meet theirs; without
+        it a long burst would leave all late requests unserved
     :param long_run_s: an answer that takes longer than this keeps its engine
         from prefilling prompts at the same time: each decode step would wait
         for a chunk of a prompt, and the pauses between tokens would grow
@@ -68,8 +68,8 @@
 #: Interval of the checks for jobs to demote or refuse; a refusal that is
 #: delayed by this much costs no caller anything.
 LATE_CHECK_INTERVAL_S = 0.02
-#: Jobs that one pass over the queue may skip because all open engines are
-#: among those that they avoid.
+#: Retried jobs that one pass over the queue may skip because no open engine
+#: is left to them besides those that failed them.
 MAX_SKIPPED_JOBS = 8
 #: Longest time between two passes over the queue, in seconds.
 PUMP_INTERVAL_S = 0.05
@@ -195,7 +195,7 @@
     def restore_cache(
         self, engine_id: str, parts: tuple[promptcache.PromptPart, ...]
     ) -> None:
-        """Add parts that the previous leader placed to an engine's cache."""
+        """Add the parts of a prompt that the previous leader placed."""
         self.pool.caches.use(engine_id, parts)
 
     def adopt(
@@ -206,7 +206,7 @@
         holds_slot: bool,
         now_s: float,
     ) -> None:
-        """Account a job that the previous leader placed on an engine.
+        """Account for a job that the previous leader placed on an engine.
 
         :param read_tokens: tokens still to prefill, None if prefill is done
         :param holds_slot: whether the engine generates a long answer
@@ -356,7 +356,7 @@
     def hand_over(
         self, job_id: int, now_s: float
     ) -> list[promptjobs.Decision]:
-        """Stop accounting a job whose end another leader will receive."""
+        """Stop accounting for a job that another leader takes over."""
         prefill = self.prefills.pop(job_id, None)
         if prefill is not None:
             self.pool.forget(job_id, prefill.engine, now_s)
@@ -634,7 +634,7 @@
     def _learn_bias(
         self, job: promptjobs.Job, option: enginepool.Option
     ) -> None:
-        """Update the ratio of actual to estimated prefill time.
+        """Update the ratio of prefill time at placement to the estimate.
 
         The estimate on arrival assumes that a prompt goes to the engine that
         caches most of it.  Often that engine is busy, and cached parts are
