--- a/magnoliadyke/gateway/figures.py
+++ b/magnoliadyke/gateway/figures.py
@@ -118,7 +118,7 @@
                 LOG.event(
                     'placement',
                     service=service,
-                    **pool.core.figures(),
+                    **pool.core.log_fields(),
                 )
         LOG.event(
             'figures',
