--- a/magnoliadyke/core/deferral.py
+++ b/magnoliadyke/core/deferral.py
@@ -1,9 +1,4 @@
-"""Defers prompts until the prefill of a shared prefix on another engine ends.
-
-Several prompts with a shared prefix often arrive during the prefill of the
-first of them.  A second engine that prefills the same prefix wastes its time,
-while a fetch of the prefilled prefix takes a few hundredths of a second.
-"""
+"""Defers prompts while another engine prefills a prefix that they share."""
 
 import heapq
 
@@ -25,6 +20,11 @@
 class Deferral:
     """Jobs that are held out of their queue until a shared prefix is ready.
 
+    Several prompts with a shared prefix often arrive during the prefill of
+    the first of them.  A second engine that prefills the same prefix wastes
+    its time, while a fetch of the prefilled prefix takes a few hundredths of
+    a second.
+
     :ivar resume_heap: expected end of the prefill and the waiting job
     :ivar jobs: the deferred jobs, and the queue that each returns to, by job
     """
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -1,12 +1,4 @@
-"""Estimates when an engine completes the prompts that were sent to it.
-
-An engine prefills prompts one after another at a steady rate.  Each prompt
-also has a fixed latency, which overlaps with the prefill of the next one.
-Counted as prefill time, that latency would make an engine look half as fast
-as it is, and it would idle between prompts.  So the two are measured
-separately: prefill time where one prompt follows another without a gap,
-latency where a prompt was sent to an idle engine.
-"""
+"""Estimates when an engine completes the prompts that were sent to it."""
 
 import collections
 import dataclasses
@@ -81,6 +73,13 @@
 class EngineModel:
     """The placement's model of one engine.
 
+    An engine prefills prompts one after another at a steady rate.  Each
+    prompt also has a fixed latency, which overlaps with the prefill of the
+    next one.  Counted as prefill time, that latency would make an engine look
+    half as fast as it is, and it would idle between prompts.  So the two are
+    measured separately: prefill time where one prompt follows another without
+    a gap, latency where a prompt was sent to an idle engine.
+
     :ivar pace: ratio of measured to expected prefill time
     :ivar extra_s: latency of this engine above the usual latency
     :ivar pending_prefills: prompts sent and not yet reported as prefilled,
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -1,14 +1,4 @@
-"""Accounts for long answers and the decode slots that they hold.
-
-A short answer takes a few decode steps and releases its slot before another
-request needs it, so only long answers are tracked.
-
-Under a burst, long answers can fill every slot within seconds, until more
-engines change to the decode stage.  Then no prompt from a prefill engine
-could start, although each needs a slot for only a few hundredths of a second,
-and the prefill engines would idle.  So some slots are reserved for short
-answers, and long answers queue for the others.
-"""
+"""Accounts for long answers and the decode slots that they hold."""
 
 import dataclasses
 import heapq
@@ -47,6 +37,15 @@
 class LongAnswers:
     """The long answers in progress.
 
+    A short answer takes a few decode steps and releases its slot before
+    another request needs it, so only long answers are tracked.
+
+    Under a burst, long answers can fill every slot within seconds, until more
+    engines change to the decode stage.  Then no prompt from a prefill engine
+    could start, although each needs a slot for only a few hundredths of a
+    second, and the prefill engines would idle.  So some slots are reserved
+    for short answers, and long answers queue for the others.
+
     :param long_run_s: duration above which an answer counts as long
     :ivar expiry_heap: when to give up each answer, with its job
     :ivar output_s: average decode time per token
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -1,17 +1,4 @@
-"""Chooses the prefill and the decode engine of each request, or refuses it.
-
-Designed for prompts of thousands of tokens, of which two thirds are shared
-with other prompts, that arrive in bursts of seconds at up to twice the
-prefill capacity of the engines.  Prefill is the scarce resource; answers are
-short.
-
-One host, the placement leader, decides for all hosts of a service, so it has
-a record of all prompts sent to each engine.  Prompts queue at the leader, not
-at the engines: their order can still change, a request that the caller
-cancels costs no engine time, and a request that can't be served is refused at
-once.  An engine is sent the next prompt shortly before it completes the
-prefill of the previous one, early enough to cover the network round trip.
-"""
+"""Chooses the prefill and the decode engine of each request, or refuses it."""
 
 import heapq
 from typing import Any
@@ -93,6 +80,19 @@
 class Placement:
     """Places the requests of one model service.
 
+    Designed for prompts of thousands of tokens, of which two thirds are
+    shared with other prompts, that arrive in bursts of seconds at up to twice
+    the prefill capacity of the engines.  Prefill is the scarce resource;
+    answers are short.
+
+    One host, the placement leader, decides for all hosts of a service, so it
+    has a record of all prompts sent to each engine.  Prompts queue at the
+    leader, not at the engines: their order can still change, a request that
+    the caller cancels costs no engine time, and a request that can't be
+    served is refused at once.  An engine is sent the next prompt shortly
+    before it completes the prefill of the previous one, early enough to cover
+    the network round trip.
+
     :param rng: source of randomness, with ``random()``
     :param sharers: number of hosts that place on these engines at the same
         time without coordination; 1 on the placement leader
--- a/magnoliadyke/core/prefillcost.py
+++ b/magnoliadyke/core/prefillcost.py
@@ -1,10 +1,4 @@
-"""Cost models of prefill, fitted to measured prompts.
-
-A prompt takes a fixed latency, which overlaps with the prefill of the next
-one, a time for each token, and a time for each pair of a token with an
-earlier one: attention covers the whole prompt, so that a token takes nearly
-twice as long in a prompt of fifty thousand tokens as in one of a thousand.
-"""
+"""Cost models of prefill, fitted to measured prompts."""
 
 import abc
 from typing import NamedTuple
@@ -104,6 +98,12 @@
 class PrefillCost(abc.ABC):
     """Cost model of prefill on the engines of one stage.
 
+    A prompt takes a fixed latency, which overlaps with the prefill of the
+    next one, a time for each token, and a time for each pair of a token with
+    an earlier one: attention covers the whole prompt, so that a token takes
+    nearly twice as long in a prompt of fifty thousand tokens as in one of a
+    thousand.
+
     :ivar typical_slowness: median slowness of these engines, which is the
         ratio of measured to expected prefill time
     """
