--- a/magnoliadyke/core/admission.py
+++ b/magnoliadyke/core/admission.py
@@ -24,8 +24,8 @@
     'timing',
 ]
 
-LEAST_RETRY_S = 0.5
-MOST_RETRY_S = 60.0
+MIN_RETRY_S = 0.5
+MAX_RETRY_S = 60.0
 #: Retry times are spread by up to this part, lest callers come back as one.
 RETRY_SPREAD = 0.5
 
@@ -49,7 +49,7 @@
     late_share: float = 0.1
     error_step_s: float = 0.01
     background_priority: int = 8
-    hopeless_factor: float = 1.0
+    unreachable_factor: float = 1.0
     early_factor: float = 1.2
 
 
@@ -82,18 +82,18 @@
     :param service_s: least time to its first token, on an idle engine
     :param queue_wait_s: longest wait of its customer's row
     """
-    patience_s = job.arrived_s + queue_wait_s
+    wait_end_s = job.arrived_s + queue_wait_s
     if job.priority >= settings.background_priority:
-        return Timing(patience_s, patience_s)
+        return Timing(wait_end_s, wait_end_s)
     spare_s = job.first_token_s - service_s
     deadline_s = job.arrived_s + job.first_token_s
     if spare_s <= settings.reserve_share * job.first_token_s:
         # No engine is fast enough for its objective: it is served late
         # rather than never, and waits as long as it will take.
-        spare_s = settings.hopeless_factor * service_s
-        latest_s = min(job.arrived_s + spare_s, patience_s)
+        spare_s = settings.unreachable_factor * service_s
+        latest_s = min(job.arrived_s + spare_s, wait_end_s)
         return Timing(deadline_s, latest_s)
-    latest_s = min(job.arrived_s + spare_s, patience_s)
+    latest_s = min(job.arrived_s + spare_s, wait_end_s)
     return Timing(deadline_s, latest_s, strict=True)
 
 
@@ -106,7 +106,7 @@
     """
 
     STEP = 0.03
-    MOST_SHARE = 0.95
+    MAX_SHARE = 0.95
 
     def __init__(self):
         self.shares = {}
@@ -122,7 +122,7 @@
 
     def attempts(self, customer):
         """Requests that it now takes, on average, to get one taken."""
-        share = min(self.shares.get(customer, 0.0), self.MOST_SHARE)
+        share = min(self.shares.get(customer, 0.0), self.MAX_SHARE)
         return 1.0 / (1.0 - share)
 
 
@@ -171,8 +171,8 @@
     :param attempts: that it takes on average to be taken
     """
     spread = 1.0 + RETRY_SPREAD * rng.random()
-    wait_s = max(excess_s, LEAST_RETRY_S) * attempts
-    return min(wait_s * spread, MOST_RETRY_S)
+    wait_s = max(excess_s, MIN_RETRY_S) * attempts
+    return min(wait_s * spread, MAX_RETRY_S)
 
 
 def overloaded(excess_s, rng, attempts=1.0):
--- a/magnoliadyke/core/attempts.py
+++ b/magnoliadyke/core/attempts.py
@@ -10,7 +10,7 @@
 __all__ = [
     'DONE',
     'Assembly',
-    'Pace',
+    'SilenceTimeout',
     'attempt_id',
     'events_from',
     'read_usage',
@@ -23,7 +23,7 @@
 OFFSET_LENGTH = len(OFFSET_START)
 END_FIELD = b',"end":'
 #: The usual next event: one token. Others are read by the long way.
-DUE = OFFSET_START + b'%d' + END_FIELD + b'%d,'
+NEXT_EVENT_START = OFFSET_START + b'%d' + END_FIELD + b'%d,'
 UNFINISHED = b'"finish_reason":null'
 TEXT = re.compile(rb'"text":\s*("(?:[^"\\]|\\.)*")')
 # Room for one event; an engine that never ends one must not fill memory.
@@ -56,11 +56,11 @@
     def __init__(self, offset=0):
         self.attempt = None
         self.offset = offset
-        self.due = DUE % (offset, offset + 1)
+        self.next_event_start = NEXT_EVENT_START % (offset, offset + 1)
         self.finished = None
         self.gap = False
         self.error = None
-        self.rest = b''
+        self.unparsed = b''
 
     def begin(self, attempt):
         """Take events of ``attempt`` from now on, and of no other.
@@ -68,7 +68,7 @@
         :param attempt: attempt id, also after a resume on a new connection
         """
         self.attempt = attempt
-        self.rest = b''
+        self.unparsed = b''
         self.gap = False
         self.error = None
 
@@ -83,11 +83,11 @@
         # double or cross the text of the attempt that replaced it.
         if attempt != self.attempt or self.finished is not None:
             return b''
-        if self.feed_one(attempt, data):
+        if self.feed_next_event(attempt, data):
             return data
-        return self.feed_slowly(data)
+        return self.feed_chunk(data)
 
-    def feed_one(self, attempt, data):
+    def feed_next_event(self, attempt, data):
         """Take ``data`` if it is exactly the one event that is due.
 
         This runs for each token, hence no more is parsed than this.
@@ -95,11 +95,11 @@
         :return: whether it was taken; nothing has happened if not
         """
         if (
-            not data.startswith(self.due)
+            not data.startswith(self.next_event_start)
             or data.find(EVENT_END) != len(data) - 2
             or UNFINISHED not in data
             or attempt != self.attempt
-            or self.rest
+            or self.unparsed
             or self.finished is not None
         ):
             return False
@@ -109,11 +109,11 @@
     def advance(self, offset):
         """Go on at an offset."""
         self.offset = offset
-        self.due = DUE % (offset, offset + 1)
+        self.next_event_start = NEXT_EVENT_START % (offset, offset + 1)
 
-    def feed_slowly(self, data):
+    def feed_chunk(self, data):
         """Cut ``data`` into events and take them one by one."""
-        data = self.rest + data
+        data = self.unparsed + data
         accepted = []
         start = 0
         while not self.gap and self.finished is None:
@@ -122,17 +122,17 @@
                 break
             event = data[start : end + 2]
             start = end + 2
-            if self.take(event):
+            if self.apply_event(event):
                 accepted.append(event)
-        self.rest = data[start:]
-        if len(self.rest) > MAX_EVENT_BYTES:
+        self.unparsed = data[start:]
+        if len(self.unparsed) > MAX_EVENT_BYTES:
             self.error = {'code': 'event_too_long'}
         return b''.join(accepted)
 
-    def take(self, event):
+    def apply_event(self, event):
         """Judge one whole event; return whether it is passed on."""
         if not event.startswith(OFFSET_START):
-            self.read_other(event)
+            self.record_error(event)
             return False
         offset = int(event[OFFSET_LENGTH : event.index(b',', OFFSET_LENGTH)])
         if offset > self.offset:
@@ -146,7 +146,7 @@
             self.finished = event
         return True
 
-    def read_other(self, event):
+    def record_error(self, event):
         """Note an error event; comments and the end mark say nothing."""
         if event.startswith(b'event: error'):
             _, _, event = event.partition(b'\n')
@@ -193,7 +193,7 @@
     return events[mark:] if mark > 0 else events
 
 
-class Pace:
+class SilenceTimeout:
     """Predict when a stream should have spoken again.
 
     An engine sends a comment after each idle second, so a connection with
@@ -207,35 +207,43 @@
     TOKENS_MISSED = 20
     WEIGHT = 0.2
 
-    def __init__(self, shortest_s=1.5, longest_s=2.5):
-        self.shortest_s = shortest_s
-        self.longest_s = longest_s
-        self.gap_s = None
-        self.seen_s = 0.0
-        self.seen_tokens = 0
+    def __init__(self, min_silence_s=1.5, max_silence_s=2.5):
+        self.min_silence_s = min_silence_s
+        self.max_silence_s = max_silence_s
+        self.token_interval_s = None
+        self.observed_s = 0.0
+        self.observed_tokens = 0
 
     def observe(self, tokens, now_s):
         """Note how far the stream is; called now and then, not per token.
 
         :param tokens: output tokens so far
         """
-        new = tokens - self.seen_tokens
-        if new > 0 and self.seen_tokens:
-            gap_s = (now_s - self.seen_s) / new
-            old_s = gap_s if self.gap_s is None else self.gap_s
-            self.gap_s = old_s + self.WEIGHT * (gap_s - old_s)
+        new = tokens - self.observed_tokens
+        if new > 0 and self.observed_tokens:
+            token_interval_s = (now_s - self.observed_s) / new
+            old_s = (
+                token_interval_s
+                if self.token_interval_s is None
+                else self.token_interval_s
+            )
+            self.token_interval_s = old_s + self.WEIGHT * (
+                token_interval_s - old_s
+            )
         if new > 0:
-            self.seen_tokens = tokens
-            self.seen_s = now_s
+            self.observed_tokens = tokens
+            self.observed_s = now_s
 
     def silence_limit_s(self, suspect=False):
         """Return the silence after which the connection is doubted.
 
         :param suspect: a sibling connection to the same address went silent
         """
-        if self.gap_s is None:
-            limit_s = self.longest_s
+        if self.token_interval_s is None:
+            limit_s = self.max_silence_s
         else:
-            predicted_s = self.gap_s * self.TOKENS_MISSED
-            limit_s = min(max(predicted_s, self.shortest_s), self.longest_s)
+            predicted_s = self.token_interval_s * self.TOKENS_MISSED
+            limit_s = min(
+                max(predicted_s, self.min_silence_s), self.max_silence_s
+            )
         return limit_s / 2 if suspect else limit_s
--- a/magnoliadyke/core/costs.py
+++ b/magnoliadyke/core/costs.py
@@ -12,16 +12,16 @@
     'CostModels',
     'CostPriors',
     'LinearFit',
-    'LowFit',
+    'QuantileFit',
     'RatioFit',
 ]
 
 DECODE = 'decode'
 PREFILL = 'prefill'
 #: Keeps a quotient that is whole but for its last digit from falling.
-ROUNDING = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 #: Weight of samples that are longer than expected, of 1.
-HIGH_WEIGHT = 0.3
+SLOW_SAMPLE_WEIGHT = 0.3
 
 
 class CostPriors(NamedTuple):
@@ -76,7 +76,7 @@
         self.ratio = self.sum_y / self.sum_x
 
 
-class LowFit:
+class QuantileFit:
     """``y = ratio * x`` for the least disturbed of the samples.
 
     The time to read a prompt is known only with what was read before it for
@@ -164,7 +164,7 @@
 
     def __init__(self, priors=DEFAULT_PRIORS, max_streams=64):
         self.max_streams = max_streams
-        self.prefill = LowFit(priors.prefill_s_per_token, 500)
+        self.prefill = QuantileFit(priors.prefill_s_per_token, 500)
         self.mixed_prefill = LinearFit(
             priors.mixed_prefill_s_per_token,
             priors.mixed_prefill_s_per_stream,
@@ -197,14 +197,14 @@
 
     def streams_within(self, per_token_s):
         """Streams that an engine can decode at this pace or better."""
-        room_s = per_token_s - self.pace.base
-        if room_s <= 0:
+        headroom_s = per_token_s - self.pace.base
+        if headroom_s <= 0:
             # Not even one stream keeps the pace. With a fitted slope of 0,
             # as after a pause, the division below would end each decision.
             return 1
-        if room_s >= self.pace.slope * self.max_streams:
+        if headroom_s >= self.pace.slope * self.max_streams:
             return self.max_streams
-        return max(1, int(room_s / self.pace.slope + ROUNDING))
+        return max(1, int(headroom_s / self.pace.slope + ROUNDING_TOLERANCE))
 
     def decode_s_per_token(self):
         """Engine-seconds of an output token in a full batch."""
@@ -231,7 +231,7 @@
         elif tokens > 0:
             ratio = elapsed_s / tokens
             high = ratio > self.mixed_prefill.at(streams)
-            weight = HIGH_WEIGHT if high else 1.0 - HIGH_WEIGHT
+            weight = SLOW_SAMPLE_WEIGHT if high else 1.0 - SLOW_SAMPLE_WEIGHT
             self.mixed_prefill.add(streams, ratio, weight)
 
     def observe_pace(self, streams, tokens, elapsed_s):
--- a/magnoliadyke/core/exchange.py
+++ b/magnoliadyke/core/exchange.py
@@ -71,7 +71,7 @@
         pools = tuple(pool.news(now_s) for pool in self.pools.values())
         for news in pools:
             key = ('pool', news.pool)
-            self.shares.tell(key, news.asked_s_per_s, now_s)
+            self.shares.record_sent_demand(key, news.asked_s_per_s, now_s)
         suspects = self._suspect_news(runs, now_s)
         customers = self._customer_news(now_s)
         return digests.Digest(self.epoch, pools, customers, suspects)
@@ -88,7 +88,7 @@
             demands['pool', news.pool] = news.asked_s_per_s
         for news in digest.customers:
             self._hear_customer(known, news, demands)
-        self.shares.hear(host, demands, now_s)
+        self.shares.record_peer_demand(host, demands, now_s)
         for news in digest.suspects:
             self._hear_suspect(news, now_s)
 
@@ -161,7 +161,7 @@
         chosen = self._moved_most(news)
         for each in chosen:
             self.told[each.customer] = each
-            self.limits.tell(self.names[each.customer][0], now_s)
+            self.limits.export_demand(self.names[each.customer][0], now_s)
         return tuple(chosen)
 
     def _moved_most(self, news):
--- a/magnoliadyke/core/fairness.py
+++ b/magnoliadyke/core/fairness.py
@@ -10,7 +10,7 @@
 __all__ = ['FairQueue']
 
 #: Least weight that divides a cost, so that no counter runs off.
-LEAST_WEIGHT = 1e-3
+MIN_WEIGHT = 1e-3
 
 
 class FairQueue:
@@ -25,7 +25,7 @@
         self.weights = {}
         self.counters = {}
         self.served = {}
-        self.lifted = {}
+        self.raised_s = {}
         self.heaps = {}
         self.entries = {}
         self.virtual_s = 0.0
@@ -36,7 +36,7 @@
 
     def set_weight(self, customer, weight):
         """Change a weight; the counter stays, so nobody jumps the line."""
-        self.weights[customer] = max(weight, LEAST_WEIGHT)
+        self.weights[customer] = max(weight, MIN_WEIGHT)
 
     def weight(self, customer):
         """Weight of a customer, 1 when none was set."""
@@ -49,7 +49,7 @@
         """
         heap = self.heaps.get(customer)
         if heap is None:
-            self._lift(customer)
+            self._raise_to_floor(customer)
             heap = self.heaps[customer] = []
         entry = [key, next(self.serials), job_id, customer]
         self.entries[job_id] = entry
@@ -69,16 +69,16 @@
             del self.heaps[customer]
         return True
 
-    def order(self):
+    def customers_by_service(self):
         """Customers with waiting jobs, the least served first."""
         return sorted(self.heaps, key=self.counters.__getitem__)
 
-    def head(self, customer):
+    def next_job(self, customer):
         """The customer's next job, or None."""
         heap = self.heaps.get(customer)
         return heap[0][2] if heap else None
 
-    def first(self, customer, count):
+    def next_jobs(self, customer, count):
         """The customer's next jobs, in order."""
         heap = self.heaps.get(customer, ())
         if len(heap) == 1 or count == 1:
@@ -109,7 +109,7 @@
         """
         floor = self._floor()
         counter = self.counters.get(customer, floor)
-        ceiling = max(counter, floor + self._lead())
+        ceiling = max(counter, floor + self._max_counter_lead())
         risen = counter + cost_s / self.weight(customer)
         self.counters[customer] = min(risen, ceiling)
 
@@ -121,7 +121,7 @@
             total += own
         return own / total
 
-    def _lead(self):
+    def _max_counter_lead(self):
         return self.max_lead_s / self._mean_weight()
 
     def _mean_weight(self):
@@ -135,7 +135,7 @@
             return self.virtual_s
         return min(self.counters[name] for name in self.heaps)
 
-    def _lift(self, customer):
+    def _raise_to_floor(self, customer):
         """Let a customer that had nothing waiting join at the others' level.
 
         Without it, a customer idle for an hour would come with an hour of
@@ -145,5 +145,5 @@
         counter = self.counters.get(customer, floor)
         if counter < floor:
             rise = (floor - counter) * self.weight(customer)
-            self.lifted[customer] = self.lifted.get(customer, 0.0) + rise
+            self.raised_s[customer] = self.raised_s.get(customer, 0.0) + rise
         self.counters[customer] = max(counter, floor)
--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -16,9 +16,9 @@
     :param router: :class:`magnoliadyke.core.routing.Router`
     """
 
-    def __init__(self, models, beliefs, router):
+    def __init__(self, models, cache_estimate, router):
         self.models = models
-        self.beliefs = beliefs
+        self.cache_estimate = cache_estimate
         self.router = router
 
     def first_token(self, run, was_read, now_s):
@@ -26,11 +26,13 @@
 
         :param was_read: whether the end of the prefill was told before
         """
-        if run.read_by is None:
+        if run.prefill_endpoint is None:
             return
         error_s = now_s - run.expected_s
-        self.router.observe(run.read_by.role, run.job.priority, error_s)
-        split = run.read_by is not run.stream_at
+        self.router.observe(
+            run.prefill_endpoint.role, run.job.priority, error_s
+        )
+        split = run.prefill_endpoint is not run.stream_at
         if not was_read or not split or run.stream_at is None:
             return
         model = self.models.of_job(run.job)
@@ -55,9 +57,11 @@
             return took_s
         model.observe_finish(job, result)
         read_tokens = max(0, result.prompt_tokens - result.cached_tokens)
-        if run.read_by is not None:
-            self.beliefs.confirmed(
-                run.read_by.name, run.believed_tokens, result.cached_tokens
+        if run.prefill_endpoint is not None:
+            self.cache_estimate.update_trust(
+                run.prefill_endpoint.name,
+                run.estimated_cached_tokens,
+                result.cached_tokens,
             )
         self._observe_pace(run, model, result, now_s)
         decode_s = result.output_tokens * model.decode_s_per_token()
@@ -71,18 +75,18 @@
         if run.job.kind == 'service':
             return
         took_s = max(0.0, now_s - since_s)
-        tokens = max(1.0, run.job.prompt_tokens - run.believed_tokens)
-        sample = endpoint.reading
+        tokens = max(1.0, run.job.prompt_tokens - run.estimated_cached_tokens)
+        sample = endpoint.prefill_sample
         if sample.joins(took_s):
             sample.tokens += tokens
             return
-        if sample.clean:
+        if sample.undisturbed:
             model = self.models.of_job(run.job)
             model.observe_prefill(
                 endpoint.role, sample.tokens, sample.seconds, sample.streams
             )
         streams = load.streams.total()
-        sample.begin(tokens, took_s, streams, run.read_undisturbed)
+        sample.begin(tokens, took_s, streams, run.prefill_undisturbed)
 
     def _observe_pace(self, run, model, result, now_s):
         endpoint = run.stream_at
--- a/magnoliadyke/core/limits.py
+++ b/magnoliadyke/core/limits.py
@@ -29,7 +29,7 @@
 from typing import NamedTuple
 
 __all__ = [
-    'BASE',
+    'BASE_SHARE',
     'Bucket',
     'Exceeded',
     'Limits',
@@ -39,9 +39,9 @@
 ]
 
 #: Part of a limit that is split evenly, whatever the demand.
-BASE = 0.25
+BASE_SHARE = 0.25
 #: Least retry-after that an exceeded limit tells, in seconds.
-LEAST_RETRY_S = 0.05
+MIN_RETRY_S = 0.05
 
 
 class LimitSettings(NamedTuple):
@@ -122,7 +122,7 @@
 
 
 class _Peer(NamedTuple):
-    heard_s: float
+    received_s: float
     demands: dict
 
 
@@ -135,7 +135,7 @@
         self.lower_nodes = 1
         self.lower_since_s = 0.0
         self.peers = {}
-        self.own = {}
+        self.sent_demands = {}
 
     def set_nodes(self, count, now_s):
         """Follow a rise at once, and a fall after a while.
@@ -157,10 +157,10 @@
             if held_s >= self.settings.node_hold_s:
                 self.nodes = self.lower_nodes
         for host, peer in list(self.peers.items()):
-            if now_s - peer.heard_s > self.settings.fresh_s:
+            if now_s - peer.received_s > self.settings.fresh_s:
                 del self.peers[host]
 
-    def hear(self, host, demands, now_s):
+    def record_peer_demand(self, host, demands, now_s):
         """Take a peer's demand by key; keys left out keep their figure."""
         known = self.peers.get(host)
         merged = known.demands if known else {}
@@ -171,15 +171,15 @@
                 merged.pop(key, None)
         self.peers[host] = _Peer(now_s, merged)
 
-    def tell(self, key, demand, now_s):
+    def record_sent_demand(self, key, demand, now_s):
         """The peers are being told this own demand."""
-        told = self.own.setdefault(key, [])
-        told.append((now_s, demand))
+        sent = self.sent_demands.setdefault(key, [])
+        sent.append((now_s, demand))
         due_s = now_s - self.settings.settle_s
-        while len(told) > 1 and told[1][0] <= due_s:
-            told.pop(0)
+        while len(sent) > 1 and sent[1][0] <= due_s:
+            sent.pop(0)
 
-    def settled(self, key, demand, now_s):
+    def settled_demand(self, key, demand, now_s):
         """Own demand as the peers know it.
 
         A fall counts at once, a rise only ``settle_s`` after it was told.
@@ -187,29 +187,31 @@
         begin would each take the whole limit until they had heard of one
         another.
         """
-        told = self.own.get(key)
+        sent = self.sent_demands.get(key)
         due_s = now_s - self.settings.settle_s
-        if not told or told[0][0] > due_s:
+        if not sent or sent[0][0] > due_s:
             return 0.0
-        known = [(at_s, value) for at_s, value in told if at_s > due_s]
-        last = told[len(told) - len(known) - 1][1]
+        known = [(at_s, value) for at_s, value in sent if at_s > due_s]
+        last = sent[len(sent) - len(known) - 1][1]
         return min(demand, last, *[value for _, value in known])
 
     def fraction(self, key, demand, now_s):
         """This node's part of the limit, 0 to 1."""
         if self.nodes == 1:
             return 1.0
-        own = self.settled(key, demand, now_s)
-        demands = [peer.demands.get(key, 0.0) for peer in self._fresh(now_s)]
-        heard = min(1 + len(demands), self.nodes)
+        own = self.settled_demand(key, demand, now_s)
+        demands = [
+            peer.demands.get(key, 0.0) for peer in self._fresh_peers(now_s)
+        ]
+        reporting = min(1 + len(demands), self.nodes)
         total = own + sum(demands)
         part = own / total if total > 0 else 1.0 / (1 + len(demands))
-        split = (1.0 - BASE) * heard / self.nodes * part
-        return BASE / self.nodes + split
+        split = (1.0 - BASE_SHARE) * reporting / self.nodes * part
+        return BASE_SHARE / self.nodes + split
 
-    def _fresh(self, now_s):
+    def _fresh_peers(self, now_s):
         oldest_s = now_s - self.settings.fresh_s
-        return [p for p in self.peers.values() if p.heard_s >= oldest_s]
+        return [p for p in self.peers.values() if p.received_s >= oldest_s]
 
 
 class _Usage:
@@ -265,13 +267,13 @@
             return None
         demand = usage.token_rate.now(now_s)
         fraction = self.shares.fraction((customer, 'rate'), demand, now_s)
-        exceeded = self._over(usage, row, fraction, now_s)
+        exceeded = self._exceeded_rate(usage, row, fraction, now_s)
         if exceeded is None:
             usage.requests.level -= 1.0 if row.requests_s else 0.0
             usage.tokens.level -= tokens if row.tokens_s else 0.0
         return exceeded
 
-    def _over(self, usage, row, fraction, now_s):
+    def _exceeded_rate(self, usage, row, fraction, now_s):
         buckets = (
             ('request_rate_limit', usage.requests, row.requests_s),
             ('token_rate_limit', usage.tokens, row.tokens_s),
@@ -284,10 +286,10 @@
             bucket.refill(rate_s, burst, now_s)
             wait_s = bucket.wait_s(rate_s)
             if wait_s > 0:
-                return Exceeded(reason, max(wait_s, LEAST_RETRY_S))
+                return Exceeded(reason, max(wait_s, MIN_RETRY_S))
         return None
 
-    def correct(self, customer, tokens):
+    def correct_tokens(self, customer, tokens):
         """Account what a job used beyond the estimate, or give back."""
         row = self.rows.get(customer)
         if row is not None and row.tokens_s:
@@ -316,11 +318,13 @@
             return True
         return running < self.concurrency(customer, now_s)
 
-    def tell(self, customer, now_s):
+    def export_demand(self, customer, now_s):
         """What peers are told now: tokens a second, and jobs wanted."""
         usage = self.usage(customer, now_s)
         rate = usage.token_rate.now(now_s)
         wanted = max(0, usage.running + usage.waiting)
-        self.shares.tell((customer, 'rate'), rate, now_s)
-        self.shares.tell((customer, 'concurrency'), wanted, now_s)
+        self.shares.record_sent_demand((customer, 'rate'), rate, now_s)
+        self.shares.record_sent_demand(
+            (customer, 'concurrency'), wanted, now_s
+        )
         return rate, wanted
--- a/magnoliadyke/core/prefixes.py
+++ b/magnoliadyke/core/prefixes.py
@@ -2,19 +2,19 @@
 
 import hashlib
 
-__all__ = ['BLOCK_TOKENS', 'PrefixBeliefs', 'block_ids']
+__all__ = ['BLOCK_TOKENS', 'PrefixCacheEstimate', 'block_ids']
 
 BLOCK_TOKENS = 64
 ID_DIGITS = 16
 #: Blocks that are believed to be in one engine's cache, at most.
-MOST_BLOCKS = 8192
+MAX_BLOCKS = 8192
 #: Engines remembered as holders of one indexed block.
-MOST_HOLDERS = 8
+MAX_HOLDERS = 8
 #: Indexed blocks for each one that an engine may hold.
 INDEX_FACTOR = 4
-LEAST_TRUST = 0.2
+MIN_TRUST = 0.2
 #: What a gap in an engine's events leaves of the trust in its beliefs.
-GAP_FACTOR = 0.7
+GAP_TRUST_FACTOR = 0.7
 #: How fast trust follows what finished jobs show.
 TRUST_STEP = 0.1
 
@@ -36,7 +36,7 @@
     return tuple(ids)
 
 
-class PrefixBeliefs:
+class PrefixCacheEstimate:
     """What each engine's prefix cache is believed to hold.
 
     Beliefs come first from what this node sent where, and are corrected by
@@ -50,13 +50,13 @@
     :param most_blocks: blocks remembered for each engine
     """
 
-    def __init__(self, most_blocks=MOST_BLOCKS):
-        self.most_blocks = most_blocks
+    def __init__(self, max_blocks=MAX_BLOCKS):
+        self.max_blocks = max_blocks
         self.blocks = {}
         self.trust = {}
         self.holders = {}
 
-    def sent(self, endpoint, blocks):
+    def record_sent(self, endpoint, blocks):
         """This node had the engine read these blocks."""
         held = self.blocks.setdefault(endpoint, {})
         # Last block first, as engines do it: what is evicted first is the
@@ -65,10 +65,10 @@
             held.pop(block, None)
             held[block] = None
         self._trim(held)
-        for position in _indexed(len(blocks)):
+        for position in _indexed_positions(len(blocks)):
             self._index(blocks[position], endpoint)
 
-    def stored(self, endpoint, blocks):
+    def record_stored(self, endpoint, blocks):
         """The engine's own word that it cached these blocks."""
         held = self.blocks.setdefault(endpoint, {})
         for block in blocks:
@@ -76,30 +76,30 @@
             self._index(block, endpoint)
         self._trim(held)
 
-    def evicted(self, endpoint, blocks):
+    def record_evicted(self, endpoint, blocks):
         """The engine's own word that it dropped these blocks."""
         held = self.blocks.get(endpoint, {})
         for block in blocks:
             held.pop(block, None)
 
-    def gap(self, endpoint):
+    def record_event_gap(self, endpoint):
         """Events of the engine were lost."""
-        trust = self.trust.get(endpoint, 1.0) * GAP_FACTOR
-        self.trust[endpoint] = max(LEAST_TRUST, trust)
+        trust = self.trust.get(endpoint, 1.0) * GAP_TRUST_FACTOR
+        self.trust[endpoint] = max(MIN_TRUST, trust)
 
-    def wiped(self, endpoint):
+    def record_cache_loss(self, endpoint):
         """The engine lost its cache: a crash, a role change."""
         self.blocks.pop(endpoint, None)
         self.trust.pop(endpoint, None)
 
-    def confirmed(self, endpoint, believed_tokens, cached_tokens):
+    def update_trust(self, endpoint, estimated_cached_tokens, cached_tokens):
         """A finished job shows how far a belief was right."""
-        if believed_tokens <= 0:
+        if estimated_cached_tokens <= 0:
             return
-        truth = min(1.0, cached_tokens / believed_tokens)
+        hit_ratio = min(1.0, cached_tokens / estimated_cached_tokens)
         trust = self.trust.get(endpoint, 1.0)
-        trust += TRUST_STEP * (truth - trust)
-        self.trust[endpoint] = max(LEAST_TRUST, trust)
+        trust += TRUST_STEP * (hit_ratio - trust)
+        self.trust[endpoint] = max(MIN_TRUST, trust)
 
     def cached_blocks(self, endpoint, blocks):
         """Length of the longest prefix believed cached, in blocks.
@@ -128,27 +128,27 @@
 
     def likely_holders(self, blocks):
         """Engines that may hold a long prefix, at most a handful."""
-        for position in reversed(_indexed(len(blocks))):
+        for position in reversed(_indexed_positions(len(blocks))):
             holders = self.holders.get(blocks[position])
             if holders:
                 return holders
         return ()
 
     def _trim(self, held):
-        while len(held) > self.most_blocks:
+        while len(held) > self.max_blocks:
             del held[next(iter(held))]
 
     def _index(self, block, endpoint):
         holders = self.holders.get(block, ())
         if endpoint in holders:
             return
-        kept = holders[-MOST_HOLDERS + 1 :]
+        kept = holders[-MAX_HOLDERS + 1 :]
         self.holders[block] = (*kept, endpoint)
-        if len(self.holders) > INDEX_FACTOR * self.most_blocks:
+        if len(self.holders) > INDEX_FACTOR * self.max_blocks:
             del self.holders[next(iter(self.holders))]
 
 
-def _indexed(length):
+def _indexed_positions(length):
     """Positions 0, 1, 3, 7, ... and the last: few, yet near any length."""
     positions = []
     step = 1
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -14,15 +14,15 @@
     'Pool',
     'Router',
     'RoutingSettings',
-    'Terms',
+    'PlacementContext',
     'subset',
 ]
 
 PREFILL = 'prefill'
 DECODE = 'decode'
 ROLES = (PREFILL, DECODE)
-FULL = 1.0
-LAST_PRIORITY = 9
+FULL_FRACTION = 1.0
+LOWEST_PRIORITY = 9
 BIAS_STEP = 0.02
 
 
@@ -51,12 +51,12 @@
     sample: int = 6
     subset: int = 64
     slack_s: float = 0.02
-    blind_slack: float = 4.0
+    peer_load_slack: float = 4.0
     slack_streams: float = 0.05
     pace_share: float = 0.93
     mixed_fill: float = 0.8
     mixed_cost: float = 0.1
-    mixed_sure_share: float = 0.6
+    mixed_time_share: float = 0.6
     step_s: float = 0.2
     service_slots: int = 32
 
@@ -85,7 +85,7 @@
         return self.prefill is self.endpoint
 
 
-class Terms(NamedTuple):
+class PlacementContext(NamedTuple):
     """Under what terms a job is placed.
 
     :param fraction: this node's part of the pool's credits
@@ -99,9 +99,9 @@
 
     fraction: float = 1.0
     spare_s: float = float('inf')
-    ahead_s: float = 0.0
+    backlog_s: float = 0.0
     first: bool = True
-    others_share: float = 1.0
+    peers_share: float = 1.0
     avoid: frozenset = frozenset()
 
 
@@ -120,7 +120,7 @@
     blocked: bool = False
 
 
-class ReadingSample:
+class PrefillSample:
     """How long an engine took to read the prompts of one step.
 
     Prompts that are read in one step end together: the first after the
@@ -128,7 +128,7 @@
     tell what a token takes.
     """
 
-    __slots__ = ('clean', 'seconds', 'streams', 'tokens')
+    __slots__ = ('seconds', 'streams', 'tokens', 'undisturbed')
 
     SAME_STEP_S = 0.002
 
@@ -136,13 +136,13 @@
         self.seconds = 0.0
         self.tokens = 0.0
         self.streams = 0.0
-        self.clean = False
+        self.undisturbed = False
 
     def joins(self, seconds):
         """Whether a prompt that ends so soon after was in the same step."""
         return seconds < self.SAME_STEP_S
 
-    def begin(self, tokens, seconds, streams, clean):
+    def begin(self, tokens, seconds, streams, undisturbed):
         """Start a sample with the first prompt of a step.
 
         :param clean: nothing that this node knows of disturbed it
@@ -150,7 +150,7 @@
         self.seconds = seconds
         self.tokens = tokens
         self.streams = streams
-        self.clean = clean
+        self.undisturbed = undisturbed
 
 
 class Endpoint:
@@ -172,13 +172,13 @@
         self.reported_at_s = float('-inf')
         self.slowness = 1.0
         self.pace = costs.RatioFit(1.0, 10.0, 120.0)
-        self.reading = ReadingSample()
-        self.alone = None
-        self.kept = False
+        self.prefill_sample = PrefillSample()
+        self.exclusive_job_id = None
+        self.is_reserved_for_trial = False
 
     def takes_work(self, now_s):
         """Whether new jobs may go there."""
-        if self.alone is not None or self.kept:
+        if self.exclusive_job_id is not None or self.is_reserved_for_trial:
             return False
         return self.health.takes_work(now_s, len(self.load.jobs))
 
@@ -196,21 +196,21 @@
         self.total = total
         self.members = members
         self.by_role = {}
-        self.sort()
+        self.regroup()
 
-    def sort(self):
+    def regroup(self):
         """Group anew, after a role or a state has changed."""
         self.by_role = {PREFILL: [], DECODE: [], '': []}
         for endpoint in self.members:
             if not endpoint.health.is_out():
                 self.by_role[endpoint.role].append(endpoint)
 
-    def present(self):
+    def available_count(self):
         """Number of endpoints that are not out."""
         return sum(len(each) for each in self.by_role.values())
 
 
-def _besides(members, names):
+def _excluding(members, names):
     """The members but for these, unless there are no others."""
     if not names:
         return members
@@ -247,13 +247,13 @@
     def __init__(
         self,
         models,
-        beliefs,
+        cache_estimate,
         rng,
         settings=DEFAULT_SETTINGS,
         failure_domain='',
     ):
         self.models = models
-        self.beliefs = beliefs
+        self.cache_estimate = cache_estimate
         self.rng = rng
         self.settings = settings
         self.failure_domain = failure_domain
@@ -270,7 +270,7 @@
         known_s = self.bias_s.get(key, 0.0)
         self.bias_s[key] = known_s + BIAS_STEP * (error_s - known_s)
 
-    def place(self, job, pool, terms, now_s, among=None):
+    def place(self, job, pool, context, now_s, only_endpoint=None):
         """Choose endpoints for a job.
 
         :param terms: :class:`Terms`
@@ -278,27 +278,35 @@
         :returns: :class:`Placement`, or None when all are full
         """
         if pool.kind == 'service':
-            return self._place_service(pool, terms, among, now_s)
-        decodes = self._usable(pool, DECODE, job, terms, among, now_s)
-        prefills = self._usable(pool, PREFILL, job, terms, among, now_s)
-        if among is not None or not pool.by_role[DECODE]:
-            return self._place_whole(job, prefills or decodes, terms, now_s)
-        open_decodes = self._open(job, decodes, terms.fraction, now_s)
+            return self._place_service(pool, context, only_endpoint, now_s)
+        decodes = self._usable(
+            pool, DECODE, job, context, only_endpoint, now_s
+        )
+        prefills = self._usable(
+            pool, PREFILL, job, context, only_endpoint, now_s
+        )
+        if only_endpoint is not None or not pool.by_role[DECODE]:
+            return self._place_on_one_engine(
+                job, prefills or decodes, context, now_s
+            )
+        open_decodes = self._decode_engines_with_room(
+            job, decodes, context.fraction, now_s
+        )
         if not open_decodes:
             return None
         if not pool.by_role[PREFILL]:
             members = [endpoint for _, endpoint in open_decodes]
-            return self._place_whole(job, members, terms, now_s)
-        split = self._best_split(job, prefills, terms, now_s)
+            return self._place_on_one_engine(job, members, context, now_s)
+        split = self._best_split(job, prefills, context, now_s)
         mixed = None
-        if split is None or self._mixed_may_win(job, split):
-            mixed = self._best_mixed(job, open_decodes, terms, now_s)
-        chosen = self._cheaper(split, mixed, terms)
+        if split is None or self._mixed_can_win(job, split):
+            mixed = self._best_mixed(job, open_decodes, context, now_s)
+        chosen = self._choose_split_or_mixed(split, mixed, context)
         if chosen is None or chosen.blocked:
             return None
         target = chosen.endpoint
         if chosen is split:
-            target = self._roomiest(open_decodes)
+            target = self._choose_decode_engine(open_decodes)
         return Placement(target, chosen.endpoint, *chosen[2:5])
 
     def idle_service_s(self, job):
@@ -316,17 +324,17 @@
         usable_s = job.per_token_s * self.settings.pace_share
         return self.models.of_job(job).streams_within(usable_s)
 
-    def _usable(self, pool, role, job, terms, among, now_s):
+    def _usable(self, pool, role, job, context, only_endpoint, now_s):
         members = pool.by_role[role]
-        if among is not None:
-            members = [each for each in members if each is among]
+        if only_endpoint is not None:
+            members = [each for each in members if each is only_endpoint]
         elif len(members) > 2 * self.settings.sample:
             members = self._sample(members, job)
-        if among is not None:
+        if only_endpoint is not None:
             # It is kept from all other work, but not from this.
             return members
         usable = [each for each in members if each.takes_work(now_s)]
-        return _besides(usable, terms.avoid)
+        return _excluding(usable, context.avoid)
 
     def _sample(self, members, job):
         """A few at random, and those that may hold the prefix."""
@@ -334,22 +342,22 @@
         for _ in range(self.settings.sample):
             endpoint = self.rng.choice(members)
             chosen[endpoint.name] = endpoint
-        holders = self.beliefs.likely_holders(job.prefix_blocks)
+        holders = self.cache_estimate.likely_holders(job.prefix_blocks)
         if holders:
             for endpoint in members:
                 if endpoint.name in holders:
                     chosen[endpoint.name] = endpoint
         return list(chosen.values())
 
-    def _place_service(self, pool, terms, among, now_s):
+    def _place_service(self, pool, context, only_endpoint, now_s):
         slots = self.settings.service_slots
         best = None
         members = pool.by_role['']
-        if among is not None:
-            members = [among]
+        if only_endpoint is not None:
+            members = [only_endpoint]
         else:
             members = [each for each in members if each.takes_work(now_s)]
-        for endpoint in _besides(members, terms.avoid):
+        for endpoint in _excluding(members, context.avoid):
             busy = len(endpoint.load.jobs)
             if busy >= slots:
                 continue
@@ -362,27 +370,27 @@
         wait_s = self.models.of(pool.name).service.ratio
         return Placement(best[1], best[1], wait_s, 0.0, 0.0)
 
-    def _place_whole(self, job, members, terms, now_s):
+    def _place_on_one_engine(self, job, members, context, now_s):
         """Both phases on one engine, whatever its role."""
         found = [
-            self._reading(job, each, terms, now_s)
+            self._predict_prefill(job, each, context, now_s)
             for each in members
-            if self._gate_s(each, job, terms, now_s)
+            if self._queue_ahead_s(each, job, context, now_s)
             <= self.settings.engine_queue_s
         ]
-        best = self._pick(found, now_s)
+        best = self._choose_candidate(found, now_s)
         if best is None:
             return None
         return Placement(best.endpoint, best.endpoint, *best[2:5])
 
-    def _open(self, job, members, fraction, now_s):
+    def _decode_engines_with_room(self, job, members, fraction, now_s):
         """Decode engines with a free stream and memory: (fill, engine)."""
         limit = self.stream_limit(job)
         needed = job.prompt_tokens + job.output_tokens
         found = []
         for endpoint in members:
             load = endpoint.load
-            room = self._room(endpoint, limit, fraction)
+            room = self._max_local_streams(endpoint, limit, fraction)
             if load.streams.own + load.reserved >= room:
                 continue
             kv_capacity = load.kv_capacity
@@ -393,17 +401,17 @@
             found.append((streams / limit * endpoint.slowness, endpoint))
         return found
 
-    def _room(self, endpoint, limit, fraction):
+    def _max_local_streams(self, endpoint, limit, fraction):
         """Streams that this node may have there."""
         streams = endpoint.load.streams
-        if fraction >= FULL:
+        if fraction >= FULL_FRACTION:
             return limit - streams.others
         own = streams.own_at(endpoint.reported_at_s)
         return credits.allowed_streams(
             limit, fraction, own, endpoint.reported_streams
         )
 
-    def _roomiest(self, found):
+    def _choose_decode_engine(self, found):
         """Of two random engines about as empty as the emptiest, the emptier.
 
         Always taking the emptiest sends all nodes that have the same
@@ -415,27 +423,29 @@
             for item in found
             if item[0] <= least + self.settings.slack_streams
         ]
-        return self._two(good)[1]
+        return self._better_of_two(good)[1]
 
-    def _two(self, good):
+    def _better_of_two(self, good):
         if len(good) == 1:
             return good[0]
         first = self.rng.choice(good)
         second = self.rng.choice(good)
         return first if first[0] <= second[0] else second
 
-    def _reading(self, job, endpoint, terms, now_s):
+    def _predict_prefill(self, job, endpoint, context, now_s):
         """Predict reading the prompt there."""
         model = self.models.of_job(job)
         load = endpoint.load
-        cached = self.beliefs.cached_tokens(endpoint.name, job.prefix_blocks)
+        cached = self.cache_estimate.cached_tokens(
+            endpoint.name, job.prefix_blocks
+        )
         tokens = max(1.0, job.prompt_tokens - cached)
         streams = load.streams.total()
         prompt_s = model.prefill_s(endpoint.role, tokens, streams)
         prompt_s *= endpoint.slowness
         wait_s = load.own_wait_s(job.priority, now_s)
         others_s = load.others_wait_s(now_s)
-        wait_s += others_s * terms.others_share
+        wait_s += others_s * context.peers_share
         read_s = prompt_s
         if load.prompts and endpoint.role == PREFILL:
             # The engine finishes its step, and reads ours in a shared one.
@@ -444,7 +454,7 @@
         first_s = max(prompt_s, wait_s + read_s + bias_s)
         return Candidate(endpoint, first_s, first_s, prompt_s, cached)
 
-    def _gate_s(self, endpoint, job, terms, now_s):
+    def _queue_ahead_s(self, endpoint, job, context, now_s):
         """Seconds of prompts that count against the engine's queue.
 
         Urgent prompts overtake others in the engine, so only more urgent
@@ -452,23 +462,23 @@
         its urgent prompts would go on overtaking those of the customer
         whose turn it is, which then never finds the engine free.
         """
-        priority = job.priority if terms.first else LAST_PRIORITY
+        priority = job.priority if context.first else LOWEST_PRIORITY
         return endpoint.load.own_wait_s(priority, now_s)
 
-    def _best_split(self, job, members, terms, now_s):
+    def _best_split(self, job, members, context, now_s):
         """The best engine in the prefill role, if only after a wait."""
         found = []
         for endpoint in members:
-            gate_s = self._gate_s(endpoint, job, terms, now_s)
-            each = self._reading(job, endpoint, terms, now_s)
+            gate_s = self._queue_ahead_s(endpoint, job, context, now_s)
+            each = self._predict_prefill(job, endpoint, context, now_s)
             if gate_s > self.settings.engine_queue_s:
-                later_s = each.score_s + terms.ahead_s
+                later_s = each.score_s + context.backlog_s
                 each = each._replace(
                     score_s=later_s, first_token_s=later_s, blocked=True
                 )
             found.append(each)
         free = [each for each in found if not each.blocked]
-        best = self._pick(free or found, now_s)
+        best = self._choose_candidate(free or found, now_s)
         if best is None:
             return None
         model = self.models.of_job(job)
@@ -478,12 +488,12 @@
             first_token_s=best.first_token_s + moved_s,
         )
 
-    def _mixed_may_win(self, job, split):
+    def _mixed_can_win(self, job, split):
         """Whether a decode engine could be sooner, at its very best."""
         base_s = self.models.of_job(job).mixed_prefill.base
         return split.blocked or job.prompt_tokens * base_s < split.score_s
 
-    def _best_mixed(self, job, found, terms, now_s):
+    def _best_mixed(self, job, found, context, now_s):
         """The best engine in the decode role that could read as well."""
         model = self.models.of_job(job)
         lost = model.mixed_prefill.base / model.prefill.ratio - 1.0
@@ -491,10 +501,10 @@
         for fill, endpoint in found:
             if fill > self.settings.mixed_fill:
                 continue
-            gate_s = self._gate_s(endpoint, job, terms, now_s)
+            gate_s = self._queue_ahead_s(endpoint, job, context, now_s)
             if gate_s > self.settings.engine_queue_s:
                 continue
-            each = self._reading(job, endpoint, terms, now_s)
+            each = self._predict_prefill(job, endpoint, context, now_s)
             extra_s = each.prompt_s * max(0.0, lost) * fill
             cost_s = self.settings.mixed_cost * extra_s
             pace_s = model.pace.at(endpoint.load.streams.total())
@@ -504,9 +514,9 @@
                     first_token_s=each.first_token_s + pace_s,
                 )
             )
-        return self._pick(candidates, now_s)
+        return self._choose_candidate(candidates, now_s)
 
-    def _cheaper(self, split, mixed, terms):
+    def _choose_split_or_mixed(self, split, mixed, context):
         """Two engines, or one for both phases where that is sooner.
 
         Reading on a decode engine takes longer and slows its streams. It is
@@ -515,14 +525,14 @@
         long prompt is read in small pieces there, and whatever comes
         meanwhile makes it longer still, so part of the time is kept back.
         """
-        sure_s = terms.spare_s * self.settings.mixed_sure_share
+        sure_s = context.spare_s * self.settings.mixed_time_share
         if mixed is not None and mixed.first_token_s > sure_s:
             mixed = None
         if split is None or mixed is None:
             return split or mixed
         return split if split.score_s <= mixed.score_s else mixed
 
-    def _pick(self, candidates, now_s):
+    def _choose_candidate(self, candidates, now_s):
         """Of two random ones among the good, the better.
 
         The more other nodes have on the engines, the less a predicted wait
@@ -536,14 +546,14 @@
         blind_s = max(
             each.endpoint.load.others.unseen_s(now_s) for each in candidates
         )
-        slack_s = settings.slack_s + settings.blind_slack * blind_s
+        slack_s = settings.slack_s + settings.peer_load_slack * blind_s
         good = [
             (each.score_s, each)
             for each in candidates
             if each.score_s <= best.score_s + slack_s
             and each.prompt_s <= best.prompt_s + settings.slack_s
         ]
-        return self._two(good)[1]
+        return self._better_of_two(good)[1]
 
 
 def _score_s(candidate):
--- a/magnoliadyke/core/runs.py
+++ b/magnoliadyke/core/runs.py
@@ -32,9 +32,9 @@
         self.charged_s = 0.0
         self.tokens = 0
         self.queued_s = job.arrived_s
-        self.begin()
+        self.begin_attempt()
 
-    def begin(self):
+    def begin_attempt(self):
         """Forget the attempt before."""
         self.prompt_at = None
         self.stream_at = None
@@ -42,10 +42,10 @@
         self.dispatched_s = None
         self.prefill_done_s = None
         self.first_token_s = None
-        self.read_undisturbed = False
-        self.read_by = None
+        self.prefill_undisturbed = False
+        self.prefill_endpoint = None
         self.expected_s = None
-        self.believed_tokens = 0.0
+        self.estimated_cached_tokens = 0.0
         self.streams_at_first = 0.0
 
     def cost_s(self):
@@ -58,7 +58,7 @@
         expected = max(1, self.job.output_tokens)
         return used_s + self.decode_s * min(1.0, self.tokens / expected)
 
-    def was_at(self, endpoint):
+    def has_reached(self, endpoint):
         """Whether it had reached the endpoint, not only a place there."""
         if self.prompt_at is endpoint:
             return True
@@ -72,7 +72,7 @@
         """
         load = endpoint.load
         self.prompt_at = endpoint
-        self.read_undisturbed = load.undisturbed()
+        self.prefill_undisturbed = load.undisturbed()
         load.jobs.add(self.job.id)
         load.add_prompt(self.job.id, self.job.priority, seconds, now_s)
 
@@ -111,8 +111,8 @@
             else:
                 load.reserved -= 1
         self.streaming = False
-        if endpoint.alone == self.job.id:
-            endpoint.alone = None
+        if endpoint.exclusive_job_id == self.job.id:
+            endpoint.exclusive_job_id = None
 
     def leave_prompt(self, now_s):
         """Its prompt is not, or no longer, read there."""
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -46,17 +46,17 @@
 
 #: Jobs that can't be placed before a round gives up. Bounds the work of one
 #: event when many customers wait for a full pool.
-MOST_MISSES = 6
+MAX_UNPLACED_JOBS = 6
 #: Jobs of one customer that are tried when its first has no place.
-LOOK_AHEAD = 4
+LOOKAHEAD_JOBS = 4
 #: How long a node's part of the credits is taken as it was.
-FRACTION_S = 0.25
+FRACTION_INTERVAL_S = 0.25
 #: Prefill that a decode engine does beside its streams, in engines.
-MIXED_CAPACITY = 0.2
-BELIEVED_BLOCKS = 60_000
-LEAST_BELIEVED = 512
+MIXED_PREFILL_CAPACITY = 0.2
+ESTIMATED_BLOCKS = 60_000
+MIN_CACHED_BLOCKS = 512
 #: Least patience of a suspect: others go before it.
-SUSPECT_WAIT_S = 30.0
+MIN_SUSPECT_WAIT_S = 30.0
 REPORTED_STATES = {'in': health.UP}
 TABLE_STATES = {'in': health.UP}
 
@@ -95,11 +95,15 @@
 
     max_streams: int = 64
     priors: costs.CostPriors = costs.DEFAULT_PRIORS
-    patience: admission.AdmissionSettings = admission.DEFAULT_SETTINGS
-    sharing: limits.LimitSettings = limits.DEFAULT_SETTINGS
-    routes: routing.RoutingSettings = routing.DEFAULT_SETTINGS
-    ejection: health.HealthSettings = health.DEFAULT_SETTINGS
-    suspicion: quarantine.QuarantineSettings = quarantine.DEFAULT_SETTINGS
+    admission_settings: admission.AdmissionSettings = (
+        admission.DEFAULT_SETTINGS
+    )
+    limit_settings: limits.LimitSettings = limits.DEFAULT_SETTINGS
+    routing_settings: routing.RoutingSettings = routing.DEFAULT_SETTINGS
+    health_settings: health.HealthSettings = health.DEFAULT_SETTINGS
+    quarantine_settings: quarantine.QuarantineSettings = (
+        quarantine.DEFAULT_SETTINGS
+    )
 
 
 DEFAULT_SETTINGS = SchedulerSettings()
@@ -125,24 +129,26 @@
         self.rng = rng
         self.epoch = rng.randrange(1 << 32)
         self.models = costs.CostModels(settings.priors, settings.max_streams)
-        self.beliefs = prefixes.PrefixBeliefs()
+        self.cache_estimate = prefixes.PrefixCacheEstimate()
         self.router = routing.Router(
             self.models,
-            self.beliefs,
+            self.cache_estimate,
             rng,
-            settings.routes,
+            settings.routing_settings,
             self_failure_domain,
         )
-        self.shares = limits.Shares(settings.sharing)
-        self.limits = limits.Limits(self.shares, settings.sharing)
-        self.quarantine = quarantine.Quarantine(settings.suspicion)
+        self.shares = limits.Shares(settings.limit_settings)
+        self.limits = limits.Limits(self.shares, settings.limit_settings)
+        self.quarantine = quarantine.Quarantine(settings.quarantine_settings)
         self.retries = retries.RetryBudgets()
         self.rows = {}
         self.runs = {}
         self.expiries = []
         self.pool_models = {}
         self._add_endpoints(list(endpoints))
-        self.learner = learning.Learner(self.models, self.beliefs, self.router)
+        self.learner = learning.Learner(
+            self.models, self.cache_estimate, self.router
+        )
         self.suspects = suspects.Suspects(self.quarantine)
         self.exchange = exchange.Exchange(
             self.epoch, self.pools, self.limits, self.quarantine
@@ -154,19 +160,21 @@
             by_pool.setdefault((info.pool, info.kind), []).append(info)
         self.endpoints = {}
         self.pools = {}
-        size = self.settings.routes.subset
+        size = self.settings.routing_settings.subset
         for (name, kind), each in by_pool.items():
             members = [
-                routing.Endpoint(info, self.settings.ejection)
+                routing.Endpoint(info, self.settings.health_settings)
                 for info in routing.subset(each, size, self.epoch)
             ]
             self.endpoints.update((one.name, one) for one in members)
             pool = routing.Pool(name, kind, members, len(each))
-            self.pools[name] = pools.PoolQueue(pool, self.settings.patience)
+            self.pools[name] = pools.PoolQueue(
+                pool, self.settings.admission_settings
+            )
         used = sum(len(p.endpoints.members) for p in self.pools.values())
-        blocks = BELIEVED_BLOCKS // max(1, used)
-        blocks = min(max(blocks, LEAST_BELIEVED), prefixes.MOST_BLOCKS)
-        self.beliefs.most_blocks = blocks
+        blocks = ESTIMATED_BLOCKS // max(1, used)
+        blocks = min(max(blocks, MIN_CACHED_BLOCKS), prefixes.MAX_BLOCKS)
+        self.cache_estimate.max_blocks = blocks
 
     # What the node learns
 
@@ -184,8 +192,8 @@
             state = TABLE_STATES.get(state, health.LEAVING)
             endpoint.health.tabled = state
         for pool in self.pools.values():
-            pool.endpoints.sort()
-        return self._drain_all(now_s)
+            pool.endpoints.regroup()
+        return self._dispatch_all(now_s)
 
     def set_peers(self, count, now_s):
         """So many nodes are live, this one included."""
@@ -203,7 +211,7 @@
         was_out = endpoint.health.is_out()
         endpoint.health.report(state, report.at_s)
         if endpoint.health.is_out() != was_out:
-            self.pools[endpoint.info.pool].endpoints.sort()
+            self.pools[endpoint.info.pool].endpoints.regroup()
         load = endpoint.load
         load.streams.report(report.running, report.at_s)
         load.kv_tokens.report(report.kv_used_tokens, report.at_s)
@@ -214,19 +222,19 @@
         )
         load.report_prompts(prompts_s, report.at_s, now_s)
         self._set_role(endpoint, report.role, now_s)
-        return self._drain_all(now_s)
+        return self._dispatch_all(now_s)
 
     def cache_events(self, name, events, gap, now_s):
         """An engine's cache events: mappings with ``kind`` and ``blocks``."""
         if name not in self.endpoints:
             return []
         if gap:
-            self.beliefs.gap(name)
+            self.cache_estimate.record_event_gap(name)
         for event in events:
             if event['kind'] == 'stored':
-                self.beliefs.stored(name, event['blocks'])
+                self.cache_estimate.record_stored(name, event['blocks'])
             else:
-                self.beliefs.evicted(name, event['blocks'])
+                self.cache_estimate.record_evicted(name, event['blocks'])
         return []
 
     def endpoint_state(self, name, state, now_s):
@@ -236,11 +244,11 @@
             return []
         endpoint.health.observe(state, now_s)
         if state == health.CRASHED:
-            self._crashed(endpoint, now_s)
+            self._record_crash(endpoint, now_s)
         if state in (health.CRASHED, health.LEFT):
-            self.beliefs.wiped(name)
-        self.pools[endpoint.info.pool].endpoints.sort()
-        return self._drain_all(now_s)
+            self.cache_estimate.record_cache_loss(name)
+        self.pools[endpoint.info.pool].endpoints.regroup()
+        return self._dispatch_all(now_s)
 
     def endpoint_role(self, name, role, now_s):
         """An engine works in this role now."""
@@ -248,9 +256,9 @@
         if endpoint is None:
             return []
         self._set_role(endpoint, role, now_s)
-        return self._drain_all(now_s)
+        return self._dispatch_all(now_s)
 
-    def moved(self, job_id, name, now_s):
+    def record_migration(self, job_id, name, now_s):
         """A stream was moved to another engine, by its KV cache."""
         run = self.runs.get(job_id)
         endpoint = self.endpoints.get(name)
@@ -259,7 +267,7 @@
         run.leave_stream(now_s)
         run.join_stream(endpoint, now_s)
         run.begin_stream(now_s)
-        return self._drain_all(now_s)
+        return self._dispatch_all(now_s)
 
     def _set_role(self, endpoint, role, now_s):
         if endpoint.info.kind != 'model' or role not in routing.ROLES:
@@ -268,12 +276,12 @@
             return
         endpoint.role = role
         # The engine lost its cache, and its streams went elsewhere before.
-        self.beliefs.wiped(endpoint.name)
+        self.cache_estimate.record_cache_loss(endpoint.name)
         for job_id in list(endpoint.load.jobs):
             run = self.runs[job_id]
             if run.stream_at is endpoint and run.streaming:
                 run.leave_stream(now_s)
-        self.pools[endpoint.info.pool].endpoints.sort()
+        self.pools[endpoint.info.pool].endpoints.regroup()
 
     def _model_of(self, endpoint):
         # One model a pool is the rule; costs of further ones are fitted
@@ -284,14 +292,14 @@
 
     def submit(self, job, now_s):
         """Queue a job, dispatch it, or refuse it at once."""
-        refusal = self._refusal(job, now_s)
+        refusal = self._early_refusal(job, now_s)
         if refusal is not None:
             return [Refuse(job.id, refusal)]
         row = self.rows.get(job.customer, DEFAULT_ROW)
         self.retries.deposit(job.customer, row.retry_share)
         run = self._new_run(job, row)
         pool = self.pools[job.pool]
-        excess_s = self._excess_s(run, pool, now_s)
+        excess_s = self._excess_wait_s(run, pool, now_s)
         if excess_s <= 0:
             # Last, as what is refused otherwise must not use up the limit.
             tokens = run.admitted_tokens
@@ -303,16 +311,16 @@
         if excess_s > 0:
             return [
                 self._overloaded(job, pool, excess_s),
-                *self._drain_all(now_s),
+                *self._dispatch_all(now_s),
             ]
         self.runs[job.id] = run
         self._queue(run, pool, now_s)
-        actions = self._drain_all(now_s)
+        actions = self._dispatch_all(now_s)
         if run.dispatched_s is None and job.id in self.runs:
             waiting = pool.waiting_count(job.customer)
             if waiting > row.queue_limit:
                 self._forget(run, now_s)
-                wait_s = self._wait_s(run, pool)
+                wait_s = self._predicted_wait_s(run, pool)
                 outcome = admission.queue_full(wait_s, self.rng)
                 actions.append(Refuse(job.id, outcome))
         return actions
@@ -323,16 +331,16 @@
         if run is None:
             return []
         self._forget(run, now_s)
-        self._give_back(run)
-        return self._drain_all(now_s)
+        self._refund_unused(run)
+        return self._dispatch_all(now_s)
 
     def dispatched_prefill_done(self, job_id, now_s):
         """The prompt has been read."""
         run = self.runs.get(job_id)
         if run is None or run.prefill_done_s is not None:
             return []
-        self._prompt_done(run, now_s)
-        return self._drain_all(now_s)
+        self._record_prefill_done(run, now_s)
+        return self._dispatch_all(now_s)
 
     def first_token(self, job_id, now_s):
         """The first output token has come."""
@@ -341,7 +349,7 @@
             return []
         was_read = run.prefill_done_s is not None
         if not was_read:
-            self._prompt_done(run, now_s)
+            self._record_prefill_done(run, now_s)
         run.first_token_s = now_s
         run.tokens = max(run.tokens, 1)
         self.learner.first_token(run, was_read, now_s)
@@ -350,7 +358,7 @@
             pool.lateness.add(now_s - run.expected_s)
         if run.stream_at is not None:
             run.streams_at_first = run.stream_at.load.streams.total()
-        return [] if was_read else self._drain_all(now_s)
+        return [] if was_read else self._dispatch_all(now_s)
 
     def progress(self, job_id, tokens, now_s):
         """So many output tokens have come."""
@@ -366,26 +374,26 @@
             return []
         match result:
             case jobs.Finished():
-                self._whole(run, result, now_s)
+                self._complete(run, result, now_s)
                 actions = []
             case jobs.Failed():
-                actions = self._failed(run, result, now_s)
+                actions = self._handle_failure(run, result, now_s)
             case jobs.Cancelled():
                 self._forget(run, now_s)
-                self._give_back(run)
+                self._refund_unused(run)
                 actions = []
-        return actions + self._drain_all(now_s)
+        return actions + self._dispatch_all(now_s)
 
     def tick(self, now_s):
         """Time has passed: give up what is too late, try what waits."""
         self.shares.tick(now_s)
         self.quarantine.tick(now_s)
-        actions = self._drain_all(now_s)
+        actions = self._dispatch_all(now_s)
         for pool in self.pools.values():
             actions += self._try_suspects(pool, now_s)
         return actions
 
-    def _refusal(self, job, now_s):
+    def _early_refusal(self, job, now_s):
         """Why a new job can't be taken, or None."""
         pool = self.pools.get(job.pool)
         if pool is None:
@@ -400,9 +408,9 @@
         verdict = self.quarantine.verdict(fingerprint, now_s)
         if verdict == quarantine.CONVICTED:
             self.quarantine.seen(fingerprint, now_s)
-            return _convicted()
-        if not pool.endpoints.present():
-            return admission.no_endpoint(admission.MOST_RETRY_S / 10, self.rng)
+            return _crash_rejection()
+        if not pool.endpoints.available_count():
+            return admission.no_endpoint(admission.MAX_RETRY_S / 10, self.rng)
         return None
 
     def _new_run(self, job, row):
@@ -412,20 +420,20 @@
         uncached = job.prompt_tokens * model.uncached.ratio
         service_s = self.router.idle_service_s(job)
         timing = admission.timing(
-            job, service_s, row.queue_wait_s, self.settings.patience
+            job, service_s, row.queue_wait_s, self.settings.admission_settings
         )
         return runs.Run(job, timing, model.job_cost(job, uncached))
 
-    def _excess_s(self, run, pool, now_s):
+    def _excess_wait_s(self, run, pool, now_s):
         """How far the predicted wait exceeds what the job can bear."""
         if not pool.waiting.get(run.job.customer):
             return 0.0
-        wait_s = self._wait_s(run, pool)
+        wait_s = self._predicted_wait_s(run, pool)
         bearable_s = max(0.0, run.timing.latest_start_s - now_s)
-        bearable_s *= self.settings.patience.early_factor
+        bearable_s *= self.settings.admission_settings.early_factor
         return wait_s - bearable_s
 
-    def _wait_s(self, run, pool):
+    def _predicted_wait_s(self, run, pool):
         job = run.job
         prefill_s, decode_s = pool.ahead(job.customer, job.priority)
         share = pool.queue.share(job.customer)
@@ -436,10 +444,12 @@
         by_role = pool.endpoints.by_role
         decode = len(by_role[routing.DECODE])
         prefill = len(by_role[routing.PREFILL])
-        services = len(by_role['']) * self.settings.routes.service_slots
+        services = (
+            len(by_role['']) * self.settings.routing_settings.service_slots
+        )
         fraction = pool.fraction
         return admission.Capacity(
-            (prefill + MIXED_CAPACITY * decode) * fraction,
+            (prefill + MIXED_PREFILL_CAPACITY * decode) * fraction,
             (decode + services) * fraction,
         )
 
@@ -447,7 +457,7 @@
         """Put a job in line, or among the suspects."""
         if self.suspects.verdict(run, now_s) == quarantine.SUSPECT:
             row = self.rows.get(run.job.customer, DEFAULT_ROW)
-            until_s = now_s + max(row.queue_wait_s, SUSPECT_WAIT_S)
+            until_s = now_s + max(row.queue_wait_s, MIN_SUSPECT_WAIT_S)
             run.timing = admission.Timing(until_s, until_s)
             self.suspects.add(run, pool, now_s)
         else:
@@ -475,78 +485,78 @@
 
     # Placing
 
-    def _drain_all(self, now_s):
-        actions = self._expire(now_s)
+    def _dispatch_all(self, now_s):
+        actions = self._refuse_expired(now_s)
         for pool in self.pools.values():
             if len(pool.queue):
-                self._drain(pool, now_s, actions)
+                self._dispatch_pool(pool, now_s, actions)
         return actions
 
-    def _drain(self, pool, now_s, actions):
+    def _dispatch_pool(self, pool, now_s, actions):
         """Dispatch as much as has a place, in fair order."""
         fraction = self._fraction(pool, now_s)
-        misses = 0
+        unplaced = 0
         progress = True
         while progress:
             progress = False
             first = True
-            for customer in pool.queue.order():
+            for customer in pool.queue.customers_by_service():
                 if not self.limits.may_start(customer, now_s):
                     continue
-                terms = routing.Terms(
+                context = routing.PlacementContext(
                     fraction,
-                    ahead_s=self._prompts_ahead_s(pool),
+                    backlog_s=self._prefill_backlog_s(pool),
                     first=first,
                 )
                 first = False
-                action = self._next(pool, customer, terms, now_s)
+                action = self._dispatch_next(pool, customer, context, now_s)
                 if action is not None:
                     actions.append(action)
                     progress = True
                     break
-                misses += 1
-                if misses >= MOST_MISSES:
+                unplaced += 1
+                if unplaced >= MAX_UNPLACED_JOBS:
                     return
 
-    def _prompts_ahead_s(self, pool):
+    def _prefill_backlog_s(self, pool):
         """Seconds in which the engines read the prompts that wait."""
         engines = len(pool.endpoints.by_role[routing.PREFILL])
         return pool.backlog()[1] / max(1, engines)
 
-    def _next(self, pool, customer, terms, now_s):
+    def _dispatch_next(self, pool, customer, context, now_s):
         """Dispatch or refuse one of the customer's first jobs, or None."""
-        head = pool.queue.head(customer)
-        action = self._try(self.runs[head], pool, terms, now_s)
+        head = pool.queue.next_job(customer)
+        action = self._try_place(self.runs[head], pool, context, now_s)
         if action is not None:
             return action
-        for job_id in pool.queue.first(customer, LOOK_AHEAD)[1:]:
-            action = self._try(self.runs[job_id], pool, terms, now_s)
+        for job_id in pool.queue.next_jobs(customer, LOOKAHEAD_JOBS)[1:]:
+            action = self._try_place(self.runs[job_id], pool, context, now_s)
             if action is not None:
                 return action
         return None
 
-    def _try(self, run, pool, terms, now_s):
+    def _try_place(self, run, pool, context, now_s):
         spare_s = run.timing.deadline_s - now_s
         share = pool.mix_before(run.job.priority)
-        terms = terms._replace(
-            spare_s=spare_s, others_share=share, avoid=run.avoid
+        context = context._replace(
+            spare_s=spare_s, peers_share=share, avoid=run.avoid
         )
-        placement = self.router.place(run.job, pool.endpoints, terms, now_s)
+        placement = self.router.place(run.job, pool.endpoints, context, now_s)
         if placement is None:
             return None
         expected_s = placement.first_token_s + pool.lateness.value
         if run.timing.strict and expected_s > spare_s:
-            return self._give_up(run, now_s)
+            return self._refuse_late(run, now_s)
         self._unqueue(run)
         return self._dispatch(run, pool, placement, now_s)
 
     def _dispatch(self, run, pool, placement, now_s, alone=False):
         job = run.job
-        run.begin()
+        run.begin_attempt()
         run.attempts += 1
         run.dispatched_s = now_s
-        run.read_by = placement.prefill
-        run.believed_tokens = placement.cached_tokens
+        run.prefill_endpoint = placement.prefill
+        run.estimated_cached_tokens = placement.cached_tokens
         run.expected_s = now_s + placement.first_token_s
         pool.running += 1
         pool.refusals.add(job.customer, False)
@@ -555,9 +565,11 @@
         pool.queue.charge(job.customer, run.charged_s)
         run.join_stream(placement.endpoint, now_s)
         if job.kind == 'model':
-            reader = placement.prefill
-            run.join_prompt(reader, placement.prompt_s, now_s)
-            self.beliefs.sent(reader.name, job.prefix_blocks)
+            prefill_engine = placement.prefill
+            run.join_prompt(prefill_engine, placement.prompt_s, now_s)
+            self.cache_estimate.record_sent(
+                prefill_engine.name, job.prefix_blocks
+            )
         split = job.kind == 'model' and not placement.mixed()
         return Dispatch(
             job.id,
@@ -573,7 +585,7 @@
             pool.fraction = 1.0
         elif now_s >= pool.fraction_due_s:
             # Summed over all peers, so not anew for each decision.
-            pool.fraction_due_s = now_s + FRACTION_S
+            pool.fraction_due_s = now_s + FRACTION_INTERVAL_S
             demand = pool.demand_s(now_s)
             key = ('pool', pool.number)
             part = self.shares.fraction(key, demand, now_s)
@@ -582,7 +594,7 @@
             pool.fraction = min(1.0, part)
         return pool.fraction
 
-    def _expire(self, now_s):
+    def _refuse_expired(self, now_s):
         """Refuse at once whatever can't start in time any more."""
         actions = []
         while self.expiries and self.expiries[0][0] < now_s:
@@ -592,16 +604,16 @@
                 continue
             if run.dispatched_s is not None:
                 continue
-            actions.append(self._give_up(run, now_s))
+            actions.append(self._refuse_late(run, now_s))
         return actions
 
-    def _give_up(self, run, now_s):
+    def _refuse_late(self, run, now_s):
         pool = self.pools[run.job.pool]
         self._forget(run, now_s)
         if run.ran:
-            return Refuse(run.job.id, _unknown('not_run_again'))
-        self.limits.correct(run.job.customer, -run.admitted_tokens)
-        wait_s = self._wait_s(run, pool)
+            return Refuse(run.job.id, _unknown_outcome('not_run_again'))
+        self.limits.correct_tokens(run.job.customer, -run.admitted_tokens)
+        wait_s = self._predicted_wait_s(run, pool)
         return self._overloaded(run.job, pool, wait_s)
 
     def _overloaded(self, job, pool, excess_s):
@@ -621,18 +633,18 @@
             self.pools[run.job.pool].running -= 1
             self.limits.usage(run.job.customer).running -= 1
 
-    def _give_back(self, run):
+    def _refund_unused(self, run):
         """Take back the charge for what a cancelled job did not use."""
         if run.charged_s:
-            self._recharge(run, run.used_s())
+            self._correct_charge(run, run.used_s())
 
-    def _recharge(self, run, used_s):
+    def _correct_charge(self, run, used_s):
         """Put what a job took in truth in place of the prediction."""
         queue = self.pools[run.job.pool].queue
         queue.charge(run.job.customer, used_s - run.charged_s)
         run.charged_s = used_s
 
-    def _prompt_done(self, run, now_s):
+    def _record_prefill_done(self, run, now_s):
         endpoint = run.prompt_at
         run.prefill_done_s = now_s
         if endpoint is not None:
@@ -641,60 +653,66 @@
             run.leave_prompt(now_s)
         run.begin_stream(now_s)
 
-    def _whole(self, run, result, now_s):
+    def _complete(self, run, result, now_s):
         """A job's whole answer has come."""
         self.quarantine.ran_whole(run.fingerprint, now_s)
-        self._recharge(run, self.learner.finished(run, result, now_s))
+        self._correct_charge(run, self.learner.finished(run, result, now_s))
         tokens = result.prompt_tokens + result.output_tokens
         if run.job.kind == 'model':
-            self.limits.correct(run.job.customer, tokens - run.admitted_tokens)
+            self.limits.correct_tokens(
+                run.job.customer, tokens - run.admitted_tokens
+            )
         self._forget(run, now_s)
 
     # Failures
 
-    def _failed(self, run, failed, now_s):
+    def _handle_failure(self, run, failed, now_s):
         """Decide what becomes of a job whose attempt failed."""
         endpoint = self.endpoints.get(failed.endpoint)
         if endpoint is not None:
-            self._blame_endpoint(run, endpoint, failed, now_s)
+            self._record_endpoint_failure(run, endpoint, failed, now_s)
         run.ran = run.ran or failed.ran
         # An engine that began to change or to leave refuses its work at
         # once and looks idle: all attempts would go there within a moment.
         run.avoid |= {failed.endpoint}
         self._release(run, now_s)
-        self._give_back(run)
+        self._refund_unused(run)
         verdict = quarantine.CLEAR
         if failed.crashed:
             verdict = self.suspects.verdict(run, now_s)
         if verdict == quarantine.CONVICTED:
-            return self._refuse(run, _convicted(), now_s)
+            return self._refuse(run, _crash_rejection(), now_s)
         may_repeat = run.job.repeatable or not run.ran
         if failed.retryable and may_repeat:
-            if self._may_retry(run, endpoint, failed):
-                self._queue_again(run, now_s)
+            if self._can_retry(run, endpoint, failed):
+                self._requeue(run, now_s)
                 return []
-        outcome = _unknown('endpoint_failed') if run.ran else _not_run()
+        outcome = (
+            _unknown_outcome('endpoint_failed')
+            if run.ran
+            else _not_run_outcome()
+        )
         return self._refuse(run, outcome, now_s)
 
-    def _blame_endpoint(self, run, endpoint, failed, now_s):
+    def _record_endpoint_failure(self, run, endpoint, failed, now_s):
         if failed.crashed:
-            self._crashed(endpoint, now_s)
+            self._record_crash(endpoint, now_s)
             # It was there, whether or not its prefill was known done.
             self.suspects.blame(run, endpoint, now_s)
             endpoint.health.eject(now_s)
-            self.beliefs.wiped(endpoint.name)
+            self.cache_estimate.record_cache_loss(endpoint.name)
             return
         if endpoint.health.failed() and not endpoint.health.is_out():
             members = self.pools[endpoint.info.pool].endpoints.members
             states = [each.health for each in members]
-            if health.may_eject(states, now_s, self.settings.ejection):
+            if health.may_eject(states, now_s, self.settings.health_settings):
                 endpoint.health.eject(now_s)
 
-    def _crashed(self, endpoint, now_s):
+    def _record_crash(self, endpoint, now_s):
         runs = [self.runs[job_id] for job_id in endpoint.load.jobs]
         self.suspects.crashed(endpoint, runs, now_s)
 
-    def _may_retry(self, run, endpoint, failed):
+    def _can_retry(self, run, endpoint, failed):
         if run.attempts >= retries.MOST_ATTEMPTS:
             return False
         if failed.crashed:
@@ -707,7 +725,7 @@
             return True
         return self.retries.withdraw(run.job.customer, run.attempts)
 
-    def _queue_again(self, run, now_s):
+    def _requeue(self, run, now_s):
         """Put a job in line for another attempt, with time to wait."""
         row = self.rows.get(run.job.customer, DEFAULT_ROW)
         until_s = now_s + row.queue_wait_s
@@ -724,16 +742,18 @@
         actions = []
         for run, verdict in self.suspects.judged(pool, now_s):
             if verdict == quarantine.CONVICTED:
-                actions += self._refuse(run, _convicted(), now_s)
+                actions += self._refuse(run, _crash_rejection(), now_s)
             else:
                 self._queue(run, pool, now_s)
         run = self.suspects.next(pool, self.runs, now_s)
         if run is None:
             return actions
         spare_s = run.timing.latest_start_s - now_s
-        terms = routing.Terms(self._fraction(pool, now_s), spare_s)
+        context = routing.PlacementContext(
+            self._fraction(pool, now_s), spare_s
+        )
         placement = self.router.place(
-            run.job, pool.endpoints, terms, now_s, among=pool.trial
+            run.job, pool.endpoints, context, now_s, only_endpoint=pool.trial
         )
         if placement is None:
             return actions
@@ -780,7 +800,7 @@
         return len(endpoint.load.jobs) if endpoint is not None else 0
 
 
-def _convicted():
+def _crash_rejection():
     return outcomes.Rejected(
         'crashes_endpoints',
         'this very request crashed two endpoints; change it before you '
@@ -789,13 +809,13 @@
     )
 
 
-def _unknown(reason):
+def _unknown_outcome(reason):
     return outcomes.Unknown(
         reason, 'look whether it took effect before you send it again'
     )
 
 
-def _not_run():
+def _not_run_outcome():
     return outcomes.NotRun(
         'endpoint_failed', 'send it again after retry_after_s'
     )
--- a/magnoliadyke/core/snapshot.py
+++ b/magnoliadyke/core/snapshot.py
@@ -5,13 +5,13 @@
 
 from magnoliadyke.core import health
 
-__all__ = ['CustomerSeen', 'EndpointSeen', 'Snapshot', 'take']
+__all__ = ['CustomerSnapshot', 'EndpointSnapshot', 'Snapshot', 'take']
 
 EJECTED = 'ejected'
-ALONE = 'suspect'
+ON_TRIAL = 'suspect'
 
 
-class EndpointSeen(NamedTuple):
+class EndpointSnapshot(NamedTuple):
     """An endpoint as one node sees it.
 
     :param state: 'up', or why it gets no work: 'crashed', 'leaving',
@@ -30,7 +30,7 @@
     report_age_s: float | None
 
 
-class CustomerSeen(NamedTuple):
+class CustomerSnapshot(NamedTuple):
     """A customer's requests in this node."""
 
     running: int
@@ -40,8 +40,8 @@
 class Snapshot(NamedTuple):
     """All of it, by name."""
 
-    endpoints: dict[str, EndpointSeen]
-    customers: dict[str, CustomerSeen]
+    endpoints: dict[str, EndpointSnapshot]
+    customers: dict[str, CustomerSnapshot]
 
 
 def take(scheduler, now_s: float) -> Snapshot:
@@ -62,7 +62,7 @@
     reported = endpoint.reported_at_s > float('-inf')
     own = len(endpoint.load.jobs)
     running = endpoint.reported_streams if reported else own
-    return EndpointSeen(
+    return EndpointSnapshot(
         state,
         endpoint.role,
         0 if state == health.CRASHED else running,
@@ -72,14 +72,18 @@
 
 
 def _state(endpoint, now_s):
-    words = endpoint.health
-    for word in (words.tabled, words.observed, words.reported):
-        if word in health.OUT_STATES:
-            return word
-    if now_s < words.ejected_until_s:
+    endpoint_health = endpoint.health
+    for state in (
+        endpoint_health.tabled,
+        endpoint_health.observed,
+        endpoint_health.reported,
+    ):
+        if state in health.OUT_STATES:
+            return state
+    if now_s < endpoint_health.ejected_until_s:
         return EJECTED
-    if endpoint.alone is not None:
-        return ALONE
+    if endpoint.exclusive_job_id is not None:
+        return ON_TRIAL
     return health.UP
 
 
@@ -90,6 +94,6 @@
         waits = run.dispatched_s is None
         (queued if waits else running)[run.job.customer] += 1
     return {
-        name: CustomerSeen(running[name], queued[name])
+        name: CustomerSnapshot(running[name], queued[name])
         for name in running.keys() | queued.keys()
     }
--- a/magnoliadyke/core/suspects.py
+++ b/magnoliadyke/core/suspects.py
@@ -29,7 +29,7 @@
         batch = [
             (run.fingerprint, run.tokens)
             for run in runs
-            if run.job.fingerprint and run.was_at(endpoint)
+            if run.job.fingerprint and run.has_reached(endpoint)
         ]
         pool = endpoint.info.pool
         self.judge.blame(endpoint.name, pool, batch, now_s)
@@ -74,8 +74,8 @@
         trial = pool.trial
         if trial is None:
             return None
-        if trial.alone is not None:
-            self.judge.runs(runs[trial.alone].fingerprint, now_s)
+        if trial.exclusive_job_id is not None:
+            self.judge.runs(runs[trial.exclusive_job_id].fingerprint, now_s)
             return None
         for run in pool.suspects:
             if self.judge.turn(run.fingerprint, run.queued_s, now_s):
@@ -88,7 +88,7 @@
     def begins(self, run, pool, now_s):
         """A suspect runs now, and nothing else of this node beside it."""
         pool.suspects.remove(run)
-        pool.trial.alone = run.job.id
+        pool.trial.exclusive_job_id = run.job.id
         self.judge.runs(run.fingerprint, now_s)
 
     def _choose_trial(self, pool):
@@ -98,10 +98,10 @@
         """
         chosen = self._trial_of(pool) if pool.suspects else None
         if pool.trial is not None and pool.trial is not chosen:
-            pool.trial.kept = False
+            pool.trial.is_reserved_for_trial = False
         pool.trial = chosen
         if chosen is not None:
-            chosen.kept = pool.endpoints.present() > 1
+            chosen.is_reserved_for_trial = pool.endpoints.available_count() > 1
 
     def _trial_of(self, pool):
         for role in ('', routing.DECODE, routing.PREFILL):
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -364,7 +364,7 @@
         core = self.scheduler
         name = refuge.choose(core.runs, core.pools, message.job_id, now_s)
         message.reply(name)
-        return core.moved(message.job_id, name, now_s)
+        return core.record_migration(message.job_id, name, now_s)
 
     def learn(self, message, now_s):
         """Return the actions for news of the fleet."""
--- a/magnoliadyke/lab/fakes.py
+++ b/magnoliadyke/lab/fakes.py
@@ -252,7 +252,9 @@
             target = self._decode_endpoint(action.endpoint)
             self._start(target, job, 'decode')
             if target != action.endpoint:
-                self.act(self.scheduler.moved(event.id, target, now_s))
+                self.act(
+                    self.scheduler.record_migration(event.id, target, now_s)
+                )
         if name in self.changing:
             self._change_when_dry(name)
 
@@ -323,7 +325,7 @@
             offset = engine.cancel(job_id, now_s)
             job = self.answers[job_id].job
             self._start(target, job, 'decode', offset)
-            self.act(self.scheduler.moved(job_id, target, now_s))
+            self.act(self.scheduler.record_migration(job_id, target, now_s))
         self._arm(name)
 
     def _least_running(self, besides):
--- a/magnoliadyke/overview.py
+++ b/magnoliadyke/overview.py
@@ -130,7 +130,7 @@
         return []
     return [
         {'name': name}
-        | _fields(seen.customers.get(name, snapshot.CustomerSeen(0, 0)))
+        | _fields(seen.customers.get(name, snapshot.CustomerSnapshot(0, 0)))
         | dict.fromkeys(SHOWN_OUTCOMES, 0)
         | node.metrics.totals.get(name, {})
         for name in sorted(view.customers)
--- a/magnoliadyke/pumps.py
+++ b/magnoliadyke/pumps.py
@@ -46,7 +46,7 @@
         self.watcher = None
         self.heard = 0
         self.connections = run.connections
-        self.pace = attempts.Pace()
+        self.pace = attempts.SilenceTimeout()
         self.seen_heard = -1
         self.quiet_since_s = 0.0
         self.seen_offset = -1
@@ -102,7 +102,7 @@
         if int(data[:start], 16) != len(data) - start - 4:
             return False
         body = data[start + 2 : -2]
-        if not self.assembly.feed_one(self.label, body):
+        if not self.assembly.feed_next_event(self.label, body):
             return False
         self.append(body, data)
         return True
--- a/tests/fakenode.py
+++ b/tests/fakenode.py
@@ -81,8 +81,8 @@
     node.dispatcher = Answers()
     node.dispatcher.demand = mailbox.Topic(dispatch.Demands({}))
     node.dispatcher.answers[dispatch.TakeSnapshot] = snapshot.Snapshot(
-        {ENGINE: snapshot.EndpointSeen('up', 'decode', 3, 1, 0.5)},
-        {'lease': snapshot.CustomerSeen(1, 2)},
+        {ENGINE: snapshot.EndpointSnapshot('up', 'decode', 3, 1, 0.5)},
+        {'lease': snapshot.CustomerSnapshot(1, 2)},
     )
     engine = duties.EngineStatus(ENGINE, 'decode', 'prefill', 3, True, 999.0)
     change = (1.7e9, ENGINE, 'prefill')
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -104,7 +104,7 @@
 
 
 def test_a_fast_stream_is_doubted_sooner_and_a_suspect_one_sooner_still():
-    pace = attempts.Pace(shortest_s=1.0, longest_s=3.0)
+    pace = attempts.SilenceTimeout(min_silence_s=1.0, max_silence_s=3.0)
     assert pace.silence_limit_s() == 3.0
     for step in range(20):
         pace.observe(1 + step * 10, step * 0.25)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -10,8 +10,8 @@
 
 
 def serve(queue, cost_s):
-    customer = queue.order()[0]
-    queue.remove(queue.head(customer))
+    customer = queue.customers_by_service()[0]
+    queue.remove(queue.next_job(customer))
     queue.charge(customer, cost_s)
     return customer
 
@@ -60,7 +60,7 @@
     for job_id, key in (('slow', 5), ('urgent', 0), ('gone', 1)):
         queue.push(job_id, 'lease', key)
     queue.remove('gone')
-    assert queue.first('lease', 4) == ['urgent', 'slow']
+    assert queue.next_jobs('lease', 4) == ['urgent', 'slow']
     assert not queue.remove('gone')
 
 
@@ -96,5 +96,5 @@
     for customer, weight in weights.items():
         counted = queue.counters[customer] * weight
         known = queue.served.get(customer, 0.0) + remote[customer]
-        known += queue.lifted.get(customer, 0.0)
+        known += queue.raised_s.get(customer, 0.0)
         assert counted == pytest.approx(known, abs=1e-6)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -15,16 +15,16 @@
 
 def make_learner():
     models = costs.CostModels()
-    beliefs = prefixes.PrefixBeliefs()
-    router = routing.Router(models, beliefs, random.Random(1))
-    return learning.Learner(models, beliefs, router)
+    cache_estimate = prefixes.PrefixCacheEstimate()
+    router = routing.Router(models, cache_estimate, random.Random(1))
+    return learning.Learner(models, cache_estimate, router)
 
 
 def make_run(tokens=1000):
     job = jobs.Job('j', 'lease', 'p', 'model', 'm', tokens, 100)
     run = runs.Run(job, admission.Timing(2.0, 1.0), (0.2, 0.1))
     run.dispatched_s = 0.0
-    run.read_undisturbed = True
+    run.prefill_undisturbed = True
     return run
 
 
@@ -67,7 +67,7 @@
     endpoint = make_endpoint('prefill')
     for _ in range(300):
         run = make_run()
-        run.read_by = endpoint
+        run.prefill_endpoint = endpoint
         run.expected_s = 1.0
         learner.first_token(run, False, 1.4)
     bias_s = learner.router.bias_s['prefill', 5]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -23,14 +23,14 @@
 
 def exchange(nodes, now_s, lost=()):
     for sender, node in enumerate(nodes):
-        rate, wanted = node.tell('lease', now_s)
+        rate, wanted = node.export_demand('lease', now_s)
         demands = {
             ('lease', 'rate'): rate,
             ('lease', 'concurrency'): wanted,
         }
         for receiver, other in enumerate(nodes):
             if receiver != sender and (sender, receiver) not in lost:
-                other.shares.hear(sender, demands, now_s)
+                other.shares.record_peer_demand(sender, demands, now_s)
 
 
 @hypothesis.given(
@@ -77,8 +77,8 @@
     key = ('lease', 'rate')
     busy = nodes[0].shares.fraction(key, 500, 20.0)
     idle = nodes[1].shares.fraction(key, 0, 20.0)
-    assert busy == pytest.approx(1 - limits.BASE / 2, abs=0.05)
-    assert idle == pytest.approx(limits.BASE / 2, abs=0.05)
+    assert busy == pytest.approx(1 - limits.BASE_SHARE / 2, abs=0.05)
+    assert idle == pytest.approx(limits.BASE_SHARE / 2, abs=0.05)
 
 
 def test_a_partition_alone_overshoots_nothing():
@@ -133,5 +133,5 @@
 def test_unused_tokens_are_given_back():
     (node,) = make_nodes(1, table.CustomerRow(tokens_s=100))
     node.admit('lease', 500, 0.0)
-    node.correct('lease', -450)
+    node.correct_tokens('lease', -450)
     assert node.admit('lease', 10, 0.0) is None
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -20,56 +20,56 @@
 
 
 def test_the_longest_believed_prefix_is_found():
-    beliefs = prefixes.PrefixBeliefs()
+    cache_estimate = prefixes.PrefixCacheEstimate()
     sent = make_blocks('file', 37)
-    beliefs.sent('e1', sent)
+    cache_estimate.record_sent('e1', sent)
     for count in (1, 2, 16, 36, 37):
         asked = sent[:count] + make_blocks('other', 5)
-        assert beliefs.cached_blocks('e1', asked) == count
-    assert beliefs.cached_blocks('e2', sent) == 0
+        assert cache_estimate.cached_blocks('e1', asked) == count
+    assert cache_estimate.cached_blocks('e2', sent) == 0
 
 
 def test_a_gap_lowers_trust_and_wipes_nothing():
     # Events of an engine were lost, among them evictions perhaps. Wiping
     # the beliefs would send every prompt elsewhere and read it anew.
-    beliefs = prefixes.PrefixBeliefs()
+    cache_estimate = prefixes.PrefixCacheEstimate()
     blocks = make_blocks('file', 10)
-    beliefs.sent('e1', blocks)
-    before = beliefs.cached_tokens('e1', blocks)
-    beliefs.gap('e1')
-    assert 0.5 * before < beliefs.cached_tokens('e1', blocks) < before
+    cache_estimate.record_sent('e1', blocks)
+    before = cache_estimate.cached_tokens('e1', blocks)
+    cache_estimate.record_event_gap('e1')
+    assert 0.5 * before < cache_estimate.cached_tokens('e1', blocks) < before
     for _ in range(50):
-        beliefs.confirmed('e1', 640, 640)
-    assert beliefs.cached_tokens('e1', blocks) > 0.95 * before
+        cache_estimate.update_trust('e1', 640, 640)
+    assert cache_estimate.cached_tokens('e1', blocks) > 0.95 * before
 
 
 def test_events_correct_beliefs():
-    beliefs = prefixes.PrefixBeliefs()
+    cache_estimate = prefixes.PrefixCacheEstimate()
     blocks = make_blocks('file', 10)
-    beliefs.sent('e1', blocks)
-    beliefs.evicted('e1', blocks[4:])
-    assert beliefs.cached_blocks('e1', blocks) == 4
-    beliefs.stored('e2', blocks[:6])
-    assert beliefs.cached_blocks('e2', blocks) == 6
-    beliefs.wiped('e1')
-    assert beliefs.cached_blocks('e1', blocks) == 0
+    cache_estimate.record_sent('e1', blocks)
+    cache_estimate.record_evicted('e1', blocks[4:])
+    assert cache_estimate.cached_blocks('e1', blocks) == 4
+    cache_estimate.record_stored('e2', blocks[:6])
+    assert cache_estimate.cached_blocks('e2', blocks) == 6
+    cache_estimate.record_cache_loss('e1')
+    assert cache_estimate.cached_blocks('e1', blocks) == 0
 
 
 def test_holders_are_found_without_asking_every_engine():
-    beliefs = prefixes.PrefixBeliefs()
+    cache_estimate = prefixes.PrefixCacheEstimate()
     sent = make_blocks('file', 37)
-    beliefs.sent('e1', sent)
+    cache_estimate.record_sent('e1', sent)
     asked = sent[:20] + make_blocks('other', 50)
-    assert 'e1' in beliefs.likely_holders(asked)
-    assert beliefs.likely_holders(make_blocks('new', 3)) == ()
+    assert 'e1' in cache_estimate.likely_holders(asked)
+    assert cache_estimate.likely_holders(make_blocks('new', 3)) == ()
 
 
 def test_memory_is_bounded_and_the_far_end_goes_first():
-    beliefs = prefixes.PrefixBeliefs(most_blocks=100)
+    cache_estimate = prefixes.PrefixCacheEstimate(max_blocks=100)
     for number in range(20):
-        beliefs.sent('e1', make_blocks(f'file{number}', 8))
-    assert len(beliefs.blocks['e1']) == 100
+        cache_estimate.record_sent('e1', make_blocks(f'file{number}', 8))
+    assert len(cache_estimate.blocks['e1']) == 100
     oldest = make_blocks('file7', 8)
-    assert 0 < beliefs.cached_blocks('e1', oldest) < 8
-    bound = prefixes.INDEX_FACTOR * beliefs.most_blocks
-    assert len(beliefs.holders) <= bound
+    assert 0 < cache_estimate.cached_blocks('e1', oldest) < 8
+    bound = prefixes.INDEX_FACTOR * cache_estimate.max_blocks
+    assert len(cache_estimate.holders) <= bound
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -20,10 +20,10 @@
     run = make_run()
     run.join_stream(writer, 0.0)
     run.join_prompt(reader, 0.2, 0.0)
-    assert (run.was_at(reader), run.was_at(writer)) == (True, False)
+    assert (run.has_reached(reader), run.has_reached(writer)) == (True, False)
     run.leave_prompt(0.2)
     run.begin_stream(0.2)
-    assert (run.was_at(reader), run.was_at(writer)) == (False, True)
+    assert (run.has_reached(reader), run.has_reached(writer)) == (False, True)
 
 
 def test_what_was_used_grows_with_progress():
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -22,10 +22,10 @@
     made.load_report('e1', jobs.LoadReport(1.0, running=3), 1.0)
     made.submit(jobs.Job('j', 'lease', 'm', model='m'), 1.0)
     seen = snapshot.take(made, 3.0)
-    assert seen.endpoints['e1'] == snapshot.EndpointSeen(
+    assert seen.endpoints['e1'] == snapshot.EndpointSnapshot(
         'up', 'decode', 3, 1, 2.0
     )
-    assert seen.customers == {'lease': snapshot.CustomerSeen(1, 0)}
+    assert seen.customers == {'lease': snapshot.CustomerSnapshot(1, 0)}
 
 
 def test_state_tells_why_an_endpoint_gets_no_work():
