--- a/magnoliadyke/core/fairness.py
+++ b/magnoliadyke/core/fairness.py
@@ -1,23 +1,25 @@
-"""Weighted fair queueing between the customers of one pool.
-
-Each customer has a virtual counter: the engine-seconds it was served,
-divided by its weight.  The waiting customer with the least counter is next.
-"""
+"""Weighted fair queueing between the customers of one pool."""
 
 import heapq
 import itertools
 
 __all__ = ['FairQueue']
 
-#: Least weight that divides a cost, so that no counter runs off.
+#: Lower bound of weights: a cost divided by a weight near 0 would raise the
+#: counter without bound.
 MIN_WEIGHT = 1e-3
 
 
 class FairQueue:
-    """Jobs that wait for one pool, in fair order.
+    """Queued jobs of one pool, in weighted fair order.
+
+    Each customer has a virtual counter: the engine-seconds that it was
+    served, divided by its weight. The customer with queued jobs and the
+    lowest counter is served next.
 
     :param max_lead_s: engine-seconds, for a weight of 1, by which service
-        on other nodes may put a customer behind the others here
+        on other nodes may raise a customer's counter above the lowest
+        counter on this node
     """
 
     def __init__(self, max_lead_s=10.0):
@@ -35,17 +37,20 @@
         return len(self.entries)
 
     def set_weight(self, customer, weight):
-        """Change a weight; the counter stays, so nobody jumps the line."""
+        """Set a customer's weight and keep its counter.
+
+        So a change of weight alone does not reorder the queue.
+        """
         self.weights[customer] = max(weight, MIN_WEIGHT)
 
     def weight(self, customer):
-        """Weight of a customer, 1 when none was set."""
+        """Return a customer's weight, 1 when none was set."""
         return self.weights.get(customer, 1.0)
 
     def push(self, job_id, customer, key):
         """Queue a job.
 
-        :param key: order among the customer's own jobs, least first
+        :param key: order among the customer's own jobs, lowest first
         """
         heap = self.heaps.get(customer)
         if heap is None:
@@ -56,7 +61,10 @@
         heapq.heappush(heap, entry)
 
     def remove(self, job_id):
-        """Take a job out, whether it runs now or was given up."""
+        """Remove a job that was dispatched or refused.
+
+        :returns: whether it was queued
+        """
         entry = self.entries.pop(job_id, None)
         if entry is None:
             return False
@@ -70,16 +78,16 @@
         return True
 
     def customers_by_service(self):
-        """Customers with waiting jobs, the least served first."""
+        """Customers with queued jobs, the lowest counter first."""
         return sorted(self.heaps, key=self.counters.__getitem__)
 
     def next_job(self, customer):
-        """The customer's next job, or None."""
+        """Id of the customer's next job, or None."""
         heap = self.heaps.get(customer)
         return heap[0][2] if heap else None
 
     def next_jobs(self, customer, count):
-        """The customer's next jobs, in order."""
+        """Ids of up to ``count`` next jobs of the customer, in order."""
         heap = self.heaps.get(customer, ())
         if len(heap) == 1 or count == 1:
             return [heap[0][2]] if heap else []
@@ -88,12 +96,16 @@
         return ids[:count]
 
     def waiting(self, customer):
-        """Ids of all the customer's jobs, in no order."""
+        """Ids of all queued jobs of the customer, unordered."""
         heap = self.heaps.get(customer, ())
         return [entry[2] for entry in heap if entry[2] is not None]
 
     def charge(self, customer, cost_s):
-        """Account service by this node; negative corrects a prediction."""
+        """Charge a customer for service by this node.
+
+        :param cost_s: engine-seconds; negative to refund a prediction that
+            was too high
+        """
         counter = self.counters.get(customer, self.virtual_s)
         if cost_s > 0:
             self.virtual_s = max(self.virtual_s, counter)
@@ -101,11 +113,14 @@
         self.served[customer] = self.served.get(customer, 0.0) + cost_s
 
     def charge_remote(self, customer, cost_s):
-        """Account service by another node.
+        """Charge a customer for service by another node.
+
+        The rise is capped. A digest that reports much service elsewhere,
+        late and at once, would otherwise starve the customer here until the
+        counters of the others reach its own, though they may have no such
+        work queued.
 
-        Capped: word of much service elsewhere, late and all at once, would
-        otherwise shut a customer out here for as long as it takes the
-        others to catch up, though they may have no such work to do.
+        :param cost_s: engine-seconds
         """
         floor = self._floor()
         counter = self.counters.get(customer, floor)
@@ -114,7 +129,10 @@
         self.counters[customer] = min(risen, ceiling)
 
     def share(self, customer):
-        """The customer's part of the pool among those that wait."""
+        """The customer's weight as a share of all with queued jobs.
+
+        A customer without queued jobs is counted as if it had some.
+        """
         total = sum(self.weight(name) for name in self.heaps)
         own = self.weight(customer)
         if customer not in self.heaps:
@@ -136,10 +154,10 @@
         return min(self.counters[name] for name in self.heaps)
 
     def _raise_to_floor(self, customer):
-        """Let a customer that had nothing waiting join at the others' level.
+        """Raise a newly queueing customer's counter to the lowest one.
 
-        Without it, a customer idle for an hour would come with an hour of
-        credit and keep everybody else out until it had used it up.
+        Otherwise a customer that was idle for an hour would return with an
+        hour of credit and starve all others until that was used up.
         """
         floor = self._floor()
         counter = self.counters.get(customer, floor)
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -1,4 +1,4 @@
-"""Which endpoints should run a job now, if any."""
+"""Choice of the endpoints that run a job now, if any has room."""
 
 from typing import NamedTuple
 import zlib
@@ -29,22 +29,27 @@
 class RoutingSettings(NamedTuple):
     """Constants of routing.
 
-    :param engine_queue_s: most seconds of this node's prompts that wait in
-        an engine
-    :param sample: endpoints looked at for a job, besides prefix holders
-    :param subset: endpoints of a pool that one node uses
-    :param slack_s: predicted starts this close to the best are as good
-    :param blind_slack: more of it for each second of other nodes' prompts
-        that an engine has on average
-    :param slack_streams: likewise fill levels, as a share of the limit
-    :param pace_share: part of the objective between tokens that is used
-    :param mixed_fill: a decode engine fuller than this gets no prompts
-    :param mixed_cost: seconds of waiting that an engine-second lost by
-        reading a prompt on a decode engine is worth
-    :param mixed_sure_share: part of the time left within which a decode
-        engine has to be predicted to read a prompt
-    :param step_s: step of an engine that reads a long prompt
-    :param service_slots: calls at one plain service at once
+    :param engine_queue_s: most seconds of this node's queued prompts in an
+        engine at which it gets another prompt
+    :param sample: random endpoints that are compared for a job, besides
+        the likely holders of its prefix
+    :param subset: most endpoints of a pool that one node uses
+    :param slack_s: predicted times to the first token that exceed the best
+        by no more than this count as equal
+    :param peer_load_slack: added to ``slack_s`` for each second of
+        unreported prompts that peers are estimated to have on an engine
+    :param slack_streams: fill levels, as a share of the stream limit, that
+        exceed the lowest by no more than this count as equal
+    :param pace_share: share of the job's time between tokens that the
+        predicted decode step may take
+    :param mixed_fill: a decode engine above this share of its stream limit
+        gets no prompts
+    :param mixed_cost: seconds of waiting that are worth one engine-second
+        lost by prefill on a decode engine
+    :param mixed_time_share: share of the remaining time to the first token
+        within which prefill on a decode engine must be predicted to end
+    :param step_s: step time of an engine that prefills a long prompt
+    :param service_slots: most concurrent calls to one plain service
     """
 
     engine_queue_s: float = 0.2
@@ -65,13 +70,14 @@
 
 
 class Placement(NamedTuple):
-    """Where a job should run.
+    """Endpoints chosen for a job, and the predictions for it there.
 
     :param endpoint: :class:`Endpoint` that decodes or serves it
-    :param prefill: :class:`Endpoint` that reads the prompt, may be the same
+    :param prefill: :class:`Endpoint` that prefills it, may be the same
     :param first_token_s: predicted time to the first token, from now
-    :param prompt_s: engine-seconds that reading the prompt takes there
-    :param cached_tokens: prompt tokens believed to be cached there
+    :param prompt_s: predicted engine-seconds of the prefill
+    :param cached_tokens: prompt tokens estimated to be in the cache of
+        ``prefill``
     """
 
     endpoint: object
@@ -81,20 +87,22 @@
     cached_tokens: float
 
     def mixed(self):
-        """Whether one endpoint both reads the prompt and decodes."""
+        """Whether one endpoint does both prefill and decode."""
         return self.prefill is self.endpoint
 
 
 class PlacementContext(NamedTuple):
-    """Under what terms a job is placed.
+    """State of the queue and the job that a placement depends on.
 
-    :param fraction: this node's part of the pool's credits
+    :param fraction: this node's share of the pool's stream credits
     :param spare_s: time left until the first token is due
-    :param ahead_s: seconds of prompts that go before it once engines free
-    :param others_share: part of other nodes' prompts that an engine reads
-        before it
+    :param backlog_s: seconds of queued prompts that the prefill engines
+        take before it
+    :param peers_share: share of the peers' prompts on an engine that are
+        prefilled before it
     :param avoid: names of endpoints where it failed before
-    :param first: whether its customer is the least served of those waiting
+    :param first: whether its customer is the least served of those whose
+        jobs may start
     """
 
     fraction: float = 1.0
@@ -106,10 +114,15 @@
 
 
 class Candidate(NamedTuple):
-    """An endpoint that could read the prompt.
+    """Predictions for the prefill of a job on one endpoint.
 
-    :param score_s: predicted time to the first token, and what it costs
-    :param blocked: enough waits there: the job has to wait in the node
+    :param score_s: predicted time to the first token, plus a penalty for
+        engine time lost by it
+    :param first_token_s: predicted time to the first token, from now
+    :param prompt_s: predicted engine-seconds of the prefill
+    :param cached_tokens: prompt tokens estimated to be cached there
+    :param blocked: the endpoint's queue is at its limit, so the job has to
+        stay queued in the node
     """
 
     endpoint: object
@@ -121,11 +134,17 @@
 
 
 class PrefillSample:
-    """How long an engine took to read the prompts of one step.
+    """Prefill time and prompt tokens of one engine step.
+
+    Prompts that are prefilled in one step end together: the time since the
+    previous end is the whole step for the first of them, and almost 0 for
+    the others. Only their sum gives the time per token.
 
-    Prompts that are read in one step end together: the first after the
-    whole step, the others after no time at all. Only as one sample they
-    tell what a token takes.
+    :ivar seconds: time of the step
+    :ivar tokens: uncached prompt tokens of all its prompts
+    :ivar streams: streams on the engine at the end of the step
+    :ivar undisturbed: whether no prompts of other nodes were known to be
+        on the engine
     """
 
     __slots__ = ('seconds', 'streams', 'tokens', 'undisturbed')
@@ -139,13 +158,17 @@
         self.undisturbed = False
 
     def joins(self, seconds):
-        """Whether a prompt that ends so soon after was in the same step."""
+        """Whether a prompt belongs to the step of the one that ended before.
+
+        :param seconds: time between the ends of the two prefills
+        """
         return seconds < self.SAME_STEP_S
 
     def begin(self, tokens, seconds, streams, undisturbed):
         """Start a sample with the first prompt of a step.
 
-        :param clean: nothing that this node knows of disturbed it
+        :param undisturbed: whether no prompts of other nodes were known to
+            be on the engine
         """
         self.seconds = seconds
         self.tokens = tokens
@@ -154,12 +177,14 @@
 
 
 class Endpoint:
-    """One endpoint as a node sees it.
-
-    :ivar slowness: its time for work, relative to the fitted costs
-    :ivar alone: id of the suspect that has it to itself
-    :ivar kept: it is being freed for a suspect
-    :ivar pace: its times against the predicted ones
+    """A node's view of one endpoint: its health, load and speed.
+
+    :ivar slowness: its decode time relative to the fitted costs
+    :ivar exclusive_job_id: id of the suspect job that runs there without
+        other jobs of this node, or None
+    :ivar is_reserved_for_trial: whether it takes no new jobs, so that a
+        suspect can run there without others
+    :ivar pace: observed decode time as a multiple of the predicted one
     """
 
     def __init__(self, info, health_settings=health.DEFAULT_SETTINGS):
@@ -177,7 +202,7 @@
         self.is_reserved_for_trial = False
 
     def takes_work(self, now_s):
-        """Whether new jobs may go there."""
+        """Whether new jobs may be sent to the endpoint."""
         if self.exclusive_job_id is not None or self.is_reserved_for_trial:
             return False
         return self.health.takes_work(now_s, len(self.load.jobs))
@@ -187,7 +212,7 @@
     """The endpoints of a pool that this node uses, by role.
 
     :param members: those endpoints, as :class:`Endpoint`
-    :param total: endpoints that the pool has
+    :param total: number of all endpoints of the pool
     """
 
     def __init__(self, name, kind, members, total):
@@ -199,31 +224,33 @@
         self.regroup()
 
     def regroup(self):
-        """Group anew, after a role or a state has changed."""
+        """Rebuild ``by_role`` after a change of a role or a state."""
         self.by_role = {PREFILL: [], DECODE: [], '': []}
         for endpoint in self.members:
             if not endpoint.health.is_out():
                 self.by_role[endpoint.role].append(endpoint)
 
     def available_count(self):
-        """Number of endpoints that are not out."""
+        """Number of endpoints that are not leaving, changing or crashed."""
         return sum(len(each) for each in self.by_role.values())
 
 
 def _excluding(members, names):
-    """The members but for these, unless there are no others."""
+    """The members without the named ones; all if no other is left."""
     if not names:
         return members
     return [each for each in members if each.name not in names] or members
 
 
 def subset(infos, size, salt):
-    """A part of a big pool, by rendezvous hashing.
+    """Select a node's endpoints of a large pool by rendezvous hashing.
 
-    Nodes choose by their own salt, so each endpoint has about the same
-    number of nodes, and one that comes or goes moves no other.
+    Each node uses its own salt, so each endpoint is used by about the same
+    number of nodes, and adding or removing one endpoint replaces no other
+    member of a subset.
 
-    :param infos: with a ``name``
+    :param infos: objects with a ``name``
+    :param size: most endpoints to select
     :param salt: differs from node to node
     """
     if len(infos) <= size:
@@ -239,9 +266,13 @@
     """Places the jobs of one node.
 
     :param models: :class:`magnoliadyke.core.costs.CostModels`
-    :param beliefs: :class:`magnoliadyke.core.prefixes.PrefixBeliefs`
+    :param cache_estimate:
+        :class:`magnoliadyke.core.prefixes.PrefixCacheEstimate`
     :param rng: source of randomness
-    :param failure_domain: of this node; near endpoints win ties
+    :param failure_domain: failure domain of this node; of equally loaded
+        services, one in the same domain is preferred
+    :ivar bias_s: mean error of predicted first tokens in seconds, by role
+        of the prefill endpoint and priority
     """
 
     def __init__(
@@ -260,11 +291,14 @@
         self.bias_s = {}
 
     def observe(self, role, priority, error_s):
-        """Learn how far first tokens come after their prediction.
+        """Update the mean delay of first tokens against their prediction.
 
-        Mostly it is what other nodes sent meanwhile, and urgent prompts
-        that overtook. Without it, engines of both roles look sooner than
-        they are, the more crowded of them most.
+        The delay comes mostly from prompts that other nodes sent meanwhile
+        and from urgent prompts that overtook. Without this correction,
+        predictions for both roles are too early, most so for the role that
+        is more loaded.
+
+        :param error_s: actual minus predicted time
         """
         key = (role, priority)
         known_s = self.bias_s.get(key, 0.0)
@@ -273,9 +307,10 @@
     def place(self, job, pool, context, now_s, only_endpoint=None):
         """Choose endpoints for a job.
 
-        :param terms: :class:`Terms`
-        :param among: take none but this endpoint, for a suspect
-        :returns: :class:`Placement`, or None when all are full
+        :param context: :class:`PlacementContext`
+        :param only_endpoint: consider no other endpoint than this one, for
+            the trial of a suspect
+        :returns: :class:`Placement`, or None if the job has to stay queued
         """
         if pool.kind == 'service':
             return self._place_service(pool, context, only_endpoint, now_s)
@@ -310,7 +345,7 @@
         return Placement(target, chosen.endpoint, *chosen[2:5])
 
     def idle_service_s(self, job):
-        """Time to the first token of a job on idle engines."""
+        """Predict the time to the first token on idle engines."""
         model = self.models.of_job(job)
         if job.kind == 'service':
             return model.service.ratio
@@ -320,7 +355,7 @@
         return read_s + moved_s + model.pace.at(1)
 
     def stream_limit(self, job):
-        """Streams of an engine that keep the job's objective."""
+        """Most streams on an engine that meet the job's ``per_token_s``."""
         usable_s = job.per_token_s * self.settings.pace_share
         return self.models.of_job(job).streams_within(usable_s)
 
@@ -331,13 +366,14 @@
         elif len(members) > 2 * self.settings.sample:
             members = self._sample(members, job)
         if only_endpoint is not None:
-            # It is kept from all other work, but not from this.
+            # The trial endpoint takes no other work, so takes_work() does
+            # not apply to it.
             return members
         usable = [each for each in members if each.takes_work(now_s)]
         return _excluding(usable, context.avoid)
 
     def _sample(self, members, job):
-        """A few at random, and those that may hold the prefix."""
+        """Some random endpoints, and the likely holders of the prefix."""
         chosen = {}
         for _ in range(self.settings.sample):
             endpoint = self.rng.choice(members)
@@ -371,7 +407,7 @@
         return Placement(best[1], best[1], wait_s, 0.0, 0.0)
 
     def _place_on_one_engine(self, job, members, context, now_s):
-        """Both phases on one engine, whatever its role."""
+        """Choose one engine, of any role, for both prefill and decode."""
         found = [
             self._predict_prefill(job, each, context, now_s)
             for each in members
@@ -384,7 +420,10 @@
         return Placement(best.endpoint, best.endpoint, *best[2:5])
 
     def _decode_engines_with_room(self, job, members, fraction, now_s):
-        """Decode engines with a free stream and memory: (fill, engine)."""
+        """Decode engines with a free stream and KV cache memory.
+
+        :returns: list of (fill level, endpoint)
+        """
         limit = self.stream_limit(job)
         needed = job.prompt_tokens + job.output_tokens
         found = []
@@ -402,7 +441,7 @@
         return found
 
     def _max_local_streams(self, endpoint, limit, fraction):
-        """Streams that this node may have there."""
+        """Most streams that this node may have on the endpoint."""
         streams = endpoint.load.streams
         if fraction >= FULL_FRACTION:
             return limit - streams.others
@@ -412,10 +451,12 @@
         )
 
     def _choose_decode_engine(self, found):
-        """Of two random engines about as empty as the emptiest, the emptier.
+        """The emptier of two random engines among the emptiest.
 
-        Always taking the emptiest sends all nodes that have the same
-        reports to one engine, which is then the fullest.
+        If all nodes took the emptiest engine, those that have the same load
+        reports would all choose the same one and overload it.
+
+        :param found: list of (fill level, endpoint)
         """
         least = min(item[0] for item in found)
         good = [
@@ -433,7 +474,7 @@
         return first if first[0] <= second[0] else second
 
     def _predict_prefill(self, job, endpoint, context, now_s):
-        """Predict reading the prompt there."""
+        """Predict the prefill of the job on the endpoint."""
         model = self.models.of_job(job)
         load = endpoint.load
         cached = self.cache_estimate.cached_tokens(
@@ -448,25 +489,27 @@
         wait_s += others_s * context.peers_share
         read_s = prompt_s
         if load.prompts and endpoint.role == PREFILL:
-            # The engine finishes its step, and reads ours in a shared one.
+            # The engine first ends its present step, then prefills this
+            # prompt in a step shared with others.
             read_s = max(prompt_s, self.settings.step_s)
         bias_s = self.bias_s.get((endpoint.role, job.priority), 0.0)
         first_s = max(prompt_s, wait_s + read_s + bias_s)
         return Candidate(endpoint, first_s, first_s, prompt_s, cached)
 
     def _queue_ahead_s(self, endpoint, job, context, now_s):
-        """Seconds of prompts that count against the engine's queue.
+        """Seconds of queued prompts compared with ``engine_queue_s``.
 
-        Urgent prompts overtake others in the engine, so only more urgent
-        ones count; but not for a customer that is ahead of its fair share:
-        its urgent prompts would go on overtaking those of the customer
-        whose turn it is, which then never finds the engine free.
+        Engines prefill by priority, so for the least served customer only
+        prompts of the same or a more urgent priority count. For the others
+        all prompts count: otherwise their urgent prompts would keep
+        overtaking those of the customer whose turn it is, which would never
+        find the engine free.
         """
         priority = job.priority if context.first else LOWEST_PRIORITY
         return endpoint.load.own_wait_s(priority, now_s)
 
     def _best_split(self, job, members, context, now_s):
-        """The best engine in the prefill role, if only after a wait."""
+        """The best prefill engine, marked blocked if none has room now."""
         found = []
         for endpoint in members:
             gate_s = self._queue_ahead_s(endpoint, job, context, now_s)
@@ -489,12 +532,12 @@
         )
 
     def _mixed_can_win(self, job, split):
-        """Whether a decode engine could be sooner, at its very best."""
+        """Whether prefill on an idle decode engine could be sooner."""
         base_s = self.models.of_job(job).mixed_prefill.base
         return split.blocked or job.prompt_tokens * base_s < split.score_s
 
     def _best_mixed(self, job, found, context, now_s):
-        """The best engine in the decode role that could read as well."""
+        """The best decode engine for both prefill and decode, or None."""
         model = self.models.of_job(job)
         lost = model.mixed_prefill.base / model.prefill.ratio - 1.0
         candidates = []
@@ -517,13 +560,17 @@
         return self._choose_candidate(candidates, now_s)
 
     def _choose_split_or_mixed(self, split, mixed, context):
-        """Two engines, or one for both phases where that is sooner.
+        """Choose split or mixed placement, whichever is sooner.
+
+        Prefill on a decode engine takes longer and slows its streams, so it
+        is used only if the first token is predicted well before it is due;
+        otherwise the job waits for a prefill engine. A decode engine
+        prefills a long prompt in small chunks, and work that arrives
+        meanwhile delays it further, so ``mixed_time_share`` keeps part of
+        the remaining time in reserve.
 
-        Reading on a decode engine takes longer and slows its streams. It is
-        worth it when that engine has time to spare; where it would make the
-        first token late, the job had better wait for a prefill engine. A
-        long prompt is read in small pieces there, and whatever comes
-        meanwhile makes it longer still, so part of the time is kept back.
+        :param split: :class:`Candidate` in the prefill role, or None
+        :param mixed: :class:`Candidate` in the decode role, or None
         """
         sure_s = context.spare_s * self.settings.mixed_time_share
         if mixed is not None and mixed.first_token_s > sure_s:
@@ -533,11 +580,13 @@
         return split if split.score_s <= mixed.score_s else mixed
 
     def _choose_candidate(self, candidates, now_s):
-        """Of two random ones among the good, the better.
+        """The better of two random candidates among those near the best.
 
-        The more other nodes have on the engines, the less a predicted wait
-        is worth: they have the same reports, and all would choose the
-        engine that was idle then. What has to be read is certain.
+        The more unreported prompts peers are estimated to have on the
+        engines, the less reliable a predicted wait is: peers have the same
+        load reports, and all would choose the engine that was idle at that
+        time. So the tolerance grows with the peers' load. The time of the
+        prefill itself is certain, and its tolerance stays.
         """
         if not candidates:
             return None
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -1,13 +1,4 @@
-"""Decide what runs where and when: events in, typed actions out.
-
-Every input method returns a list of actions. A job that was submitted ends
-in exactly one way: its user reports :class:`jobs.Finished` or
-:class:`jobs.Cancelled` after a :class:`Dispatch`, the scheduler answers
-:class:`Refuse`, or the user calls :meth:`Scheduler.cancel` (no action
-follows). After :class:`jobs.Failed` the scheduler decides: it dispatches the
-job again, at once or later, or it refuses it with the outcome to tell the
-caller.
-"""
+"""Scheduler of one node: takes events, returns dispatches and refusals."""
 
 import dataclasses
 import heapq
@@ -40,36 +31,41 @@
     'SchedulerSettings',
 ]
 
-# The names under which the shell knows these.
+# Re-exported for callers outside core.
 Digest = digests.Digest
 Demand = exchange.Demand
 
-#: Jobs that can't be placed before a round gives up. Bounds the work of one
-#: event when many customers wait for a full pool.
+#: A dispatch round ends when so often no job of the customer at hand could
+#: be placed: bounds the work of one event when many wait for a full pool.
 MAX_UNPLACED_JOBS = 6
-#: Jobs of one customer that are tried when its first has no place.
+#: Queued jobs of one customer that are tried, the first included.
 LOOKAHEAD_JOBS = 4
-#: How long a node's part of the credits is taken as it was.
+#: How long the cached credit share of a pool is used before recomputation.
 FRACTION_INTERVAL_S = 0.25
-#: Prefill that a decode engine does beside its streams, in engines.
+#: Prefill capacity of a decode engine, as a fraction of a prefill engine.
 MIXED_PREFILL_CAPACITY = 0.2
+#: Cached blocks tracked for all engines of the node together.
 ESTIMATED_BLOCKS = 60_000
+#: Cached blocks tracked for each engine, at least.
 MIN_CACHED_BLOCKS = 512
-#: Least patience of a suspect: others go before it.
+#: Least queue timeout of a suspect job, which other jobs overtake.
 MIN_SUSPECT_WAIT_S = 30.0
+#: Health states by the state in a load report, where the names differ.
 REPORTED_STATES = {'in': health.UP}
+#: Health states by the state in an endpoint's table row; others: leaving.
 TABLE_STATES = {'in': health.UP}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Send the job now.
+    """Action: send the job to its endpoints now.
 
     :param endpoint: decodes the job, or serves the call of a plain service
-    :param prefill_endpoint: runs the prompt first; None when ``endpoint``
-        does both
-    :param alone: no other job of this node runs on the endpoint meanwhile
-        :param prompt_s: predicted time to read the prompt, 0 for a service
+    :param prefill_endpoint: prefills the prompt first; None when
+        ``endpoint`` does both
+    :param alone: whether this node runs no other job on the endpoint
+        meanwhile
+    :param prompt_s: predicted prefill time in seconds, 0 for a service
     """
 
     job_id: str
@@ -81,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Tell the caller this outcome; the job is forgotten."""
+    """Action: answer the caller with the outcome; the job has ended."""
 
     job_id: str
     outcome: outcomes.Outcome
@@ -90,7 +86,7 @@
 class SchedulerSettings(NamedTuple):
     """Constants of one scheduler.
 
-    :param max_streams: streams that an engine decodes in one step
+    :param max_streams: most streams that an engine decodes in one step
     """
 
     max_streams: int = 64
@@ -111,11 +107,20 @@
 
 
 class Scheduler:
-    """Owns the queues of one node and what it believes of each endpoint.
+    """Queues of one node and its estimates of each endpoint's state.
+
+    Every method that takes an event returns a list of actions, empty for
+    events that only update estimates. A submitted job ends in exactly one
+    way: :meth:`finished` receives :class:`jobs.Finished` or
+    :class:`jobs.Cancelled` after a :class:`Dispatch`, the scheduler returns
+    :class:`Refuse`, or :meth:`cancel` is called (no action for the job
+    follows). After :class:`jobs.Failed` the scheduler either dispatches the
+    job again, at once or later, or refuses it with the outcome for the
+    caller.
 
     :param endpoints: iterable of :class:`jobs.EndpointInfo`
     :param rng: with ``random()``, ``randrange()`` and ``choice()``
-    :param self_failure_domain: of this node
+    :param self_failure_domain: failure domain of this node
     """
 
     def __init__(
@@ -176,10 +181,10 @@
         blocks = min(max(blocks, MIN_CACHED_BLOCKS), prefixes.MAX_BLOCKS)
         self.cache_estimate.max_blocks = blocks
 
-    # What the node learns
+    # Configuration, load reports and endpoint events
 
     def set_table(self, view, now_s):
-        """A new revision of the table is in force."""
+        """Apply a new revision of the table of customers and endpoints."""
         self.rows = view.customers
         self.limits.set_rows(view.customers)
         for name, row in view.customers.items():
@@ -196,12 +201,15 @@
         return self._dispatch_all(now_s)
 
     def set_peers(self, count, now_s):
-        """So many nodes are live, this one included."""
+        """Set the number of live nodes, this one included."""
         self.shares.set_nodes(count, now_s)
         return []
 
     def load_report(self, name, report, now_s):
-        """An engine's load, true at ``report.at_s`` and maybe lagging."""
+        """Apply an engine's load report, unless a newer one was applied.
+
+        :param report: :class:`jobs.LoadReport`, valid at ``report.at_s``
+        """
         endpoint = self.endpoints.get(name)
         if endpoint is None or report.at_s < endpoint.reported_at_s:
             return []
@@ -225,7 +233,11 @@
         return self._dispatch_all(now_s)
 
     def cache_events(self, name, events, gap, now_s):
-        """An engine's cache events: mappings with ``kind`` and ``blocks``."""
+        """Apply an engine's prefix cache events.
+
+        :param events: mappings with ``kind`` and ``blocks``
+        :param gap: whether events before these were lost
+        """
         if name not in self.endpoints:
             return []
         if gap:
@@ -238,7 +250,10 @@
         return []
 
     def endpoint_state(self, name, state, now_s):
-        """'up', 'leaving', 'left', 'crashed' or 'changing'."""
+        """Record an observed change of an endpoint's state.
+
+        :param state: 'up', 'leaving', 'left', 'crashed' or 'changing'
+        """
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             return []
@@ -251,7 +266,7 @@
         return self._dispatch_all(now_s)
 
     def endpoint_role(self, name, role, now_s):
-        """An engine works in this role now."""
+        """Record that an engine has taken a role, 'prefill' or 'decode'."""
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             return []
@@ -259,7 +274,10 @@
         return self._dispatch_all(now_s)
 
     def record_migration(self, job_id, name, now_s):
-        """A stream was moved to another engine, by its KV cache."""
+        """Record that a stream's KV cache was migrated to another engine.
+
+        :param name: engine that decodes the stream from now on
+        """
         run = self.runs.get(job_id)
         endpoint = self.endpoints.get(name)
         if run is None or endpoint is None:
@@ -275,7 +293,8 @@
         if endpoint.role == role:
             return
         endpoint.role = role
-        # The engine lost its cache, and its streams went elsewhere before.
+        # A role change clears the engine's cache, and its streams were
+        # migrated or ended before it.
         self.cache_estimate.record_cache_loss(endpoint.name)
         for job_id in list(endpoint.load.jobs):
             run = self.runs[job_id]
@@ -284,14 +303,15 @@
         self.pools[endpoint.info.pool].endpoints.regroup()
 
     def _model_of(self, endpoint):
-        # One model a pool is the rule; costs of further ones are fitted
-        # apart, and only this guess about others' prompts uses the first.
+        # Most pools serve one model. Further models have cost models of
+        # their own; only this estimate of queued prompts of unknown model
+        # uses the pool's first one.
         return self.pool_models.get(endpoint.info.pool, endpoint.info.pool)
 
-    # A job's life
+    # Job events
 
     def submit(self, job, now_s):
-        """Queue a job, dispatch it, or refuse it at once."""
+        """Admit a job: dispatch it, queue it, or refuse it at once."""
         refusal = self._early_refusal(job, now_s)
         if refusal is not None:
             return [Refuse(job.id, refusal)]
@@ -301,7 +321,8 @@
         pool = self.pools[job.pool]
         excess_s = self._excess_wait_s(run, pool, now_s)
         if excess_s <= 0:
-            # Last, as what is refused otherwise must not use up the limit.
+            # Checked last: a job refused for another reason must not
+            # consume the customer's rate limit.
             tokens = run.admitted_tokens
             exceeded = self.limits.admit(job.customer, tokens, now_s)
             if exceeded is not None:
@@ -326,7 +347,7 @@
         return actions
 
     def cancel(self, job_id, now_s):
-        """The caller went away, or the node gave the job up."""
+        """End a job whose caller disconnected or that the node dropped."""
         run = self.runs.get(job_id)
         if run is None:
             return []
@@ -335,7 +356,7 @@
         return self._dispatch_all(now_s)
 
     def dispatched_prefill_done(self, job_id, now_s):
-        """The prompt has been read."""
+        """Record that the job's prefill is complete."""
         run = self.runs.get(job_id)
         if run is None or run.prefill_done_s is not None:
             return []
@@ -343,7 +364,7 @@
         return self._dispatch_all(now_s)
 
     def first_token(self, job_id, now_s):
-        """The first output token has come."""
+        """Record that the job's first output token has arrived."""
         run = self.runs.get(job_id)
         if run is None or run.first_token_s is not None:
             return []
@@ -361,14 +382,18 @@
         return [] if was_read else self._dispatch_all(now_s)
 
     def progress(self, job_id, tokens, now_s):
-        """So many output tokens have come."""
+        """Record how many output tokens the job has produced so far."""
         run = self.runs.get(job_id)
         if run is not None:
             run.tokens = max(run.tokens, tokens)
         return []
 
     def finished(self, job_id, result, now_s):
-        """The attempt has ended."""
+        """Record how a dispatched attempt ended.
+
+        :param result: :class:`jobs.Finished`, :class:`jobs.Failed` or
+            :class:`jobs.Cancelled`
+        """
         run = self.runs.get(job_id)
         if run is None or run.dispatched_s is None:
             return []
@@ -385,7 +410,7 @@
         return actions + self._dispatch_all(now_s)
 
     def tick(self, now_s):
-        """Time has passed: give up what is too late, try what waits."""
+        """Refuse expired jobs and try to dispatch queued ones."""
         self.shares.tick(now_s)
         self.quarantine.tick(now_s)
         actions = self._dispatch_all(now_s)
@@ -394,7 +419,7 @@
         return actions
 
     def _early_refusal(self, job, now_s):
-        """Why a new job can't be taken, or None."""
+        """Outcome of a job that can't be queued at all, or None."""
         pool = self.pools.get(job.pool)
         if pool is None:
             return outcomes.Rejected(
@@ -425,7 +450,10 @@
         return runs.Run(job, timing, model.job_cost(job, uncached))
 
     def _excess_wait_s(self, run, pool, now_s):
-        """How far the predicted wait exceeds what the job can bear."""
+        """Seconds by which the predicted wait exceeds the allowed one.
+
+        Above 0 the job is refused on arrival.
+        """
         if not pool.waiting.get(run.job.customer):
             return 0.0
         wait_s = self._predicted_wait_s(run, pool)
@@ -454,7 +482,7 @@
         )
 
     def _queue(self, run, pool, now_s):
-        """Put a job in line, or among the suspects."""
+        """Queue a job: by fair share, or for a trial if it is a suspect."""
         if self.suspects.verdict(run, now_s) == quarantine.SUSPECT:
             row = self.rows.get(run.job.customer, DEFAULT_ROW)
             until_s = now_s + max(row.queue_wait_s, MIN_SUSPECT_WAIT_S)
@@ -478,12 +506,12 @@
             pool.suspects.remove(run)
 
     def _forget(self, run, now_s):
-        """The job has ended, whatever way."""
+        """Remove an ended job from its queue, its endpoints and the node."""
         self._unqueue(run)
         self._release(run, now_s)
         self.runs.pop(run.job.id, None)
 
-    # Placing
+    # Placement
 
     def _dispatch_all(self, now_s):
         actions = self._refuse_expired(now_s)
@@ -493,7 +521,7 @@
         return actions
 
     def _dispatch_pool(self, pool, now_s, actions):
-        """Dispatch as much as has a place, in fair order."""
+        """Dispatch queued jobs of a pool by fair share until none fits."""
         fraction = self._fraction(pool, now_s)
         unplaced = 0
         progress = True
@@ -519,12 +547,15 @@
                     return
 
     def _prefill_backlog_s(self, pool):
-        """Seconds in which the engines read the prompts that wait."""
+        """Seconds that the prefill engines need for all queued prompts."""
         engines = len(pool.endpoints.by_role[routing.PREFILL])
         return pool.backlog()[1] / max(1, engines)
 
     def _dispatch_next(self, pool, customer, context, now_s):
-        """Dispatch or refuse one of the customer's first jobs, or None."""
+        """Dispatch or refuse one of the customer's next jobs.
+
+        :returns: the action, or None if none of them can be placed now
+        """
         head = pool.queue.next_job(customer)
         action = self._try_place(self.runs[head], pool, context, now_s)
         if action is not None:
@@ -580,11 +611,12 @@
         )
 
     def _fraction(self, pool, now_s):
-        """This node's part of the credits of the engines it uses."""
+        """This node's share of the stream credits of the engines it uses."""
         if self.shares.nodes == 1:
             pool.fraction = 1.0
         elif now_s >= pool.fraction_due_s:
-            # Summed over all peers, so not anew for each decision.
+            # Cached: the share sums the demand of all peers, too much work
+            # for each placement.
             pool.fraction_due_s = now_s + FRACTION_INTERVAL_S
             demand = pool.demand_s(now_s)
             key = ('pool', pool.number)
@@ -595,7 +627,7 @@
         return pool.fraction
 
     def _refuse_expired(self, now_s):
-        """Refuse at once whatever can't start in time any more."""
+        """Refuse queued jobs whose latest start has passed."""
         actions = []
         while self.expiries and self.expiries[0][0] < now_s:
             latest_s, job_id = heapq.heappop(self.expiries)
@@ -622,10 +654,10 @@
         outcome = admission.overloaded(excess_s, self.rng, attempts)
         return Refuse(job.id, outcome)
 
-    # Ends
+    # End of jobs and attempts
 
     def _release(self, run, now_s):
-        """Nothing of the job is on any endpoint any more."""
+        """Release what the job holds on its endpoints."""
         run.leave_prompt(now_s)
         run.leave_stream(now_s)
         if run.dispatched_s is not None:
@@ -634,12 +666,12 @@
             self.limits.usage(run.job.customer).running -= 1
 
     def _refund_unused(self, run):
-        """Take back the charge for what a cancelled job did not use."""
+        """Refund the charged engine-seconds that an attempt did not use."""
         if run.charged_s:
             self._correct_charge(run, run.used_s())
 
     def _correct_charge(self, run, used_s):
-        """Put what a job took in truth in place of the prediction."""
+        """Replace the predicted charge by the engine-seconds used."""
         queue = self.pools[run.job.pool].queue
         queue.charge(run.job.customer, used_s - run.charged_s)
         run.charged_s = used_s
@@ -654,7 +686,7 @@
         run.begin_stream(now_s)
 
     def _complete(self, run, result, now_s):
-        """A job's whole answer has come."""
+        """End a job whose complete answer has arrived."""
         self.quarantine.ran_whole(run.fingerprint, now_s)
         self._correct_charge(run, self.learner.finished(run, result, now_s))
         tokens = result.prompt_tokens + result.output_tokens
@@ -667,13 +699,13 @@
     # Failures
 
     def _handle_failure(self, run, failed, now_s):
-        """Decide what becomes of a job whose attempt failed."""
+        """Requeue or refuse a job whose attempt failed."""
         endpoint = self.endpoints.get(failed.endpoint)
         if endpoint is not None:
             self._record_endpoint_failure(run, endpoint, failed, now_s)
         run.ran = run.ran or failed.ran
-        # An engine that began to change or to leave refuses its work at
-        # once and looks idle: all attempts would go there within a moment.
+        # An engine that begins a role change or leaves rejects its work at
+        # once and looks idle: all retries would go there within a moment.
         run.avoid |= {failed.endpoint}
         self._release(run, now_s)
         self._refund_unused(run)
@@ -697,7 +729,8 @@
     def _record_endpoint_failure(self, run, endpoint, failed, now_s):
         if failed.crashed:
             self._record_crash(endpoint, now_s)
-            # It was there, whether or not its prefill was known done.
+            # The failure shows that the job had reached the endpoint, even
+            # if the end of its prefill was not recorded.
             self.suspects.blame(run, endpoint, now_s)
             endpoint.health.eject(now_s)
             self.cache_estimate.record_cache_loss(endpoint.name)
@@ -716,17 +749,23 @@
         if run.attempts >= retries.MOST_ATTEMPTS:
             return False
         if failed.crashed:
-            # Batch mates of a crash go on elsewhere; crashes are too rare,
-            # and quarantine too strict, for this to multiply load.
+            # Jobs that shared the crashed engine's batch retry without
+            # using the retry budget: crashes are too rare, and quarantine
+            # too strict, for these retries to multiply load.
             return True
         planned = endpoint is not None and endpoint.health.is_out()
         if planned and not failed.ran:
-            # It was on its way when the endpoint left: no failure at all.
+            # The endpoint left while the request was in transit, which does
+            # not count as a failure.
             return True
         return self.retries.withdraw(run.job.customer, run.attempts)
 
     def _requeue(self, run, now_s):
-        """Put a job in line for another attempt, with time to wait."""
+        """Queue a job for another attempt.
+
+        A job that may have run, or whose latest start has passed, gets the
+        full queue timeout of its customer again.
+        """
         row = self.rows.get(run.job.customer, DEFAULT_ROW)
         until_s = now_s + row.queue_wait_s
         if run.tokens or run.ran or run.timing.latest_start_s < now_s:
@@ -738,7 +777,10 @@
         return [Refuse(run.job.id, outcome)]
 
     def _try_suspects(self, pool, now_s):
-        """Run the suspect whose turn it is, on the engine kept for it."""
+        """Dispatch the next suspect job to the pool's trial endpoint.
+
+        Suspects that have been judged meanwhile are refused or queued.
+        """
         actions = []
         for run, verdict in self.suspects.judged(pool, now_s):
             if verdict == quarantine.CONVICTED:
@@ -765,37 +807,38 @@
     # Peers
 
     def digest(self, now_s):
-        """This node's news, for all peers."""
+        """Return the gossip digest of this node's state, for all peers."""
         return self.exchange.digest(self.runs.values(), now_s)
 
     def peer_digest(self, host, digest, now_s):
-        """A peer's news."""
+        """Merge a peer's gossip digest."""
         self.exchange.hear(host, digest, now_s)
         return []
 
     def peer_prompt(self, name, read_s, now_s):
-        """Another node gave an engine a prompt, a moment ago.
+        """Record a prompt that another node has just sent to an engine.
 
-        :param read_s: how long the engine will read it
+        :param name: the engine
+        :param read_s: predicted prefill time in seconds
         """
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
             endpoint.load.others.told(read_s, now_s)
 
     def demand(self, pool_name, now_s):
-        """What the pool is asked for, by all nodes heard of late."""
+        """Return the pool's demand, summed over nodes with fresh digests."""
         return self.exchange.demand(pool_name, now_s)
 
     def subset(self, pool_name):
         """Names of the pool's endpoints that this node uses.
 
-        Only these need their load reports and cache events read.
+        The node needs load reports and cache events of these only.
         """
         members = self.pools[pool_name].endpoints.members
         return [endpoint.name for endpoint in members]
 
     def in_flight(self, endpoint_name):
-        """This node's jobs on an endpoint."""
+        """Number of this node's jobs on an endpoint."""
         endpoint = self.endpoints.get(endpoint_name)
         return len(endpoint.load.jobs) if endpoint is not None else 0
 
