--- a/magnoliadyke/core/admission.py
+++ b/magnoliadyke/core/admission.py
@@ -1,9 +1,4 @@
-"""Which requests are refused unrun, when, and what their callers are told.
-
-A request that can't be answered in time any more only takes engine time
-from those that can.  It is refused at once with the time after which a new
-one would fare better, and isn't held in the hope of a miracle.
-"""
+"""Admission control: start deadlines, refusals and their retry-after."""
 
 from typing import NamedTuple
 
@@ -26,23 +21,26 @@
 
 MIN_RETRY_S = 0.5
 MAX_RETRY_S = 60.0
-#: Retry times are spread by up to this part, lest callers come back as one.
+#: Random increase of a retry-after by up to this share, so that refused
+#: callers do not all retry at the same time.
 RETRY_SPREAD = 0.5
 
 
 class AdmissionSettings(NamedTuple):
     """Constants of admission.
 
-    :param reserve_share: least part of its objective that a job's prefill
-        must leave on an idle engine for the objective to be in reach
-    :param late_share: jobs that are predicted to be late with a greater
-        probability are refused
+    :param reserve_share: an objective counts as reachable if service on
+        idle engines leaves more than this share of it
+    :param late_share: jobs whose first token is predicted to be late with a
+        greater probability are refused
+    :param error_step_s: step by which one prediction error moves the
+        quantile of the errors
     :param background_priority: from this priority on, the objective for
-        the first token doesn't count, only the longest wait does
-    :param hopeless_factor: a job that takes longer than its objective even
-        on an idle engine may wait this many times its own service time
-    :param early_factor: refused on arrival when the wait is predicted at
-        this many times what the job can bear
+        the first token does not apply, only the queue timeout does
+    :param unreachable_factor: a job whose objective is out of reach even on
+        an idle engine may wait this many times its own service time
+    :param early_factor: a job is refused on arrival if its predicted wait
+        exceeds this many times the wait that its latest start allows
     """
 
     reserve_share: float = 0.1
@@ -57,11 +55,15 @@
 
 
 class Timing(NamedTuple):
-    """When a job has to start.
+    """Deadlines of a job, in monotonic seconds.
+
+    A job that cannot meet its deadline any more is refused at once with a
+    retry-after: it would only take engine time from jobs that can.
 
-    :param deadline_s: when the first token is due, or the wait ends
-    :param latest_start_s: starting later, it misses that
-    :param strict: a late first token is worth nothing
+    :param deadline_s: when the first token is due, or the queue timeout ends
+    :param latest_start_s: the job is refused if not dispatched by then
+    :param strict: whether the job is refused if its first token is
+        predicted after ``deadline_s``
     """
 
     deadline_s: float
@@ -70,17 +72,18 @@
 
 
 class Capacity(NamedTuple):
-    """Engines that serve a pool now, weighted by their speed."""
+    """Capacity of a pool that this node may use, in engines."""
 
     prefill: float
     decode: float
 
 
 def timing(job, service_s, queue_wait_s, settings=DEFAULT_SETTINGS):
-    """Work out how long a job may wait.
+    """Compute the deadlines of a job.
 
-    :param service_s: least time to its first token, on an idle engine
-    :param queue_wait_s: longest wait of its customer's row
+    :param service_s: predicted time to its first token on idle engines
+    :param queue_wait_s: queue timeout of its customer
+    :returns: :class:`Timing`
     """
     wait_end_s = job.arrived_s + queue_wait_s
     if job.priority >= settings.background_priority:
@@ -88,8 +91,9 @@
     spare_s = job.first_token_s - service_s
     deadline_s = job.arrived_s + job.first_token_s
     if spare_s <= settings.reserve_share * job.first_token_s:
-        # No engine is fast enough for its objective: it is served late
-        # rather than never, and waits as long as it will take.
+        # No engine is fast enough for the objective: the job is served
+        # late rather than refused, and may wait in proportion to its own
+        # service time.
         spare_s = settings.unreachable_factor * service_s
         latest_s = min(job.arrived_s + spare_s, wait_end_s)
         return Timing(deadline_s, latest_s)
@@ -98,11 +102,11 @@
 
 
 class RefusalShares:
-    """What part of its late requests each customer had refused.
+    """Moving share of refused requests, by customer.
 
-    The queue alone says little about when to come back: shedding keeps it
-    short however great the overload is. Were callers told the length of the
-    queue, most would be refused again, and again.
+    A retry-after from the queue length alone would be too short: shedding
+    keeps the queue short at any overload, and most callers would be refused
+    again and again. The share gives the expected number of attempts.
     """
 
     STEP = 0.03
@@ -112,7 +116,7 @@
         self.shares = {}
 
     def add(self, customer, refused):
-        """Account what became of a request that was late in the queue.
+        """Record that a request was refused as overload or dispatched.
 
         :param refused: whether it was refused
         """
@@ -121,16 +125,16 @@
         self.shares[customer] = share + self.STEP * (target - share)
 
     def attempts(self, customer):
-        """Requests that it now takes, on average, to get one taken."""
+        """Expected number of requests until one of them is dispatched."""
         share = min(self.shares.get(customer, 0.0), self.MAX_SHARE)
         return 1.0 / (1.0 - share)
 
 
 class ErrorQuantile:
-    """A quantile of how far predictions fall short, followed online.
+    """Online estimate of a quantile of the prediction errors.
 
-    :param share: part of the errors that should lie below
-    :param step: how far one error moves the quantile
+    :param share: share of the errors that should lie below the quantile
+    :param step: seconds by which one error moves the estimate at most
     """
 
     __slots__ = ('share', 'step', 'value')
@@ -141,20 +145,22 @@
         self.value = 0.0
 
     def add(self, error):
-        """Move the quantile towards an error that was observed.
+        """Move the estimate towards an observed error.
 
-        :param error: in seconds, above 0 when the prediction was too short
+        :param error: in seconds, above 0 when the prediction was too early
         """
         above = error > self.value
         self.value += self.step * (self.share - (0.0 if above else 1.0))
 
 
 def predicted_wait_s(prefill_s, decode_s, capacity, share):
-    """Time until so much queued work ahead has gone to engines.
+    """Predict the time until the queued work ahead of a job is dispatched.
 
-    :param prefill_s: engine-seconds of the customer's prefill ahead
-    :param decode_s: engine-seconds of its decode ahead
-    :param share: the customer's part of the capacity
+    :param prefill_s: engine-seconds of prefill that the customer has queued
+        ahead of the job
+    :param decode_s: engine-seconds of decode, likewise
+    :param capacity: :class:`Capacity`
+    :param share: the customer's share of the capacity
     """
     waits = [0.0]
     if capacity.prefill > 0:
@@ -165,10 +171,10 @@
 
 
 def retry_after_s(excess_s, rng, attempts=1.0):
-    """An honest time to come back.
+    """Compute the retry-after of a refusal, in seconds.
 
-    :param excess_s: until what is too much will have drained
-    :param attempts: that it takes on average to be taken
+    :param excess_s: time in which the excess queue is served
+    :param attempts: expected number of attempts until one is accepted
     """
     spread = 1.0 + RETRY_SPREAD * rng.random()
     wait_s = max(excess_s, MIN_RETRY_S) * attempts
@@ -176,10 +182,10 @@
 
 
 def overloaded(excess_s, rng, attempts=1.0):
-    """Refuse a job that can't be served within its objectives.
+    """Return the outcome of a job that can't meet its objectives.
 
-    :param excess_s: until what is too much will have drained
-    :param attempts: that it takes on average to be taken
+    :param excess_s: time in which the excess queue is served
+    :param attempts: expected number of attempts until one is accepted
     """
     return outcomes.NotRun(
         'overloaded',
@@ -190,9 +196,9 @@
 
 
 def queue_full(excess_s, rng):
-    """Refuse a job for which its customer's queue has no room.
+    """Return the outcome of a job over its customer's queue limit.
 
-    :param excess_s: until what is too much will have drained
+    :param excess_s: time in which the excess queue is served
     """
     return outcomes.NotRun(
         'queue_full',
@@ -203,7 +209,7 @@
 
 
 def limit_exceeded(exceeded):
-    """Refuse a job that would break a limit.
+    """Return the outcome of a job that exceeds a rate limit.
 
     :param exceeded: :class:`magnoliadyke.core.limits.Exceeded`
     """
@@ -215,9 +221,9 @@
 
 
 def no_endpoint(excess_s, rng):
-    """Refuse a job whose pool has no endpoint that takes work.
+    """Return the outcome of a job whose pool has no available endpoint.
 
-    :param excess_s: until one may be back
+    :param excess_s: time after which an endpoint may be available again
     """
     return outcomes.NotRun(
         'no_endpoint',
--- a/magnoliadyke/core/attempts.py
+++ b/magnoliadyke/core/attempts.py
@@ -1,8 +1,4 @@
-"""Put the event stream of an answer together, attempt by attempt.
-
-Engines put first in each event which output tokens it holds, so that this
-module reads a few bytes of each event and passes the rest on unparsed.
-"""
+"""Assembly of an answer's event stream from one or more attempts."""
 
 import json
 import re
@@ -22,18 +18,20 @@
 OFFSET_START = b'data: {"offset":'
 OFFSET_LENGTH = len(OFFSET_START)
 END_FIELD = b',"end":'
-#: The usual next event: one token. Others are read by the long way.
+#: Start of the usual next event, which holds one token. Only such events
+#: take the fast path of :meth:`Assembly.feed_next_event`.
 NEXT_EVENT_START = OFFSET_START + b'%d' + END_FIELD + b'%d,'
 UNFINISHED = b'"finish_reason":null'
 TEXT = re.compile(rb'"text":\s*("(?:[^"\\]|\\.)*")')
-# Room for one event; an engine that never ends one must not fill memory.
+# An engine that never ends an event must not exhaust memory.
 MAX_EVENT_BYTES = 1 << 20
 
 
 def attempt_id(key, number):
-    """Return the id under which an engine knows one attempt.
+    """Return the id of one attempt at an engine.
 
-    It follows from the key, so that another node can find the stream.
+    It is derived from the request key, so that another node can resume the
+    stream.
 
     :param key: short digest of the request key
     :param number: 1 for the first attempt
@@ -42,11 +40,14 @@
 
 
 class Assembly:
-    """The answer so far, from however many attempts it took.
+    """The answer so far, assembled from the events of all attempts.
 
-    Only the current attempt adds to it, only at the present offset, and
-    only a finish mark at that offset completes it.
+    Only events of the current attempt that start at the present offset are
+    accepted, and only a final event at that offset completes the answer.
+    Each event begins with its token offsets, so only its first bytes are
+    parsed and the rest is passed on as it is.
 
+    :ivar attempt: id of the current attempt
     :ivar offset: output tokens accepted
     :ivar finished: the final event, or None
     :ivar gap: whether tokens are missing; the attempt has to be resumed
@@ -63,9 +64,10 @@
         self.unparsed = b''
 
     def begin(self, attempt):
-        """Take events of ``attempt`` from now on, and of no other.
+        """Accept events of ``attempt`` from now on, and of no other.
 
-        :param attempt: attempt id, also after a resume on a new connection
+        :param attempt: attempt id; the same after a resume on a new
+            connection
         """
         self.attempt = attempt
         self.unparsed = b''
@@ -73,14 +75,14 @@
         self.error = None
 
     def feed(self, attempt, data):
-        """Read what an attempt has sent.
+        """Process bytes that an engine has sent for an attempt.
 
-        :param attempt: id of the attempt whose connection this came from
+        :param attempt: id of the attempt whose connection sent the bytes
         :param data: bytes of an event stream, cut anywhere
-        :return: whole events to pass on, as bytes, ``b''`` if none
+        :return: complete events to pass on, as bytes, ``b''`` if none
         """
-        # A connection that was given up may still deliver: its bytes would
-        # double or cross the text of the attempt that replaced it.
+        # A dropped connection may still deliver bytes, which would repeat
+        # or interleave with the text of the attempt that replaced it.
         if attempt != self.attempt or self.finished is not None:
             return b''
         if self.feed_next_event(attempt, data):
@@ -88,11 +90,11 @@
         return self.feed_chunk(data)
 
     def feed_next_event(self, attempt, data):
-        """Take ``data`` if it is exactly the one event that is due.
+        """Accept ``data`` if it is exactly the expected one-token event.
 
-        This runs for each token, hence no more is parsed than this.
+        Runs for each token, so it parses no more than this check needs.
 
-        :return: whether it was taken; nothing has happened if not
+        :return: whether it was accepted; if not, nothing has changed
         """
         if (
             not data.startswith(self.next_event_start)
@@ -107,12 +109,15 @@
         return True
 
     def advance(self, offset):
-        """Go on at an offset."""
+        """Set the offset at which the next event is accepted."""
         self.offset = offset
         self.next_event_start = NEXT_EVENT_START % (offset, offset + 1)
 
     def feed_chunk(self, data):
-        """Cut ``data`` into events and take them one by one."""
+        """Split buffered bytes and ``data`` into events and apply each.
+
+        :return: accepted events, as bytes
+        """
         data = self.unparsed + data
         accepted = []
         start = 0
@@ -130,7 +135,7 @@
         return b''.join(accepted)
 
     def apply_event(self, event):
-        """Judge one whole event; return whether it is passed on."""
+        """Apply one complete event; return whether to pass it on."""
         if not event.startswith(OFFSET_START):
             self.record_error(event)
             return False
@@ -147,7 +152,7 @@
         return True
 
     def record_error(self, event):
-        """Note an error event; comments and the end mark say nothing."""
+        """Record an error event; ignore comments and the end mark."""
         if event.startswith(b'event: error'):
             _, _, event = event.partition(b'\n')
         if event.startswith(b'data: {"error"'):
@@ -155,11 +160,11 @@
 
 
 def end_of(event):
-    """Return the offset behind an event's tokens, 0 if it doesn't tell.
+    """Return the offset after an event's tokens, 0 without an ``end`` field.
 
-    How many tokens an event holds is the engine's word alone: text can be
-    cut into tokens in any way, and a count that was off by one would drop
-    the next event as one that had been seen.
+    The number of tokens is taken from the engine only: text can be split
+    into tokens in several ways, and with a count one too high the next
+    event would be dropped as a repetition.
     """
     after = event.index(b',', OFFSET_LENGTH)
     start = after + len(END_FIELD)
@@ -169,13 +174,13 @@
 
 
 def read_usage(final_event):
-    """Return the usage figures (tokens) of a final event as a dict."""
+    """Return the ``usage`` field of a final event, token counts by name."""
     document = json.loads(final_event[len(b'data: ') :])
     return document.get('usage') or {}
 
 
 def text_of(events):
-    """Return the text of a run of events."""
+    """Return the concatenated text of consecutive events."""
     pieces = TEXT.findall(events)
     return ''.join(json.loads(b'[' + b','.join(pieces) + b']'))
 
@@ -183,25 +188,25 @@
 def events_from(events, offset):
     """Return the part of ``events`` that starts at an output offset.
 
-    A reader that stopped inside an event gets all: its :class:`Assembly`
-    drops what it has.
+    If no event starts at the offset, all are returned: the receiver's
+    :class:`Assembly` drops those that it has already.
 
-    :param events: whole events in order
-    :param offset: output tokens the reader has already
+    :param events: complete events in order, as bytes
+    :param offset: output tokens that the receiver has already
     """
     mark = events.find(OFFSET_START + b'%d,' % offset)
     return events[mark:] if mark > 0 else events
 
 
 class SilenceTimeout:
-    """Predict when a stream should have spoken again.
+    """Adaptive timeout for a stream on which no bytes arrive.
 
-    An engine sends a comment after each idle second, so a connection with
-    nothing at all for clearly longer has lost its other end. A stream whose
-    tokens came fast is doubted sooner.
+    An engine sends a comment after each idle second, so a connection that
+    stays silent for clearly longer has lost its peer. The faster the tokens
+    of a stream have arrived, the shorter is its timeout.
 
-    :param shortest_s: least silence that is doubted, in seconds
-    :param longest_s: silence that is always doubted, in seconds
+    :param min_silence_s: least timeout
+    :param max_silence_s: greatest timeout, also before any estimate
     """
 
     TOKENS_MISSED = 20
@@ -215,7 +220,9 @@
         self.observed_tokens = 0
 
     def observe(self, tokens, now_s):
-        """Note how far the stream is; called now and then, not per token.
+        """Update the estimated time between tokens.
+
+        Called at intervals, not for each token.
 
         :param tokens: output tokens so far
         """
@@ -235,9 +242,10 @@
             self.observed_s = now_s
 
     def silence_limit_s(self, suspect=False):
-        """Return the silence after which the connection is doubted.
+        """Return the silence in seconds after which a connection is suspect.
 
-        :param suspect: a sibling connection to the same address went silent
+        :param suspect: whether another connection to the same address has
+            exceeded its timeout, which halves this one
         """
         if self.token_interval_s is None:
             limit_s = self.max_silence_s
--- a/magnoliadyke/core/costs.py
+++ b/magnoliadyke/core/costs.py
@@ -1,9 +1,4 @@
-"""What work costs in engine-seconds, fitted online for each model.
-
-Tokens are no measure of work once the mix of prompt and output moves: an
-output token takes an engine ten times as long as a prompt token, and how
-long depends on how many streams share the step.  Engine-seconds add up.
-"""
+"""Cost models of requests in engine-seconds, fitted online per model."""
 
 from typing import NamedTuple
 
@@ -18,23 +13,26 @@
 
 DECODE = 'decode'
 PREFILL = 'prefill'
-#: Keeps a quotient that is whole but for its last digit from falling.
+#: Added before a quotient is truncated: rounding errors must not turn a
+#: whole number into the next lower one.
 ROUNDING_TOLERANCE = 1e-6
-#: Weight of samples that are longer than expected, of 1.
+#: Weight of mixed prefill samples above the fitted time; others have 1 minus
+#: this weight.
 SLOW_SAMPLE_WEIGHT = 0.3
 
 
 class CostPriors(NamedTuple):
-    """What a model is taken to cost before anything was measured.
-
-    :param prefill_s_per_token: on an engine in the prefill role
-    :param mixed_prefill_s_per_token: on an engine that also decodes
-    :param mixed_prefill_s_per_stream: more of it for each stream there
-    :param decode_base_s: a decode step without streams
-    :param decode_s_per_stream: more of it for each stream
-    :param transfer_s_per_token: KV cache moved to the decoding engine
-    :param bytes_per_token: of prompt text
-    :param service_s: a call of a plain service
+    """Assumed costs of a model before the first samples.
+
+    :param prefill_s_per_token: prefill in the prefill role
+    :param mixed_prefill_s_per_token: prefill in the decode role
+    :param mixed_prefill_s_per_stream: increase of the latter for each
+        stream that the engine decodes
+    :param decode_base_s: fixed part of a decode step
+    :param decode_s_per_stream: increase of it for each stream
+    :param transfer_s_per_token: KV cache transfer to the decode engine
+    :param bytes_per_token: bytes of prompt text in a token
+    :param service_s: duration of a call to a plain service
     """
 
     prefill_s_per_token: float = 0.0002
@@ -51,11 +49,11 @@
 
 
 class RatioFit:
-    """``y = ratio * x``, forgetting what is old.
+    """Online fit of ``y = ratio * x`` with exponential forgetting.
 
     :param prior: ratio before any sample
     :param prior_x: weight of the prior, in units of x
-    :param memory_x: samples older than about this much x are forgotten
+    :param memory_x: decay constant of past samples, in units of x
     """
 
     __slots__ = ('memory_x', 'ratio', 'sum_x', 'sum_y')
@@ -67,7 +65,7 @@
         self.memory_x = memory_x
 
     def add(self, x, y):
-        """Take a sample; one without x, or with y below 0, tells nothing."""
+        """Add a sample; ignored if x is not above 0 or y is below 0."""
         if x <= 0 or y < 0:
             return
         keep = max(0.0, 1.0 - x / self.memory_x)
@@ -77,14 +75,16 @@
 
 
 class QuantileFit:
-    """``y = ratio * x`` for the least disturbed of the samples.
+    """Online fit of ``y = ratio * x`` to a low quantile of the ratios.
 
-    The time to read a prompt is known only with what was read before it for
-    other nodes, which nobody tells us. Such samples are too long, never too
-    short, so a low quantile of the ratios is followed, not their mean.
+    The observed time of a prefill includes prompts of other nodes that the
+    engine processed before it and that this node does not see. Such samples
+    are too long, never too short, so a low quantile is less biased than the
+    mean.
 
-    :param share: part of the samples that lie below
-    :param full_x: samples of this size and above have full weight
+    :param prior: ratio before any sample
+    :param full_x: samples of this x and above have full weight
+    :param share: share of the samples that lie below the fitted ratio
     """
 
     __slots__ = ('full_x', 'ratio', 'share')
@@ -97,7 +97,7 @@
         self.share = share
 
     def add(self, x, y):
-        """Take a sample; one without x, or with y below 0, tells nothing."""
+        """Add a sample; ignored if x is not above 0 or y is below 0."""
         if x <= 0 or y < 0:
             return
         step = self.STEP * min(1.0, x / self.full_x)
@@ -106,13 +106,17 @@
 
 
 class LinearFit:
-    """``y = base + slope * x`` by least squares, forgetting what is old.
+    """Online least-squares fit of ``y = base + slope * x`` with forgetting.
 
-    The prior counts as two samples that are never forgotten: while x hardly
-    moves, the measured samples alone don't say what is base and what is
-    slope, and the split would drift with the noise.
+    The prior counts as two samples that are never forgotten, at x of 0 and
+    of ``far_x``. While x hardly varies, the observed samples alone do not
+    determine base and slope, which would drift with the noise.
 
-    :param memory: samples of weight 1 that are remembered
+    :param base: prior of the base
+    :param slope: prior of the slope
+    :param far_x: x of the second prior sample
+    :param prior_weight: weight of each prior sample
+    :param memory: decay constant, in samples of weight 1
     """
 
     __slots__ = ('base', 'keep', 'prior', 'slope', 'sums')
@@ -131,9 +135,9 @@
         return self.base + self.slope * x
 
     def add(self, x, y, weight=1.0):
-        """Take a sample.
+        """Add a sample and refit.
 
-        :param weight: of the sample, 1 for a full one
+        :param weight: weight of the sample, 1 for a full one
         """
         keep = self.keep**weight
         new = _sums(x, y, weight)
@@ -159,7 +163,16 @@
 class CostModel:
     """Costs of one model, or of one pool of plain services.
 
-    :param max_streams: streams that an engine decodes in one step
+    Costs are in engine-seconds, which add up. Token counts do not measure
+    work once the mix of prompt and output changes: an output token takes an
+    engine ten times as long as a prompt token, and its time depends on the
+    number of streams that share the decode step.
+
+    :param max_streams: most streams that an engine decodes in one step
+    :ivar pace: seconds of a decode step by the number of streams
+    :ivar prompt_error: reported prompt tokens per estimated one
+    :ivar uncached: share of prompt tokens that were not in the cache
+    :ivar output_shares: share of the allowed output used, by customer
     """
 
     def __init__(self, priors=DEFAULT_PRIORS, max_streams=64):
@@ -181,39 +194,52 @@
         self.service = RatioFit(priors.service_s, 5, 200)
 
     def prompt_tokens(self, byte_count):
-        """Estimate a prompt's length from its size in bytes."""
+        """Estimate a prompt's tokens from its size in bytes."""
         return max(1, round(byte_count / self.bytes.ratio))
 
     def output_tokens(self, customer, limit):
-        """Expect how much of the allowed output a customer's job uses."""
+        """Predict a job's output tokens from its customer's past jobs.
+
+        :param limit: output tokens that the job allows
+        """
         share = self.output_shares.get(customer)
         return limit if share is None else max(1.0, limit * share.ratio)
 
     def prefill_s(self, role, tokens, streams=0.0):
-        """Seconds for an engine to read so many prompt tokens."""
+        """Predict the seconds of a prefill.
+
+        :param role: role of the engine
+        :param tokens: uncached prompt tokens
+        :param streams: streams that the engine decodes meanwhile
+        """
         if role == PREFILL:
             return tokens * self.prefill.ratio
         return tokens * self.mixed_prefill.at(streams)
 
     def streams_within(self, per_token_s):
-        """Streams that an engine can decode at this pace or better."""
+        """Most streams that an engine decodes within a step time.
+
+        :param per_token_s: most seconds for a decode step
+        """
         headroom_s = per_token_s - self.pace.base
         if headroom_s <= 0:
-            # Not even one stream keeps the pace. With a fitted slope of 0,
-            # as after a pause, the division below would end each decision.
+            # Not even one stream meets the step time. With a fitted slope
+            # of 0, as after a pause, the division below would raise in each
+            # placement.
             return 1
         if headroom_s >= self.pace.slope * self.max_streams:
             return self.max_streams
         return max(1, int(headroom_s / self.pace.slope + ROUNDING_TOLERANCE))
 
     def decode_s_per_token(self):
-        """Engine-seconds of an output token in a full batch."""
+        """Engine-seconds of one output token in a full batch."""
         return self.pace.at(self.max_streams) / self.max_streams
 
     def job_cost(self, job, uncached_tokens):
-        """Engine-seconds of a job: prefill and decode.
+        """Predict the engine-seconds of a job.
 
-        :param uncached_tokens: prompt tokens that have to be read
+        :param uncached_tokens: prompt tokens that need prefill
+        :returns: (prefill, decode); a service call counts as decode
         """
         if job.kind == 'service':
             return 0.0, self.service.ratio
@@ -222,9 +248,14 @@
         return prefill_s, output * self.decode_s_per_token()
 
     def observe_prefill(self, role, tokens, elapsed_s, streams=0.0):
-        """Learn from a prompt; what others had read meanwhile counts little.
+        """Add a sample of prefill time.
 
-        :param elapsed_s: since it, or the engine, could begin
+        Prompts of other nodes lengthen samples, so long ones have a low
+        weight.
+
+        :param tokens: uncached prompt tokens
+        :param elapsed_s: time since the prompt was sent or the engine ended
+            the previous one, whichever is later
         """
         if role == PREFILL:
             self.prefill.add(tokens, elapsed_s)
@@ -235,18 +266,21 @@
             self.mixed_prefill.add(streams, ratio, weight)
 
     def observe_pace(self, streams, tokens, elapsed_s):
-        """Learn from output tokens how long a decode step takes.
+        """Add a sample of the time of decode steps.
 
-        :param streams: that shared the steps
-        :param tokens: of one stream, one for each step
-        :param elapsed_s: in which they came
+        :param streams: mean number of streams that shared the steps
+        :param tokens: output tokens of one stream, one for each step
+        :param elapsed_s: time in which the tokens arrived
         """
         if tokens > 0:
             weight = min(1.0, tokens / 50.0)
             self.pace.add(streams, elapsed_s / tokens, weight)
 
     def observe_finish(self, job, result):
-        """Learn from the lengths that an engine counted itself."""
+        """Add the token counts that an engine reported for a job.
+
+        :param result: :class:`magnoliadyke.core.jobs.Finished`
+        """
         self.prompt_error.add(job.prompt_tokens, result.prompt_tokens)
         if result.prompt_tokens:
             left = max(0, result.prompt_tokens - result.cached_tokens)
@@ -260,7 +294,7 @@
 
 
 class CostModels:
-    """The cost models of a node, by model or service pool."""
+    """Cost models of a node, by model or service pool."""
 
     def __init__(self, priors=DEFAULT_PRIORS, max_streams=64):
         self.priors = priors
@@ -268,7 +302,7 @@
         self.models = {}
 
     def of(self, name):
-        """Return the costs of a model or service pool, made when missing."""
+        """Return a model's or service pool's costs, created if missing."""
         model = self.models.get(name)
         if model is None:
             model = CostModel(self.priors, self.max_streams)
@@ -276,5 +310,5 @@
         return model
 
     def of_job(self, job):
-        """Return the costs of what a job asks for."""
+        """Return the costs of the model or service pool of a job."""
         return self.of(job.model or job.pool)
--- a/magnoliadyke/core/jobs.py
+++ b/magnoliadyke/core/jobs.py
@@ -1,4 +1,4 @@
-"""What the decisions know of requests and endpoints."""
+"""Inputs of the scheduler: requests, endpoints, load reports, results."""
 
 import dataclasses
 import typing
@@ -14,20 +14,21 @@
 
 
 class Job(typing.NamedTuple):
-    """A request as the scheduler sees it.
+    """A request, with the fields that scheduling needs.
 
     :param id: unique within the node
     :param pool: name of the pool that serves it
     :param kind: ``model`` or ``service``
-    :param prompt_tokens: estimate of the prompt's length
-    :param output_tokens: upper bound or estimate of the answer's length
+    :param prompt_tokens: estimated length of the prompt
+    :param output_tokens: upper bound or estimate of the output's length
     :param prefix_blocks: chained ids of the prompt's cache blocks
     :param priority: 0 (urgent) to 9
     :param repeatable: whether it may run more than once
-    :param first_token_s: objective for the first token, in seconds
-    :param per_token_s: objective between tokens, in seconds
-    :param fingerprint: customer and content digest, equal in a resend
-    :param arrived_s: monotonic seconds
+    :param first_token_s: objective for the time to the first token
+    :param per_token_s: objective for the time between tokens
+    :param fingerprint: digest of customer and content, the same when the
+        caller sends the request again
+    :param arrived_s: arrival, in monotonic seconds
     """
 
     id: str
@@ -47,12 +48,15 @@
 
 
 class LoadReport(typing.NamedTuple):
-    """An engine's own word about its load, as old as ``at_s`` says.
+    """Load that an engine reported.
 
-    :param at_s: when it was true, in the reader's monotonic seconds
+    :param at_s: time of the load, in the receiving node's monotonic seconds
     :param role: ``prefill`` or ``decode``
     :param state: ``in``, ``leaving`` or ``changing``
-    :param generation: generation of the last command it carried out
+    :param generation: generation of the last command that it executed
+    :param running: streams that it decodes
+    :param queued: requests in its queue
+    :param queued_prompt_tokens: prompt tokens that await prefill
     """
 
     at_s: float
@@ -67,12 +71,12 @@
 
 
 class EndpointInfo(typing.NamedTuple):
-    """An endpoint as the settings name it.
+    """Configuration of an endpoint.
 
     :param kind: ``model`` or ``service``
     :param address: ``ip:port``
-    :param checks_fencing: whether it refuses stale fencing numbers
-    :param role: its role at first, for model endpoints
+    :param checks_fencing: whether it rejects stale fencing tokens
+    :param role: initial role of a model endpoint
     """
 
     name: str
@@ -86,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """The job ended with its whole answer; figures in tokens."""
+    """The job ended with a complete answer; the counts are in tokens."""
 
     prompt_tokens: int = 0
     output_tokens: int = 0
@@ -95,12 +99,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """An attempt ended without the whole answer.
+    """An attempt ended without a complete answer.
 
-    :param endpoint: where it failed
+    :param endpoint: name of the endpoint where it failed
     :param stage: ``connect``, ``prefill`` or ``decode``
-    :param ran: whether a byte of it may have reached the endpoint
-    :param crashed: whether the endpoint died under it
+    :param ran: whether a byte of the request may have reached the endpoint
+    :param crashed: whether the endpoint crashed during the attempt
     :param retryable: whether the job may be placed again
     """
 
@@ -113,4 +117,4 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancelled:
-    """The caller went away or the node gave the job up."""
+    """The caller disconnected, or the node dropped the job."""
--- a/magnoliadyke/core/limits.py
+++ b/magnoliadyke/core/limits.py
@@ -1,29 +1,4 @@
-"""A customer's limits, split between the nodes by demand.
-
-No node asks another before it admits a request.  Each takes a share of the
-fleet's limit::
-
-    limit * (BASE / nodes + (1 - BASE) * heard / nodes * own / demand)
-
-where ``heard`` counts this node and the peers whose digest is fresh, ``own``
-is this node's demand and ``demand`` that of all the heard.  The base lets a
-node serve a customer that has just come to it.  The shares of a group that
-hears only itself add up to its part of the limit, so a partition by itself
-overshoots nothing.
-
-Worst overshoot, for nodes that agree on how many they are:
-
-* rates: one second's burst, and one request a node, since a request is
-  admitted whole while its bucket isn't empty;
-* concurrency: one request for each node whose share is less than one, as
-  no node is kept from serving a customer at all;
-* while a peer's digests are lost one way, its share counts twice for at
-  most the time until its last digest is stale.
-
-When a group takes the others for dead and has dropped them from its number
-of nodes (:meth:`Shares.set_nodes` waits before it follows a fall), each of
-`k` groups grants the whole limit: `k` times the limit at the worst.
-"""
+"""Fleet-wide limits of customers, split between the nodes by demand."""
 
 import math
 from typing import NamedTuple
@@ -38,21 +13,21 @@
     'Shares',
 ]
 
-#: Part of a limit that is split evenly, whatever the demand.
+#: Share of a limit that is split evenly between the nodes.
 BASE_SHARE = 0.25
-#: Least retry-after that an exceeded limit tells, in seconds.
+#: Least retry-after of a request that exceeds a limit.
 MIN_RETRY_S = 0.05
 
 
 class LimitSettings(NamedTuple):
     """Constants of the split.
 
-    :param fresh_s: how long a peer's digest counts
-    :param settle_s: a rise of the own demand counts from then on, when the
-        peers have heard of it
-    :param node_hold_s: how long dead nodes keep their share
-    :param burst_s: seconds of its rate that a bucket holds
-    :param rate_memory_s: time constant of measured demand
+    :param fresh_s: age up to which a peer's digest counts
+    :param settle_s: delay after which a rise of this node's demand counts;
+        by then the peers have received it
+    :param node_hold_s: how long the share of vanished nodes is kept
+    :param burst_s: capacity of a token bucket, in seconds of its rate
+    :param rate_memory_s: time constant of the moving average of demand
     """
 
     fresh_s: float = 15.0
@@ -66,14 +41,17 @@
 
 
 class Exceeded(NamedTuple):
-    """A limit that a request would break."""
+    """The limit that a request would exceed, and when to retry it."""
 
     reason: str
     retry_after_s: float
 
 
 class Rate:
-    """Exponentially weighted rate of something, per second."""
+    """Exponentially weighted moving rate per second.
+
+    :param memory_s: time constant
+    """
 
     __slots__ = ('at_s', 'memory_s', 'per_s')
 
@@ -83,11 +61,11 @@
         self.per_s = 0.0
 
     def add(self, amount, now_s):
-        """Account an amount that came now."""
+        """Add an amount that arrived now."""
         self.per_s = self.now(now_s) + amount / self.memory_s
 
     def now(self, now_s):
-        """Return the rate per second, faded to this moment."""
+        """Return the rate per second, decayed to this time."""
         passed_s = now_s - self.at_s
         if passed_s > 0:
             self.per_s *= math.exp(-passed_s / self.memory_s)
@@ -96,7 +74,10 @@
 
 
 class Bucket:
-    """Token bucket that admits whole requests while it isn't empty."""
+    """Token bucket whose level a request may take below 0.
+
+    A request of any size is admitted while the level is above 0.
+    """
 
     __slots__ = ('at_s', 'level')
 
@@ -105,17 +86,20 @@
         self.at_s = now_s
 
     def refill(self, rate_s, burst, now_s):
-        """Fill up what has come in since the last refill.
+        """Add the tokens for the time since the last refill.
 
-        :param rate_s: tokens a second
-        :param burst: tokens that the bucket holds
+        :param rate_s: tokens per second
+        :param burst: capacity of the bucket in tokens
         """
         passed_s = max(0.0, now_s - self.at_s)
         self.level = min(burst, self.level + rate_s * passed_s)
         self.at_s = now_s
 
     def wait_s(self, rate_s):
-        """Seconds until the bucket isn't empty."""
+        """Seconds until the level is above 0.
+
+        :param rate_s: tokens per second
+        """
         if self.level > 0:
             return 0.0
         return (1e-9 - self.level) / max(rate_s, 1e-9)
@@ -127,7 +111,34 @@
 
 
 class Shares:
-    """This node's part of fleet-wide limits, from peers' demand."""
+    """This node's share of fleet-wide limits.
+
+    No node asks another before it admits a request. Each node takes this
+    share of the limit::
+
+        BASE_SHARE / nodes
+        + (1 - BASE_SHARE) * reporting / nodes * own / total
+
+    where ``reporting`` counts this node and the peers with a fresh digest,
+    ``own`` is this node's demand and ``total`` the demand of all reporting
+    nodes. The base share lets a node serve a customer whose first requests
+    have just arrived there. The shares of nodes that receive digests from
+    one another only add up to their part of the limit, so a partition by
+    itself causes no overshoot.
+
+    Worst overshoot, for nodes that agree on the number of nodes:
+
+    * rates: the burst of one second, and one request for each node, since a
+      request is admitted whole while its bucket is not empty;
+    * concurrency: one request for each node whose share is less than one,
+      as each node may serve at least one request of a customer;
+    * while a peer's digests are lost in one direction, its share counts
+      twice until its last digest is stale.
+
+    When each of `k` partitioned groups has dropped the nodes of the others
+    from its number of nodes, each grants the whole limit: `k` times the
+    limit at worst. :meth:`set_nodes` delays this.
+    """
 
     def __init__(self, settings=DEFAULT_SETTINGS):
         self.settings = settings
@@ -138,11 +149,11 @@
         self.sent_demands = {}
 
     def set_nodes(self, count, now_s):
-        """Follow a rise at once, and a fall after a while.
+        """Set the number of live nodes; a fall takes effect later.
 
-        Nodes that vanish may be on the far side of a partition, serving on.
-        Their share is kept for them for ``node_hold_s``; by then they are
-        dead, or the partition outlasts what can be bridged.
+        Nodes that vanish may be serving on the other side of a partition,
+        so their share is kept for ``node_hold_s``. After that they count as
+        dead, also if a partition lasts longer.
         """
         if count >= self.nodes:
             self.nodes = self.lower_nodes = max(1, count)
@@ -151,7 +162,7 @@
             self.lower_since_s = now_s
 
     def tick(self, now_s):
-        """Follow nodes that stay away, and forget silent peers."""
+        """Apply a lasting fall of the node count; drop stale digests."""
         held_s = now_s - self.lower_since_s
         if self.lower_nodes < self.nodes:
             if held_s >= self.settings.node_hold_s:
@@ -161,7 +172,11 @@
                 del self.peers[host]
 
     def record_peer_demand(self, host, demands, now_s):
-        """Take a peer's demand by key; keys left out keep their figure."""
+        """Merge a peer's demand by key.
+
+        :param demands: changed demands; 0 removes a key, and keys that are
+            left out keep their last value
+        """
         known = self.peers.get(host)
         merged = known.demands if known else {}
         for key, demand in demands.items():
@@ -172,7 +187,7 @@
         self.peers[host] = _Peer(now_s, merged)
 
     def record_sent_demand(self, key, demand, now_s):
-        """The peers are being told this own demand."""
+        """Record a demand of this node that is being sent to the peers."""
         sent = self.sent_demands.setdefault(key, [])
         sent.append((now_s, demand))
         due_s = now_s - self.settings.settle_s
@@ -180,12 +195,12 @@
             sent.pop(0)
 
     def settled_demand(self, key, demand, now_s):
-        """Own demand as the peers know it.
+        """This node's demand as far as the peers have received it.
 
-        A fall counts at once, a rise only ``settle_s`` after it was told.
-        Would a rise count at once, all nodes that see a customer's burst
-        begin would each take the whole limit until they had heard of one
-        another.
+        A fall counts at once, a rise only ``settle_s`` after it was sent.
+        If a rise counted at once, all nodes at which a customer's burst
+        begins would each take the whole limit until they had received one
+        another's demand.
         """
         sent = self.sent_demands.get(key)
         due_s = now_s - self.settings.settle_s
@@ -196,7 +211,11 @@
         return min(demand, last, *[value for _, value in known])
 
     def fraction(self, key, demand, now_s):
-        """This node's part of the limit, 0 to 1."""
+        """This node's share of the limit, 0 to 1.
+
+        :param demand: this node's present demand, in any unit that is the
+            same on all nodes
+        """
         if self.nodes == 1:
             return 1.0
         own = self.settled_demand(key, demand, now_s)
@@ -215,7 +234,7 @@
 
 
 class _Usage:
-    """What one customer uses here."""
+    """Requests, rates and token buckets of one customer on this node."""
 
     __slots__ = ('requests', 'running', 'token_rate', 'tokens', 'waiting')
 
@@ -230,7 +249,7 @@
 class Limits:
     """Limits of all customers on this node.
 
-    :param shares: how fleet-wide limits are split
+    :param shares: :class:`Shares`
     """
 
     def __init__(self, shares, settings=DEFAULT_SETTINGS):
@@ -240,14 +259,14 @@
         self.usages = {}
 
     def set_rows(self, rows):
-        """Take the customers' rows of a new table.
+        """Apply the customers' rows of a new table revision.
 
         :param rows: customer to :class:`magnoliadyke.core.schema.CustomerRow`
         """
         self.rows = rows
 
     def usage(self, customer, now_s=0.0):
-        """Return what a customer uses here, made when missing."""
+        """Return a customer's usage on this node, created if missing."""
         usage = self.usages.get(customer)
         if usage is None:
             usage = _Usage(self.settings, now_s)
@@ -255,10 +274,12 @@
         return usage
 
     def admit(self, customer, tokens, now_s):
-        """Account a new request.
+        """Take a new request from the customer's token buckets.
 
-        :param tokens: prompt and expected output
-        :returns: None, or :class:`Exceeded` and nothing is accounted
+        A refused request leaves the buckets unchanged, but counts as demand.
+
+        :param tokens: estimated tokens of prompt and output
+        :returns: None, or :class:`Exceeded` if the request is refused
         """
         usage = self.usage(customer, now_s)
         usage.token_rate.add(tokens, now_s)
@@ -290,13 +311,16 @@
         return None
 
     def correct_tokens(self, customer, tokens):
-        """Account what a job used beyond the estimate, or give back."""
+        """Correct the token bucket for a job's estimate.
+
+        :param tokens: tokens used beyond the estimate; negative to refund
+        """
         row = self.rows.get(customer)
         if row is not None and row.tokens_s:
             self.usage(customer).tokens.level -= tokens
 
     def concurrency(self, customer, now_s):
-        """Requests of the customer that this node may run at once."""
+        """Most requests of the customer that this node may run at once."""
         row = self.rows.get(customer)
         if row is None:
             return math.inf
@@ -309,7 +333,7 @@
         return max(1, int(row.concurrency * fraction + 1e-9))
 
     def may_start(self, customer, now_s):
-        """Whether a job of the customer may go to an endpoint now."""
+        """Whether the concurrency limit permits one more dispatch."""
         row = self.rows.get(customer)
         if row is None:
             return True
@@ -319,7 +343,10 @@
         return running < self.concurrency(customer, now_s)
 
     def export_demand(self, customer, now_s):
-        """What peers are told now: tokens a second, and jobs wanted."""
+        """Return a customer's demand for the digest and record it as sent.
+
+        :returns: tokens per second, and jobs that are running or queued
+        """
         usage = self.usage(customer, now_s)
         rate = usage.token_rate.now(now_s)
         wanted = max(0, usage.running + usage.waiting)
--- a/magnoliadyke/core/prefixes.py
+++ b/magnoliadyke/core/prefixes.py
@@ -1,4 +1,4 @@
-"""Ids of prompt prefix blocks, and beliefs about which engine caches them."""
+"""Ids of prompt prefix blocks, and an estimate of each engine's cache."""
 
 import hashlib
 
@@ -6,24 +6,27 @@
 
 BLOCK_TOKENS = 64
 ID_DIGITS = 16
-#: Blocks that are believed to be in one engine's cache, at most.
+#: Most blocks tracked as cached by one engine.
 MAX_BLOCKS = 8192
-#: Engines remembered as holders of one indexed block.
+#: Most engines indexed as holders of one block.
 MAX_HOLDERS = 8
-#: Indexed blocks for each one that an engine may hold.
+#: Size of the holder index, as a multiple of the blocks of one engine.
 INDEX_FACTOR = 4
+#: Lower bound of the trust in an engine's estimate, of 1.
 MIN_TRUST = 0.2
-#: What a gap in an engine's events leaves of the trust in its beliefs.
+#: Factor on the trust in an engine's estimate after lost cache events.
 GAP_TRUST_FACTOR = 0.7
-#: How fast trust follows what finished jobs show.
+#: Weight of one finished job in the moving average of the trust.
 TRUST_STEP = 0.1
 
 
 def block_ids(words, salt):
-    """Name each full block of a prompt by everything up to its end.
+    """Chained hash ids of the full blocks of a prompt.
+
+    The id of a block depends on all tokens up to the block's end.
 
     :param words: tokens of the prompt, as strings
-    :param salt: keeps the caches of different customers apart
+    :param salt: differs by customer, so that customers share no blocks
     :returns: one id for each full block of :data:`BLOCK_TOKENS` tokens
     """
     ids = []
@@ -37,17 +40,18 @@
 
 
 class PrefixCacheEstimate:
-    """What each engine's prefix cache is believed to hold.
+    """Estimate of the blocks in each engine's prefix cache.
 
-    Beliefs come first from what this node sent where, and are corrected by
-    the engines' events.  Those come late and with gaps, so they add and
-    remove single blocks; a gap lowers the trust in an engine's beliefs and
-    wipes nothing, since most of what was cached still is.
+    Blocks are added when this node sends their prompt to an engine, and
+    corrected by the engine's cache events. Events arrive late and with
+    gaps, so each adds or removes its own blocks only. A gap lowers the trust
+    in the engine's estimate and removes no block, since most blocks are
+    still cached.
 
-    Ids are salted by customer, so no belief leads from one customer's
-    prompts to another's.
+    Block ids are salted by customer, so an estimate reveals nothing about
+    prompts of another customer.
 
-    :param most_blocks: blocks remembered for each engine
+    :param max_blocks: most blocks tracked for each engine
     """
 
     def __init__(self, max_blocks=MAX_BLOCKS):
@@ -57,10 +61,11 @@
         self.holders = {}
 
     def record_sent(self, endpoint, blocks):
-        """This node had the engine read these blocks."""
+        """Record blocks of a prompt that this node sent to an engine."""
         held = self.blocks.setdefault(endpoint, {})
-        # Last block first, as engines do it: what is evicted first is the
-        # far end of a prompt, which is of use to the fewest.
+        # Inserted last block first, in the eviction order of the engines:
+        # the end of a prompt is evicted first, as the fewest prompts share
+        # it.
         for block in reversed(blocks):
             held.pop(block, None)
             held[block] = None
@@ -69,7 +74,7 @@
             self._index(blocks[position], endpoint)
 
     def record_stored(self, endpoint, blocks):
-        """The engine's own word that it cached these blocks."""
+        """Record blocks that an engine reported as cached."""
         held = self.blocks.setdefault(endpoint, {})
         for block in blocks:
             held[block] = None
@@ -77,23 +82,28 @@
         self._trim(held)
 
     def record_evicted(self, endpoint, blocks):
-        """The engine's own word that it dropped these blocks."""
+        """Record blocks that an engine reported as evicted."""
         held = self.blocks.get(endpoint, {})
         for block in blocks:
             held.pop(block, None)
 
     def record_event_gap(self, endpoint):
-        """Events of the engine were lost."""
+        """Lower the trust in an engine's estimate after lost events."""
         trust = self.trust.get(endpoint, 1.0) * GAP_TRUST_FACTOR
         self.trust[endpoint] = max(MIN_TRUST, trust)
 
     def record_cache_loss(self, endpoint):
-        """The engine lost its cache: a crash, a role change."""
+        """Drop the estimate of an engine that crashed or changed its role."""
         self.blocks.pop(endpoint, None)
         self.trust.pop(endpoint, None)
 
     def update_trust(self, endpoint, estimated_cached_tokens, cached_tokens):
-        """A finished job shows how far a belief was right."""
+        """Update the trust in an engine's estimate from a finished job.
+
+        :param estimated_cached_tokens: cached prompt tokens estimated when
+            the job was placed
+        :param cached_tokens: cached prompt tokens that the engine reported
+        """
         if estimated_cached_tokens <= 0:
             return
         hit_ratio = min(1.0, cached_tokens / estimated_cached_tokens)
@@ -102,10 +112,11 @@
         self.trust[endpoint] = max(MIN_TRUST, trust)
 
     def cached_blocks(self, endpoint, blocks):
-        """Length of the longest prefix believed cached, in blocks.
+        """Length in blocks of the longest prefix estimated as cached.
 
-        Ids are chained and caches evict from the far end, so a held block
-        stands for all before it and the length is found by halving.
+        Ids are chained and caches evict from the end of a prompt, so a
+        cached block implies all blocks before it, and binary search finds
+        the length.
         """
         held = self.blocks.get(endpoint)
         if not held or not blocks or blocks[0] not in held:
@@ -120,14 +131,14 @@
         return low
 
     def cached_tokens(self, endpoint, blocks):
-        """Prompt tokens expected not to need reading, trust included."""
+        """Prompt tokens estimated as cached, weighted by the trust."""
         count = self.cached_blocks(endpoint, blocks)
         if not count:
             return 0.0
         return count * BLOCK_TOKENS * self.trust.get(endpoint, 1.0)
 
     def likely_holders(self, blocks):
-        """Engines that may hold a long prefix, at most a handful."""
+        """Up to :data:`MAX_HOLDERS` engines that may hold a long prefix."""
         for position in reversed(_indexed_positions(len(blocks))):
             holders = self.holders.get(blocks[position])
             if holders:
@@ -149,7 +160,10 @@
 
 
 def _indexed_positions(length):
-    """Positions 0, 1, 3, 7, ... and the last: few, yet near any length."""
+    """Positions of the indexed blocks: 0, 1, 3, 7, ... and the last one.
+
+    They are few, and one of them lies near the end of any shared prefix.
+    """
     positions = []
     step = 1
     while step <= length:
--- a/magnoliadyke/core/runs.py
+++ b/magnoliadyke/core/runs.py
@@ -1,4 +1,4 @@
-"""A job on its way, and what of it is on which endpoint."""
+"""State of a submitted job and the load that it puts on endpoints."""
 
 from magnoliadyke.core import quarantine
 
@@ -8,16 +8,22 @@
 class Run:
     """A job from its submission to its end.
 
+    :param cost: predicted engine-seconds of (prefill, decode)
     :ivar timing: :class:`magnoliadyke.core.admission.Timing`
     :ivar fingerprint: six bytes, as in the quarantine
     :ivar ran: whether an attempt may have reached an endpoint
     :ivar avoid: names of endpoints where it failed
     :ivar charged_s: engine-seconds that its customer was charged
     :ivar tokens: output tokens so far
-    :ivar prompt_at: endpoint that reads its prompt now
-    :ivar stream_at: endpoint that makes its answer, or will
-    :ivar read_by: endpoint that was given its prompt
-    :ivar expected_s: when its first token was predicted
+    :ivar prompt_at: endpoint that prefills the prompt now
+    :ivar stream_at: endpoint that decodes the answer, or will
+    :ivar streaming: whether decode has begun on ``stream_at``
+    :ivar prefill_endpoint: endpoint of the attempt's prefill, also after
+        its end
+    :ivar prefill_undisturbed: whether no prompts of other nodes were known
+        on the prefill endpoint when the prompt was sent
+    :ivar expected_s: time at which the first token was predicted
+    :ivar streams_at_first: streams on the endpoint at the first token
     """
 
     def __init__(self, job, timing, cost):
@@ -35,7 +41,7 @@
         self.begin_attempt()
 
     def begin_attempt(self):
-        """Forget the attempt before."""
+        """Reset the state of the previous attempt."""
         self.prompt_at = None
         self.stream_at = None
         self.streaming = False
@@ -49,26 +55,30 @@
         self.streams_at_first = 0.0
 
     def cost_s(self):
-        """Engine-seconds that the job is expected to take."""
+        """Predicted engine-seconds of the job."""
         return self.prefill_s + self.decode_s
 
     def used_s(self):
-        """Engine-seconds that an attempt has used so far."""
+        """Estimated engine-seconds that the attempt has used so far."""
         used_s = self.prefill_s if self.prefill_done_s is not None else 0.0
         expected = max(1, self.job.output_tokens)
         return used_s + self.decode_s * min(1.0, self.tokens / expected)
 
     def has_reached(self, endpoint):
-        """Whether it had reached the endpoint, not only a place there."""
+        """Whether the endpoint processes the job, not only reserves for it.
+
+        A stream that waits for its prefill elsewhere has only a reservation
+        on its decode endpoint.
+        """
         if self.prompt_at is endpoint:
             return True
         reached = self.streaming or self.job.kind == 'service'
         return self.stream_at is endpoint and reached
 
     def join_prompt(self, endpoint, seconds, now_s):
-        """Have the prompt read on an endpoint.
+        """Add the prompt to the load of the endpoint that prefills it.
 
-        :param seconds: how long that is predicted to take
+        :param seconds: predicted prefill time
         """
         load = endpoint.load
         self.prompt_at = endpoint
@@ -77,7 +87,7 @@
         load.add_prompt(self.job.id, self.job.priority, seconds, now_s)
 
     def join_stream(self, endpoint, now_s):
-        """Take a place for the answer on an endpoint."""
+        """Reserve a stream and KV cache memory on the decode endpoint."""
         self.stream_at = endpoint
         self.streaming = False
         load = endpoint.load
@@ -87,7 +97,7 @@
             load.kv_tokens.add(self.admitted_tokens, now_s)
 
     def begin_stream(self, now_s):
-        """The endpoint has begun to decode it."""
+        """Turn the reservation into a stream when decode begins."""
         if self.stream_at is None or self.streaming:
             return
         if self.job.kind == 'model':
@@ -96,7 +106,7 @@
             self.stream_at.load.streams.add(1, now_s)
 
     def leave_stream(self, now_s):
-        """Its answer is not, or no longer, made there."""
+        """Release the stream or its reservation on the decode endpoint."""
         endpoint = self.stream_at
         if endpoint is None:
             return
@@ -115,7 +125,7 @@
             endpoint.exclusive_job_id = None
 
     def leave_prompt(self, now_s):
-        """Its prompt is not, or no longer, read there."""
+        """Remove the prompt from the load of its prefill endpoint."""
         endpoint = self.prompt_at
         if endpoint is None:
             return
--- a/magnoliadyke/core/snapshot.py
+++ b/magnoliadyke/core/snapshot.py
@@ -1,4 +1,4 @@
-"""What a node's scheduler believes of endpoints and customers, to be shown."""
+"""Snapshot of a node's endpoints and customers, for display."""
 
 import collections
 from typing import NamedTuple
@@ -12,15 +12,16 @@
 
 
 class EndpointSnapshot(NamedTuple):
-    """An endpoint as one node sees it.
+    """One node's view of an endpoint.
 
     :param state: 'up', or why it gets no work: 'crashed', 'leaving',
         'left', 'changing', 'ejected' after failures, 'suspect' while it
-        runs one suspect request by itself
+        runs a suspect request without others
     :param role: 'prefill' or 'decode', empty for a plain service
-    :param running: streams by its last report; a service's own calls
-    :param own: jobs of this node that are there
-    :param report_age_s: age of its last report, None without one
+    :param running: streams in its last load report; without a report, this
+        node's jobs there
+    :param own: this node's jobs on the endpoint
+    :param report_age_s: age of its last load report, None without one
     """
 
     state: str
@@ -31,21 +32,21 @@
 
 
 class CustomerSnapshot(NamedTuple):
-    """A customer's requests in this node."""
+    """Number of a customer's requests in this node, by state."""
 
     running: int
     queued: int
 
 
 class Snapshot(NamedTuple):
-    """All of it, by name."""
+    """Endpoints and customers of a node, by name."""
 
     endpoints: dict[str, EndpointSnapshot]
     customers: dict[str, CustomerSnapshot]
 
 
 def take(scheduler, now_s: float) -> Snapshot:
-    """Say what a scheduler believes.
+    """Return a snapshot of a scheduler's state.
 
     :param scheduler: the :class:`magnoliadyke.core.scheduler.Scheduler`
     :param now_s: monotonic seconds
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Tests of prefix block ids and cache beliefs."""
+"""Tests of prefix block ids and the prefix cache estimate."""
 
 import hashlib
 
@@ -31,7 +31,7 @@
 
 def test_a_gap_lowers_trust_and_wipes_nothing():
     # Events of an engine were lost, among them evictions perhaps. Wiping
-    # the beliefs would send every prompt elsewhere and read it anew.
+    # the estimate would send every prompt elsewhere and prefill it again.
     cache_estimate = prefixes.PrefixCacheEstimate()
     blocks = make_blocks('file', 10)
     cache_estimate.record_sent('e1', blocks)
