--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -29,7 +29,7 @@
         if run.prefill_endpoint is None:
             return
         error_s = now_s - run.expected_s
-        self.router.observe(
+        self.router.record_prediction_error(
             run.prefill_endpoint.role, run.job.priority, error_s
         )
         split = run.prefill_endpoint is not run.stream_at
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -290,7 +290,7 @@
         self.failure_domain = failure_domain
         self.bias_s = {}
 
-    def observe(self, role, priority, error_s):
+    def record_prediction_error(self, role, priority, error_s):
         """Update the mean delay of first tokens against their prediction.
 
         The delay comes mostly from prompts that other nodes sent meanwhile
@@ -301,8 +301,8 @@
         :param error_s: actual minus predicted time
         """
         key = (role, priority)
-        known_s = self.bias_s.get(key, 0.0)
-        self.bias_s[key] = known_s + BIAS_STEP * (error_s - known_s)
+        mean_s = self.bias_s.get(key, 0.0)
+        self.bias_s[key] = mean_s + BIAS_STEP * (error_s - mean_s)
 
     def place(self, job, pool, context, now_s, only_endpoint=None):
         """Choose endpoints for a job.
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -200,12 +200,12 @@
             pool.endpoints.regroup()
         return self._dispatch_all(now_s)
 
-    def set_peers(self, count, now_s):
+    def set_node_count(self, count, now_s):
         """Set the number of live nodes, this one included."""
         self.shares.set_nodes(count, now_s)
         return []
 
-    def load_report(self, name, report, now_s):
+    def handle_load_report(self, name, report, now_s):
         """Apply an engine's load report, unless a newer one was applied.
 
         :param report: :class:`jobs.LoadReport`, valid at ``report.at_s``
@@ -232,7 +232,7 @@
         self._set_role(endpoint, report.role, now_s)
         return self._dispatch_all(now_s)
 
-    def cache_events(self, name, events, gap, now_s):
+    def handle_cache_events(self, name, events, gap, now_s):
         """Apply an engine's prefix cache events.
 
         :param events: mappings with ``kind`` and ``blocks``
@@ -249,7 +249,7 @@
                 self.cache_estimate.record_evicted(name, event['blocks'])
         return []
 
-    def endpoint_state(self, name, state, now_s):
+    def set_endpoint_state(self, name, state, now_s):
         """Record an observed change of an endpoint's state.
 
         :param state: 'up', 'leaving', 'left', 'crashed' or 'changing'
@@ -265,7 +265,7 @@
         self.pools[endpoint.info.pool].endpoints.regroup()
         return self._dispatch_all(now_s)
 
-    def endpoint_role(self, name, role, now_s):
+    def set_endpoint_role(self, name, role, now_s):
         """Record that an engine has taken a role, 'prefill' or 'decode'."""
         endpoint = self.endpoints.get(name)
         if endpoint is None:
@@ -355,22 +355,22 @@
         self._refund_unused(run)
         return self._dispatch_all(now_s)
 
-    def dispatched_prefill_done(self, job_id, now_s):
+    def record_prefill_done(self, job_id, now_s):
         """Record that the job's prefill is complete."""
         run = self.runs.get(job_id)
         if run is None or run.prefill_done_s is not None:
             return []
-        self._record_prefill_done(run, now_s)
+        self._end_prefill(run, now_s)
         return self._dispatch_all(now_s)
 
-    def first_token(self, job_id, now_s):
+    def record_first_token(self, job_id, now_s):
         """Record that the job's first output token has arrived."""
         run = self.runs.get(job_id)
         if run is None or run.first_token_s is not None:
             return []
         was_read = run.prefill_done_s is not None
         if not was_read:
-            self._record_prefill_done(run, now_s)
+            self._end_prefill(run, now_s)
         run.first_token_s = now_s
         run.tokens = max(run.tokens, 1)
         self.learner.first_token(run, was_read, now_s)
@@ -381,14 +381,14 @@
             run.streams_at_first = run.stream_at.load.streams.total()
         return [] if was_read else self._dispatch_all(now_s)
 
-    def progress(self, job_id, tokens, now_s):
+    def record_progress(self, job_id, tokens, now_s):
         """Record how many output tokens the job has produced so far."""
         run = self.runs.get(job_id)
         if run is not None:
             run.tokens = max(run.tokens, tokens)
         return []
 
-    def finished(self, job_id, result, now_s):
+    def record_result(self, job_id, result, now_s):
         """Record how a dispatched attempt ended.
 
         :param result: :class:`jobs.Finished`, :class:`jobs.Failed` or
@@ -676,7 +676,7 @@
         queue.charge(run.job.customer, used_s - run.charged_s)
         run.charged_s = used_s
 
-    def _record_prefill_done(self, run, now_s):
+    def _end_prefill(self, run, now_s):
         endpoint = run.prompt_at
         run.prefill_done_s = now_s
         if endpoint is not None:
@@ -810,12 +810,12 @@
         """Return the gossip digest of this node's state, for all peers."""
         return self.exchange.digest(self.runs.values(), now_s)
 
-    def peer_digest(self, host, digest, now_s):
+    def merge_peer_digest(self, host, digest, now_s):
         """Merge a peer's gossip digest."""
         self.exchange.hear(host, digest, now_s)
         return []
 
-    def peer_prompt(self, name, read_s, now_s):
+    def record_peer_prompt(self, name, read_s, now_s):
         """Record a prompt that another node has just sent to an engine.
 
         :param name: the engine
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -339,11 +339,11 @@
                 return core.submit(job, now_s)
             case JobFailed(job_id=job_id, failed=failed):
                 self.pending[job_id] = message
-                return core.finished(job_id, failed, now_s)
+                return core.record_result(job_id, failed, now_s)
             case MoveStream():
                 return self.move_stream(message, now_s)
             case JobFinished(job_id, result):
-                return core.finished(job_id, result, now_s)
+                return core.record_result(job_id, result, now_s)
             case TakeSnapshot():
                 message.reply(snapshot.take(core, now_s))
                 return []
@@ -351,9 +351,9 @@
                 self.pending.pop(job_id, None)
                 return core.cancel(job_id, now_s)
             case PrefillDone(job_id, at_s):
-                return core.dispatched_prefill_done(job_id, at_s)
+                return core.record_prefill_done(job_id, at_s)
             case FirstToken(job_id, at_s):
-                return core.first_token(job_id, at_s)
+                return core.record_first_token(job_id, at_s)
             case Progress(tokens):
                 return self.progress(tokens, now_s)
             case _:
@@ -371,22 +371,22 @@
         core = self.scheduler
         match message:
             case LoadSeen(endpoint, report):
-                return core.load_report(endpoint, report, now_s)
+                return core.handle_load_report(endpoint, report, now_s)
             case StateSeen(endpoint, state):
                 self.note_change(endpoint, state, now_s)
-                return core.endpoint_state(endpoint, state, now_s)
+                return core.set_endpoint_state(endpoint, state, now_s)
             case CacheSeen(endpoint, events, gap):
-                return core.cache_events(endpoint, events, gap, now_s)
+                return core.handle_cache_events(endpoint, events, gap, now_s)
             case PeerDigest(host, digest):
-                return core.peer_digest(host, digest, now_s)
+                return core.merge_peer_digest(host, digest, now_s)
             case PromptsHeard(prompts):
                 for told in prompts:
-                    core.peer_prompt(told.engine, told.read_s, now_s)
+                    core.record_peer_prompt(told.engine, told.read_s, now_s)
                 return []
             case table.View():
                 return core.set_table(message, now_s)
             case membership.MembersView(members=members):
-                return core.set_peers(count_alive(members), now_s)
+                return core.set_node_count(count_alive(members), now_s)
 
     def note_change(self, name, state, now_s):
         """Remember when an endpoint was away for a change."""
@@ -415,7 +415,7 @@
         """Report how far several jobs are."""
         actions = []
         for job_id, count in tokens:
-            actions += self.scheduler.progress(job_id, count, now_s)
+            actions += self.scheduler.record_progress(job_id, count, now_s)
         return actions
 
     def tick(self):
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -237,9 +237,9 @@
         arrived_s=now_s,
     )
     owner.submit(job, now_s)
-    owner.dispatched_prefill_done(job.id, now_s)
-    owner.first_token(job.id, now_s)
-    owner.finished(job.id, jobs.Finished(500, 50, 0), now_s)
+    owner.record_prefill_done(job.id, now_s)
+    owner.record_first_token(job.id, now_s)
+    owner.record_result(job.id, jobs.Finished(500, 50, 0), now_s)
 
 
 def probe_planner():
--- a/magnoliadyke/lab/fakes.py
+++ b/magnoliadyke/lab/fakes.py
@@ -194,7 +194,7 @@
         stage = 'decode' if run.decode_at else 'prefill'
         failed = jobs.Failed(name, stage, ran=ran, crashed=crashed)
         now_s = self.timeline.now_s
-        self.act(self.scheduler.finished(job_id, failed, now_s))
+        self.act(self.scheduler.record_result(job_id, failed, now_s))
 
     # Engines
 
@@ -222,7 +222,9 @@
                 answer = self.answers[event.id]
                 if answer.first_token_s is None:
                     answer.first_token_s = event.at_s
-                    self.act(self.scheduler.first_token(event.id, now_s))
+                    self.act(
+                        self.scheduler.record_first_token(event.id, now_s)
+                    )
             case enginemodel.Finished():
                 self._on_finished(name, event)
             case enginemodel.RoleChanged():
@@ -240,12 +242,14 @@
 
     def _on_cache_events(self, name, events):
         now_s = self.timeline.now_s
-        self.act(self.scheduler.cache_events(name, events, False, now_s))
+        self.act(
+            self.scheduler.handle_cache_events(name, events, False, now_s)
+        )
 
     def _on_prefill_done(self, name, event):
         now_s = self.timeline.now_s
         self.answers[event.id].cached_tokens = event.cached_tokens
-        self.act(self.scheduler.dispatched_prefill_done(event.id, now_s))
+        self.act(self.scheduler.record_prefill_done(event.id, now_s))
         action = self.runs[event.id].action
         if action.prefill_endpoint is not None:
             job = self.answers[event.id].job
@@ -273,7 +277,7 @@
             job.prompt_tokens, job.output_tokens, answer.cached_tokens
         )
         now_s = self.timeline.now_s
-        self.act(self.scheduler.finished(event.id, result, now_s))
+        self.act(self.scheduler.record_result(event.id, result, now_s))
         if name in self.changing:
             self._change_when_dry(name)
 
@@ -294,7 +298,7 @@
         self.reported_at_s[name] = report.at_s
         self.reported_load[name] = report.running + report.queued
         now_s = self.timeline.now_s
-        self.act(self.scheduler.load_report(name, report, now_s))
+        self.act(self.scheduler.handle_load_report(name, report, now_s))
         if report.state != self.reported_state[name]:
             # The scheduler groups its endpoints by state when it is told
             # one; without this an engine whose own word lagged behind the
@@ -361,7 +365,7 @@
     def _on_role_changed(self, name, event):
         del self.changing[name]
         now_s = self.timeline.now_s
-        self.act(self.scheduler.endpoint_role(name, event.role, now_s))
+        self.act(self.scheduler.set_endpoint_role(name, event.role, now_s))
         self._set_state(name, READY)
 
     def _set_state(self, name, state):
@@ -369,7 +373,7 @@
         if state != self.states[name]:
             self.told_at_s[name] = now_s
         self.states[name] = state
-        self.act(self.scheduler.endpoint_state(name, state, now_s))
+        self.act(self.scheduler.set_endpoint_state(name, state, now_s))
 
     # Faults
 
@@ -394,7 +398,7 @@
         engine = self.engines[name]
         now_s = self.timeline.now_s
         engine.restart(now_s)
-        self.act(self.scheduler.endpoint_role(name, engine.role, now_s))
+        self.act(self.scheduler.set_endpoint_role(name, engine.role, now_s))
         self._set_state(name, READY)
 
     def withdraw(self, name, for_s):
--- a/magnoliadyke/lab/trial.py
+++ b/magnoliadyke/lab/trial.py
@@ -152,7 +152,7 @@
             for number, name in enumerate(self.names)
         ]
         scheduler = schedulers.Scheduler(infos, rng)
-        scheduler.set_peers(1, 0.0)
+        scheduler.set_node_count(1, 0.0)
         scheduler.set_table(self._view(), 0.0)
         return scheduler
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -44,7 +44,7 @@
     def broken(*arguments):
         raise RuntimeError('made by the test')
 
-    dispatcher.scheduler.submit = dispatcher.scheduler.finished = broken
+    dispatcher.scheduler.submit = dispatcher.scheduler.record_result = broken
     logged = logbook.TestHandler()
     with logged.applicationbound():
         refused = dispatcher.ask(dispatch.SubmitJob(job('a')), 2.0)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -44,9 +44,9 @@
     (action,) = plan.submit(make_job('j1', prompt_tokens=3000), 0.0)
     assert action.prefill_endpoint in ('p1', 'p2')
     assert action.endpoint in ('d1', 'd2')
-    plan.dispatched_prefill_done('j1', 0.6)
-    plan.first_token('j1', 0.7)
-    assert plan.finished('j1', jobs.Finished(3000, 50, 0), 2.0) == []
+    plan.record_prefill_done('j1', 0.6)
+    plan.record_first_token('j1', 0.7)
+    assert plan.record_result('j1', jobs.Finished(3000, 50, 0), 2.0) == []
     assert not plan.runs
     assert not any(plan.in_flight(name) for name in ENGINES)
 
@@ -55,7 +55,7 @@
     plan = make_scheduler()
     plan.submit(make_call('j1', repeatable=False), 0.0)
     failed = jobs.Failed('s1', 'decode', ran=True)
-    (refusal,) = plan.finished('j1', failed, 0.1)
+    (refusal,) = plan.record_result('j1', failed, 0.1)
     assert isinstance(refusal.outcome, outcomes.Unknown)
 
 
@@ -63,7 +63,7 @@
     plan = make_scheduler()
     plan.submit(make_call('j1', repeatable=False), 0.0)
     failed = jobs.Failed('s1', 'connect', ran=False)
-    (again,) = plan.finished('j1', failed, 0.1)
+    (again,) = plan.record_result('j1', failed, 0.1)
     assert again == scheduler.Dispatch('j1', 's1')
 
 
@@ -74,7 +74,7 @@
     plan = make_scheduler()
     (action,) = plan.submit(make_job('j1', first_token_s=9.0), 0.0)
     failed = jobs.Failed(action.endpoint, 'decode', ran=False)
-    (again,) = plan.finished('j1', failed, 0.01)
+    (again,) = plan.record_result('j1', failed, 0.01)
     assert again.endpoint != action.endpoint
 
 
@@ -83,9 +83,9 @@
     # refused before it runs. "Not run" would be true of the second only.
     plan = make_scheduler()
     plan.submit(make_call('j1'), 0.0)
-    plan.finished('j1', jobs.Failed('s1', 'decode', ran=True), 0.1)
+    plan.record_result('j1', jobs.Failed('s1', 'decode', ran=True), 0.1)
     failed = jobs.Failed('s1', 'connect', ran=False, retryable=False)
-    (refusal,) = plan.finished('j1', failed, 0.2)
+    (refusal,) = plan.record_result('j1', failed, 0.2)
     assert isinstance(refusal.outcome, outcomes.Unknown)
 
 
@@ -134,10 +134,10 @@
     # "changing", and the next one that it is in. No other event follows.
     plan = make_scheduler(engines={'p1': 'prefill', 'd1': 'decode'})
     changing = jobs.LoadReport(1.0, 'decode', 'changing')
-    plan.load_report('d1', changing, 1.0)
-    plan.endpoint_state('d1', 'changing', 1.1)
-    plan.endpoint_state('d1', 'up', 7.0)
-    plan.load_report('d1', jobs.LoadReport(7.1, 'decode', 'in'), 7.2)
+    plan.handle_load_report('d1', changing, 1.0)
+    plan.set_endpoint_state('d1', 'changing', 1.1)
+    plan.set_endpoint_state('d1', 'up', 7.0)
+    plan.handle_load_report('d1', jobs.LoadReport(7.1, 'decode', 'in'), 7.2)
     job = make_job('j1', prompt_tokens=3000, arrived_s=7.3)
     (action,) = plan.submit(job, 7.3)
     assert (action.prefill_endpoint, action.endpoint) == ('p1', 'd1')
@@ -146,18 +146,18 @@
 def test_engines_that_left_make_a_typed_refusal():
     plan = make_scheduler()
     for name in ENGINES:
-        plan.endpoint_state(name, 'left', 0.0)
+        plan.set_endpoint_state(name, 'left', 0.0)
     (refusal,) = plan.submit(make_job('j1'), 0.0)
     assert refusal.outcome.reason == 'no_endpoint'
 
 
 def run_whole(plan, job_id, now_s):
     run = plan.runs[job_id]
-    plan.dispatched_prefill_done(job_id, now_s)
-    plan.first_token(job_id, now_s)
+    plan.record_prefill_done(job_id, now_s)
+    plan.record_first_token(job_id, now_s)
     job = run.job
     result = jobs.Finished(job.prompt_tokens, job.output_tokens, 0)
-    return plan.finished(job_id, result, now_s)
+    return plan.record_result(job_id, result, now_s)
 
 
 class Fleet:
@@ -169,7 +169,7 @@
     def __init__(self, nodes, period_s=1.0):
         self.plans = [make_scheduler(seed) for seed in range(nodes)]
         for plan in self.plans:
-            plan.set_peers(nodes, 0.0)
+            plan.set_node_count(nodes, 0.0)
         self.period_s = period_s
         self.now_s = 0.0
         self.told_s = 0.0
@@ -192,7 +192,7 @@
                 end_s = self.now_s + 1.0
                 self.running.append((end_s, node, action))
                 plan = self.plans[node]
-                done = plan.dispatched_prefill_done(action.job_id, self.now_s)
+                done = plan.record_prefill_done(action.job_id, self.now_s)
                 self.act(node, done)
 
     def step(self, step_s=0.25):
@@ -231,7 +231,7 @@
         for node, plan in enumerate(self.plans):
             for job_id in list(plan.endpoints[name].load.jobs):
                 failed = jobs.Failed(name, 'decode', True, crashed=True)
-                actions = plan.finished(job_id, failed, self.now_s)
+                actions = plan.record_result(job_id, failed, self.now_s)
                 decided.append((node, actions))
         # As the shell does it: peers hear before any caller is answered.
         self.exchange()
@@ -240,7 +240,7 @@
 
     def tell_all(self, name, state):
         for node, plan in enumerate(self.plans):
-            actions = plan.endpoint_state(name, state, self.now_s)
+            actions = plan.set_endpoint_state(name, state, self.now_s)
             self.act(node, actions)
 
     def exchange(self):
@@ -248,7 +248,7 @@
             digest = plan.digest(self.now_s)
             for receiver, other in enumerate(self.plans):
                 if receiver != sender:
-                    other.peer_digest(f'h{sender}', digest, self.now_s)
+                    other.merge_peer_digest(f'h{sender}', digest, self.now_s)
 
 
 def test_a_request_takes_down_at_most_two_engines_of_the_fleet():
@@ -286,12 +286,12 @@
     plan, other = make_scheduler(1), make_scheduler(2)
     job = make_job('j1', fingerprint='f', repeatable=False)
     plan.submit(job, 0.0)
-    plan.dispatched_prefill_done('j1', 0.1)
+    plan.record_prefill_done('j1', 0.1)
     endpoint = plan.runs['j1'].stream_at.name
     failed = jobs.Failed(endpoint, 'decode', ran=True, crashed=True)
-    (refusal,) = plan.finished('j1', failed, 1.0)
+    (refusal,) = plan.record_result('j1', failed, 1.0)
     assert isinstance(refusal.outcome, outcomes.Unknown)
-    other.peer_digest('h1', plan.digest(1.0), 1.0)
+    other.merge_peer_digest('h1', plan.digest(1.0), 1.0)
     resend = job._replace(id='j2', repeatable=True, arrived_s=1.0)
     assert other.submit(resend, 1.0) == []
     assert other.tick(1.0 + SETTLE_S - 0.1) == []
@@ -356,14 +356,14 @@
         job_id = self.some_running(index)
         if job_id is None:
             return
-        self.act(self.plan.dispatched_prefill_done(job_id, self.now_s))
+        self.act(self.plan.record_prefill_done(job_id, self.now_s))
         if part:
-            self.act(self.plan.first_token(job_id, self.now_s))
+            self.act(self.plan.record_first_token(job_id, self.now_s))
         if part == 2:
             job, _ = self.running.pop(job_id)
             self.ended.add(job_id)
             result = jobs.Finished(job.prompt_tokens, job.output_tokens)
-            self.act(self.plan.finished(job_id, result, self.now_s))
+            self.act(self.plan.record_result(job_id, result, self.now_s))
 
     @stateful.rule(
         index=st.integers(0, 100),
@@ -380,7 +380,7 @@
         failed = jobs.Failed(
             action.endpoint, 'decode', ran or crashed, crashed, retryable
         )
-        self.act(self.plan.finished(job_id, failed, self.now_s))
+        self.act(self.plan.record_result(job_id, failed, self.now_s))
 
     @stateful.rule(index=st.integers(0, 100))
     def cancel(self, index):
@@ -398,7 +398,7 @@
     )
     def change_state(self, name, state):
         self.states[name] = state
-        self.act(self.plan.endpoint_state(name, state, self.now_s))
+        self.act(self.plan.set_endpoint_state(name, state, self.now_s))
 
     @stateful.rule(
         name=st.sampled_from(sorted(ENGINES)),
@@ -408,7 +408,7 @@
     def report(self, name, role, running):
         state = {'up': 'in'}.get(self.states[name], self.states[name])
         report = jobs.LoadReport(self.now_s, role, state, 0, running)
-        self.act(self.plan.load_report(name, report, self.now_s))
+        self.act(self.plan.handle_load_report(name, report, self.now_s))
 
     @stateful.rule(step_s=st.floats(0.01, 3.0))
     def wait(self, step_s):
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -19,7 +19,7 @@
 def test_endpoint_and_customer_are_seen():
     made = make()
     assert snapshot.take(made, 0.0).endpoints['e1'].report_age_s is None
-    made.load_report('e1', jobs.LoadReport(1.0, running=3), 1.0)
+    made.handle_load_report('e1', jobs.LoadReport(1.0, running=3), 1.0)
     made.submit(jobs.Job('j', 'lease', 'm', model='m'), 1.0)
     seen = snapshot.take(made, 3.0)
     assert seen.endpoints['e1'] == snapshot.EndpointSnapshot(
@@ -30,8 +30,8 @@
 
 def test_state_tells_why_an_endpoint_gets_no_work():
     made = make()
-    made.endpoint_state('e1', 'crashed', 1.0)
+    made.set_endpoint_state('e1', 'crashed', 1.0)
     assert snapshot.take(made, 1.0).endpoints['e1'].state == 'crashed'
-    made.endpoint_state('e1', 'up', 2.0)
+    made.set_endpoint_state('e1', 'up', 2.0)
     made.endpoints['e1'].health.eject(2.0)
     assert snapshot.take(made, 2.0).endpoints['e1'].state == 'ejected'
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -24,14 +24,14 @@
 
 def crash(plan, now_s):
     """Run two jobs on one engine, and let it die."""
-    plan.endpoint_state('d2', 'leaving', now_s)
+    plan.set_endpoint_state('d2', 'leaving', now_s)
     for job_id in ('j1', 'j2'):
         plan.submit(make_job(job_id, fingerprint=job_id), now_s)
-    plan.endpoint_state('d2', 'up', now_s)
-    plan.endpoint_state('d1', 'crashed', now_s)
+    plan.set_endpoint_state('d2', 'up', now_s)
+    plan.set_endpoint_state('d1', 'crashed', now_s)
     for job_id in ('j1', 'j2'):
         failed = jobs.Failed('d1', 'decode', ran=True, crashed=True)
-        assert plan.finished(job_id, failed, now_s) == []
+        assert plan.record_result(job_id, failed, now_s) == []
 
 
 def test_batch_mates_wait_and_then_run_alone_one_by_one():
@@ -42,7 +42,7 @@
     assert action.alone
     assert plan.tick(SETTLE_S + 1.0) == []
     result = jobs.Finished(100, 50, 0)
-    plan.finished(action.job_id, result, SETTLE_S + 1.0)
+    plan.record_result(action.job_id, result, SETTLE_S + 1.0)
     (other,) = plan.tick(SETTLE_S + 1.1)
     assert {action.job_id, other.job_id} == {'j1', 'j2'}
 
@@ -61,7 +61,7 @@
     crash(plan, 0.0)
     (action,) = plan.tick(SETTLE_S)
     failed = jobs.Failed('d2', 'decode', ran=True, crashed=True)
-    (rejected,) = plan.finished(action.job_id, failed, SETTLE_S + 1.0)
+    (rejected,) = plan.record_result(action.job_id, failed, SETTLE_S + 1.0)
     assert rejected.outcome.reason == 'crashes_endpoints'
     resend = make_job('j4', fingerprint=action.job_id)
     (refusal,) = plan.submit(resend, SETTLE_S + 1.1)
