--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -23,6 +23,7 @@
 ROLES = (PREFILL, DECODE)
 FULL_FRACTION = 1.0
 LOWEST_PRIORITY = 9
+#: Weight of one first token in the moving average of prediction errors.
 BIAS_STEP = 0.02
 
 
@@ -158,7 +159,7 @@
         self.undisturbed = False
 
     def joins(self, seconds):
-        """Whether a prompt belongs to the step of the one that ended before.
+        """Whether a prompt ended in the same step as the previous one.
 
         :param seconds: time between the ends of the two prefills
         """
@@ -497,7 +498,7 @@
         return Candidate(endpoint, first_s, first_s, prompt_s, cached)
 
     def _queue_ahead_s(self, endpoint, job, context, now_s):
-        """Seconds of queued prompts compared with ``engine_queue_s``.
+        """Seconds of queued prompts to compare with ``engine_queue_s``.
 
         Engines prefill by priority, so for the least served customer only
         prompts of the same or a more urgent priority count. For the others
@@ -509,7 +510,10 @@
         return endpoint.load.own_wait_s(priority, now_s)
 
     def _best_split(self, job, members, context, now_s):
-        """The best prefill engine, marked blocked if none has room now."""
+        """The best prefill engine, marked blocked if none has room now.
+
+        The predictions include the KV cache transfer to a decode engine.
+        """
         found = []
         for endpoint in members:
             gate_s = self._queue_ahead_s(endpoint, job, context, now_s)
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -35,18 +35,19 @@
 Digest = digests.Digest
 Demand = exchange.Demand
 
-#: A dispatch round ends when so often no job of the customer at hand could
-#: be placed: bounds the work of one event when many wait for a full pool.
+#: A dispatch round of a pool ends after this many customers without a
+#: placeable job. Bounds the work of one event when many customers wait for
+#: a full pool.
 MAX_UNPLACED_JOBS = 6
-#: Queued jobs of one customer that are tried, the first included.
+#: Queued jobs of one customer that a dispatch round tries to place.
 LOOKAHEAD_JOBS = 4
-#: How long the cached credit share of a pool is used before recomputation.
+#: Time after which a pool's share of the stream credits is recomputed.
 FRACTION_INTERVAL_S = 0.25
 #: Prefill capacity of a decode engine, as a fraction of a prefill engine.
 MIXED_PREFILL_CAPACITY = 0.2
-#: Cached blocks tracked for all engines of the node together.
+#: Cached blocks that are tracked in total, divided between the engines.
 ESTIMATED_BLOCKS = 60_000
-#: Cached blocks tracked for each engine, at least.
+#: Least number of cached blocks that are tracked for each engine.
 MIN_CACHED_BLOCKS = 512
 #: Least queue timeout of a suspect job, which other jobs overtake.
 MIN_SUSPECT_WAIT_S = 30.0
@@ -111,7 +112,7 @@
 
     Every method that takes an event returns a list of actions, empty for
     events that only update estimates. A submitted job ends in exactly one
-    way: :meth:`finished` receives :class:`jobs.Finished` or
+    way: :meth:`record_result` receives :class:`jobs.Finished` or
     :class:`jobs.Cancelled` after a :class:`Dispatch`, the scheduler returns
     :class:`Refuse`, or :meth:`cancel` is called (no action for the job
     follows). After :class:`jobs.Failed` the scheduler either dispatches the
@@ -304,8 +305,8 @@
 
     def _model_of(self, endpoint):
         # Most pools serve one model. Further models have cost models of
-        # their own; only this estimate of queued prompts of unknown model
-        # uses the pool's first one.
+        # their own, but load reports do not name the models of queued
+        # prompts, so the pool's first one is assumed for them.
         return self.pool_models.get(endpoint.info.pool, endpoint.info.pool)
 
     # Job events
@@ -419,7 +420,7 @@
         return actions
 
     def _early_refusal(self, job, now_s):
-        """Outcome of a job that can't be queued at all, or None."""
+        """Outcome of a job that is refused before queueing, or None."""
         pool = self.pools.get(job.pool)
         if pool is None:
             return outcomes.Rejected(
