--- a/magnoliadyke/core/attempts.py
+++ b/magnoliadyke/core/attempts.py
@@ -209,8 +209,8 @@
     :param max_silence_s: greatest timeout, also before any estimate
     """
 
-    TOKENS_MISSED = 20
-    WEIGHT = 0.2
+    MAX_MISSED_TOKENS = 20
+    SMOOTHING = 0.2
 
     def __init__(self, min_silence_s=1.5, max_silence_s=2.5):
         self.min_silence_s = min_silence_s
@@ -234,7 +234,7 @@
                 if self.token_interval_s is None
                 else self.token_interval_s
             )
-            self.token_interval_s = old_s + self.WEIGHT * (
+            self.token_interval_s = old_s + self.SMOOTHING * (
                 token_interval_s - old_s
             )
         if new > 0:
@@ -250,7 +250,7 @@
         if self.token_interval_s is None:
             limit_s = self.max_silence_s
         else:
-            predicted_s = self.token_interval_s * self.TOKENS_MISSED
+            predicted_s = self.token_interval_s * self.MAX_MISSED_TOKENS
             limit_s = min(
                 max(predicted_s, self.min_silence_s), self.max_silence_s
             )
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -398,8 +398,8 @@
             busy = len(endpoint.load.jobs)
             if busy >= slots:
                 continue
-            far = endpoint.info.failure_domain != self.failure_domain
-            key = (busy * endpoint.slowness, far, self.rng.random())
+            is_remote = endpoint.info.failure_domain != self.failure_domain
+            key = (busy * endpoint.slowness, is_remote, self.rng.random())
             if best is None or key < best[0]:
                 best = key, endpoint
         if best is None:
@@ -486,8 +486,8 @@
         prompt_s = model.prefill_s(endpoint.role, tokens, streams)
         prompt_s *= endpoint.slowness
         wait_s = load.own_wait_s(job.priority, now_s)
-        others_s = load.others_wait_s(now_s)
-        wait_s += others_s * context.peers_share
+        peers_s = load.others_wait_s(now_s)
+        wait_s += peers_s * context.peers_share
         read_s = prompt_s
         if load.prompts and endpoint.role == PREFILL:
             # The engine first ends its present step, then prefills this
@@ -516,9 +516,9 @@
         """
         found = []
         for endpoint in members:
-            gate_s = self._queue_ahead_s(endpoint, job, context, now_s)
+            queue_ahead_s = self._queue_ahead_s(endpoint, job, context, now_s)
             each = self._predict_prefill(job, endpoint, context, now_s)
-            if gate_s > self.settings.engine_queue_s:
+            if queue_ahead_s > self.settings.engine_queue_s:
                 later_s = each.score_s + context.backlog_s
                 each = each._replace(
                     score_s=later_s, first_token_s=later_s, blocked=True
@@ -548,8 +548,8 @@
         for fill, endpoint in found:
             if fill > self.settings.mixed_fill:
                 continue
-            gate_s = self._queue_ahead_s(endpoint, job, context, now_s)
-            if gate_s > self.settings.engine_queue_s:
+            queue_ahead_s = self._queue_ahead_s(endpoint, job, context, now_s)
+            if queue_ahead_s > self.settings.engine_queue_s:
                 continue
             each = self._predict_prefill(job, endpoint, context, now_s)
             extra_s = each.prompt_s * max(0.0, lost) * fill
@@ -576,8 +576,8 @@
         :param split: :class:`Candidate` in the prefill role, or None
         :param mixed: :class:`Candidate` in the decode role, or None
         """
-        sure_s = context.spare_s * self.settings.mixed_time_share
-        if mixed is not None and mixed.first_token_s > sure_s:
+        limit_s = context.spare_s * self.settings.mixed_time_share
+        if mixed is not None and mixed.first_token_s > limit_s:
             mixed = None
         if split is None or mixed is None:
             return split or mixed
@@ -596,10 +596,10 @@
             return None
         best = min(candidates, key=_score_s)
         settings = self.settings
-        blind_s = max(
+        unreported_s = max(
             each.endpoint.load.others.unseen_s(now_s) for each in candidates
         )
-        slack_s = settings.slack_s + settings.peer_load_slack * blind_s
+        slack_s = settings.slack_s + settings.peer_load_slack * unreported_s
         good = [
             (each.score_s, each)
             for each in candidates
