--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -458,9 +458,9 @@
         if not pool.waiting.get(run.job.customer):
             return 0.0
         wait_s = self._predicted_wait_s(run, pool)
-        bearable_s = max(0.0, run.timing.latest_start_s - now_s)
-        bearable_s *= self.settings.admission_settings.early_factor
-        return wait_s - bearable_s
+        allowed_s = max(0.0, run.timing.latest_start_s - now_s)
+        allowed_s *= self.settings.admission_settings.early_factor
+        return wait_s - allowed_s
 
     def _predicted_wait_s(self, run, pool):
         job = run.job
