--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -568,6 +568,10 @@
         return None
 
     def _try_place(self, run, pool, context, now_s):
+        """Dispatch a queued job, or refuse it if it is predicted late.
+
+        :returns: the action, or None if no endpoint has room now
+        """
         spare_s = run.timing.deadline_s - now_s
         share = pool.mix_before(run.job.priority)
         context = context._replace(
