--- a/magnoliadyke/gateway/fleetduty.py
+++ b/magnoliadyke/gateway/fleetduty.py
@@ -6,8 +6,8 @@
 
 from magnoliadyke import app
 from magnoliadyke import clock as clocks
+from magnoliadyke.core import autoscaler
 from magnoliadyke.core import catalog
-from magnoliadyke.core import fleetplan
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import operatorcalls
@@ -57,7 +57,7 @@
         self.store = kept
         self.calls = calls
         self.clock = clock
-        self.plans: dict[str, fleetplan.FleetPlan] = {}
+        self.plans: dict[str, autoscaler.FleetPlan] = {}
         self.wanted: dict[str, int] = {}
         self.listed: dict[str, tuple[int, float]] = {}
         self.greenlet: gevent.Greenlet | None = None
@@ -100,7 +100,7 @@
                 if service.scaling is not None:
                     self._step(service.name, service.scaling)
 
-    def _step(self, service: str, limits: fleetplan.Limits) -> None:
+    def _step(self, service: str, limits: autoscaler.Limits) -> None:
         present = self._present(service)
         if service not in self.wanted:
             self._set_up(
@@ -109,7 +109,7 @@
             return
         if not self.leadership.may_order():
             return
-        plan = self.plans.setdefault(service, fleetplan.FleetPlan(service))
+        plan = self.plans.setdefault(service, autoscaler.FleetPlan(service))
         now_s = self.clock.now_s()
         wanted = self.wanted[service]
         for order in plan.decide(limits, present, wanted, now_s):
@@ -138,11 +138,11 @@
             wanted=self.wanted.get(service, 'unknown'),
         )
 
-    def _present(self, service: str) -> dict[str, fleetplan.Present]:
-        found: dict[str, fleetplan.Present] = {}
+    def _present(self, service: str) -> dict[str, autoscaler.Present]:
+        found: dict[str, autoscaler.Present] = {}
         for endpoint in self.catalog.usable(service):
             domain = endpoint.failure_domain
-            there = found.get(domain, fleetplan.Present())
+            there = found.get(domain, autoscaler.Present())
             if endpoint.reclaimable:
                 there = there._replace(reclaimable=there.reclaimable + 1)
             else:
@@ -151,7 +151,7 @@
         return found
 
     def _order(
-        self, plan: fleetplan.FleetPlan, order: fleetplan.Order
+        self, plan: autoscaler.FleetPlan, order: autoscaler.Order
     ) -> None:
         outcome = self.leadership.call(
             lambda caller: self.calls.order_endpoints(caller, order)
--- a/magnoliadyke/gateway/operatorcalls.py
+++ b/magnoliadyke/gateway/operatorcalls.py
@@ -3,7 +3,7 @@
 import abc
 from typing import NamedTuple
 
-from magnoliadyke.core import fleetplan
+from magnoliadyke.core import autoscaler
 
 __all__ = ['Caller', 'Done', 'OperatorCalls', 'Rejected', 'Unreachable']
 
@@ -51,6 +51,6 @@
 
     @abc.abstractmethod
     def order_endpoints(
-        self, caller: Caller, order: fleetplan.Order
+        self, caller: Caller, order: autoscaler.Order
     ) -> Done | Rejected | Unreachable:
         """Have a service run so many endpoints in a failure domain."""
--- a/magnoliadyke/platform/cloud.py
+++ b/magnoliadyke/platform/cloud.py
@@ -5,7 +5,7 @@
 
 import gevent
 
-from magnoliadyke.core import fleetplan
+from magnoliadyke.core import autoscaler
 from magnoliadyke.gateway import connection
 from magnoliadyke.gateway import http
 from magnoliadyke.gateway import operatorcalls
@@ -40,7 +40,7 @@
         return self._call(caller, b'/usage', body)
 
     def order_endpoints(
-        self, caller: operatorcalls.Caller, order: fleetplan.Order
+        self, caller: operatorcalls.Caller, order: autoscaler.Order
     ) -> (
         operatorcalls.Done | operatorcalls.Rejected | operatorcalls.Unreachable
     ):
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -3,8 +3,8 @@
 import re
 from typing import Any
 
+from magnoliadyke.core import autoscaler
 from magnoliadyke.core import catalog
-from magnoliadyke.core import fleetplan
 from magnoliadyke.core import routes
 from magnoliadyke.core import workspaces
 from magnoliadyke.platform import fields
@@ -125,7 +125,7 @@
     )
 
 
-def _scaling(found: Any) -> fleetplan.Limits | None:
+def _scaling(found: Any) -> autoscaler.Limits | None:
     if not found:
         return None
     if not isinstance(found, dict):
@@ -133,7 +133,7 @@
     prices = found.get('zone_prices') or {}
     if not isinstance(prices, dict):
         raise fields.BadField('zone_prices is no object')
-    return fleetplan.Limits(
+    return autoscaler.Limits(
         least=fields.whole(found, 'min_replicas', 0),
         most=fields.whole(found, 'max_replicas', 0),
         boot_s=fields.number(found, 'boot_s', 0, 0),
--- a/tests/test_fleetplan.py
+++ b/tests/test_autoscaler.py
@@ -3,10 +3,10 @@
 import hypothesis
 from hypothesis import strategies
 
-from magnoliadyke.core import fleetplan
+from magnoliadyke.core import autoscaler
 
 PRICES = {'a': 0.85, 'b': 1.2, 'c': 1.0, 'd': 1.1}
-LIMITS = fleetplan.Limits(1, 9, 4.0, 0.15, PRICES)
+LIMITS = autoscaler.Limits(1, 9, 4.0, 0.15, PRICES)
 
 
 class Platform:
@@ -14,8 +14,8 @@
 
     def __init__(self, limits=LIMITS, **lasting):
         self.limits = limits
-        self.plan = fleetplan.FleetPlan('s')
-        self.present = {d: fleetplan.Present(n) for d, n in lasting.items()}
+        self.plan = autoscaler.FleetPlan('s')
+        self.present = {d: autoscaler.Present(n) for d, n in lasting.items()}
         self.scarce = set()
         self.coming = []
         self.orders = []
@@ -42,7 +42,7 @@
             return
         self.orders.append(order)
         self.plan.accepted(order, self.now_s)
-        count = self.present.get(order.failure_domain, fleetplan.Present())
+        count = self.present.get(order.failure_domain, autoscaler.Present())
         more = order.count > count[order.reclaimable]
         due_s = self.now_s + (self.limits.boot_s if more else 0.0)
         self.coming.append((due_s, order))
@@ -54,7 +54,7 @@
             domain = order.failure_domain
             if order.reclaimable and domain in self.scarce:
                 continue
-            there = self.present.get(domain, fleetplan.Present())
+            there = self.present.get(domain, autoscaler.Present())
             name = 'reclaimable' if order.reclaimable else 'lasting'
             self.present[domain] = there._replace(**{name: order.count})
 
--- a/tests/test_gateway_fleet.py
+++ b/tests/test_gateway_fleet.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from magnoliadyke.core import fleetplan
+from magnoliadyke.core import autoscaler
 from magnoliadyke.gateway import fleetduty
 from magnoliadyke.lab import platformcloud
 from magnoliadyke.lab import platformendpoint
@@ -137,6 +137,6 @@
     nodes(world, cloud, 1)
     gatewayworld.wait_for(world.nodes[0]._is_ready, 'a ready node')
     service = world.nodes[0].catalog.configuration.services['model']
-    assert service.scaling == fleetplan.Limits(
+    assert service.scaling == autoscaler.Limits(
         1, 9, 0.2, 0.15, SCALING['zone_prices']
     )
