--- a/magnoliadyke/core/autoscaler.py
+++ b/magnoliadyke/core/autoscaler.py
@@ -10,10 +10,10 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-__all__ = ['FleetPlan', 'Limits', 'Order', 'Present']
+__all__ = ['Autoscaler', 'ScalingLimits', 'ScaleOrder', 'AvailableCapacity']
 
 
-class Order(NamedTuple):
+class ScaleOrder(NamedTuple):
     """Run so many endpoints of a kind in a failure domain.
 
     :param reclaimable: of the kind that may be taken away at short notice
@@ -25,14 +25,14 @@
     reclaimable: bool
 
 
-class Present(NamedTuple):
+class AvailableCapacity(NamedTuple):
     """The endpoints in a failure domain that take work, by kind."""
 
-    lasting: int = 0
+    on_demand: int = 0
     reclaimable: int = 0
 
 
-class Limits(NamedTuple):
+class ScalingLimits(NamedTuple):
     """What may be ordered, and what it costs.
 
     :param least: endpoints in each failure domain, both kinds together
@@ -42,8 +42,8 @@
     :param prices: of an endpoint and second, by failure domain
     """
 
-    least: int
-    most: int
+    min_endpoints: int
+    max_endpoints: int
     boot_s: float
     reclaimable_price: float
     prices: Mapping[str, float]
@@ -51,18 +51,18 @@
 
 #: How long a failure domain is left alone that had none of a kind, in
 #: seconds.
-SCARCE_S = 3.0
+UNAVAILABLE_RETRY_S = 3.0
 #: Beyond the start of an endpoint: how long it may take to be listed.
-LISTED_S = 3.0
+REGISTRATION_S = 3.0
 #: How long more endpoints than wanted are left alone, in seconds: those that
 #: replace others come before these leave.
-SURPLUS_S = 8.0
+SURPLUS_DELAY_S = 8.0
 
 #: A failure domain, and whether the kind is reclaimable.
 Kind = tuple[str, bool]
 
 
-class FleetPlan:
+class Autoscaler:
     """The plan for one service; one call at a time changes it.
 
     :ivar ordered: count and time of the latest order, by domain and kind
@@ -73,29 +73,29 @@
     def __init__(self, service: str) -> None:
         self.service = service
         self.ordered: dict[Kind, tuple[int, float]] = {}
-        self.scarce_until_s: dict[Kind, float] = {}
+        self.unavailable_until_s: dict[Kind, float] = {}
         self.surplus_since_s: dict[Kind, float] = {}
 
     def decide(
         self,
-        limits: Limits,
-        present: Mapping[str, Present],
+        limits: ScalingLimits,
+        available: Mapping[str, AvailableCapacity],
         wanted: int,
         now_s: float,
-    ) -> list[Order]:
+    ) -> list[ScaleOrder]:
         """What to order now.
 
         :param present: by failure domain
         :param wanted: endpoints that the load needs
         """
-        targets = self.targets(limits, present, wanted, now_s)
+        targets = self.targets(limits, available, wanted, now_s)
         orders = [
-            Order(self.service, domain, target, reclaimable)
+            ScaleOrder(self.service, domain, target, reclaimable)
             for (domain, reclaimable), target in targets.items()
             if self._is_due(
                 (domain, reclaimable),
                 target,
-                _count(present, domain, reclaimable),
+                _count(available, domain, reclaimable),
                 limits,
                 now_s,
             )
@@ -106,37 +106,46 @@
 
     def targets(
         self,
-        limits: Limits,
-        present: Mapping[str, Present],
+        limits: ScalingLimits,
+        available: Mapping[str, AvailableCapacity],
         wanted: int,
         now_s: float,
     ) -> dict[Kind, int]:
         """How many of each kind there should be, by domain."""
         domains = sorted(limits.prices, key=lambda d: (limits.prices[d], d))
-        cheap = self._reclaimable(limits, present, domains, wanted, now_s)
-        found = {(domain, True): count for domain, count in cheap.items()}
+        reclaimable_targets = self._reclaimable_targets(
+            limits, available, domains, wanted, now_s
+        )
+        counts = {
+            (domain, True): count
+            for domain, count in reclaimable_targets.items()
+        }
         ready = sum(
-            min(_count(present, domain, True), cheap[domain])
+            min(_count(available, domain, True), reclaimable_targets[domain])
             for domain in domains
         )
         # Those that last stay until the others are there.
         short = max(0, wanted - ready)
         for domain in domains:
-            lasting = min(_count(present, domain, False), short)
-            short -= lasting
-            found[domain, False] = lasting
-        missing = wanted - sum(found.values())
+            on_demand = min(_count(available, domain, False), short)
+            short -= on_demand
+            counts[domain, False] = on_demand
+        missing = wanted - sum(counts.values())
         for domain in domains:
-            room = limits.most - found[domain, True] - found[domain, False]
+            room = (
+                limits.max_endpoints
+                - counts[domain, True]
+                - counts[domain, False]
+            )
             added = max(0, min(missing, room))
-            found[domain, False] += added
+            counts[domain, False] += added
             missing -= added
-        return found
+        return counts
 
-    def _reclaimable(
+    def _reclaimable_targets(
         self,
-        limits: Limits,
-        present: Mapping[str, Present],
+        limits: ScalingLimits,
+        available: Mapping[str, AvailableCapacity],
         domains: list[str],
         wanted: int,
         now_s: float,
@@ -150,56 +159,65 @@
         if limits.reclaimable_price >= 1 or len(domains) < 2:
             return dict.fromkeys(domains, 0)
         rooms = {
-            domain: limits.most - _count(present, domain, False)
+            domain: limits.max_endpoints - _count(available, domain, False)
             for domain in domains
         }
-        found = {
+        counts = {
             domain: min(
-                self._expected(domain, present, limits, now_s),
-                limits.most,
+                self._expected_count(domain, available, limits, now_s),
+                limits.max_endpoints,
             )
             for domain in domains
         }
-        while sum(found.values()) - max(found.values()) < wanted:
+        while sum(counts.values()) - max(counts.values()) < wanted:
             open_to = [
                 domain
                 for domain in domains
-                if found[domain] < rooms[domain]
-                and self.scarce_until_s.get((domain, True), now_s) <= now_s
+                if counts[domain] < rooms[domain]
+                and self.unavailable_until_s.get((domain, True), now_s)
+                <= now_s
             ]
             if not open_to:
                 break
-            found[min(open_to, key=found.__getitem__)] += 1
-        while fullest := max(reversed(domains), key=found.__getitem__):
-            if found[fullest] <= limits.least:
+            counts[min(open_to, key=counts.__getitem__)] += 1
+        while fullest := max(reversed(domains), key=counts.__getitem__):
+            if counts[fullest] <= limits.min_endpoints:
                 break
-            found[fullest] -= 1
-            if sum(found.values()) - max(found.values()) < wanted:
-                found[fullest] += 1
+            counts[fullest] -= 1
+            if sum(counts.values()) - max(counts.values()) < wanted:
+                counts[fullest] += 1
                 break
-        return found
+        return counts
 
-    def _expected(
+    def _expected_count(
         self,
         domain: str,
-        present: Mapping[str, Present],
-        limits: Limits,
+        available: Mapping[str, AvailableCapacity],
+        limits: ScalingLimits,
         now_s: float,
     ) -> int:
         """Endpoints of the kind in a domain, with those that are to come."""
-        count = _count(present, domain, True)
+        count = _count(available, domain, True)
         last, at_s = self.ordered.get((domain, True), (0, float('-inf')))
-        coming = now_s < at_s + limits.boot_s + LISTED_S
-        return max(count, last) if coming else count
+        is_pending = now_s < at_s + limits.boot_s + REGISTRATION_S
+        return max(count, last) if is_pending else count
 
     def _is_due(
-        self, kind: Kind, target: int, count: int, limits: Limits, now_s: float
+        self,
+        kind: Kind,
+        target: int,
+        count: int,
+        limits: ScalingLimits,
+        now_s: float,
     ) -> bool:
         if target >= count:
             self.surplus_since_s.pop(kind, None)
         else:
             self.surplus_since_s.setdefault(kind, now_s)
-        if target == count or self.scarce_until_s.get(kind, now_s) > now_s:
+        if (
+            target == count
+            or self.unavailable_until_s.get(kind, now_s) > now_s
+        ):
             return False
         last, at_s = self.ordered.get(kind, (None, float('-inf')))
         if target != last:
@@ -207,28 +225,28 @@
             return (
                 not kind[1] or target > count or self._is_surplus(kind, now_s)
             )
-        if now_s < at_s + limits.boot_s + LISTED_S:
+        if now_s < at_s + limits.boot_s + REGISTRATION_S:
             return False
         return target > count or self._is_surplus(kind, now_s)
 
     def _is_surplus(self, kind: Kind, now_s: float) -> bool:
         """Whether the surplus is none that comes with a replacement."""
-        return now_s - self.surplus_since_s.get(kind, now_s) >= SURPLUS_S
+        return now_s - self.surplus_since_s.get(kind, now_s) >= SURPLUS_DELAY_S
 
-    def accepted(self, order: Order, now_s: float) -> None:
+    def record_accepted(self, order: ScaleOrder, now_s: float) -> None:
         """An order was taken, or may have been."""
         kind = (order.failure_domain, order.reclaimable)
         self.ordered[kind] = (order.count, now_s)
         self.surplus_since_s.pop(kind, None)
 
-    def scarce(self, order: Order, now_s: float) -> None:
+    def record_unavailable(self, order: ScaleOrder, now_s: float) -> None:
         """There is none of the kind in the domain at the moment."""
         kind = (order.failure_domain, order.reclaimable)
-        self.scarce_until_s[kind] = now_s + SCARCE_S
+        self.unavailable_until_s[kind] = now_s + UNAVAILABLE_RETRY_S
 
 
 def _count(
-    present: Mapping[str, Present], domain: str, reclaimable: bool
+    available: Mapping[str, AvailableCapacity], domain: str, reclaimable: bool
 ) -> int:
-    there = present.get(domain, Present())
-    return there.reclaimable if reclaimable else there.lasting
+    there = available.get(domain, AvailableCapacity())
+    return there.reclaimable if reclaimable else there.on_demand
--- a/magnoliadyke/core/burn.py
+++ b/magnoliadyke/core/burn.py
@@ -44,10 +44,10 @@
 #: Bad share that a rule can always ask for. A wide budget puts the usual
 #: factor out of reach (14.4 times 10 % is more than all requests), and a
 #: customer whose every request fails would then never raise the alert.
-REACHABLE_SHARE = 0.8
+MAX_THRESHOLD_SHARE = 0.8
 
 #: Seconds by which a waiting time counts as none.
-TINY_S = 1e-9
+MIN_QUEUED_S = 1e-9
 
 
 class Rule(NamedTuple):
@@ -110,7 +110,7 @@
     cause: str = ''
 
 
-def judge(timings: Timings, whole: bool) -> Verdict:
+def judge(timings: Timings, complete: bool) -> Verdict:
     """Say whether a request was good, and blame one cause if not.
 
     :param timings: where its time went
@@ -122,25 +122,25 @@
         timings.per_token_s is not None
         and timings.per_token_s > timings.per_token_objective_s
     )
-    if whole and not late and not slow:
+    if complete and not late and not slow:
         return Verdict(True)
-    broken = not whole and first_s is not None
+    broken = not complete and first_s is not None
     if timings.failed_attempts or broken:
         return Verdict(False, 'fault')
     if slow and not late:
         return Verdict(False, 'engine')
-    return Verdict(False, _cause_of_wait(timings, whole))
+    return Verdict(False, _wait_cause(timings, complete))
 
 
-def _cause_of_wait(timings: Timings, whole: bool) -> str:
+def _wait_cause(timings: Timings, complete: bool) -> str:
     # A request refused from the queue has no first token: all its time was
     # waiting. Else waiting is to blame if it took most of the time.
     total_s = timings.first_token_s
     if total_s is None:
         total_s = timings.queued_s
     if not timings.shed:
-        if timings.queued_s <= TINY_S:
-            return 'engine' if whole else 'fault'
+        if timings.queued_s <= MIN_QUEUED_S:
+            return 'engine' if complete else 'fault'
         if timings.queued_s * 2 < total_s:
             return 'engine'
     if timings.role_change_s > 0:
@@ -330,7 +330,7 @@
 def evaluate(
     snapshot: Mapping[str, Mapping[int, Counts]],
     objectives: Mapping[str, float],
-    reach_s: float = math.inf,
+    history_s: float = math.inf,
 ) -> list[CustomerBurn]:
     """Work out burn rates and alerts.
 
@@ -343,7 +343,7 @@
         are left out
     :param reach_s: how far back the counts go
     """
-    rules = [rule for rule in RULES if rule.short_s <= reach_s]
+    rules = [rule for rule in RULES if rule.short_s <= history_s]
     return [
         _customer_burn(name, objective, snapshot.get(name, {}), rules)
         for name, objective in sorted(objectives.items())
@@ -384,7 +384,7 @@
     rule: Rule, windows: Mapping[int, WindowBurn], budget: float
 ) -> Alert | None:
     long, short = windows[rule.long_s], windows[rule.short_s]
-    threshold = min(rule.factor, REACHABLE_SHARE / budget)
+    threshold = min(rule.factor, MAX_THRESHOLD_SHARE / budget)
     if long.bad < MIN_BAD or long.burn_rate < threshold:
         return None
     if short.burn_rate < threshold:
--- a/magnoliadyke/core/capacity.py
+++ b/magnoliadyke/core/capacity.py
@@ -42,5 +42,5 @@
         # Work that was added and taken away again may end just below zero.
         work_s = max(0.0, work_s)
         last = bisect.bisect_right(self._work_s, work_s) - 1
-        rest_s = work_s - self._work_s[last]
-        return self._free_s[last] + rest_s / self._speeds[last]
+        remaining_s = work_s - self._work_s[last]
+        return self._free_s[last] + remaining_s / self._speeds[last]
--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -32,7 +32,7 @@
     'CommandSettings',
     'EngineCommands',
     'EngineState',
-    'GaveUp',
+    'ChangeFailed',
     'Intent',
     'Prepare',
     'ReadIntent',
@@ -175,7 +175,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class GaveUp:
+class ChangeFailed:
     """The engine did not get there in time, or the authority is gone."""
 
     change: Change
@@ -189,12 +189,12 @@
     | ReadState
     | SendCommand
     | Settled
-    | GaveUp
+    | ChangeFailed
 )
 
 
 @dataclasses.dataclass(frozen=True)
-class _Learning:
+class _Discovering:
     """Intent and state are to be read before anything else."""
 
 
@@ -212,7 +212,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Intending:
+class _WritingIntent:
     """The intent is being written."""
 
     intent: Intent
@@ -262,19 +262,21 @@
         self._intent_revision = 0
         self._intent_known = False
         self._authority: leases.Authority | None = None
-        self._wanted: Change | None = None
+        self._requested: Change | None = None
         self._correcting = False
-        self._step: object = _Learning()
+        self._step: object = _Discovering()
         self._busy = False
         self._next_s = 0.0
         self._highest_fencing = 0
-        self._reply_is_old = False
-        self._registered = False
+        self._reply_is_stale = False
+        self._fencing_registered = False
 
     @property
     def under_way(self) -> bool:
         """Whether a change was begun and has not ended."""
-        return isinstance(self._step, _Preparing | _Intending | _Commanding)
+        return isinstance(
+            self._step, _Preparing | _WritingIntent | _Commanding
+        )
 
     @property
     def highest_fencing(self) -> int:
@@ -283,7 +285,7 @@
         return max(self._highest_fencing, stored)
 
     @property
-    def outranked(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether the engine obeys a higher number than the holder has.
 
         A store restored to an older copy can give too low a number; the
@@ -292,11 +294,11 @@
         held = self._authority
         return held is not None and self._highest_fencing > held.fencing
 
-    def want(self, change: Change) -> bool:
+    def request_change(self, change: Change) -> bool:
         """Ask for a change; False while another one is under way."""
-        if self.under_way or self._wanted is not None:
+        if self.under_way or self._requested is not None:
             return False
-        self._wanted = change
+        self._requested = change
         self._next_s = 0.0
         return True
 
@@ -343,34 +345,34 @@
         )
         if same or (before is None and authority is None):
             return []
-        lost = self._wanted
-        self._step = _Learning()
+        lost = self._requested
+        self._step = _Discovering()
         self._intent_known = False
-        self._reply_is_old = self._busy
-        self._registered = not self.checks_fencing
+        self._reply_is_stale = self._busy
+        self._fencing_registered = not self.checks_fencing
         self.intent = None
         self.role = None
         self.state = None
-        self._wanted = None
+        self._requested = None
         self._correcting = False
         if lost is None:
             return []
-        return [GaveUp(lost, 'authority lost')]
+        return [ChangeFailed(lost, 'authority lost')]
 
     def _advance(
         self, now_s: float, authority: leases.Authority
     ) -> list[Action]:
         match self._step:
-            case _Learning():
-                return self._learn()
+            case _Discovering():
+                return self._discover()
             case _Idle():
-                return self._choose(now_s, authority)
+                return self._start_requested(now_s, authority)
             case _Preparing(change=change, asked=False):
                 self._step = _Preparing(change, asked=True)
                 return [Prepare(change)]
-            case _Intending(settled_by_read=True):
+            case _WritingIntent(settled_by_read=True):
                 return self._start(ReadIntent())
-            case _Intending(intent=intent):
+            case _WritingIntent(intent=intent):
                 return self._start(WriteIntent(intent, self._intent_revision))
             case _Commanding() as step:
                 return self._command(step, now_s, authority)
@@ -380,31 +382,31 @@
         self._busy = True
         return [action]
 
-    def _learn(self) -> list[Action]:
+    def _discover(self) -> list[Action]:
         if not self.checks_fencing and not self._intent_known:
             return self._start(ReadIntent())
         return self._start(ReadState())
 
-    def _choose(
+    def _start_requested(
         self, now_s: float, authority: leases.Authority
     ) -> list[Action]:
         if self.state is None:
-            self._step = _Learning()
-            return self._learn()
-        if not self._registered:
+            self._step = _Discovering()
+            return self._discover()
+        if not self._fencing_registered:
             self._begin(self._next_intent(_role_of(self.state)), now_s)
             return self._advance(now_s, authority)
-        change = self._wanted
+        change = self._requested
         if change is None:
             self._next_s = now_s + self.settings.compare_s
             return self._start(ReadState())
-        if _reached(self.state, change) and self._agrees_with(change):
-            self._wanted = None
+        if _has_reached(self.state, change) and self._intent_matches(change):
+            self._requested = None
             return [Settled(change, self.state.generation)]
         self._step = _Preparing(change)
         return self._advance(now_s, authority)
 
-    def _agrees_with(self, change: Change) -> bool:
+    def _intent_matches(self, change: Change) -> bool:
         """Whether the last intent would not undo the change."""
         return self.intent is None or self.intent.change == change
 
@@ -417,7 +419,7 @@
         if self.checks_fencing:
             self._begin(intent, now_s)
         else:
-            self._step = _Intending(intent)
+            self._step = _WritingIntent(intent)
         return []
 
     def _next_intent(self, change: Change) -> Intent:
@@ -426,13 +428,13 @@
             generation = max(generation, self.intent.generation)
         return Intent(generation + 1, self._authority.fencing, change)
 
-    def _note_intent(self, intent: Intent | None) -> None:
+    def _record_intent(self, intent: Intent | None) -> None:
         self.intent = intent
         if intent is not None and intent.change.kind == 'role':
             self.role = intent.change
 
     def _begin(self, intent: Intent, now_s: float) -> None:
-        self._note_intent(intent)
+        self._record_intent(intent)
         before = self.state.generation if self.state is not None else 0
         until_s = now_s + self.settings.change_s
         self._step = _Commanding(intent, until_s, before)
@@ -441,7 +443,7 @@
         self, step: _Commanding, now_s: float, authority: leases.Authority
     ) -> list[Action]:
         if now_s >= step.until_s:
-            return self._give_up(step, 'the engine did not change in time')
+            return self._fail(step, 'the engine did not change in time')
         if step.attempts and not step.sending:
             return self._start(ReadState())
         if not self.may_send(now_s, authority):
@@ -459,22 +461,22 @@
         )
         return self._start(SendCommand(command, deadline_s))
 
-    def _give_up(self, step: _Commanding, reason: str) -> list[Action]:
-        self._step = _Learning()
-        self._wanted = None
+    def _fail(self, step: _Commanding, reason: str) -> list[Action]:
+        self._step = _Discovering()
+        self._requested = None
         self._correcting = False
-        if not self._registered:
+        if not self._fencing_registered:
             return []
-        return [GaveUp(step.intent.change, reason)]
+        return [ChangeFailed(step.intent.change, reason)]
 
-    def _take_reply(self) -> bool:
+    def _accept_reply(self) -> bool:
         """Whether a reply still counts; one from a former tenure does not.
 
         It may show intent or state as they were before another holder.
         """
-        old = self._reply_is_old
+        old = self._reply_is_stale
         self._busy = False
-        self._reply_is_old = False
+        self._reply_is_stale = False
         return not old
 
     # Replies of the store.
@@ -483,46 +485,46 @@
         self, now_s: float, revision: int, text: str | None
     ) -> list[Action]:
         """What the store holds; revision 0 for an absent key."""
-        if not self._take_reply():
+        if not self._accept_reply():
             return []
         found = Intent.parse(text) if text is not None else None
         self._intent_revision = revision
         self._intent_known = True
         step = self._step
-        if isinstance(step, _Intending):
+        if isinstance(step, _WritingIntent):
             return self._settle_intent(step, found, now_s)
         if not isinstance(step, _Commanding):
-            self._note_intent(found)
+            self._record_intent(found)
         return []
 
     def _settle_intent(
-        self, step: _Intending, found: Intent | None, now_s: float
+        self, step: _WritingIntent, found: Intent | None, now_s: float
     ) -> list[Action]:
         if found == step.intent:
             self._begin(step.intent, now_s)
             return []
-        self._note_intent(found)
-        self._step = _Learning()
+        self._record_intent(found)
+        self._step = _Discovering()
         if found is not None and found.fencing > step.intent.fencing:
-            self._wanted = None
+            self._requested = None
             reason = 'a later holder has written its intent'
-            return [GaveUp(step.intent.change, reason)]
+            return [ChangeFailed(step.intent.change, reason)]
         return []
 
     def intent_written(self, now_s: float, revision: int) -> list[Action]:
         """The store took the intent: the command may go out."""
-        if not self._take_reply():
+        if not self._accept_reply():
             return []
         self._intent_revision = revision
-        if isinstance(self._step, _Intending):
+        if isinstance(self._step, _WritingIntent):
             self._begin(self._step.intent, now_s)
         return []
 
     def intent_failed(self, now_s: float) -> list[Action]:
         """No answer; a write may have been taken all the same."""
-        self._take_reply()
+        self._accept_reply()
         self._next_s = now_s + self.settings.retry_s
-        if isinstance(self._step, _Intending):
+        if isinstance(self._step, _WritingIntent):
             self._step = dataclasses.replace(self._step, settled_by_read=True)
         return []
 
@@ -530,19 +532,19 @@
 
     def state_read(self, now_s: float, state: EngineState) -> list[Action]:
         """The engine told its state: compare it with the intent."""
-        if not self._take_reply():
+        if not self._accept_reply():
             return []
         self.state = state
         match self._step:
             case _Commanding() as step:
                 return self._compare_with(step, state, now_s)
-            case _Learning() if not state.changing:
+            case _Discovering() if not state.changing:
                 self._step = _Idle()
-                self._notice_stray(state)
-            case _Learning():
+                self._correct_stray(state)
+            case _Discovering():
                 self._next_s = now_s + self.settings.poll_s
             case _Idle() if not state.changing:
-                self._notice_stray(state)
+                self._correct_stray(state)
         return []
 
     def _compare_with(
@@ -551,42 +553,45 @@
         self._next_s = now_s + self.settings.poll_s
         if state.changing:
             return []
-        if _reached(state, step.intent.change) and not self._registered:
-            self._registered = True
+        if (
+            _has_reached(state, step.intent.change)
+            and not self._fencing_registered
+        ):
+            self._fencing_registered = True
             self._step = _Idle()
             return []
-        if _reached(state, step.intent.change):
+        if _has_reached(state, step.intent.change):
             corrected = self._correcting
             self._step = _Idle()
-            self._wanted = None
+            self._requested = None
             self._correcting = False
             return [Settled(step.intent.change, state.generation, corrected)]
         if state.generation == step.intent.generation:
             # It took the command, and would take no repeat for a new one.
-            return self._give_up(step, 'the engine fell back')
+            return self._fail(step, 'the engine fell back')
         if state.generation != step.before:
             # A stray command or a crash came after ours. The engine would
             # drop a repeat of what it has carried out and stay astray until
             # we give up; comparing finds it and sends a new generation.
-            return self._give_up(step, 'the engine was commanded otherwise')
+            return self._fail(step, 'the engine was commanded otherwise')
         # The command never arrived: send it again.
         self._step = dataclasses.replace(step, sending=True)
         return []
 
-    def _notice_stray(self, state: EngineState) -> None:
+    def _correct_stray(self, state: EngineState) -> None:
         """Command again when the engine is not what was last intended."""
-        if self.role is None or self._wanted is not None:
+        if self.role is None or self._requested is not None:
             return
         # A model that is missing is no stray: its load needs the weight
         # store's leave, which whoever wants it asks for.
-        if not _reached(state, self.role):
+        if not _has_reached(state, self.role):
             self.corrections += 1
             self._correcting = True
-            self._wanted = self.role
+            self._requested = self.role
 
     def state_failed(self, now_s: float) -> list[Action]:
         """The engine told no state; ask again later."""
-        self._take_reply()
+        self._accept_reply()
         self.state = None
         self._next_s = now_s + self.settings.retry_s
         return []
@@ -598,14 +603,14 @@
 
         :param code: '' when taken, else 'stale_fencing' or 'changing'.
         """
-        if not self._take_reply():
+        if not self._accept_reply():
             return []
         self._next_s = now_s + self.settings.poll_s
         step = self._step
         if code == 'stale_fencing' and isinstance(step, _Commanding):
             self._next_s = now_s + self.settings.compare_s
             self._highest_fencing = max(self._highest_fencing, highest_fencing)
-            return self._give_up(step, 'the engine follows a later holder')
+            return self._fail(step, 'the engine follows a later holder')
         return []
 
     def command_unknown(self, now_s: float) -> list[Action]:
@@ -617,7 +622,7 @@
     return Change('role', state.role)
 
 
-def _reached(state: EngineState, change: Change) -> bool:
+def _has_reached(state: EngineState, change: Change) -> bool:
     match change.kind:
         case 'load':
             return change.target in state.models
--- a/magnoliadyke/core/exchange.py
+++ b/magnoliadyke/core/exchange.py
@@ -68,7 +68,9 @@
         :param runs: the node's jobs
         """
         self._forget_silent(now_s)
-        pools = tuple(pool.news(now_s) for pool in self.pools.values())
+        pools = tuple(
+            pool.demand_report(now_s) for pool in self.pools.values()
+        )
         for news in pools:
             key = ('pool', news.pool)
             self.shares.tell(key, news.asked_s_per_s, now_s)
@@ -99,7 +101,7 @@
         taken to be like these.
         """
         pool = self.pools[pool_name]
-        own = pool.news(now_s)[2:]
+        own = pool.demand_report(now_s)[2:]
         heard = self._heard(pool.number, now_s)
         others = max(0, self.shares.nodes - 1)
         scale = others / len(heard) if heard else 0.0
--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -5,20 +5,20 @@
 import operator
 from typing import NamedTuple
 
-__all__ = ['Band', 'Forecast', 'Rhythm', 'Series']
+__all__ = ['ForecastErrors', 'Forecast', 'SeasonalForecast', 'Series']
 
 BIN_S = 4.0
-MOST_BINS = 240
-SHORTEST_BINS = 15
-LONGEST_BINS = 150
+MAX_BINS = 240
+MIN_PERIOD_BINS = 15
+MAX_PERIOD_BINS = 150
 SEARCH_BINS = 4
 SMOOTHED_BINS = 3
-LEAST_CORRELATION = 0.45
+MIN_CORRELATION = 0.45
 #: Standard errors by which a correlation has to stand out.
 SIGNIFICANCE = 3.0
 #: A correlation this high makes the rhythm the whole forecast.
-FULL_CORRELATION = 0.6
-MOST_CYCLES = 4
+FULL_WEIGHT_CORRELATION = 0.6
+MAX_CYCLES = 4
 
 
 class Forecast(NamedTuple):
@@ -66,14 +66,14 @@
     def add(self, value, now_s):
         """Take a sample."""
         if self.at_s is not None:
-            self._age(now_s - self.at_s)
+            self._decay(now_s - self.at_s)
         self.at_s = now_s
         self._weight += 1.0
         self._squares += 1.0
         self._value += value
         self._value2 += value * value
 
-    def _age(self, passed_s):
+    def _decay(self, passed_s):
         keep = math.exp(-passed_s / self.memory_s)
         # Times are negative: a sample's time is minus its age.
         self._time2 += passed_s * (passed_s * self._weight - 2 * self._time)
@@ -111,7 +111,7 @@
         return Forecast(max(0.0, level), slope, math.sqrt(error2), noise)
 
 
-class Rhythm:
+class SeasonalForecast:
     """Finds a period in two series and tells what came at this phase.
 
     Token mixes swing with shifts and batch runs, often in even periods. A
@@ -125,7 +125,7 @@
     def __init__(self):
         self.period_s = None
         self.weight = 0.0
-        self._bins = collections.deque(maxlen=MOST_BINS)
+        self._bins = collections.deque(maxlen=MAX_BINS)
         self._open = []
         self._bin_end_s = None
         self._smoothed = ()
@@ -145,21 +145,21 @@
                 self._bin_end_s = now_s + BIN_S
         self._open.append((first, second))
 
-    def ahead(self, ahead_s):
+    def expected_at(self, ahead_s):
         """Mean of both series at this phase in past cycles, or None."""
         if self._lag is None:
             return None
-        place = len(self._bins) - 1 + round(ahead_s / BIN_S)
+        bin_index = len(self._bins) - 1 + round(ahead_s / BIN_S)
         sums = [0.0, 0.0]
         count = 0
-        while count < MOST_CYCLES:
-            place -= self._lag
-            if place < 0:
+        while count < MAX_CYCLES:
+            bin_index -= self._lag
+            if bin_index < 0:
                 break
-            if place >= len(self._smoothed):
+            if bin_index >= len(self._smoothed):
                 continue
             for index in (0, 1):
-                sums[index] += self._smoothed[place][index]
+                sums[index] += self._smoothed[bin_index][index]
             count += 1
         if not count:
             return None
@@ -182,36 +182,38 @@
             _centred(column) for column in zip(*self._smoothed, strict=True)
         ]
         count = len(self._smoothed)
-        longest = min(LONGEST_BINS, 2 * count // 3)
+        longest = min(MAX_PERIOD_BINS, 2 * count // 3)
         found = {
             lag: _correlation(columns, lag)
-            for lag in range(SHORTEST_BINS // 2, longest)
+            for lag in range(MIN_PERIOD_BINS // 2, longest)
         }
         self._lag = self.period_s = None
         self.weight = 0.0
         # Any slow change resembles itself a little later; only what became
         # unlike itself and then like itself again is a cycle.
-        unlike = [lag for lag, value in found.items() if value <= 0]
-        if not unlike:
+        negative_lags = [lag for lag, value in found.items() if value <= 0]
+        if not negative_lags:
             return
-        later = {lag: found[lag] for lag in found if lag > unlike[0]}
+        candidates = {
+            lag: found[lag] for lag in found if lag > negative_lags[0]
+        }
         # A multiple of the period is as good a lag; the shortest counts.
-        enough = 0.9 * max(later.values(), default=0.0)
+        min_peak = 0.9 * max(candidates.values(), default=0.0)
         peaks = [
             lag
-            for lag, value in later.items()
-            if value >= enough
-            and lag >= SHORTEST_BINS
+            for lag, value in candidates.items()
+            if value >= min_peak
+            and lag >= MIN_PERIOD_BINS
             and value >= found[lag - 1]
             and value >= found.get(lag + 1, 1.0)
         ]
         for lag in peaks:
             overlap = (count - lag) / SMOOTHED_BINS
-            needed = max(LEAST_CORRELATION, SIGNIFICANCE / math.sqrt(overlap))
+            needed = max(MIN_CORRELATION, SIGNIFICANCE / math.sqrt(overlap))
             if found[lag] >= needed:
                 self._lag = lag
                 self.period_s = lag * BIN_S
-                self.weight = min(1.0, found[lag] / FULL_CORRELATION)
+                self.weight = min(1.0, found[lag] / FULL_WEIGHT_CORRELATION)
                 return
 
 
@@ -219,11 +221,12 @@
     """Means over a bin and its neighbours."""
     bins = list(bins)
     smoothed = []
-    for place in range(len(bins)):
-        near = bins[max(0, place - 1) : place + 2]
+    for bin_index in range(len(bins)):
+        neighbours = bins[max(0, bin_index - 1) : bin_index + 2]
         smoothed.append(
             tuple(
-                sum(column) / len(near) for column in zip(*near, strict=True)
+                sum(column) / len(neighbours)
+                for column in zip(*neighbours, strict=True)
             )
         )
     return smoothed
@@ -245,7 +248,7 @@
     return cross / math.sqrt(old * new)
 
 
-class Band:
+class ForecastErrors:
     """How wrong forecasts have been, by how far they looked ahead.
 
     :param memory_s: time constant with which errors are forgotten
@@ -256,7 +259,7 @@
         self._due = collections.deque()
         self._squares = {}
 
-    def expect(self, lead_s, due_s, values):
+    def record_forecast(self, lead_s, due_s, values):
         """Note a forecast of several series for `due_s`.
 
         Forecasts of one lead have to come in the order of their times.
@@ -271,11 +274,11 @@
                 left.append((due_s, lead_s, expected))
                 continue
             pairs = zip(values, expected, strict=True)
-            squares = [(value - told) ** 2 for value, told in pairs]
-            self._learn(lead_s, squares, now_s)
+            squares = [(value - predicted) ** 2 for value, predicted in pairs]
+            self._update_error(lead_s, squares, now_s)
         self._due = left
 
-    def _learn(self, lead_s, squares, now_s):
+    def _update_error(self, lead_s, squares, now_s):
         known = self._squares.get(lead_s)
         if known is None:
             self._squares[lead_s] = now_s, squares
@@ -287,16 +290,16 @@
         ]
         self._squares[lead_s] = now_s, mixed
 
-    def errors(self, ahead_s, least):
+    def errors(self, ahead_s, min_errors):
         """Standard errors so far ahead, from the nearest leads.
 
         :param least: errors that are certain, by series
         """
         if not self._squares:
-            return least
+            return min_errors
         lead_s = min(self._squares, key=lambda each: abs(each - ahead_s))
         squares = self._squares[lead_s][1]
         return tuple(
             max(floor, math.sqrt(square))
-            for floor, square in zip(least, squares, strict=True)
+            for floor, square in zip(min_errors, squares, strict=True)
         )
--- a/magnoliadyke/core/health.py
+++ b/magnoliadyke/core/health.py
@@ -7,7 +7,7 @@
     'UP',
     'EndpointHealth',
     'HealthSettings',
-    'may_eject',
+    'can_eject',
 ]
 
 UP = 'up'
@@ -17,7 +17,7 @@
 CHANGING = 'changing'
 OUT_STATES = frozenset({LEAVING, LEFT, CRASHED, CHANGING})
 #: States from which an endpoint comes back without its past.
-UNPROVEN_STATES = frozenset({LEAVING, LEFT, CRASHED})
+PROBATION_STATES = frozenset({LEAVING, LEFT, CRASHED})
 
 
 class HealthSettings(NamedTuple):
@@ -32,9 +32,9 @@
 
     failures: int = 3
     first_ejection_s: float = 5.0
-    most_ejection_s: float = 60.0
-    most_ejected_share: float = 0.34
-    proofs: int = 1
+    max_ejection_s: float = 60.0
+    max_ejected_share: float = 0.34
+    probation_successes: int = 1
 
 
 DEFAULT_SETTINGS = HealthSettings()
@@ -55,7 +55,7 @@
         'failures',
         'observed',
         'observed_s',
-        'proofs_due',
+        'probation_left',
         'reported',
         'settings',
         'tabled',
@@ -70,38 +70,38 @@
         self.failures = 0
         self.ejections = 0
         self.ejected_until_s = float('-inf')
-        self.proofs_due = 0
+        self.probation_left = 0
 
-    def observe(self, state, now_s):
+    def record_observation(self, state, now_s):
         """Take a state from the shell.
 
         :returns: whether the endpoint came back from having lost its past
         """
-        returned = state == UP and self.observed in UNPROVEN_STATES
+        returned = state == UP and self.observed in PROBATION_STATES
         if returned:
             # The list that says so lags: it may name a host that just
             # died, so a single job goes first and the rest after it.
-            self.proofs_due = self.settings.proofs
+            self.probation_left = self.settings.probation_successes
         self.observed = state
         self.observed_s = now_s
         return returned
 
-    def report(self, state, at_s):
+    def record_report(self, state, at_s):
         """Take the endpoint's own word, true at ``at_s``."""
         if at_s < self.observed_s and state == UP:
             # Older than what was observed since: no reason to come back.
             return
-        if state == UP and self.reported in UNPROVEN_STATES:
-            self.proofs_due = self.settings.proofs
+        if state == UP and self.reported in PROBATION_STATES:
+            self.probation_left = self.settings.probation_successes
         self.reported = state
 
-    def succeeded(self):
+    def record_success(self):
         """Account a success: failures and ejections start from none."""
         self.failures = 0
         self.ejections = 0
-        self.proofs_due = max(0, self.proofs_due - 1)
+        self.probation_left = max(0, self.probation_left - 1)
 
-    def failed(self):
+    def record_failure(self):
         """Account a failure.
 
         :returns: whether the endpoint should be ejected
@@ -112,11 +112,11 @@
     def eject(self, now_s):
         """Take the endpoint out for a while, twice as long each time."""
         length_s = self.settings.first_ejection_s * 2**self.ejections
-        length_s = min(length_s, self.settings.most_ejection_s)
+        length_s = min(length_s, self.settings.max_ejection_s)
         self.ejections += 1
         self.failures = 0
         self.ejected_until_s = now_s + length_s
-        self.proofs_due = self.settings.proofs
+        self.probation_left = self.settings.probation_successes
 
     def is_out(self):
         """Whether it said or was said to be out: nothing new goes there."""
@@ -133,10 +133,10 @@
         """
         if self.is_out() or now_s < self.ejected_until_s:
             return False
-        return in_flight == 0 or self.proofs_due == 0
+        return in_flight == 0 or self.probation_left == 0
 
 
-def may_eject(healths, now_s, settings=DEFAULT_SETTINGS):
+def can_eject(healths, now_s, settings=DEFAULT_SETTINGS):
     """Whether a pool can bear one more ejected endpoint.
 
     When most of a pool fails, the cause is hardly the endpoints: ejecting
@@ -146,4 +146,4 @@
     """
     present = [health for health in healths if not health.is_out()]
     ejected = sum(now_s < health.ejected_until_s for health in present)
-    return ejected + 1 <= settings.most_ejected_share * len(present)
+    return ejected + 1 <= settings.max_ejected_share * len(present)
--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -48,7 +48,7 @@
         job = run.job
         model = self.models.of_job(job)
         if run.stream_at is not None:
-            run.stream_at.health.succeeded()
+            run.stream_at.health.record_success()
         if job.kind == 'service':
             took_s = now_s - run.dispatched_s
             model.service.add(1.0, took_s)
--- a/magnoliadyke/core/leases.py
+++ b/magnoliadyke/core/leases.py
@@ -111,7 +111,7 @@
         self.authority: Authority | None = None
         self.revision = 0
         self.value: LeaseValue | None = None
-        self.seen_s: float | None = None
+        self.changed_s: float | None = None
         self._busy = False
         self._next_s = 0.0
         self._pending: _Pending | None = None
@@ -156,13 +156,13 @@
         if not wanted and not self._releasing:
             return []
         self._busy = True
-        if self._pending is not None or self.seen_s is None:
+        if self._pending is not None or self.changed_s is None:
             return [ReadLease()]
         if self._releasing:
             return self._write_release(now_s)
         if self.held(now_s) is not None:
             return [self._write(now_s, self._renewal())]
-        if now_s >= self._lapses_s():
+        if now_s >= self._expires_s():
             return [self._write(now_s, self._claim(fencing_floor))]
         return [ReadLease()]
 
@@ -193,7 +193,7 @@
             self.settings.ttl_s,
         )
 
-    def _lapses_s(self) -> float:
+    def _expires_s(self) -> float:
         """When nobody can be acting on the value seen any longer.
 
         A value of our own is waited out like any other one: an older copy
@@ -202,9 +202,9 @@
         ttl_s = self.settings.ttl_s
         if self.value is not None:
             if self.value.released:
-                return self.seen_s
+                return self.changed_s
             ttl_s = max(ttl_s, self.value.ttl_s)
-        return self.seen_s + ttl_s * (1 + self.settings.margin_share)
+        return self.changed_s + ttl_s * (1 + self.settings.margin_share)
 
     def _is_own(self, value: LeaseValue | None) -> bool:
         return (
@@ -222,8 +222,8 @@
         if pending is not None and value == pending.value:
             self._settle(pending, now_s, revision)
             return
-        self._see(now_s, revision, value)
-        self._next_s = self._next_look_s(now_s)
+        self._record_value(now_s, revision, value)
+        self._next_s = self._next_read_s(now_s)
 
     def written(self, now_s: float, revision: int) -> None:
         """The store took the write."""
@@ -249,7 +249,7 @@
         self._next_s = now_s + self.settings.retry_s
 
     def _settle(self, pending: _Pending, now_s: float, revision: int) -> None:
-        self._see(now_s, revision, pending.value)
+        self._record_value(now_s, revision, pending.value)
         if pending.value.released:
             self.authority = None
             self._releasing = False
@@ -263,15 +263,15 @@
         self.authority = Authority(pending.value.fencing, since_s, until_s)
         self._next_s = now_s + self.settings.renew_s
 
-    def _see(
+    def _record_value(
         self, now_s: float, revision: int, value: LeaseValue | None
     ) -> None:
         if (
-            self.seen_s is None
+            self.changed_s is None
             or revision != self.revision
             or value != self.value
         ):
-            self.seen_s = now_s
+            self.changed_s = now_s
         self.revision = revision
         self.value = value
         held = self.authority
@@ -280,7 +280,7 @@
         ):
             self.authority = None
 
-    def _next_look_s(self, now_s: float) -> float:
+    def _next_read_s(self, now_s: float) -> float:
         if self.authority is not None or self._releasing:
             return now_s
-        return min(now_s + self.settings.watch_s, self._lapses_s())
+        return min(now_s + self.settings.watch_s, self._expires_s())
--- a/magnoliadyke/core/notices.py
+++ b/magnoliadyke/core/notices.py
@@ -62,7 +62,7 @@
         self.until_s: dict[str, float] = {}
         self.fencing: dict[str, int] = {}
 
-    def take(self, notice: EngineNotice, now_s: float) -> list[EngineUse]:
+    def apply(self, notice: EngineNotice, now_s: float) -> list[EngineUse]:
         """Take a notice in; return what it changes.
 
         A planner that lost its authority while it was paused would else put
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -13,25 +13,25 @@
 #: Time constant of what tells a flood from a few arrivals at once.
 FLOOD_MEMORY_S = 10.0
 #: Customers that asked for less than this a second are forgotten.
-LEAST_DEMAND_S = 1e-6
-MIX_KEPT = 0.99
+MIN_DEMAND = 1e-6
+MIX_DECAY = 0.99
 
 
 class Arrivals:
     """What one customer asks of the pool, in engine-seconds a second."""
 
-    __slots__ = ('decode', 'lasting', 'prefill')
+    __slots__ = ('decode', 'prefill', 'sustained')
 
     def __init__(self, now_s):
         self.prefill = limits.Rate(DEMAND_MEMORY_S, now_s)
         self.decode = limits.Rate(DEMAND_MEMORY_S, now_s)
-        self.lasting = limits.Rate(FLOOD_MEMORY_S, now_s)
+        self.sustained = limits.Rate(FLOOD_MEMORY_S, now_s)
 
     def add(self, prefill_s, decode_s, now_s):
         """Account a job that came, in engine-seconds."""
         self.prefill.add(prefill_s, now_s)
         self.decode.add(decode_s, now_s)
-        self.lasting.add(prefill_s + decode_s, now_s)
+        self.sustained.add(prefill_s + decode_s, now_s)
 
 
 class PoolQueue:
@@ -55,13 +55,13 @@
         self.fraction_due_s = float('-inf')
         self.mix = {}
 
-    def note_mix(self, priority, prefill_s):
+    def record_prompt_priority(self, priority, prefill_s):
         """Remember what part of the prompts has which priority."""
         for level in self.mix:
-            self.mix[level] *= MIX_KEPT
+            self.mix[level] *= MIX_DECAY
         self.mix[priority] = self.mix.get(priority, 0.0) + prefill_s
 
-    def mix_before(self, priority):
+    def priority_share(self, priority):
         """Part of all prompts that an engine reads before this priority.
 
         Other nodes' prompts are known as a sum only; they are taken to be
@@ -75,7 +75,7 @@
         )
         return before / total
 
-    def count(self, run, sign):
+    def update_waiting(self, run, sign):
         """Keep the sums of what waits, by customer and priority."""
         customer = self.waiting.setdefault(run.job.customer, {})
         sums = customer.setdefault(run.job.priority, [0, 0.0, 0.0])
@@ -90,7 +90,7 @@
         sums = self.waiting.get(customer, {})
         return sum(each[0] for each in sums.values())
 
-    def ahead(self, customer, priority):
+    def waiting_ahead(self, customer, priority):
         """Engine-seconds that go before a new job of the customer."""
         prefill_s = decode_s = 0.0
         for level, sums in self.waiting.get(customer, {}).items():
@@ -112,7 +112,7 @@
             sum(sums[2] for sums in levels),
         )
 
-    def arrived(self, run, now_s):
+    def record_arrival(self, run, now_s):
         """Account a new job's demand, whether or not it is taken."""
         customer = run.job.customer
         if customer not in self.arrivals:
@@ -126,7 +126,7 @@
             for each in self.arrivals.values()
         )
 
-    def fair_parts(self, capacity, now_s):
+    def fair_shares(self, capacity, now_s):
         """What part of its demand each customer can be served at most.
 
         All of it, unless they ask for more than the capacity. Then it is
@@ -134,8 +134,8 @@
         """
         demands = {}
         for customer, each in list(self.arrivals.items()):
-            demands[customer] = each.lasting.now(now_s)
-            if demands[customer] < LEAST_DEMAND_S:
+            demands[customer] = each.sustained.now(now_s)
+            if demands[customer] < MIN_DEMAND:
                 del self.arrivals[customer], demands[customer]
         weights = {name: self.queue.weight(name) for name in demands}
         parts = {}
@@ -148,7 +148,7 @@
             left_weight -= weights[name]
         return parts
 
-    def news(self, now_s):
+    def demand_report(self, now_s):
         """Its demand, for peers and for the planner of roles.
 
         Capped at what fair sharing will serve: in a flood, the planner
@@ -157,7 +157,7 @@
         that they need.
         """
         capacity = len(self.endpoints.members) * self.fraction
-        parts = self.fair_parts(capacity, now_s)
+        parts = self.fair_shares(capacity, now_s)
         prefill = decode = prefill_s = decode_s = 0.0
         for name, part in parts.items():
             each = self.arrivals[name]
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -29,16 +29,20 @@
 AUTO = 'auto'
 READY = ('in', 'up')
 #: Cells of the horizon whose forecasts are compared with what came.
-BAND_CELLS = (0, 2, 5, 9, 14)
+ERROR_CELLS = (0, 2, 5, 9, 14)
 #: Changes that a course may be away from the present split.
-MOST_STEPS = 3
+MAX_STEPS = 3
 
 #: Sigma points of the error in the mix, in standard deviations of prefill
 #: and decode, and their weights.  When the mix turns out otherwise, one
 #: demand is higher and the other lower.
-REACH = math.sqrt(3.0)
-SHIFTS = ((0, 0), (REACH, -REACH), (-REACH, REACH))
-SHIFT_WEIGHTS = (2 / 3, 1 / 6, 1 / 6)
+SIGMA_DISTANCE = math.sqrt(3.0)
+SIGMA_POINTS = (
+    (0, 0),
+    (SIGMA_DISTANCE, -SIGMA_DISTANCE),
+    (-SIGMA_DISTANCE, SIGMA_DISTANCE),
+)
+SIGMA_WEIGHTS = (2 / 3, 1 / 6, 1 / 6)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -123,21 +127,21 @@
     horizon_s: float = 60.0
     cell_s: float = 4.0
     outage_s: float = 7.0
-    fresh_s: float = 15.0
-    usable_prefill: float = 0.87
-    usable_decode: float = 1.02
-    rhythm_share: float = 0.9
-    rhythm_carry: float = 0.3
+    max_report_age_s: float = 15.0
+    max_prefill_utilization: float = 0.87
+    max_decode_utilization: float = 1.02
+    seasonal_share: float = 0.9
+    seasonal_carry: float = 0.3
     prefill_on_decode: float = 0.15
-    prompt_loss: float = 1.6
+    prompt_loss_exponent: float = 1.6
     prefill_tokens_s: float = 5000.0
     decode_tokens_s: float = 1400.0
     backlog_s: float = 10.0
-    band_memory_s: float = 60.0
-    band_share: float = 0.8
+    error_memory_s: float = 60.0
+    error_share: float = 0.8
     ramp_s: float = 6.0
     warm_up_s: float = 8.0
-    cache_worth: float = 0.1
+    cache_reread_share: float = 0.1
 
 
 DEFAULT_SETTINGS = PlannerSettings()
@@ -155,12 +159,12 @@
     :param prefill: demand in engine-seconds a second
     :param decode: likewise
     """
-    decode_room = decodes * settings.usable_decode
+    decode_room = decodes * settings.max_decode_utilization
     idle = max(0.0, decode_room - decode)
     if decode > decode_room:
-        prefill *= (decode_room / decode) ** settings.prompt_loss
+        prefill *= (decode_room / decode) ** settings.prompt_loss_exponent
         decode = decode_room
-    prefill_room = prefills * settings.usable_prefill
+    prefill_room = prefills * settings.max_prefill_utilization
     prefill_room += idle * settings.prefill_on_decode
     served = min(prefill, prefill_room) * settings.prefill_tokens_s
     return served + decode * settings.decode_tokens_s
@@ -182,10 +186,10 @@
         self.changed_at_s = {}
         self.roles = {}
         self.reason = 'no demand seen yet'
-        self.rhythm = forecast.Rhythm()
-        self.band = forecast.Band(settings.band_memory_s)
-        self.expected_s = -math.inf
-        self.first_s = None
+        self.seasonal = forecast.SeasonalForecast()
+        self.forecast_errors = forecast.ForecastErrors(settings.error_memory_s)
+        self.forecast_recorded_s = -math.inf
+        self.first_sample_s = None
 
     def observe(self, demand, now_s):
         """Take a sample of the pool's demand.
@@ -194,9 +198,9 @@
             `queued_prefill_s` and `queued_decode_s`
         """
         self.demand = demand
-        if self.first_s is None:
-            self.first_s = now_s
-        if now_s < self.first_s + self.settings.ramp_s:
+        if self.first_sample_s is None:
+            self.first_sample_s = now_s
+        if now_s < self.first_sample_s + self.settings.ramp_s:
             # A node that has just started measures a demand that rises from
             # nothing; taken for a trend it leads to changes and, as an
             # error of the forecast, keeps later ones away for a minute.
@@ -206,13 +210,15 @@
             return
         self.prefill.add(demand.prefill_s_per_s, now_s)
         self.decode.add(demand.decode_s_per_s, now_s)
-        self.rhythm.add(demand.prefill_s_per_s, demand.decode_s_per_s, now_s)
-        self._learn_band(now_s)
+        self.seasonal.add(demand.prefill_s_per_s, demand.decode_s_per_s, now_s)
+        self._record_errors(now_s)
 
-    def _warming_up(self, now_s):
+    def _is_warming_up(self, now_s):
         settings = self.settings
-        learnt_s = self.first_s + settings.ramp_s + settings.warm_up_s
-        return now_s < learnt_s
+        warmed_up_s = (
+            self.first_sample_s + settings.ramp_s + settings.warm_up_s
+        )
+        return now_s < warmed_up_s
 
     def plan(self, state, now_s):
         """Choose a change, or none.
@@ -220,8 +226,8 @@
         :param state: the pool as a :class:`PoolState`
         :returns: a :class:`RoleChange` or None; `reason` says why
         """
-        self._note_roles(state, now_s)
-        self.reason = self._hindrance(state, now_s)
+        self._record_roles(state, now_s)
+        self.reason = self._blocked_reason(state, now_s)
         if self.reason:
             return None
         engines = {
@@ -242,7 +248,9 @@
             engine = engines[role]
             if engine is None:
                 continue
-            net = gain - engine.cached_tokens * self.settings.cache_worth
+            net = (
+                gain - engine.cached_tokens * self.settings.cache_reread_share
+            )
             if best is None or net > best.gain_tokens:
                 best = RoleChange(engine.name, role, net)
         if best.gain_tokens <= 0:
@@ -251,28 +259,28 @@
         self.reason = f'gain of {best.gain_tokens:.0f} tokens'
         return best
 
-    def _note_roles(self, state, now_s):
+    def _record_roles(self, state, now_s):
         for engine in state.engines:
             known = self.roles.get(engine.name)
             if known is not None and known != engine.role:
                 self.changed_at_s[engine.name] = now_s
             self.roles[engine.name] = engine.role
 
-    def _hindrance(self, state, now_s):
+    def _blocked_reason(self, state, now_s):
         """Why no change may be made now, or ''."""
         if state.planning != AUTO:
             return 'planning is off in the table'
         if self.demand is None:
             return 'no demand seen yet'
-        if self._warming_up(now_s):
+        if self._is_warming_up(now_s):
             return 'the demand is not known for long enough'
-        if now_s - self.prefill.at_s > self.settings.fresh_s:
+        if now_s - self.prefill.at_s > self.settings.max_report_age_s:
             return 'the demand is not known of late'
         if any(engine.state == 'changing' for engine in state.engines):
             return 'an engine is changing'
         ready = [each for each in state.engines if each.state in READY]
         oldest_s = min((each.reported_at_s for each in ready), default=-1e9)
-        if now_s - oldest_s > self.settings.fresh_s:
+        if now_s - oldest_s > self.settings.max_report_age_s:
             # Planning in the blind: an engine that is silent may have
             # crashed or changed, so a split counted with it is wrong, and
             # one change after the other would be made on old news.  Waiting
@@ -306,9 +314,9 @@
         before = _split(state)
         cells = self._forecast()
         errors = self._errors(len(cells))
-        needs = self._with_backlog(cells)
+        needs = self._add_backlog(cells)
         found = {PREFILL: [], DECODE: []}
-        for shift in SHIFTS:
+        for shift in SIGMA_POINTS:
             shifted = [
                 (
                     max(0.0, need[0] + shift[0] * error[0]),
@@ -316,9 +324,9 @@
                 )
                 for need, error in zip(needs, errors, strict=True)
             ]
-            course = _Course(self.settings, before, shifted, state)
+            change_plan = _ChangePlan(self.settings, before, shifted, state)
             for role, gains in found.items():
-                gains.append(course.gain(role))
+                gains.append(change_plan.gain(role))
             if max(gains[0] for gains in found.values()) <= 0:
                 # What does not pay if the forecast holds is not made, so
                 # the errors, most of the work, need no look.
@@ -331,7 +339,7 @@
         prefill = self.prefill.forecast()
         decode = self.decode.forecast()
         levels = prefill.level, decode.level
-        now = self.rhythm.ahead(0.0)
+        now = self.seasonal.expected_at(0.0)
         cells = []
         for number in range(round(settings.horizon_s / settings.cell_s)):
             ahead_s = (number + 0.5) * settings.cell_s
@@ -339,20 +347,23 @@
                 prefill.at(ahead_s, settings.trend_s),
                 decode.at(ahead_s, settings.trend_s),
             )
-            cells.append(self._in_rhythm(plain, levels, now, ahead_s))
+            cells.append(self._seasonal(plain, levels, now, ahead_s))
         return cells
 
     def _errors(self, count):
         """Standard errors of the forecast in each cell."""
         least = self.prefill.forecast().error, self.decode.forecast().error
         cell_s = self.settings.cell_s
-        share = self.settings.band_share
+        share = self.settings.error_share
         return [
-            [share * each for each in self.band.errors(ahead_s, least)]
+            [
+                share * each
+                for each in self.forecast_errors.errors(ahead_s, least)
+            ]
             for ahead_s in ((n + 0.5) * cell_s for n in range(count))
         ]
 
-    def _with_backlog(self, cells):
+    def _add_backlog(self, cells):
         """Add what waits now to the demand of the first cells."""
         backlog_s = self.settings.backlog_s
         first = math.ceil(backlog_s / self.settings.cell_s)
@@ -363,28 +374,30 @@
             for number, cell in enumerate(cells)
         ]
 
-    def _learn_band(self, now_s):
+    def _record_errors(self, now_s):
         """Compare forecasts with what came, and note new ones."""
         levels = self.prefill.forecast().level, self.decode.forecast().level
-        self.band.observe(levels, now_s)
-        if self._warming_up(now_s):
+        self.forecast_errors.observe(levels, now_s)
+        if self._is_warming_up(now_s):
             return
-        if now_s < self.expected_s + self.settings.cell_s:
+        if now_s < self.forecast_recorded_s + self.settings.cell_s:
             return
-        self.expected_s = now_s
+        self.forecast_recorded_s = now_s
         cells = self._forecast()
-        for number in BAND_CELLS:
+        for number in ERROR_CELLS:
             if number < len(cells):
                 lead_s = (number + 0.5) * self.settings.cell_s
-                self.band.expect(lead_s, now_s + lead_s, cells[number])
+                self.forecast_errors.record_forecast(
+                    lead_s, now_s + lead_s, cells[number]
+                )
 
-    def _in_rhythm(self, plain, levels, now, ahead_s):
+    def _seasonal(self, plain, levels, now, ahead_s):
         """Mix the plain forecast with what past cycles brought."""
-        then = self.rhythm.ahead(ahead_s)
+        then = self.seasonal.expected_at(ahead_s)
         if now is None or then is None:
             return plain
-        weight = self.rhythm.weight * self.settings.rhythm_share
-        carried = self.settings.rhythm_carry
+        weight = self.seasonal.weight * self.settings.seasonal_share
+        carried = self.settings.seasonal_carry
         return tuple(
             (1 - weight) * plain[i]
             + weight * (then[i] + carried * (levels[i] - now[i]))
@@ -392,7 +405,7 @@
         )
 
 
-class _Course:
+class _ChangePlan:
     """The best course of changes over a forecast, by dynamic programming.
 
     As it may change again later, a change that would have to be undone soon
@@ -409,8 +422,8 @@
         self.cells = cells
         self.price = state.price_tokens
         self.away = max(1, round(settings.outage_s / settings.cell_s))
-        low = max(state.min_prefill, before[0] - MOST_STEPS)
-        high = min(self.total - state.min_decode, before[0] + MOST_STEPS)
+        low = max(state.min_prefill, before[0] - MAX_STEPS)
+        high = min(self.total - state.min_decode, before[0] + MAX_STEPS)
         self.splits = range(low, high + 1)
         self._served = [{} for _ in cells]
         self._best = self._solve()
@@ -477,5 +490,5 @@
 
 def _mean(gains):
     """The mean over the sigma points."""
-    pairs = zip(SHIFT_WEIGHTS, gains, strict=True)
+    pairs = zip(SIGMA_WEIGHTS, gains, strict=True)
     return sum(weight * gain for weight, gain in pairs)
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -201,7 +201,7 @@
         endpoint.reported_streams = report.running
         state = REPORTED_STATES.get(report.state, report.state)
         was_out = endpoint.health.is_out()
-        endpoint.health.report(state, report.at_s)
+        endpoint.health.record_report(state, report.at_s)
         if endpoint.health.is_out() != was_out:
             self.pools[endpoint.info.pool].endpoints.sort()
         load = endpoint.load
@@ -234,7 +234,7 @@
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             return []
-        endpoint.health.observe(state, now_s)
+        endpoint.health.record_observation(state, now_s)
         if state == health.CRASHED:
             self._crashed(endpoint, now_s)
         if state in (health.CRASHED, health.LEFT):
@@ -298,8 +298,8 @@
             exceeded = self.limits.admit(job.customer, tokens, now_s)
             if exceeded is not None:
                 return [Refuse(job.id, admission.limit_exceeded(exceeded))]
-        pool.note_mix(job.priority, run.prefill_s)
-        pool.arrived(run, now_s)
+        pool.record_prompt_priority(job.priority, run.prefill_s)
+        pool.record_arrival(run, now_s)
         if excess_s > 0:
             return [
                 self._overloaded(job, pool, excess_s),
@@ -427,7 +427,7 @@
 
     def _wait_s(self, run, pool):
         job = run.job
-        prefill_s, decode_s = pool.ahead(job.customer, job.priority)
+        prefill_s, decode_s = pool.waiting_ahead(job.customer, job.priority)
         share = pool.queue.share(job.customer)
         capacity = self._capacity(pool)
         return admission.predicted_wait_s(prefill_s, decode_s, capacity, share)
@@ -453,7 +453,7 @@
         else:
             key = (run.job.priority, run.timing.deadline_s)
             pool.queue.push(run.job.id, run.job.customer, key)
-            pool.count(run, 1)
+            pool.update_waiting(run, 1)
             usage = self.limits.usage(run.job.customer, now_s)
             usage.waiting += 1
         item = (run.timing.latest_start_s, run.job.id)
@@ -462,7 +462,7 @@
     def _unqueue(self, run):
         pool = self.pools[run.job.pool]
         if pool.queue.remove(run.job.id):
-            pool.count(run, -1)
+            pool.update_waiting(run, -1)
             self.limits.usage(run.job.customer).waiting -= 1
         elif run in pool.suspects:
             pool.suspects.remove(run)
@@ -527,7 +527,7 @@
 
     def _try(self, run, pool, terms, now_s):
         spare_s = run.timing.deadline_s - now_s
-        share = pool.mix_before(run.job.priority)
+        share = pool.priority_share(run.job.priority)
         terms = terms._replace(
             spare_s=spare_s, others_share=share, avoid=run.avoid
         )
@@ -637,7 +637,7 @@
         run.prefill_done_s = now_s
         if endpoint is not None:
             self.learner.prompt_read(run, endpoint, now_s)
-            endpoint.health.succeeded()
+            endpoint.health.record_success()
             run.leave_prompt(now_s)
         run.begin_stream(now_s)
 
@@ -684,10 +684,10 @@
             endpoint.health.eject(now_s)
             self.beliefs.wiped(endpoint.name)
             return
-        if endpoint.health.failed() and not endpoint.health.is_out():
+        if endpoint.health.record_failure() and not endpoint.health.is_out():
             members = self.pools[endpoint.info.pool].endpoints.members
             states = [each.health for each in members]
-            if health.may_eject(states, now_s, self.settings.ejection):
+            if health.can_eject(states, now_s, self.settings.ejection):
                 endpoint.health.eject(now_s)
 
     def _crashed(self, endpoint, now_s):
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -45,9 +45,9 @@
     headroom: float = 1.2
     headroom_gain: float = 1.1
     pause_s: float = 12.0
-    most_changing: float = 0.2
-    reading_margin: float = 1.5
-    moving_share: float = 0.6
+    max_changing_share: float = 0.2
+    prefill_margin: float = 1.5
+    transfer_share: float = 0.6
     slots_share: float = 0.88
 
 
@@ -61,10 +61,10 @@
     :param occupied: engines that give long answers, and read nothing beside
     """
 
-    reading: float
-    moving: float
+    prefilling: float
+    transferring: float
     slots: float
-    beside: float = 0.0
+    prefill_on_decode: float = 0.0
     occupied: int = 0
 
 
@@ -78,22 +78,22 @@
     :param change_s: how long a change takes an engine away
     """
 
-    reading: int
-    answering: int
+    prefilling: int
+    decoding: int
     changing: int = 0
-    to_answering: int = 0
+    to_decode: int = 0
     change_s: float = 3.0
 
     @property
     def total(self) -> int:
         """All engines."""
-        return self.reading + self.answering + self.changing
+        return self.prefilling + self.decoding + self.changing
 
 
 class Change(NamedTuple):
     """Move engines; True to read prompts, False to answer."""
 
-    to_reading: bool
+    to_prefill: bool
     count: int = 1
 
 
@@ -101,7 +101,7 @@
 class _Sample:
     at_s: float
     load: Load
-    slots_asked: float
+    slots_demand: float
 
 
 class StagePlan:
@@ -113,68 +113,72 @@
         self.last: Change | None = None
         self.last_s = float('-inf')
 
-    def note(self, load: Load, fleet: Fleet, now_s: float) -> None:
+    def record_load(self, load: Load, fleet: Fleet, now_s: float) -> None:
         """Take a measurement."""
         # Only what is read is answered: with more readers there would be
         # more answers, too.
-        read = self._read_ratio(load, fleet.reading, load.beside)
+        read = self._prefill_ratio(
+            load, fleet.prefilling, load.prefill_on_decode
+        )
         read = min(1.0, max(read, self.settings.gain))
-        slots_asked = load.slots / read
-        self.samples.append(_Sample(now_s, load, slots_asked))
+        slots_demand = load.slots / read
+        self.samples.append(_Sample(now_s, load, slots_demand))
         while now_s - self.samples[0].at_s > self.settings.memory_s:
             self.samples.popleft()
 
     def decide(self, fleet: Fleet, now_s: float) -> Change | None:
         """Whether engines should change their stage now, and how many."""
-        change = self._wanted(fleet)
+        change = self._choose_change(fleet)
         if change is None:
             return None
         # Below the least number that answers nobody waits for a reversal:
         # the only engine left would answer for all that the others read.
-        least = least_answering(fleet.total)
-        answering = fleet.answering + fleet.to_answering
-        short = answering < least and not change.to_reading
+        least = min_decoding(fleet.total)
+        decoding = fleet.decoding + fleet.to_decode
+        short = decoding < least and not change.to_prefill
         if not short and self._is_reversal(change, now_s):
             return None
         self.last = change
         self.last_s = now_s
         return change
 
-    def _wanted(self, fleet: Fleet) -> Change | None:
-        if fleet.answering + fleet.to_answering < 1:
+    def _choose_change(self, fleet: Fleet) -> Change | None:
+        if fleet.decoding + fleet.to_decode < 1:
             # Engines that answer also read, those that read can't answer.
             # While none answers nothing is served, whatever the load: also
             # where a single engine is left, or the others are changing.
-            return Change(False) if fleet.reading else None
-        least = least_answering(fleet.total)
-        answering = fleet.answering + fleet.to_answering
-        if answering < least and fleet.reading > answering:
+            return Change(False) if fleet.prefilling else None
+        least = min_decoding(fleet.total)
+        decoding = fleet.decoding + fleet.to_decode
+        if decoding < least and fleet.prefilling > decoding:
             # Also beside an engine that changes to reading: the only one
             # left answers for all, and nobody does while it is down.
             return Change(False)
-        most = max(1, int(fleet.total * self.settings.most_changing))
+        most = max(1, int(fleet.total * self.settings.max_changing_share))
         most -= fleet.changing
         if most < 1:
             return None
-        return self._best(fleet, most, least)
+        return self._best_change(fleet, most, least)
 
-    def _best(self, fleet: Fleet, most: int, least: int) -> Change | None:
+    def _best_change(
+        self, fleet: Fleet, most: int, least: int
+    ) -> Change | None:
         """The change that serves the most, if it gains enough."""
         if not self.samples:
             return None
         best = None
         best_served = self._served_with(fleet, 0) + self.settings.gain
-        to_reading = min(most, fleet.answering - least)
-        to_answering = min(most, fleet.reading - 1)
-        for moved in _steps(-to_answering, to_reading):
+        to_prefill = min(most, fleet.decoding - least)
+        to_decode = min(most, fleet.prefilling - 1)
+        for moved in _steps(-to_decode, to_prefill):
             expected = self._served_with(fleet, moved)
             if expected > best_served:
                 best_served = expected
                 best = Change(moved > 0, abs(moved))
-        return best or self._prepare(fleet, to_answering, to_reading)
+        return best or self._prepare_for_burst(fleet, to_decode, to_prefill)
 
-    def _prepare(
-        self, fleet: Fleet, to_answering: int, to_reading: int
+    def _prepare_for_burst(
+        self, fleet: Fleet, to_decode: int, to_prefill: int
     ) -> Change | None:
         """The change that leaves most room for a rush, while it costs nothing.
 
@@ -188,7 +192,7 @@
             return None
         best = None
         most = present * self.settings.headroom_gain
-        for moved in _steps(-to_answering, to_reading):
+        for moved in _steps(-to_decode, to_prefill):
             if self._served_with(fleet, moved) < served:
                 continue
             headroom = min(self._headroom(fleet, moved), enough)
@@ -203,10 +207,10 @@
         Engines that answer don't count for what they read beside: in a rush
         the answers keep them from it.
         """
-        reading, answering = self._split_after(fleet, moved)
-        alone = fleet._replace(answering=0)
+        prefilling, decoding = self._split_after(fleet, moved)
+        alone = fleet._replace(decoding=0)
         return min(
-            min(self._ratios(sample, alone, reading, answering))
+            min(self._ratios(sample, alone, prefilling, decoding))
             for sample in self.samples
         )
 
@@ -217,8 +221,8 @@
         """
         away = self._served(
             fleet,
-            fleet.reading + min(moved, 0),
-            fleet.answering - max(moved, 0),
+            fleet.prefilling + min(moved, 0),
+            fleet.decoding - max(moved, 0),
         )
         after = self._served(fleet, *self._split_after(fleet, moved))
         lost = min(1.0, fleet.change_s / self.settings.pause_s)
@@ -226,50 +230,54 @@
 
     def _split_after(self, fleet: Fleet, moved: int) -> tuple[int, int]:
         """Engines that read and that answer once all changes are over."""
-        coming = fleet.changing - fleet.to_answering
+        coming = fleet.changing - fleet.to_decode
         return (
-            fleet.reading + coming + moved,
-            fleet.answering + fleet.to_answering - moved,
+            fleet.prefilling + coming + moved,
+            fleet.decoding + fleet.to_decode - moved,
         )
 
-    def _served(self, fleet: Fleet, reading: int, answering: int) -> float:
+    def _served(self, fleet: Fleet, prefilling: int, decoding: int) -> float:
         """Part of the load that is served by a split, over the samples.
 
         Taken moment by moment: prompts and answers have their peaks at
         different times, and engines enough for both never happen at once.
         """
         shares = [
-            min(1.0, *self._ratios(sample, fleet, reading, answering))
+            min(1.0, *self._ratios(sample, fleet, prefilling, decoding))
             for sample in self.samples
         ]
         return sum(shares) / len(shares)
 
     def _ratios(
-        self, sample: _Sample, fleet: Fleet, reading: int, answering: int
+        self, sample: _Sample, fleet: Fleet, prefilling: int, decoding: int
     ) -> tuple[float, float, float]:
         """What could be read, taken over and answered, over what is asked."""
         load = sample.load
-        free = max(0, fleet.answering - load.occupied)
-        left = max(0, answering - load.occupied)
-        beside = load.beside * left / free if free else 0.0
+        free = max(0, fleet.decoding - load.occupied)
+        left = max(0, decoding - load.occupied)
+        prefill_on_decode = (
+            load.prefill_on_decode * left / free if free else 0.0
+        )
         settings = self.settings
         return (
-            self._read_ratio(load, reading, beside),
-            _ratio(answering * settings.moving_share, load.moving),
-            _ratio(answering * settings.slots_share, sample.slots_asked),
+            self._prefill_ratio(load, prefilling, prefill_on_decode),
+            _ratio(decoding * settings.transfer_share, load.transferring),
+            _ratio(decoding * settings.slots_share, sample.slots_demand),
         )
 
-    def _read_ratio(self, load: Load, reading: int, beside: float) -> float:
-        margin = self.settings.reading_margin * math.sqrt(load.reading)
-        return _ratio(reading + beside, load.reading + margin)
+    def _prefill_ratio(
+        self, load: Load, prefilling: int, prefill_on_decode: float
+    ) -> float:
+        margin = self.settings.prefill_margin * math.sqrt(load.prefilling)
+        return _ratio(prefilling + prefill_on_decode, load.prefilling + margin)
 
     def _is_reversal(self, change: Change, now_s: float) -> bool:
-        if self.last is None or change.to_reading is self.last.to_reading:
+        if self.last is None or change.to_prefill is self.last.to_prefill:
             return False
         return now_s - self.last_s < self.settings.pause_s
 
 
-def least_answering(total: int) -> int:
+def min_decoding(total: int) -> int:
     """Engines that always answer.
 
     Two where there are enough: nobody could answer while the only one is
--- a/magnoliadyke/gateway/fleetduty.py
+++ b/magnoliadyke/gateway/fleetduty.py
@@ -57,7 +57,7 @@
         self.store = kept
         self.calls = calls
         self.clock = clock
-        self.plans: dict[str, autoscaler.FleetPlan] = {}
+        self.plans: dict[str, autoscaler.Autoscaler] = {}
         self.wanted: dict[str, int] = {}
         self.listed: dict[str, tuple[int, float]] = {}
         self.greenlet: gevent.Greenlet | None = None
@@ -100,16 +100,16 @@
                 if service.scaling is not None:
                     self._step(service.name, service.scaling)
 
-    def _step(self, service: str, limits: autoscaler.Limits) -> None:
+    def _step(self, service: str, limits: autoscaler.ScalingLimits) -> None:
         present = self._present(service)
         if service not in self.wanted:
             self._set_up(
-                service, sum(each.lasting for each in present.values())
+                service, sum(each.on_demand for each in present.values())
             )
             return
         if not self.leadership.may_order():
             return
-        plan = self.plans.setdefault(service, autoscaler.FleetPlan(service))
+        plan = self.plans.setdefault(service, autoscaler.Autoscaler(service))
         now_s = self.clock.now_s()
         wanted = self.wanted[service]
         for order in plan.decide(limits, present, wanted, now_s):
@@ -138,20 +138,22 @@
             wanted=self.wanted.get(service, 'unknown'),
         )
 
-    def _present(self, service: str) -> dict[str, autoscaler.Present]:
-        found: dict[str, autoscaler.Present] = {}
+    def _present(
+        self, service: str
+    ) -> dict[str, autoscaler.AvailableCapacity]:
+        found: dict[str, autoscaler.AvailableCapacity] = {}
         for endpoint in self.catalog.usable(service):
             domain = endpoint.failure_domain
-            there = found.get(domain, autoscaler.Present())
+            there = found.get(domain, autoscaler.AvailableCapacity())
             if endpoint.reclaimable:
                 there = there._replace(reclaimable=there.reclaimable + 1)
             else:
-                there = there._replace(lasting=there.lasting + 1)
+                there = there._replace(on_demand=there.on_demand + 1)
             found[domain] = there
         return found
 
     def _order(
-        self, plan: autoscaler.FleetPlan, order: autoscaler.Order
+        self, plan: autoscaler.Autoscaler, order: autoscaler.ScaleOrder
     ) -> None:
         outcome = self.leadership.call(
             lambda caller: self.calls.order_endpoints(caller, order)
@@ -169,8 +171,8 @@
         now_s = self.clock.now_s()
         match outcome:
             case operatorcalls.Done():
-                plan.accepted(order, now_s)
+                plan.record_accepted(order, now_s)
             case operatorcalls.Rejected(scarce=True):
-                plan.scarce(order, now_s)
+                plan.record_unavailable(order, now_s)
             case _:
                 self.clock.sleep(RETRY_S)
--- a/magnoliadyke/gateway/operatorcalls.py
+++ b/magnoliadyke/gateway/operatorcalls.py
@@ -51,6 +51,6 @@
 
     @abc.abstractmethod
     def order_endpoints(
-        self, caller: Caller, order: autoscaler.Order
+        self, caller: Caller, order: autoscaler.ScaleOrder
     ) -> Done | Rejected | Unreachable:
         """Have a service run so many endpoints in a failure domain."""
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -114,7 +114,7 @@
         plan = self.plans.setdefault(service, stageplan.StagePlan())
         self._settle(now_s)
         fleet = self._fleet(service)
-        plan.note(core.load(now_s), self._sizes(fleet, core), now_s)
+        plan.record_load(core.load(now_s), self._sizes(fleet, core), now_s)
         hindrance = self._change(plan, fleet, core, now_s)
         self._note_outage(service, fleet, hindrance, now_s)
 
@@ -146,7 +146,7 @@
             return Hindrance.LEFT_ALONE
         candidates.sort(key=lambda e: core.busyness(e.id, now_s))
         target = catalog.Stage.DECODE
-        if change.to_reading:
+        if change.to_prefill:
             target = catalog.Stage.PREFILL
         self._order(_spread(candidates, change.count), target, core)
         return Hindrance.NONE
@@ -170,7 +170,7 @@
         both name the same number of orders before them, so the engine
         carries out one of them at most.
         """
-        if change.to_reading:
+        if change.to_prefill:
             engines, from_s = fleet.answering, self.alone_until_s
         elif fleet.answering:
             engines, from_s = fleet.reading, self.alone_until_s
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -308,7 +308,7 @@
         for member in self.members.last.alive():
             if member.host != own.host:
                 self.send_data((member.address, member.peer_port), data)
-        self.publish_uses(self.notices.take(notice, now_s))
+        self.publish_uses(self.notices.apply(notice, now_s))
 
     def tell_prompts(self, prompts):
         """Send word of prompts to all members of a small fleet.
@@ -375,7 +375,7 @@
             return
         match message:
             case gossip_codec.Notice(notice=notice):
-                self.publish_uses(self.notices.take(notice, now_s))
+                self.publish_uses(self.notices.apply(notice, now_s))
                 return
             case gossip_codec.Prompts(prompts=prompts):
                 self.prompts.publish(PromptsHeard(prompts))
--- a/magnoliadyke/platform/cloud.py
+++ b/magnoliadyke/platform/cloud.py
@@ -40,7 +40,7 @@
         return self._call(caller, b'/usage', body)
 
     def order_endpoints(
-        self, caller: operatorcalls.Caller, order: autoscaler.Order
+        self, caller: operatorcalls.Caller, order: autoscaler.ScaleOrder
     ) -> (
         operatorcalls.Done | operatorcalls.Rejected | operatorcalls.Unreachable
     ):
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -125,7 +125,7 @@
     )
 
 
-def _scaling(found: Any) -> autoscaler.Limits | None:
+def _scaling(found: Any) -> autoscaler.ScalingLimits | None:
     if not found:
         return None
     if not isinstance(found, dict):
@@ -133,9 +133,9 @@
     prices = found.get('zone_prices') or {}
     if not isinstance(prices, dict):
         raise fields.BadField('zone_prices is no object')
-    return autoscaler.Limits(
-        least=fields.whole(found, 'min_replicas', 0),
-        most=fields.whole(found, 'max_replicas', 0),
+    return autoscaler.ScalingLimits(
+        min_endpoints=fields.whole(found, 'min_replicas', 0),
+        max_endpoints=fields.whole(found, 'max_replicas', 0),
         boot_s=fields.number(found, 'boot_s', 0, 0),
         reclaimable_price=fields.number(found, 'spot_price', 0, 1),
         prices={zone: fields.number(prices, zone, 0) for zone in prices},
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -201,7 +201,7 @@
             self.announce(engine, changing=True)
         if engine.draining_since_s is not None:
             self.drain(engine, now_s)
-        if engine.commands.outranked:
+        if engine.commands.is_superseded:
             heard = engine.commands.highest_fencing
             self.highest_fencing = max(self.highest_fencing, heard)
             self.lease.release()
@@ -293,7 +293,7 @@
             working, engine.role, row.min_prefill, row.min_decode
         )
         wanted = commands.Change('role', change.role)
-        if kept and engine.commands.want(wanted):
+        if kept and engine.commands.request_change(wanted):
             LOG.event(
                 'role_change_wanted',
                 pool=self.name,
@@ -341,7 +341,9 @@
         engine = self.engines[answer.engine]
         engine.next_load_s = now_s + answer.retry_after_s
         if answer.granted and self.lease.held(now_s) is not None:
-            engine.commands.want(commands.Change('load', self.pool.model))
+            engine.commands.request_change(
+                commands.Change('load', self.pool.model)
+            )
             LOG.event('load_wanted', engine=engine.name, model=self.pool.model)
 
     # Actions of the core.
@@ -365,7 +367,7 @@
                 self.prepare(engine, change, now_s)
             case commands.Settled(change, generation, corrected):
                 self.settled(engine, change, generation, corrected)
-            case commands.GaveUp(change, reason):
+            case commands.ChangeFailed(change, reason):
                 self.gave_up(engine, change, reason)
 
     def settled(self, engine, change, generation, corrected):
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -6,21 +6,23 @@
 from magnoliadyke.core import autoscaler
 
 PRICES = {'a': 0.85, 'b': 1.2, 'c': 1.0, 'd': 1.1}
-LIMITS = autoscaler.Limits(1, 9, 4.0, 0.15, PRICES)
+LIMITS = autoscaler.ScalingLimits(1, 9, 4.0, 0.15, PRICES)
 
 
 class Platform:
     """Carries orders out after a while, on a paused clock."""
 
-    def __init__(self, limits=LIMITS, **lasting):
+    def __init__(self, limits=LIMITS, **on_demand):
         self.limits = limits
-        self.plan = autoscaler.FleetPlan('s')
-        self.present = {d: autoscaler.Present(n) for d, n in lasting.items()}
+        self.plan = autoscaler.Autoscaler('s')
+        self.present = {
+            d: autoscaler.AvailableCapacity(n) for d, n in on_demand.items()
+        }
         self.scarce = set()
         self.coming = []
         self.orders = []
         self.now_s = 0.0
-        self.least = sum(lasting.values())
+        self.least = sum(on_demand.values())
 
     def run(self, wanted, for_s):
         until_s = self.now_s + for_s
@@ -38,11 +40,13 @@
 
     def _take(self, order):
         if order.reclaimable and order.failure_domain in self.scarce:
-            self.plan.scarce(order, self.now_s)
+            self.plan.record_unavailable(order, self.now_s)
             return
         self.orders.append(order)
-        self.plan.accepted(order, self.now_s)
-        count = self.present.get(order.failure_domain, autoscaler.Present())
+        self.plan.record_accepted(order, self.now_s)
+        count = self.present.get(
+            order.failure_domain, autoscaler.AvailableCapacity()
+        )
         more = order.count > count[order.reclaimable]
         due_s = self.now_s + (self.limits.boot_s if more else 0.0)
         self.coming.append((due_s, order))
@@ -54,8 +58,8 @@
             domain = order.failure_domain
             if order.reclaimable and domain in self.scarce:
                 continue
-            there = self.present.get(domain, autoscaler.Present())
-            name = 'reclaimable' if order.reclaimable else 'lasting'
+            there = self.present.get(domain, autoscaler.AvailableCapacity())
+            name = 'reclaimable' if order.reclaimable else 'on_demand'
             self.present[domain] = there._replace(**{name: order.count})
 
     def reclaim(self, domain):
@@ -64,14 +68,14 @@
         self.scarce.add(domain)
 
     def counts(self):
-        lasting = sum(each.lasting for each in self.present.values())
-        return lasting, [each.reclaimable for each in self.present.values()]
+        on_demand = sum(each.on_demand for each in self.present.values())
+        return on_demand, [each.reclaimable for each in self.present.values()]
 
 
 def test_cheap_kind_replaces_the_other_and_covers_the_loss_of_a_domain():
     platform = Platform(a=5, b=5, c=4, d=4).run(18, 20.0)
-    lasting, cheap = platform.counts()
-    assert lasting == 0
+    on_demand, cheap = platform.counts()
+    assert on_demand == 0
     assert sum(cheap) - max(cheap) >= 18
     assert platform.least >= 18
 
@@ -81,8 +85,8 @@
     platform = Platform(a=5, b=5, c=4, d=4).run(18, 20.0)
     platform.reclaim('d')
     platform.run(18, 8.0)
-    lasting, cheap = platform.counts()
-    assert sum(cheap) + lasting >= 18
+    on_demand, cheap = platform.counts()
+    assert sum(cheap) + on_demand >= 18
     assert sum(cheap) - max(cheap) >= 18
     asked = [o for o in platform.orders if o.failure_domain == 'd']
     platform.scarce.clear()
@@ -95,10 +99,10 @@
     platform = Platform(a=1)
     platform.scarce = set(PRICES)
     platform.run(6, 30.0)
-    lasting, cheap = platform.counts()
+    on_demand, cheap = platform.counts()
     assert sum(cheap) == 0
-    assert lasting == 6
-    assert platform.present['a'].lasting == 6
+    assert on_demand == 6
+    assert platform.present['a'].on_demand == 6
 
 
 def test_kind_that_is_no_cheaper_is_not_ordered():
@@ -124,9 +128,9 @@
 def test_surplus_that_stays_is_ordered_away():
     platform = Platform(a=5, b=5, c=4, d=4).run(18, 30.0)
     there = platform.present['b']
-    platform.present['b'] = there._replace(lasting=4)
+    platform.present['b'] = there._replace(on_demand=4)
     platform.run(18, 20.0)
-    assert platform.present['b'].lasting == 0
+    assert platform.present['b'].on_demand == 0
 
 
 @hypothesis.settings(derandomize=True, max_examples=60, deadline=None)
@@ -139,9 +143,13 @@
     strategies.sampled_from((0.1, 0.5, 0.9, 1.0)),
     strategies.sets(strategies.sampled_from('abcd')),
 )
-def test_plan_settles_within_the_limits(lasting, wanted, most, share, scarce):
-    limits = LIMITS._replace(most=most, reclaimable_price=share)
-    present = {d: min(n, most) for d, n in lasting.items()}
+def test_plan_settles_within_the_limits(
+    on_demand, wanted, max_endpoints, share, scarce
+):
+    limits = LIMITS._replace(
+        max_endpoints=max_endpoints, reclaimable_price=share
+    )
+    present = {d: min(n, max_endpoints) for d, n in on_demand.items()}
     platform = Platform(limits, **present)
     platform.scarce = scarce
     platform.run(wanted, 60.0)
@@ -149,6 +157,6 @@
     platform.run(wanted, 30.0)
     assert len(platform.orders) == settled
     for there in platform.present.values():
-        assert sum(there) <= most
+        assert sum(there) <= max_endpoints
     total = sum(sum(each) for each in platform.present.values())
-    assert total >= min(wanted, most * len(PRICES))
+    assert total >= min(wanted, max_endpoints * len(PRICES))
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ('timings', 'whole', 'cause'),
+    ('timings', 'complete', 'cause'),
     [
         # Objective 2 s: 1.9 s is in time.
         (burn.Timings(1.9, 0.05), True, None),
@@ -137,8 +137,8 @@
         (burn.Timings(shed=True, role_change_s=1.0), False, 'role_change'),
     ],
 )
-def test_one_cause_is_blamed(timings, whole, cause):
-    verdict = burn.judge(timings, whole)
+def test_one_cause_is_blamed(timings, complete, cause):
+    verdict = burn.judge(timings, complete)
     assert verdict == (GOOD if cause is None else burn.Verdict(False, cause))
 
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -80,7 +80,7 @@
     def take(self, actions, now_s):
         for action in actions:
             match action:
-                case commands.Settled() | commands.GaveUp():
+                case commands.Settled() | commands.ChangeFailed():
                     self.told.append(action)
                 case commands.Prepare():
                     self.take(self.commands.prepared(now_s), now_s)
@@ -187,8 +187,8 @@
     world = World(checks_fencing)
     world.run(7.0)
     holder = world.holders[0]
-    assert holder.commands.want(PREFILL)
-    assert not holder.commands.want(DECODE)
+    assert holder.commands.request_change(PREFILL)
+    assert not holder.commands.request_change(DECODE)
     world.run(3.0)
     targets = [command.change.target for command in world.engine.taken]
     first = ['decode'] if checks_fencing else []
@@ -206,7 +206,7 @@
     world = World()
     world.run(7.0)
     holder = world.holders[0]
-    holder.commands.want(PREFILL)
+    holder.commands.request_change(PREFILL)
     for _ in range(60):
         world.now_s += 0.1
         holder.tick(world.now_s)
@@ -224,7 +224,7 @@
     """The engine dies while it changes and comes back in its old role."""
     world = World()
     world.run(7.0)
-    world.holders[0].commands.want(PREFILL)
+    world.holders[0].commands.request_change(PREFILL)
     while not world.engine.taken:
         world.run(0.1)
     world.engine.begin()
@@ -240,7 +240,7 @@
     """
     world = World()
     world.run(7.0)
-    world.holders[0].commands.want(PREFILL)
+    world.holders[0].commands.request_change(PREFILL)
     while not world.engine.taken:
         world.run(0.1)
     world.engine.target = 'decode'
@@ -272,7 +272,7 @@
     world = World()
     world.run(7.0)
     holder = world.holders[0]
-    holder.commands.want(PREFILL)
+    holder.commands.request_change(PREFILL)
     world.run_until_sending(0)
     now_s = world.now_s
     held = holder.lease.held(now_s)
@@ -311,11 +311,11 @@
     world = World(checks_fencing)
     world.run(7.0)
     first, second = world.holders
-    first.commands.want(PREFILL)
+    first.commands.request_change(PREFILL)
     stray = world.run_until_sending(0)
     assert first.may_send(stray, world.now_s)
     world.run(8.0, hosts=[1])
-    second.commands.want(DECODE)
+    second.commands.request_change(DECODE)
     world.run(4.0, hosts=[1])
     code = world.engine.command(stray.command, world.now_s)
     assert code == ('stale_fencing' if checks_fencing else '')
@@ -336,9 +336,9 @@
     world = World()
     world.run(7.0)
     holder = world.holders[0]
-    holder.commands.want(PREFILL)
+    holder.commands.request_change(PREFILL)
     world.run(4.0)
-    holder.commands.want(commands.Change('load', 'm'))
+    holder.commands.request_change(commands.Change('load', 'm'))
     world.run(4.0)
     assert holder.commands.intent.change.kind == 'load'
     world.engine.target = 'decode'
@@ -354,7 +354,7 @@
     """
     world = World()
     world.run(7.0)
-    world.holders[0].commands.want(commands.Change('load', 'm'))
+    world.holders[0].commands.request_change(commands.Change('load', 'm'))
     world.run(4.0)
     assert world.engine.models == ('m',)
     world.engine.models = ()
@@ -372,10 +372,10 @@
     world = World()
     world.run(7.0)
     first, second = world.holders
-    first.commands.want(PREFILL)
+    first.commands.request_change(PREFILL)
     stray = world.run_until_sending(0)
     world.run(8.0, hosts=[1])
-    second.commands.want(DECODE)
+    second.commands.request_change(DECODE)
     world.run_until_sending(1)
     second.call(world.now_s)
     world.now_s += CHANGE_S + 0.01
@@ -393,7 +393,7 @@
     """
     world = World(checks_fencing=True)
     world.run(7.0)
-    world.holders[0].commands.want(PREFILL)
+    world.holders[0].commands.request_change(PREFILL)
     stray = world.run_until_sending(0)
     world.run(8.0, hosts=[1])
     code = world.engine.command(stray.command, world.now_s)
@@ -404,7 +404,7 @@
     world = World(checks_fencing=True)
     world.engine.highest = 40
     world.run(8.0)
-    assert world.holders[0].commands.outranked
+    assert world.holders[0].commands.is_superseded
     assert not world.engine.taken
 
 
@@ -412,11 +412,11 @@
     world = World()
     world.run(7.0)
     world.outage = True
-    world.holders[0].commands.want(PREFILL)
+    world.holders[0].commands.request_change(PREFILL)
     world.run(6.0)
     assert not world.engine.taken
     assert world.holders[0].told == [
-        commands.GaveUp(PREFILL, 'authority lost')
+        commands.ChangeFailed(PREFILL, 'authority lost')
     ]
 
 
@@ -465,7 +465,7 @@
         change=strategies.sampled_from([PREFILL, DECODE]),
     )
     def want(self, index, change):
-        self.world.holders[index].commands.want(change)
+        self.world.holders[index].commands.request_change(change)
 
     @stateful.rule(outage=strategies.booleans())
     def store(self, outage):
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -28,32 +28,32 @@
 
 def test_rhythm_is_found_and_told_ahead():
     rng = random.Random(1)
-    rhythm = forecast.Rhythm()
+    rhythm = forecast.SeasonalForecast()
     for now_s in range(600):
         swing = math.sin(2 * math.pi * now_s / 120)
         noise = rng.gauss(0, 0.5), rng.gauss(0, 0.5)
         rhythm.add(2 + swing + noise[0], 2 - swing + noise[1], float(now_s))
     assert abs(rhythm.period_s - 120) <= 8
     # A quarter period ahead the swing is at its top.
-    first, second = rhythm.ahead(30.0)
+    first, second = rhythm.expected_at(30.0)
     assert first > 2.5
     assert second < 1.5
 
 
 def test_noise_and_slow_change_have_no_rhythm():
     rng = random.Random(2)
-    noise = forecast.Rhythm()
-    drift = forecast.Rhythm()
+    noise = forecast.SeasonalForecast()
+    drift = forecast.SeasonalForecast()
     for now_s in range(600):
         noise.add(rng.gauss(2, 0.5), rng.gauss(2, 0.5), float(now_s))
         drift.add(now_s / 300, 2 - now_s / 300, float(now_s))
     assert noise.period_s is None
     assert drift.period_s is None
-    assert drift.ahead(10.0) is None
+    assert drift.expected_at(10.0) is None
 
 
 def test_a_gap_forgets_the_phase():
-    rhythm = forecast.Rhythm()
+    rhythm = forecast.SeasonalForecast()
     for now_s in range(600):
         swing = math.sin(2 * math.pi * now_s / 120)
         rhythm.add(2 + swing, 2 - swing, float(now_s))
--- a/tests/test_gateway_fleet.py
+++ b/tests/test_gateway_fleet.py
@@ -137,6 +137,6 @@
     nodes(world, cloud, 1)
     gatewayworld.wait_for(world.nodes[0]._is_ready, 'a ready node')
     service = world.nodes[0].catalog.configuration.services['model']
-    assert service.scaling == autoscaler.Limits(
+    assert service.scaling == autoscaler.ScalingLimits(
         1, 9, 0.2, 0.15, SCALING['zone_prices']
     )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -554,10 +554,10 @@
     made = core(promptload.fleet(prefill=3, decode=2))
     flood(made, 2 * (16 - answerers.SHORT_SLOTS), 0.0)
     plan = stageplan.StagePlan()
-    fleet = stageplan.Fleet(reading=3, answering=2)
-    plan.note(made.load(0.1), fleet, 0.1)
+    fleet = stageplan.Fleet(prefilling=3, decoding=2)
+    plan.record_load(made.load(0.1), fleet, 0.1)
     change = plan.decide(fleet, 0.1)
-    assert change == stageplan.Change(to_reading=False)
+    assert change == stageplan.Change(to_prefill=False)
 
 
 def test_engines_that_answer_are_planned_for_what_they_take_over():
@@ -572,16 +572,16 @@
         made.submit(
             job(number, [part(number, 9200)], objective_s=0.15), number / 200
         )
-    assert 1.0 < made.load(2.0).moving < 2.5
+    assert 1.0 < made.load(2.0).transferring < 2.5
 
 
-def many_engines(answering, reading, slots=16):
+def many_engines(decoding, prefilling, slots=16):
     """Engines that answer come first in the list."""
     engines = [
         promptload.engine(f'd{n}', catalog.Stage.DECODE, slots=slots)
-        for n in range(answering)
+        for n in range(decoding)
     ]
-    for n in range(reading):
+    for n in range(prefilling):
         engines.append(promptload.engine(f'p{n}', slots=slots))
     return engines
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -25,23 +25,23 @@
     pool = make_pool()
     urgent, normal = make_waiting(2, 0.1), make_waiting(5, 0.6)
     for run in (urgent, normal, make_waiting(5, 3.0, 'portal')):
-        pool.count(run, 1)
-    assert pool.ahead('lease', 2) == (0.1, 1.0)
-    assert pool.ahead('lease', 5) == (0.7, 2.0)
+        pool.update_waiting(run, 1)
+    assert pool.waiting_ahead('lease', 2) == (0.1, 1.0)
+    assert pool.waiting_ahead('lease', 5) == (0.7, 2.0)
     assert pool.waiting_count('lease') == 2
     assert pool.backlog()[0] == 3
-    pool.count(urgent, -1)
-    assert pool.ahead('lease', 5) == (0.6, 1.0)
+    pool.update_waiting(urgent, -1)
+    assert pool.waiting_ahead('lease', 5) == (0.6, 1.0)
 
 
 def test_the_mix_tells_what_goes_before_a_priority():
     pool = make_pool()
-    assert pool.mix_before(2) == 1.0
+    assert pool.priority_share(2) == 1.0
     for _ in range(500):
-        pool.note_mix(5, 0.9)
-        pool.note_mix(2, 0.1)
-    assert 0.08 < pool.mix_before(2) < 0.12
-    assert pool.mix_before(5) == 1.0
+        pool.record_prompt_priority(5, 0.9)
+        pool.record_prompt_priority(2, 0.1)
+    assert 0.08 < pool.priority_share(2) < 0.12
+    assert pool.priority_share(5) == 1.0
 
 
 def arrive(pool, customer, prefill_s, decode_s, seconds=60):
@@ -50,7 +50,7 @@
         job=job, prefill_s=prefill_s / 10, decode_s=decode_s / 10
     )
     for number in range(seconds * 10):
-        pool.arrived(run, number / 10)
+        pool.record_arrival(run, number / 10)
 
 
 def test_a_flood_is_told_as_far_as_it_will_be_served():
@@ -62,7 +62,7 @@
     pool.queue.set_weight('portal', 2)
     arrive(pool, 'lease', 2.4, 1.5)
     arrive(pool, 'portal', 2.0, 5.0)
-    news = pool.news(60.0)
+    news = pool.demand_report(60.0)
     assert news.asked_s_per_s == pytest.approx(10.9, rel=0.05)
     total = news.prefill_s_per_s + news.decode_s_per_s
     assert total == pytest.approx(5.0, rel=0.05)
@@ -80,8 +80,8 @@
     ):
         pool.queue.set_weight(f'c{number}', weight)
         pool.arrivals[f'c{number}'] = pools.Arrivals(0.0)
-        pool.arrivals[f'c{number}'].lasting.per_s = demand
-    parts = pool.fair_parts(5.0, 0.0)
+        pool.arrivals[f'c{number}'].sustained.per_s = demand
+    parts = pool.fair_shares(5.0, 0.0)
     served = [parts[f'c{n}'] * demand for n, demand in enumerate(demands)]
     assert sum(served) == pytest.approx(min(5.0, sum(demands)), rel=1e-6)
     entitled = [
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -101,7 +101,7 @@
 
 def test_leaving_endpoints_and_those_kept_for_a_suspect_are_left_out():
     pool = make_pool(prefills=2, decodes=2)
-    pool.by_role['decode'][0].health.observe('leaving', 0.0)
+    pool.by_role['decode'][0].health.record_observation('leaving', 0.0)
     pool.by_role['prefill'][0].kept = True
     pool.sort()
     router = make_router()
--- a/tests/test_stageplan.py
+++ b/tests/test_stageplan.py
@@ -8,11 +8,11 @@
 
 
 def decide(
-    reading, answering, load, changing=0, plan=None, now_s=0.0, coming=0
+    prefilling, decoding, load, changing=0, plan=None, now_s=0.0, coming=0
 ):
     plan = plan or stageplan.StagePlan()
-    fleet = stageplan.Fleet(reading, answering, changing, coming)
-    plan.note(stageplan.Load(*load), fleet, now_s)
+    fleet = stageplan.Fleet(prefilling, decoding, changing, coming)
+    plan.record_load(stageplan.Load(*load), fleet, now_s)
     return plan.decide(fleet, now_s)
 
 
@@ -64,17 +64,17 @@
     lose it for 3 s of 2.8 s.
     """
     plan = stageplan.StagePlan()
-    reading, answering = 2, 3
+    prefilling, decoding = 2, 3
     changes = 0
     for tick in range(120):
         now_s = tick * 0.5
         high = int(now_s / 2.8) % 2 == 0
         load = (2.2, 0.7, 0.5) if high else (0.8, 0.3, 1.8)
-        change = decide(reading, answering, load, 0, plan, now_s)
+        change = decide(prefilling, decoding, load, 0, plan, now_s)
         if change is not None:
             changes += 1
-            step = 1 if change.to_reading else -1
-            reading, answering = reading + step, answering - step
+            step = 1 if change.to_prefill else -1
+            prefilling, decoding = prefilling + step, decoding - step
     assert changes <= 1
 
 
@@ -138,17 +138,17 @@
     """
     asked = total * 0.6
     fleet, ordered = settled(total // 3, total - total // 3, asked)
-    assert fleet.reading >= asked
+    assert fleet.prefilling >= asked
     enough = 1.2 * (asked + 1.5 * math.sqrt(asked))
     # Numbers that are compared grow by an eighth.
-    assert fleet.reading <= enough + 1 + ordered / 8
-    assert ordered == fleet.reading - total // 3
+    assert fleet.prefilling <= enough + 1 + ordered / 8
+    assert ordered == fleet.prefilling - total // 3
 
 
 @pytest.mark.parametrize('total', [13, 70, 500])
 def test_only_some_engines_change_at_one_time(total):
     change = decide(total // 3, total - total // 3, (total * 0.6, 0.1, 0.1))
-    assert change.to_reading
+    assert change.to_prefill
     assert 1 <= change.count <= max(1, total * 0.2)
 
 
@@ -168,7 +168,7 @@
     Ordered anew at each look, twice as many would change as are needed.
     """
     load = (20.0, 0.1, 0.1)
-    assert decide(25, 45, load).to_reading
+    assert decide(25, 45, load).to_prefill
     assert decide(25, 35, load, changing=10) is None
 
 
@@ -184,7 +184,7 @@
     With all of them read the answers need half as much again as there is.
     """
     change = decide(10, 10, (20.0, 0.1, 7.5))
-    assert change is None or not change.to_reading
+    assert change is None or not change.to_prefill
 
 
 def test_links_are_left_room_for_transfers():
@@ -196,19 +196,21 @@
     assert decide(8, 5, (12.0, 6.0, 0.1)) is None
 
 
-def settled(reading, answering, asked):
+def settled(prefilling, decoding, asked):
     """Let the plan have its way; returns the fleet and the orders."""
     plan = stageplan.StagePlan()
-    fleet = stageplan.Fleet(reading, answering)
+    fleet = stageplan.Fleet(prefilling, decoding)
     ordered = 0
     for tick in range(40):
         now_s = tick * 4.0
         change = decide(
-            fleet.reading, fleet.answering, (asked, 0.1, 0.1), 0, plan, now_s
+            fleet.prefilling, fleet.decoding, (asked, 0.1, 0.1), 0, plan, now_s
         )
         if change is None:
             continue
         ordered += change.count
-        moved = change.count if change.to_reading else -change.count
-        fleet = stageplan.Fleet(fleet.reading + moved, fleet.answering - moved)
+        moved = change.count if change.to_prefill else -change.count
+        fleet = stageplan.Fleet(
+            fleet.prefilling + moved, fleet.decoding - moved
+        )
     return fleet, ordered
