--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -1,4 +1,4 @@
-"""Forecast demand from noisy samples: a line, and a rhythm if there is one."""
+"""Forecast demand by a weighted linear fit and a detected seasonal period."""
 
 import collections
 import math
@@ -7,25 +7,29 @@
 
 __all__ = ['ForecastErrors', 'Forecast', 'SeasonalForecast', 'Series']
 
+#: Samples are averaged over bins of this length before the period search.
 BIN_S = 4.0
 MAX_BINS = 240
 MIN_PERIOD_BINS = 15
 MAX_PERIOD_BINS = 150
+#: The period is searched again after this many new bins.
 SEARCH_BINS = 4
+#: Bins that each smoothed value is averaged over.
 SMOOTHED_BINS = 3
 MIN_CORRELATION = 0.45
-#: Standard errors by which a correlation has to stand out.
+#: Standard errors by which an autocorrelation has to exceed zero.
 SIGNIFICANCE = 3.0
-#: A correlation this high makes the rhythm the whole forecast.
+#: From this autocorrelation on the seasonal forecast has weight 1.
 FULL_WEIGHT_CORRELATION = 0.6
+#: Past cycles that are averaged.
 MAX_CYCLES = 4
 
 
 class Forecast(NamedTuple):
-    """Demand ahead, in engine-seconds a second.
+    """A linear demand forecast, in engine-seconds per second.
 
-    :param level: now
-    :param slope: change per second
+    :param level: estimated present demand
+    :param slope: change of the demand per second
     :param error: standard error of the level
     :param noise: standard deviation of a sample
     """
@@ -36,19 +40,23 @@
     noise: float
 
     def at(self, ahead_s, trend_s):
-        """Mean demand `ahead_s` from now; the trend fades with `trend_s`."""
+        """Return the mean demand `ahead_s` from now.
+
+        :param trend_s: time constant with which the slope decays
+        """
         reach_s = trend_s * (1.0 - math.exp(-ahead_s / trend_s))
         return max(0.0, self.level + self.slope * reach_s)
 
 
 class Series:
-    """A line through recent samples, weighted by their age.
+    """A linear fit of recent samples, weighted by age.
 
-    :param overlap: samples that share what they measure, as each is a mean
-        over a while: their noise is no smaller than that of one in so many
+    Sums are kept relative to the time of the newest sample, so that adding
+    a sample takes constant time.
 
-    Sums are kept relative to the newest sample, so that a sample costs the
-    same however many came before it.
+    :param memory_s: time constant with which the weight of samples decays
+    :param overlap: number of consecutive samples that are means over
+        overlapping times; the fit treats them as one independent sample
     """
 
     def __init__(self, memory_s, overlap=1.0):
@@ -64,7 +72,7 @@
         self._value2 = 0.0
 
     def add(self, value, now_s):
-        """Take a sample."""
+        """Add a sample taken at `now_s`."""
         if self.at_s is not None:
             self._decay(now_s - self.at_s)
         self.at_s = now_s
@@ -75,7 +83,7 @@
 
     def _decay(self, passed_s):
         keep = math.exp(-passed_s / self.memory_s)
-        # Times are negative: a sample's time is minus its age.
+        # The time of a sample is its negative age.
         self._time2 += passed_s * (passed_s * self._weight - 2 * self._time)
         self._time -= passed_s * self._weight
         self._cross -= passed_s * self._value
@@ -85,11 +93,15 @@
         self._squares *= keep * keep
 
     def mean(self):
-        """The weighted mean of the samples."""
+        """Return the weighted mean of the samples, 0 without any."""
         return self._value / self._weight if self._weight else 0.0
 
     def forecast(self):
-        """Fit the line; a slope within its own error counts for little."""
+        """Fit the line.
+
+        The slope is shrunk by the share of its square that its own squared
+        standard error makes up, to zero if that is all of it.
+        """
         if not self._weight:
             return Forecast(0.0, 0.0, 0.0, 0.0)
         mean = self._value / self._weight
@@ -112,14 +124,14 @@
 
 
 class SeasonalForecast:
-    """Finds a period in two series and tells what came at this phase.
+    """Forecasts two series from past cycles of a period that it detects.
 
-    Token mixes swing with shifts and batch runs, often in even periods. A
-    line through the last seconds lags behind such a swing; what came a
-    period ago does not.
+    Token mixes swing with shifts and batch runs, often at a constant period.
+    A line through the last seconds lags behind such a swing; the values of
+    one period ago do not.
 
-    :ivar period_s: the period found, None without one
-    :ivar weight: how far to trust it, 0 to 1
+    :ivar period_s: detected period, None without one
+    :ivar weight: confidence in the period, from 0 to 1
     """
 
     def __init__(self):
@@ -132,21 +144,26 @@
         self._lag = None
 
     def add(self, first, second, now_s):
-        """Take a sample of both series."""
+        """Add a sample of both series taken at `now_s`."""
         if self._bin_end_s is None:
             self._bin_end_s = now_s + BIN_S
         if now_s >= self._bin_end_s and self._open:
             self._close_bin()
             self._bin_end_s += BIN_S
             if now_s > self._bin_end_s:
-                # Samples are missing: phases before the gap are lost.
+                # Samples are missing for longer than a bin, so the phase of
+                # the bins before the gap is unknown.
                 self._bins.clear()
                 self._lag = self.period_s = None
                 self._bin_end_s = now_s + BIN_S
         self._open.append((first, second))
 
     def expected_at(self, ahead_s):
-        """Mean of both series at this phase in past cycles, or None."""
+        """Return the mean of both series at a phase in past cycles.
+
+        :param ahead_s: time from now to the phase
+        :returns: a pair, or None while no period or no past cycle is known
+        """
         if self._lag is None:
             return None
         bin_index = len(self._bins) - 1 + round(ahead_s / BIN_S)
@@ -177,7 +194,7 @@
             self._search()
 
     def _search(self):
-        """Find the lag at which the series resemble themselves most."""
+        """Set the period to the shortest lag of high autocorrelation."""
         columns = [
             _centred(column) for column in zip(*self._smoothed, strict=True)
         ]
@@ -189,15 +206,16 @@
         }
         self._lag = self.period_s = None
         self.weight = 0.0
-        # Any slow change resembles itself a little later; only what became
-        # unlike itself and then like itself again is a cycle.
+        # Any slow change correlates with itself at short lags.  Only a
+        # correlation that falls to zero and rises again is a cycle.
         negative_lags = [lag for lag, value in found.items() if value <= 0]
         if not negative_lags:
             return
         candidates = {
             lag: found[lag] for lag in found if lag > negative_lags[0]
         }
-        # A multiple of the period is as good a lag; the shortest counts.
+        # Multiples of the period correlate as well; the shortest lag is the
+        # period.
         min_peak = 0.9 * max(candidates.values(), default=0.0)
         peaks = [
             lag
@@ -218,7 +236,7 @@
 
 
 def _smooth(bins):
-    """Means over a bin and its neighbours."""
+    """Return the means over each bin and its two neighbours."""
     bins = list(bins)
     smoothed = []
     for bin_index in range(len(bins)):
@@ -249,9 +267,9 @@
 
 
 class ForecastErrors:
-    """How wrong forecasts have been, by how far they looked ahead.
+    """Standard errors of past forecasts, by lead time.
 
-    :param memory_s: time constant with which errors are forgotten
+    :param memory_s: time constant with which the weight of errors decays
     """
 
     def __init__(self, memory_s):
@@ -260,14 +278,20 @@
         self._squares = {}
 
     def record_forecast(self, lead_s, due_s, values):
-        """Note a forecast of several series for `due_s`.
+        """Record a forecast, to be compared with the demand at `due_s`.
+
+        Forecasts of one lead time have to be recorded in order of `due_s`.
 
-        Forecasts of one lead have to come in the order of their times.
+        :param lead_s: time from the forecast to `due_s`
+        :param values: forecast value of each series
         """
         self._due.append((due_s, lead_s, values))
 
     def observe(self, values, now_s):
-        """Compare what has come with what was expected by now."""
+        """Update the errors by the recorded forecasts that are due.
+
+        :param values: present value of each series
+        """
         left = collections.deque()
         for due_s, lead_s, expected in self._due:
             if due_s > now_s:
@@ -291,9 +315,9 @@
         self._squares[lead_s] = now_s, mixed
 
     def errors(self, ahead_s, min_errors):
-        """Standard errors so far ahead, from the nearest leads.
+        """Return the standard errors at the lead time nearest to `ahead_s`.
 
-        :param least: errors that are certain, by series
+        :param min_errors: lower bounds of the errors, by series
         """
         if not self._squares:
             return min_errors
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -1,10 +1,13 @@
 """Plan which engines of a pool prefill and which decode.
 
-The planner forecasts the demand for prefill and for decode, values each
-split of the pool by the tokens that it is expected to serve over a horizon,
-and changes one engine at a time, when the gain pays for the seconds that the
-engine is away, the prefix cache that it loses and the price that the table
-puts on a change.
+The planner forecasts the demand for prefill and decode, rates each split of
+the pool by the tokens that it is expected to serve over a horizon, and
+changes one engine at a time.  A change is made when its expected gain
+exceeds its cost: the seconds in which the engine serves nothing, the prefix
+cache that it loses, and the price of a change in the operators' table.
+
+A role here is what :mod:`magnoliadyke.core.stageplan` calls a stage; the
+two belong to different engine protocols.
 """
 
 import dataclasses
@@ -28,14 +31,15 @@
 DECODE = 'decode'
 AUTO = 'auto'
 READY = ('in', 'up')
-#: Cells of the horizon whose forecasts are compared with what came.
+#: Cells of the horizon whose forecasts are later compared with the demand.
 ERROR_CELLS = (0, 2, 5, 9, 14)
-#: Changes that a course may be away from the present split.
+#: Largest distance, in role changes, between the present split and any split
+#: that a change plan considers.
 MAX_STEPS = 3
 
-#: Sigma points of the error in the mix, in standard deviations of prefill
-#: and decode, and their weights.  When the mix turns out otherwise, one
-#: demand is higher and the other lower.
+#: Sigma points of the forecast error, in standard deviations of prefill and
+#: decode, and their weights.  The two errors have opposite signs: when the
+#: mix shifts, one demand rises and the other falls.
 SIGMA_DISTANCE = math.sqrt(3.0)
 SIGMA_POINTS = (
     (0, 0),
@@ -47,9 +51,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleChange:
-    """Give an engine another role.
+    """Order to give an engine another role.
 
-    :param gain_tokens: what the change is expected to bring, net
+    :param gain_tokens: tokens that the change is expected to gain, less its
+        cost
     """
 
     endpoint: str
@@ -58,12 +63,14 @@
 
 
 class EngineView(NamedTuple):
-    """What is believed of an engine.
-
-    :param state: 'in' (or 'up') when it takes work, else it is away
-    :param load: work in flight, in any unit; the least loaded is changed
-    :param reported_at_s: when its newest load report was true
-    :param cached_tokens: prompt tokens in its prefix cache, if known
+    """The planner's view of an engine.
+
+    :param state: 'in' or 'up' when the engine accepts work; 'changing'
+        during a role change; any other value when it is unavailable
+    :param load: work in flight, in any unit; the least loaded engine is
+        changed
+    :param reported_at_s: time of measurement of its newest load report
+    :param cached_tokens: prompt tokens in its prefix cache; 0 if unknown
     """
 
     name: str
@@ -75,9 +82,12 @@
 
 
 class PoolState(NamedTuple):
-    """A pool and the cells of its row in the table.
+    """A pool's engines and the cells of its row in the operators' table.
 
+    :param engines: an :class:`EngineView` for each engine
     :param price_tokens: cell `role_change_price`
+    :param dwell_s: shortest time between two role changes of an engine
+    :param planning: 'auto' if the planner may change roles
     """
 
     engines: tuple
@@ -91,33 +101,40 @@
 class PlannerSettings(NamedTuple):
     """Constants of a planner.
 
-    :param sample_s: least time between two samples of the demand
-    :param memory_s: time constant with which samples are forgotten
-    :param overlap: samples that share arrivals, as the demand is a mean
-        over some seconds
-    :param trend_s: time constant with which a trend is taken to fade
-    :param horizon_s: how far the gain of a change is counted
-    :param cell_s: step in which the horizon is planned
-    :param outage_s: time that a change takes an engine away, drain included
-    :param fresh_s: reports older than this are no ground for a change
-    :param usable_prefill: share of a prefill engine's time that can be sold
-        before queueing breaks the objectives, by the costs that are fitted
-    :param usable_decode: likewise of a decode engine's
-    :param rhythm_share: most weight of a rhythm in the forecast
-    :param rhythm_carry: part of the present deviation from the rhythm that
-        is taken to last
-    :param prefill_on_decode: prefill rate of a decode engine's idle time
-    :param prompt_loss: power of the served share of decode by which prompts
-        are lost
-    :param prefill_tokens_s: prompt tokens of an engine-second
-    :param decode_tokens_s: output tokens of an engine-second
-    :param band_memory_s: time constant with which the forecast's errors
-        are forgotten
-    :param ramp_s: time at first whose samples are left out
-    :param warm_up_s: time after it that samples are only gathered
-    :param band_share: part of the measured errors that is reckoned with
-    :param backlog_s: time in which a backlog is wanted gone
-    :param cache_worth: share of a lost cache that has to be read again
+    :param sample_s: shortest time between two samples of the demand
+    :param memory_s: time constant with which the weight of samples decays
+    :param overlap: number of consecutive samples that count the same
+        arrivals, since the demand is a mean over several seconds
+    :param trend_s: time constant with which a forecast trend decays
+    :param horizon_s: time over which the gain of a change is summed
+    :param cell_s: time step of the horizon
+    :param outage_s: time for which a change makes an engine unavailable,
+        drain included
+    :param max_report_age_s: no change is made on reports older than this
+    :param max_prefill_utilization: utilization of a prefill engine above
+        which queueing violates the objectives, in terms of the fitted costs;
+        it may exceed 1
+    :param max_decode_utilization: the same for a decode engine
+    :param seasonal_share: largest weight of the seasonal forecast in the
+        combined forecast
+    :param seasonal_carry: part of the present deviation from the seasonal
+        forecast that is assumed to persist
+    :param prefill_on_decode: prefill rate in the idle time of a decode
+        engine, relative to a prefill engine
+    :param prompt_loss_exponent: a served decode share s leaves the fraction
+        s ** exponent of the prefill demand
+    :param prefill_tokens_s: prompt tokens prefilled in an engine-second
+    :param decode_tokens_s: output tokens decoded in an engine-second
+    :param error_memory_s: time constant with which the weight of past
+        forecast errors decays
+    :param ramp_s: time after the first sample in which samples are
+        discarded
+    :param warm_up_s: time after the ramp in which samples are recorded but
+        no change is made
+    :param error_share: factor applied to the observed forecast errors
+    :param backlog_s: time within which the backlog is to be served
+    :param cache_reread_share: share of the tokens in a lost prefix cache
+        that have to be prefilled again
     """
 
     sample_s: float = 1.0
@@ -148,16 +165,17 @@
 
 
 def served_tokens_s(settings, prefills, decodes, prefill, decode):
-    """Tokens a second that a split is expected to serve.
+    """Return the tokens per second that a split is expected to serve.
 
-    Every request needs a stream, so too few decoding engines turn away all
-    kinds of requests, and long prompts first, since their first tokens are
-    the first to be late; too few prefilling engines turn away prompts only.
+    Every request needs a stream, so with too few decode engines requests of
+    all kinds are refused, long prompts first, since their first tokens are
+    the first to miss the objective.  With too few prefill engines only
+    prompts are refused.
 
-    :param prefills: engines that prefill
-    :param decodes: engines that decode
-    :param prefill: demand in engine-seconds a second
-    :param decode: likewise
+    :param prefills: number of prefill engines
+    :param decodes: number of decode engines
+    :param prefill: prefill demand in engine-seconds per second
+    :param decode: decode demand in engine-seconds per second
     """
     decode_room = decodes * settings.max_decode_utilization
     idle = max(0.0, decode_room - decode)
@@ -173,9 +191,11 @@
 class Planner:
     """Decides on role changes of one pool.
 
-    Feed it with :meth:`observe` about every second and ask it with
-    :meth:`plan` as often.  It holds no authority: whoever asks has to own
-    the pool's lease, and carries the change out.
+    :meth:`observe` and :meth:`plan` are each to be called about once a
+    second.  The planner checks no lease: the caller of :meth:`plan` must
+    hold the pool's lease, and carries the change out.
+
+    :ivar reason: why the latest :meth:`plan` returned a change or None
     """
 
     def __init__(self, settings=DEFAULT_SETTINGS):
@@ -185,25 +205,26 @@
         self.demand = None
         self.changed_at_s = {}
         self.roles = {}
-        self.reason = 'no demand seen yet'
+        self.reason = 'no demand sample yet'
         self.seasonal = forecast.SeasonalForecast()
         self.forecast_errors = forecast.ForecastErrors(settings.error_memory_s)
         self.forecast_recorded_s = -math.inf
         self.first_sample_s = None
 
     def observe(self, demand, now_s):
-        """Take a sample of the pool's demand.
+        """Add a sample of the pool's demand.
 
-        :param demand: with `prefill_s_per_s`, `decode_s_per_s`,
-            `queued_prefill_s` and `queued_decode_s`
+        :param demand: object with the attributes `prefill_s_per_s`,
+            `decode_s_per_s`, `queued_prefill_s` and `queued_decode_s`
         """
         self.demand = demand
         if self.first_sample_s is None:
             self.first_sample_s = now_s
         if now_s < self.first_sample_s + self.settings.ramp_s:
             # A node that has just started measures a demand that rises from
-            # nothing; taken for a trend it leads to changes and, as an
-            # error of the forecast, keeps later ones away for a minute.
+            # zero.  Forecast as a trend, that rise would cause needless
+            # changes; counted as a forecast error, it would suppress changes
+            # for a minute.
             return
         last_s = self.prefill.at_s
         if last_s is not None and now_s - last_s < self.settings.sample_s:
@@ -221,10 +242,10 @@
         return now_s < warmed_up_s
 
     def plan(self, state, now_s):
-        """Choose a change, or none.
+        """Choose the role change to make now, if any.
 
         :param state: the pool as a :class:`PoolState`
-        :returns: a :class:`RoleChange` or None; `reason` says why
+        :returns: a :class:`RoleChange` or None; sets `reason`
         """
         self._record_roles(state, now_s)
         self.reason = self._blocked_reason(state, now_s)
@@ -235,13 +256,14 @@
             for role in (PREFILL, DECODE)
         }
         if not any(engines.values()):
-            self.reason = 'no engine may change: minimum or dwell'
+            self.reason = 'no engine may change: role minimum or dwell time'
             return None
         missing = _role_under_minimum(state)
         if engines.get(missing):
-            # Its engines crashed or left: without any of the role, part of
-            # the work stands still, whatever the forecast says of prices.
-            self.reason = f'fewer than the least number of {missing} engines'
+            # Engines of this role crashed or left.  A pool without any
+            # engine in a role can't serve part of its requests, so the
+            # change is made whatever gain the forecast gives.
+            self.reason = f'fewer {missing} engines than the minimum'
             return RoleChange(engines[missing].name, missing)
         best = None
         for role, gain in self._gains(state).items():
@@ -267,29 +289,33 @@
             self.roles[engine.name] = engine.role
 
     def _blocked_reason(self, state, now_s):
-        """Why no change may be made now, or ''."""
+        """Return why no change may be made now, or ''."""
         if state.planning != AUTO:
             return 'planning is off in the table'
         if self.demand is None:
-            return 'no demand seen yet'
+            return 'no demand sample yet'
         if self._is_warming_up(now_s):
-            return 'the demand is not known for long enough'
+            return 'the demand has been sampled for too short a time'
         if now_s - self.prefill.at_s > self.settings.max_report_age_s:
-            return 'the demand is not known of late'
+            return 'there is no recent demand sample'
         if any(engine.state == 'changing' for engine in state.engines):
-            return 'an engine is changing'
+            return 'an engine is changing its role'
         ready = [each for each in state.engines if each.state in READY]
         oldest_s = min((each.reported_at_s for each in ready), default=-1e9)
         if now_s - oldest_s > self.settings.max_report_age_s:
-            # Planning in the blind: an engine that is silent may have
-            # crashed or changed, so a split counted with it is wrong, and
-            # one change after the other would be made on old news.  Waiting
-            # is safe, since routing adapts without role changes.
-            return 'an engine has not reported of late'
+            # An engine without a recent report may have crashed or changed
+            # its role, so the split may be miscounted and change after
+            # change would be made on stale reports.  Waiting is safe, since
+            # routing adapts without role changes.
+            return 'an engine has not reported recently'
         return ''
 
     def _candidate(self, state, role, now_s):
-        """The engine that would take `role`, the cheapest first."""
+        """Return the least loaded engine that may change to `role`, or None.
+
+        None if the other role would fall below its minimum, or if all its
+        engines changed within the dwell time.
+        """
         minimum = state.min_prefill if role == DECODE else state.min_decode
         others = [
             engine
@@ -307,9 +333,10 @@
         return min(free, key=lambda engine: engine.load, default=None)
 
     def _gains(self, state):
-        """Tokens that each change now gains over waiting a cell.
+        """Return the tokens gained by changing now instead of a cell later.
 
-        :returns: by role, the mean over the errors that the forecast may have
+        :returns: by role to change to, the weighted mean over the sigma
+            points of the forecast error
         """
         before = _split(state)
         cells = self._forecast()
@@ -328,13 +355,14 @@
             for role, gains in found.items():
                 gains.append(change_plan.gain(role))
             if max(gains[0] for gains in found.values()) <= 0:
-                # What does not pay if the forecast holds is not made, so
-                # the errors, most of the work, need no look.
+                # A change without a gain under the plain forecast is never
+                # made, so the other sigma points, which are most of the
+                # computation, are skipped.
                 return {role: gains[0] for role, gains in found.items()}
         return {role: _mean(gains) for role, gains in found.items()}
 
     def _forecast(self):
-        """Demand in each cell of the horizon."""
+        """Return the forecast (prefill, decode) demand in each cell."""
         settings = self.settings
         prefill = self.prefill.forecast()
         decode = self.decode.forecast()
@@ -351,7 +379,7 @@
         return cells
 
     def _errors(self, count):
-        """Standard errors of the forecast in each cell."""
+        """Return the standard errors of the forecast in each cell."""
         least = self.prefill.forecast().error, self.decode.forecast().error
         cell_s = self.settings.cell_s
         share = self.settings.error_share
@@ -364,7 +392,7 @@
         ]
 
     def _add_backlog(self, cells):
-        """Add what waits now to the demand of the first cells."""
+        """Return the cells with the queued work added to the first ones."""
         backlog_s = self.settings.backlog_s
         first = math.ceil(backlog_s / self.settings.cell_s)
         prefill = self.demand.queued_prefill_s / backlog_s
@@ -375,7 +403,7 @@
         ]
 
     def _record_errors(self, now_s):
-        """Compare forecasts with what came, and note new ones."""
+        """Update the forecast errors and record the present forecast."""
         levels = self.prefill.forecast().level, self.decode.forecast().level
         self.forecast_errors.observe(levels, now_s)
         if self._is_warming_up(now_s):
@@ -392,7 +420,13 @@
                 )
 
     def _seasonal(self, plain, levels, now, ahead_s):
-        """Mix the plain forecast with what past cycles brought."""
+        """Return the forecast blended with the mean of past cycles.
+
+        :param plain: (prefill, decode) demand by extrapolated trend
+        :param levels: present (prefill, decode) demand
+        :param now: seasonal forecast for the present, or None
+        :param ahead_s: time from now to the forecast
+        """
         then = self.seasonal.expected_at(ahead_s)
         if now is None or then is None:
             return plain
@@ -406,12 +440,13 @@
 
 
 class _ChangePlan:
-    """The best course of changes over a forecast, by dynamic programming.
+    """The best sequence of role changes over a forecast.
 
-    As it may change again later, a change that would have to be undone soon
-    is not worth its price, and one that is better made later waits.
+    It is found by dynamic programming.  As the sequence may hold further
+    changes, a change that would soon have to be undone does not gain its
+    price, and a change that gains more later is put off.
 
-    :param before: (prefilling, decoding) engines now
+    :param before: numbers of (prefill, decode) engines now
     :param cells: (prefill, decode) demand in each cell
     """
 
@@ -429,7 +464,10 @@
         self._best = self._solve()
 
     def gain(self, role):
-        """Tokens gained by changing now rather than in a cell or later."""
+        """Return the tokens gained by changing now, not a cell or more later.
+
+        :param role: role that one engine would change to
+        """
         start = self.before[0]
         after = start + (1 if role == PREFILL else -1)
         if start not in self.splits or after not in self.splits:
@@ -449,7 +487,11 @@
         return known
 
     def _change(self, cell, start, after):
-        """Tokens from a cell on if a change begins in it."""
+        """Return the tokens served from a cell on if a change begins in it.
+
+        :param start: prefill engines before the change
+        :param after: prefill engines after the change
+        """
         end = min(cell + self.away, len(self.cells))
         prefills = min(start, after)
         decodes = self.total - max(start, after)
@@ -481,7 +523,7 @@
 
 
 def _role_under_minimum(state):
-    """The role that has too few engines, or None."""
+    """Return the role with fewer engines than its minimum, or None."""
     prefills, decodes = _split(state)
     if prefills < state.min_prefill:
         return PREFILL
@@ -489,6 +531,6 @@
 
 
 def _mean(gains):
-    """The mean over the sigma points."""
+    """Return the weighted mean over the sigma points."""
     pairs = zip(SIGMA_WEIGHTS, gains, strict=True)
     return sum(weight * gain for weight, gain in pairs)
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -1,13 +1,13 @@
-"""How many engines read prompts, and how many answer.
+"""Plan how many engines of a service prefill and how many decode.
 
-The load that this answers: the mix of long prompts and long answers shifts
-within seconds, in waves of many seconds.  A change of stage takes an engine
-away for seconds and is paid for, so it has to pay within the time in which it
-can't be taken back, also for what is lost meanwhile.
+The mix of long prompts and long answers shifts within seconds, in waves of
+many seconds.  A change of stage makes an engine unavailable for seconds, so
+its gain has to exceed that loss within the time in which the change can't be
+reversed.
 
-The plan forecasts: it takes the last seconds' load for that of the next ones,
-and compares what part of it the engines would serve in each split that the
-changes allowed now can reach.
+The plan takes the load of the last seconds as the forecast for the next ones
+and compares the share of it that the engines would serve in each split
+within reach of the changes allowed now.
 """
 
 import collections
@@ -21,23 +21,26 @@
 class StagePlanSettings(NamedTuple):
     """Constants of the plan.
 
-    :param memory_s: the load of this long is taken for that of the next
-        seconds; longer than a swing, so that a lull between two of them
-        moves nothing
-    :param gain: part of the load that has to be served more
-    :param headroom: times the present load, with the power to spare, that
-        can be served from which on nothing is prepared any more
-    :param headroom_gain: factor by which a change that costs nothing now has
-        to raise that
-    :param pause_s: least time between two changes in opposite directions,
-        within which a change has to pay
-    :param most_changing: share of the engines that change at one time
-    :param reading_margin: reading power to spare, in square roots of what
-        is asked: what comes at random swings by so much, so few engines
-        need a larger part to spare than many
-    :param moving_share: part of their time in which engines can take over
-        what others have read before prompts wait for each other
-    :param slots_share: the same of the slots for long answers
+    :param memory_s: length of the window of past load that serves as the
+        forecast; longer than one swing of the load, so that a lull between
+        two swings causes no change
+    :param gain: smallest increase of the served share of the load that
+        justifies a change
+    :param headroom: multiple of the present load, prefill margin included,
+        from which on no spare capacity is prepared
+    :param headroom_gain: factor by which a change that reduces no service
+        now has to raise that multiple
+    :param pause_s: shortest time between two changes in opposite
+        directions, within which a change has to gain more than it costs
+    :param max_changing_share: share of the engines that may change at one
+        time
+    :param prefill_margin: spare prefill capacity, in square roots of the
+        prefill demand: random arrivals vary by that much, so few engines
+        need a larger spare share than many
+    :param transfer_share: utilization by KV cache transfers up to which
+        prompts don't queue for a decode engine
+    :param slots_share: utilization of the slots for long answers up to
+        which answers don't queue
     """
 
     memory_s: float = 6.0
@@ -52,13 +55,16 @@
 
 
 class Load(NamedTuple):
-    """What is asked of the engines of a service.
-
-    :param reading: engines that reading the prompts would fill
-    :param moving: engines that taking over what others read would fill
-    :param slots: engines whose slots the long answers fill
-    :param beside: engines' worth of reading that those that answer can do
-    :param occupied: engines that give long answers, and read nothing beside
+    """The demand on the engines of a service, in engines.
+
+    :param prefilling: prefill engines that the prompts would keep busy
+    :param transferring: decode engines that the KV cache transfers from
+        prefill engines would keep busy
+    :param slots: decode engines whose slots the long answers fill
+    :param prefill_on_decode: prefill capacity of the decode engines, in
+        prefill engines
+    :param occupied: decode engines that run long answers and so do no
+        prefill
     """
 
     prefilling: float
@@ -69,13 +75,13 @@
 
 
 class Fleet(NamedTuple):
-    """The engines of a service by what they do.
+    """Numbers of engines of a service, by stage.
 
-    :param reading: engines that read
-    :param answering: engines that answer
-    :param changing: engines that are changing already
-    :param to_answering: those of them that will answer
-    :param change_s: how long a change takes an engine away
+    :param prefilling: engines in the prefill stage
+    :param decoding: engines in the decode stage
+    :param changing: engines that are changing their stage
+    :param to_decode: those of the changing engines that change to decode
+    :param change_s: time for which a change makes an engine unavailable
     """
 
     prefilling: int
@@ -86,12 +92,16 @@
 
     @property
     def total(self) -> int:
-        """All engines."""
+        """The number of all engines."""
         return self.prefilling + self.decoding + self.changing
 
 
 class Change(NamedTuple):
-    """Move engines; True to read prompts, False to answer."""
+    """Order to change the stage of some engines.
+
+    :param to_prefill: True to change to prefill, False to decode
+    :param count: number of engines
+    """
 
     to_prefill: bool
     count: int = 1
@@ -114,9 +124,12 @@
         self.last_s = float('-inf')
 
     def record_load(self, load: Load, fleet: Fleet, now_s: float) -> None:
-        """Take a measurement."""
-        # Only what is read is answered: with more readers there would be
-        # more answers, too.
+        """Add a sample of the load.
+
+        :param fleet: engines at the time of the sample
+        """
+        # Only prompts that have been prefilled need a decode slot, so the
+        # slot demand is scaled up to the one with all prompts prefilled.
         read = self._prefill_ratio(
             load, fleet.prefilling, load.prefill_on_decode
         )
@@ -127,12 +140,13 @@
             self.samples.popleft()
 
     def decide(self, fleet: Fleet, now_s: float) -> Change | None:
-        """Whether engines should change their stage now, and how many."""
+        """Return the change of stage to make now, or None."""
         change = self._choose_change(fleet)
         if change is None:
             return None
-        # Below the least number that answers nobody waits for a reversal:
-        # the only engine left would answer for all that the others read.
+        # Below the minimum of decode engines the pause before a reversal
+        # does not apply: a single decode engine would have to serve the
+        # prompts of all prefill engines.
         least = min_decoding(fleet.total)
         decoding = fleet.decoding + fleet.to_decode
         short = decoding < least and not change.to_prefill
@@ -144,15 +158,16 @@
 
     def _choose_change(self, fleet: Fleet) -> Change | None:
         if fleet.decoding + fleet.to_decode < 1:
-            # Engines that answer also read, those that read can't answer.
-            # While none answers nothing is served, whatever the load: also
-            # where a single engine is left, or the others are changing.
+            # Decode engines can prefill, but prefill engines can't decode.
+            # Without a decode engine no request is served, so an engine
+            # changes whatever the load, even if it is the only one left or
+            # all others are changing.
             return Change(False) if fleet.prefilling else None
         least = min_decoding(fleet.total)
         decoding = fleet.decoding + fleet.to_decode
         if decoding < least and fleet.prefilling > decoding:
-            # Also beside an engine that changes to reading: the only one
-            # left answers for all, and nobody does while it is down.
+            # Applies even while another engine changes to prefill: with one
+            # decode engine no request is served while that engine is down.
             return Change(False)
         most = max(1, int(fleet.total * self.settings.max_changing_share))
         most -= fleet.changing
@@ -163,7 +178,13 @@
     def _best_change(
         self, fleet: Fleet, most: int, least: int
     ) -> Change | None:
-        """The change that serves the most, if it gains enough."""
+        """Return the change that serves the largest share of the load.
+
+        None if no change gains enough.
+
+        :param most: largest number of engines to change
+        :param least: smallest number of decode engines to keep
+        """
         if not self.samples:
             return None
         best = None
@@ -180,10 +201,15 @@
     def _prepare_for_burst(
         self, fleet: Fleet, to_decode: int, to_prefill: int
     ) -> Change | None:
-        """The change that leaves most room for a rush, while it costs nothing.
+        """Return the change that leaves the most headroom for a burst.
+
+        Only changes that reduce no service now are considered.  A burst is
+        over before a change made in response to it has gained its cost, so
+        capacity is moved in the lull before, when engines can be missed for
+        some seconds.
 
-        A rush is over before a change that it calls for has paid.  In the
-        calm before it engines are spared for some seconds.
+        :param to_decode: largest number of engines to change to decode
+        :param to_prefill: largest number of engines to change to prefill
         """
         served = self._served_with(fleet, 0)
         present = self._headroom(fleet, 0)
@@ -202,10 +228,12 @@
         return best
 
     def _headroom(self, fleet: Fleet, moved: int) -> float:
-        """Times the load that could be served at the worst moment.
+        """Return the multiple of the load that can be served at worst.
 
-        Engines that answer don't count for what they read beside: in a rush
-        the answers keep them from it.
+        Prefill on decode engines is not counted, since in a burst the
+        answers take all their time.
+
+        :param moved: engines that change to prefill; negative, to decode
         """
         prefilling, decoding = self._split_after(fleet, moved)
         alone = fleet._replace(decoding=0)
@@ -215,9 +243,9 @@
         )
 
     def _served_with(self, fleet: Fleet, moved: int) -> float:
-        """Part of the load that is served until a change may be reversed.
+        """Return the share of the load served until a reversal is allowed.
 
-        :param moved: engines that would come to read; below 0, to answer
+        :param moved: engines that change to prefill; negative, to decode
         """
         away = self._served(
             fleet,
@@ -229,7 +257,7 @@
         return lost * away + (1 - lost) * after
 
     def _split_after(self, fleet: Fleet, moved: int) -> tuple[int, int]:
-        """Engines that read and that answer once all changes are over."""
+        """Return the prefill and decode engines after all changes."""
         coming = fleet.changing - fleet.to_decode
         return (
             fleet.prefilling + coming + moved,
@@ -237,10 +265,11 @@
         )
 
     def _served(self, fleet: Fleet, prefilling: int, decoding: int) -> float:
-        """Part of the load that is served by a split, over the samples.
+        """Return the mean share of the load that a split serves.
 
-        Taken moment by moment: prompts and answers have their peaks at
-        different times, and engines enough for both never happen at once.
+        The share is computed for each sample, not for the mean load: prompts
+        and answers peak at different times, and a split that suits the sum
+        of both peaks would be planned for a load that never occurs.
         """
         shares = [
             min(1.0, *self._ratios(sample, fleet, prefilling, decoding))
@@ -251,7 +280,7 @@
     def _ratios(
         self, sample: _Sample, fleet: Fleet, prefilling: int, decoding: int
     ) -> tuple[float, float, float]:
-        """What could be read, taken over and answered, over what is asked."""
+        """Return capacity over demand for prefill, transfers and slots."""
         load = sample.load
         free = max(0, fleet.decoding - load.occupied)
         left = max(0, decoding - load.occupied)
@@ -278,10 +307,12 @@
 
 
 def min_decoding(total: int) -> int:
-    """Engines that always answer.
+    """Return the minimum number of decode engines of a service.
 
-    Two where there are enough: nobody could answer while the only one is
+    Two from four engines on: with one, no request is served while it is
     down.
+
+    :param total: number of all engines
     """
     return 2 if total >= 4 else 1
 
@@ -291,9 +322,11 @@
 
 
 def _steps(least: int, most: int) -> list[int]:
-    """Numbers of engines to compare, few in a large fleet.
+    """Return the candidate numbers of engines to move, without 0.
 
-    Each engine up to some, then in growing steps; the ends are among them.
+    Small numbers are all included, larger ones in steps that grow with the
+    number, so that a large fleet has few candidates.  Both bounds are
+    included.
     """
     found = []
     for bound, sign in ((most, 1), (-least, -1)):
