--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -1,22 +1,24 @@
-"""Commands to one engine: one change at a time, settled by reading back.
+"""Commands of a lease holder to one engine, confirmed by reading its state.
 
-Commands are absolute ("be in this state, generation n"), so that a repeat
-does no harm.  An engine that checks fencing numbers settles by itself who
-commands it, once it has heard of the new holder's number; so a new holder
-first commands the role that the engine has.  For one that ignores numbers
+One change is carried out at a time.  A command states the target state and
+its generation, so repeating it is harmless.  An engine that checks fencing
+numbers rejects commands of a former lease holder once it has received the
+number of the new one; so a new holder first commands the role that the engine
+already has.  For an engine that ignores fencing numbers
 
-* the intent is written by compare-and-swap before the command is sent, so
-  that two holders cannot both believe that the next change is theirs,
-* a new holder first waits out the longest life of its forerunner's
+* the intent is written to the store by compare-and-swap before the command
+  is sent, so that two holders cannot both order the next change,
+* a new holder first waits out the longest lifetime of its predecessor's
   commands, reads intent and state, and only then acts,
-* the sender asks :meth:`EngineCommands.may_send` right before the last byte
-  leaves, and closes the connection at the deadline,
-* the holder goes on comparing state and intent, and commands again after a
-  stray command.
-
-What is left: a process stopped between that last question and the system
-call that sends.  Its command takes effect when it runs again; comparing
-finds and undoes it within ``compare_s`` and a role change.
+* the sender calls :meth:`EngineCommands.may_send` right before it sends the
+  last byte, and closes the connection at the deadline,
+* the holder keeps comparing state and intent, and repeats the command after
+  a stray one.
+
+One race remains: a process may be suspended between :meth:`may_send` and the
+system call that sends.  Its command takes effect when the process resumes;
+the comparison detects that and reverses it within ``compare_s`` and the time
+of a role change.
 """
 
 from collections.abc import Iterable
@@ -45,12 +47,16 @@
 
 
 class CommandSettings(NamedTuple):
-    """Times of a command.
+    """Timing of commands.
 
-    :param life_s: from the start of sending to the closing of the
-        connection at the latest.
+    :param life_s: longest time from the start of sending a command to the
+        closing of its connection.
+    :param drift_share: share of ``life_s`` added for clocks that run at
+        different rates.
     :param change_s: longest time that an engine may take for a change.
-    :param compare_s: time between two looks at an idle engine.
+    :param poll_s: interval between reads of the state during a change.
+    :param retry_s: delay after a failed read or write.
+    :param compare_s: interval between reads of the state of an idle engine.
     """
 
     life_s: float = 1.0
@@ -62,10 +68,10 @@
 
 
 class Change(NamedTuple):
-    """What an engine is to become.
+    """A change of an engine's role or of its loaded models.
 
     :param kind: 'role', 'load' or 'unload'.
-    :param target: the role, or the model.
+    :param target: the role to take, or the model to load or unload.
     """
 
     kind: str
@@ -73,7 +79,12 @@
 
 
 class EngineState(NamedTuple):
-    """The engine's own word, not lagged."""
+    """State of an engine, read from the engine itself.
+
+    :param changing: whether a change is in progress.
+    :param generation: generation of the newest command accepted.
+    :param models: loaded models.
+    """
 
     role: str
     changing: bool
@@ -82,14 +93,17 @@
 
 
 class Intent(NamedTuple):
-    """The value in the store for an engine that ignores numbers."""
+    """The last change ordered, kept in the store.
+
+    It is stored only for engines that ignore fencing numbers.
+    """
 
     generation: int
     fencing: int
     change: Change
 
     def dump(self) -> str:
-        """Write the intent as the store keeps it."""
+        """Return the intent as JSON text for the store."""
         return json.dumps(
             {
                 'generation': self.generation,
@@ -102,14 +116,14 @@
 
     @classmethod
     def parse(cls, text: str) -> 'Intent':
-        """Read a value of the store."""
+        """Return the intent in a value of the store."""
         fields = json.loads(text)
         change = Change(fields['kind'], fields['target'])
         return cls(fields['generation'], fields['fencing'], change)
 
 
 class Command(NamedTuple):
-    """What goes to the engine; a repeat has the same id."""
+    """A command as it is sent to the engine; a repeat has the same id."""
 
     id: str
     change: Change
@@ -122,7 +136,8 @@
 class Prepare:
     """Take the engine out of use and let its streams end.
 
-    Then call ``prepared``; until then nothing is written or sent.
+    Then call :meth:`EngineCommands.prepared`; until then no intent is
+    written and no command is sent.
     """
 
     change: Change
@@ -130,15 +145,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadIntent:
-    """Read the intent, then ``intent_read`` or ``intent_failed``."""
+    """Read the intent, then call ``intent_read`` or ``intent_failed``."""
 
 
 @dataclasses.dataclass(frozen=True)
 class WriteIntent:
-    """Write the intent if the key still has this revision.
+    """Write the intent if the key still has the revision ``if_revision``.
 
-    Then ``intent_written``, ``intent_read`` with what the store holds when
-    it refused, or ``intent_failed``.
+    Then call ``intent_written``, ``intent_read`` with the stored value if
+    the revision differed, or ``intent_failed``.
     """
 
     intent: Intent
@@ -147,12 +162,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadState:
-    """Ask the engine, then ``state_read`` or ``state_failed``."""
+    """Read the engine's state; call ``state_read`` or ``state_failed``."""
 
 
 @dataclasses.dataclass(frozen=True)
 class SendCommand:
-    """Send, then ``command_answered`` or ``command_unknown``.
+    """Send, then call ``command_answered`` or ``command_unknown``.
 
     :param deadline_s: when to close the connection, answered or not.
     """
@@ -163,10 +178,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Settled:
-    """The engine is in the state wanted.
+    """The engine has reached the target of the change.
 
-    :param corrected: nobody asked for the change; the engine was found
-        other than last intended, after a stray command or a crash.
+    :param generation: the engine's generation after the change.
+    :param corrected: whether the change was not requested, but restored the
+        last intended state after a stray command or a crash.
     """
 
     change: Change
@@ -176,7 +192,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChangeFailed:
-    """The engine did not get there in time, or the authority is gone."""
+    """The change was abandoned, for instance on a timeout or a lost lease."""
 
     change: Change
     reason: str
@@ -195,17 +211,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Discovering:
-    """Intent and state are to be read before anything else."""
+    """Intent and state have to be read before any other action."""
 
 
 @dataclasses.dataclass(frozen=True)
 class _Idle:
-    """State and intent are known; nothing is under way."""
+    """State and intent are known; no change is in progress."""
 
 
 @dataclasses.dataclass(frozen=True)
 class _Preparing:
-    """The engine is being taken out of use."""
+    """The engine is being taken out of use.
+
+    :param asked: whether ``Prepare`` has been returned.
+    """
 
     change: Change
     asked: bool = False
@@ -213,7 +232,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class _WritingIntent:
-    """The intent is being written."""
+    """The intent is being written.
+
+    :param settled_by_read: whether the outcome of a write is unknown and a
+        read has to determine it.
+    """
 
     intent: Intent
     settled_by_read: bool = False
@@ -221,9 +244,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Commanding:
-    """The command is out, or is to be sent again.
+    """The command has been sent, or is to be sent.
 
-    :param before: the engine's generation before it
+    :param until_s: when the change is abandoned.
+    :param before: the engine's generation before the command.
+    :param attempts: number of times the command was sent.
+    :param sending: whether the command is to be sent again.
     """
 
     intent: Intent
@@ -236,17 +262,25 @@
 def keeps_minimum(
     roles: Iterable[str], role: str, min_prefill: int, min_decode: int
 ) -> bool:
-    """Whether an engine may leave its role.
+    """Whether a role keeps its minimum of engines when one leaves it.
 
     :param roles: roles of the engines that are up and not changing.
-    :param role: the role to be left.
+    :param role: role that an engine would leave.
+    :param min_prefill: minimum number of prefill engines.
+    :param min_decode: minimum number of decode engines.
     """
     left = list(roles).count(role) - 1
     return left >= (min_prefill if role == 'prefill' else min_decode)
 
 
 class EngineCommands:
-    """Everything that one holder does to one engine."""
+    """State machine of one lease holder's commands to one engine.
+
+    At most one call to the store or the engine is outstanding at a time.
+
+    :param checks_fencing: whether the engine rejects commands with a
+        fencing number lower than one it has received.
+    """
 
     def __init__(
         self, engine: str, checks_fencing: bool, settings: CommandSettings
@@ -256,7 +290,7 @@
         self.settings = settings
         self.state: EngineState | None = None
         self.intent: Intent | None = None
-        #: The last role intended, also when a load came after it.
+        #: The last role change intended, also after a later model load.
         self.role: Change | None = None
         self.corrections = 0
         self._intent_revision = 0
@@ -273,29 +307,33 @@
 
     @property
     def under_way(self) -> bool:
-        """Whether a change was begun and has not ended."""
+        """Whether a change is in progress."""
         return isinstance(
             self._step, _Preparing | _WritingIntent | _Commanding
         )
 
     @property
     def highest_fencing(self) -> int:
-        """The highest number that the engine or an intent has shown."""
+        """The highest fencing number seen in the intent or from the engine."""
         stored = self.intent.fencing if self.intent is not None else 0
         return max(self._highest_fencing, stored)
 
     @property
     def is_superseded(self) -> bool:
-        """Whether the engine obeys a higher number than the holder has.
+        """Whether the engine has accepted a higher fencing number.
 
-        A store restored to an older copy can give too low a number; the
-        holder then gives the lease up and takes it with a higher one.
+        A store restored from an older backup can assign a fencing number
+        that is too low; the holder then releases the lease and acquires it
+        again with a higher number.
         """
         held = self._authority
         return held is not None and self._highest_fencing > held.fencing
 
     def request_change(self, change: Change) -> bool:
-        """Ask for a change; False while another one is under way."""
+        """Request a change.
+
+        :returns: False if another change is requested or in progress.
+        """
         if self.under_way or self._requested is not None:
             return False
         self._requested = change
@@ -305,7 +343,12 @@
     def may_send(
         self, now_s: float, authority: leases.Authority | None
     ) -> bool:
-        """The last question before the last byte of a command."""
+        """Whether the last byte of the command may be sent now.
+
+        It may if the lease outlives the command.
+
+        :param authority: as ``Lease.held`` returns it at this moment.
+        """
         step = self._step
         return (
             isinstance(step, _Commanding)
@@ -317,9 +360,9 @@
     def tick(
         self, now_s: float, authority: leases.Authority | None
     ) -> list[Action]:
-        """What to do now.
+        """Return the actions that are due.
 
-        :param authority: as ``Lease.held`` gives it at this moment.
+        :param authority: as ``Lease.held`` returns it at this moment.
         """
         actions = self._check_authority(authority)
         if authority is None or self._busy or now_s < self._next_s:
@@ -329,7 +372,7 @@
         return actions + self._advance(now_s, authority)
 
     def _wait_until_s(self, authority: leases.Authority) -> float:
-        """A command that the former holder sent last has died by then."""
+        """Return when no command of the former holder can take effect."""
         share = 1 + self.settings.drift_share
         return authority.since_s + self.settings.life_s * share
 
@@ -407,11 +450,14 @@
         return self._advance(now_s, authority)
 
     def _intent_matches(self, change: Change) -> bool:
-        """Whether the last intent would not undo the change."""
+        """Whether no intent for another change is stored.
+
+        Such an intent would later be commanded again and reverse the change.
+        """
         return self.intent is None or self.intent.change == change
 
     def prepared(self, now_s: float) -> list[Action]:
-        """The engine is out of use; go on."""
+        """Continue with the change once the engine is out of use."""
         step = self._step
         if not isinstance(step, _Preparing) or self._authority is None:
             return []
@@ -443,7 +489,9 @@
         self, step: _Commanding, now_s: float, authority: leases.Authority
     ) -> list[Action]:
         if now_s >= step.until_s:
-            return self._fail(step, 'the engine did not change in time')
+            return self._fail(
+                step, 'the engine did not change before the time-out'
+            )
         if step.attempts and not step.sending:
             return self._start(ReadState())
         if not self.may_send(now_s, authority):
@@ -470,21 +518,27 @@
         return [ChangeFailed(step.intent.change, reason)]
 
     def _accept_reply(self) -> bool:
-        """Whether a reply still counts; one from a former tenure does not.
+        """Accept the reply to the outstanding call.
 
-        It may show intent or state as they were before another holder.
+        :returns: False if the call was made under an earlier authority: the
+            reply may show intent or state from before another holder's
+            changes.
         """
         old = self._reply_is_stale
         self._busy = False
         self._reply_is_stale = False
         return not old
 
-    # Replies of the store.
+    # Replies of the store to reads and writes of the intent.
 
     def intent_read(
         self, now_s: float, revision: int, text: str | None
     ) -> list[Action]:
-        """What the store holds; revision 0 for an absent key."""
+        """Handle the stored intent.
+
+        :param revision: revision of the key, 0 if it is absent.
+        :param text: value of the key, None if it is absent.
+        """
         if not self._accept_reply():
             return []
         found = Intent.parse(text) if text is not None else None
@@ -507,12 +561,12 @@
         self._step = _Discovering()
         if found is not None and found.fencing > step.intent.fencing:
             self._requested = None
-            reason = 'a later holder has written its intent'
+            reason = 'a later lease holder has written its intent'
             return [ChangeFailed(step.intent.change, reason)]
         return []
 
     def intent_written(self, now_s: float, revision: int) -> list[Action]:
-        """The store took the intent: the command may go out."""
+        """Handle a successful write of the intent; the command is next."""
         if not self._accept_reply():
             return []
         self._intent_revision = revision
@@ -521,17 +575,20 @@
         return []
 
     def intent_failed(self, now_s: float) -> list[Action]:
-        """No answer; a write may have been taken all the same."""
+        """Handle a call to the store without an answer.
+
+        A write may have been carried out nevertheless, so a read follows.
+        """
         self._accept_reply()
         self._next_s = now_s + self.settings.retry_s
         if isinstance(self._step, _WritingIntent):
             self._step = dataclasses.replace(self._step, settled_by_read=True)
         return []
 
-    # Replies of the engine.
+    # Replies of the engine to reads of its state and to commands.
 
     def state_read(self, now_s: float, state: EngineState) -> list[Action]:
-        """The engine told its state: compare it with the intent."""
+        """Compare the state that the engine reports with the intent."""
         if not self._accept_reply():
             return []
         self.state = state
@@ -567,30 +624,36 @@
             self._correcting = False
             return [Settled(step.intent.change, state.generation, corrected)]
         if state.generation == step.intent.generation:
-            # It took the command, and would take no repeat for a new one.
-            return self._fail(step, 'the engine fell back')
+            # The engine accepted the command and would ignore a repeat.
+            return self._fail(
+                step,
+                'the engine accepted the command but left the target state',
+            )
         if state.generation != step.before:
-            # A stray command or a crash came after ours. The engine would
-            # drop a repeat of what it has carried out and stay astray until
-            # we give up; comparing finds it and sends a new generation.
-            return self._fail(step, 'the engine was commanded otherwise')
-        # The command never arrived: send it again.
+            # A stray command or a crash followed this holder's command.  The
+            # engine would ignore a repeat of a command that it has carried
+            # out, and would stay in the wrong state until the timeout.  The
+            # next comparison detects that and sends a new generation.
+            return self._fail(
+                step, 'another command or a restart changed the generation'
+            )
+        # The command did not arrive, so it is sent again.
         self._step = dataclasses.replace(step, sending=True)
         return []
 
     def _correct_stray(self, state: EngineState) -> None:
-        """Command again when the engine is not what was last intended."""
+        """Request the last intended role if the engine has another one."""
         if self.role is None or self._requested is not None:
             return
-        # A model that is missing is no stray: its load needs the weight
-        # store's leave, which whoever wants it asks for.
+        # A missing model is not corrected: a load needs a grant from the
+        # weight store, which the caller of request_change obtains.
         if not _has_reached(state, self.role):
             self.corrections += 1
             self._correcting = True
             self._requested = self.role
 
     def state_failed(self, now_s: float) -> list[Action]:
-        """The engine told no state; ask again later."""
+        """Handle a failed read of the engine's state; it is retried."""
         self._accept_reply()
         self.state = None
         self._next_s = now_s + self.settings.retry_s
@@ -599,9 +662,12 @@
     def command_answered(
         self, now_s: float, code: str = '', highest_fencing: int = 0
     ) -> list[Action]:
-        """The engine took the command, or refused it.
+        """Handle the engine's answer to a command.
 
-        :param code: '' when taken, else 'stale_fencing' or 'changing'.
+        :param code: '' if the command was accepted, else 'stale_fencing' or
+            'changing'.
+        :param highest_fencing: highest fencing number that the engine has
+            received, if the code is 'stale_fencing'.
         """
         if not self._accept_reply():
             return []
@@ -610,11 +676,17 @@
         if code == 'stale_fencing' and isinstance(step, _Commanding):
             self._next_s = now_s + self.settings.compare_s
             self._highest_fencing = max(self._highest_fencing, highest_fencing)
-            return self._fail(step, 'the engine follows a later holder')
+            return self._fail(
+                step, 'the engine has received a higher fencing number'
+            )
         return []
 
     def command_unknown(self, now_s: float) -> list[Action]:
-        """Cut off at the deadline, or not sent at all: read the state."""
+        """Handle a command with an unknown outcome.
+
+        It was cut off at the deadline or not sent at all; a read of the
+        state shows which.
+        """
         return self.command_answered(now_s)
 
 
--- a/magnoliadyke/core/leases.py
+++ b/magnoliadyke/core/leases.py
@@ -1,12 +1,13 @@
-"""A lease on a duty, kept in one value of the store by compare-and-swap.
+"""Lease on a duty, kept in one value of the store by compare-and-swap.
 
-The holder renews by writing a higher serial; whoever wants the duty watches
-the value and takes it when it has not changed for its time to live, counted
-on the watcher's own clock.  No clock of the store takes part, the value
-stays when the lease lapses, and so the fencing number in it only grows.
+A duty is a singleton task that one host carries out.  The holder renews the
+lease by writing a higher serial.  A host that contends for the duty polls the
+value and claims the lease once the value has not changed for its time to
+live, by the contender's own clock.  The store's clock is not used and the
+value stays when the lease expires, so its fencing number only increases.
 
-The holder stops ``margin_share`` of the time to live before the watchers
-can take over, counted from *before* the renewal was sent.
+The holder stops acting ``margin_share`` of the time to live before a
+contender can claim the lease, counted from *before* the renewal was sent.
 """
 
 import dataclasses
@@ -24,11 +25,15 @@
 
 
 class LeaseSettings(NamedTuple):
-    """Times of a lease.
-
-    :param margin_share: share of the time to live that the holder gives
-        up, and that a watcher adds, for clocks that run apart.
-    :param retry_s: least time between two tries after a failure.
+    """Timing of a lease.
+
+    :param ttl_s: time to live after a renewal.
+    :param renew_s: interval between renewals.
+    :param watch_s: interval at which a contender reads the value.
+    :param retry_s: shortest time between two attempts after a failure.
+    :param margin_share: share of the time to live by which the holder
+        stops early and a contender waits longer, for clocks that run at
+        different rates.
     """
 
     ttl_s: float = 4.0
@@ -41,8 +46,11 @@
 class LeaseValue(NamedTuple):
     """The value in the store.
 
-    :param serial: counts renewals; with the holder it names one write.
-    :param released: the holder is done and has no command under way.
+    :param incarnation: incarnation of the holder's process.
+    :param serial: counts renewals; with holder, incarnation and fencing
+        number it identifies one write.
+    :param released: whether the holder has released the lease, which it
+        does only with no command in progress.
     """
 
     holder: str
@@ -53,20 +61,21 @@
     released: bool = False
 
     def dump(self) -> str:
-        """Write the value as the store keeps it."""
+        """Return the value as JSON text for the store."""
         return json.dumps(self._asdict(), separators=(',', ':'))
 
     @classmethod
     def parse(cls, text: str) -> 'LeaseValue':
-        """Read a value of the store."""
+        """Return the lease value in a text of the store."""
         fields = json.loads(text)
         return cls(**{name: fields[name] for name in cls._fields})
 
 
 class Authority(NamedTuple):
-    """The right to act, until a moment of the own monotonic clock.
+    """The right to act as the lease holder, by this host's monotonic clock.
 
-    :param since_s: when the lease was taken.
+    :param since_s: when the lease was acquired.
+    :param until_s: when the holder has to stop unless it renews.
     """
 
     fencing: int
@@ -76,12 +85,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadLease:
-    """Read the value, then call ``read`` or ``read_failed``."""
+    """Read the value, then call :meth:`Lease.read` or ``read_failed``."""
 
 
 @dataclasses.dataclass(frozen=True)
 class WriteLease:
-    """Write the value if the key still has this revision.
+    """Write the value if the key still has the revision ``if_revision``.
 
     Then call ``written``, ``write_refused`` or ``write_unknown``.
     """
@@ -100,7 +109,13 @@
 
 
 class Lease:
-    """One duty, as one node sees it; one call to the store at a time."""
+    """State machine of one host's lease on one duty.
+
+    At most one call to the store is outstanding at a time.
+
+    :ivar changed_s: when this host last saw the stored value change, None
+        before the first read
+    """
 
     def __init__(
         self, host: str, incarnation: int, settings: LeaseSettings
@@ -118,7 +133,11 @@
         self._releasing = False
 
     def held(self, now_s: float) -> Authority | None:
-        """The authority, None from a safe time before others may take it."""
+        """Return the authority, or None if the host may not act.
+
+        It ends ``margin_share`` of the time to live before a contender can
+        claim the lease.
+        """
         if self.authority is None or self._releasing:
             return None
         if now_s >= self.authority.until_s:
@@ -126,29 +145,33 @@
         return self.authority
 
     def holder(self) -> str | None:
-        """Who held the lease when the value was last seen."""
+        """Return the holder in the last known value, None if released."""
         if self.value is None or self.value.released:
             return None
         return self.value.holder
 
     def drop(self) -> None:
-        """Stop acting at once, as after a pause of unknown length."""
+        """Drop the authority at once, as after a pause of unknown length."""
         self.authority = None
 
     def release(self) -> None:
-        """Give the lease up; nothing that relies on it may be under way."""
+        """Release the lease.
+
+        No operation that relies on the lease may be in progress.
+        """
         self._releasing = True
         self._next_s = 0.0
 
     def tick(
         self, now_s: float, contending: bool, fencing_floor: int
     ) -> list[Action]:
-        """What to do now.
+        """Return the actions that are due.
 
-        :param contending: the node wants the duty.
-        :param fencing_floor: least fencing number to take; the highest one
-            heard anywhere plus one, or the wall clock in milliseconds.  A
-            store restored to an older copy would else give numbers twice.
+        :param contending: whether the host contends for the duty.
+        :param fencing_floor: smallest fencing number to claim the lease
+            with: the larger of the wall-clock time in milliseconds and the
+            highest known number plus one.  Without it, a store restored
+            from an older backup would assign the same number twice.
         """
         if self._busy or now_s < self._next_s:
             return []
@@ -194,10 +217,11 @@
         )
 
     def _expires_s(self) -> float:
-        """When nobody can be acting on the value seen any longer.
+        """Return when no host can still be acting on the last known value.
 
-        A value of our own is waited out like any other one: an older copy
-        of the store may show it while someone else holds the lease.
+        A value of this host's own is waited out like any other: a store
+        restored from an older backup may hold it while another host holds
+        the lease.
         """
         ttl_s = self.settings.ttl_s
         if self.value is not None:
@@ -214,7 +238,11 @@
         )
 
     def read(self, now_s: float, revision: int, text: str | None) -> None:
-        """The store answered a read; revision 0 for an absent key."""
+        """Handle the store's answer to a read.
+
+        :param revision: revision of the key, 0 if it is absent.
+        :param text: value of the key, None if it is absent.
+        """
         self._busy = False
         value = LeaseValue.parse(text) if text is not None else None
         pending = self._pending
@@ -226,7 +254,7 @@
         self._next_s = self._next_read_s(now_s)
 
     def written(self, now_s: float, revision: int) -> None:
-        """The store took the write."""
+        """Handle a successful write."""
         self._busy = False
         pending = self._pending
         self._pending = None
@@ -235,16 +263,20 @@
     def write_refused(
         self, now_s: float, revision: int, text: str | None
     ) -> None:
-        """The key had another revision; the store shows what it holds."""
+        """Handle a write refused because the key had another revision.
+
+        :param revision: present revision of the key, 0 if it is absent.
+        :param text: present value of the key, None if it is absent.
+        """
         self.read(now_s, revision, text)
 
     def write_unknown(self, now_s: float) -> None:
-        """The write may or may not have been taken; a read settles it."""
+        """Handle a write of unknown outcome; a later read determines it."""
         self._busy = False
         self._next_s = now_s + self.settings.retry_s
 
     def read_failed(self, now_s: float) -> None:
-        """The store could not be read; try again later."""
+        """Handle a failed read; it is retried after ``retry_s``."""
         self._busy = False
         self._next_s = now_s + self.settings.retry_s
 
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -228,7 +228,7 @@
         return best
 
     def _headroom(self, fleet: Fleet, moved: int) -> float:
-        """Return the multiple of the load that can be served at worst.
+        """Return the smallest ratio of capacity to demand in the samples.
 
         Prefill on decode engines is not counted, since in a burst the
         answers take all their time.
