--- a/magnoliadyke/core/burn.py
+++ b/magnoliadyke/core/burn.py
@@ -1,9 +1,10 @@
-"""Burn of error budgets: several windows, several rates, by cause.
+"""Burn rates of customers' error budgets, with multi-window alerts.
 
-A customer's row promises that ``met_share`` of its requests meet their
-objectives; the rest is its error budget. The burn rate of a window is the
-share of bad requests in it over that budget: at 1 the budget lasts exactly
-for its period, at 14.4 a thirtieth of it is gone within an hour.
+A customer's row in the operators' table promises that ``met_share`` of its
+requests meet their objectives; the remainder is its error budget.  The burn
+rate of a window is the share of bad requests in it, divided by that budget.
+At a rate of 1 the budget lasts exactly for its period; at 14.4 a thirtieth of
+it is used up within an hour.
 """
 
 import array
@@ -31,35 +32,36 @@
     'merge',
 ]
 
-#: What made a request bad, in the order in which it is looked for.
+#: Causes of a bad request.
 CAUSES = ('fault', 'role_change', 'queue', 'engine')
 
-#: Slots of each window; the oldest slot is dropped whole.
+#: Time slots of each window; the window advances by one slot at a time.
 SLOTS = 30
 
-#: Bad requests below which the long window of a rule proves nothing: a
-#: customer with three requests an hour would alert at one late answer.
+#: Bad requests that the long window of a rule needs for an alert.  Without
+#: this minimum, a customer with three requests an hour would raise an alert
+#: at a single late answer.
 MIN_BAD = 5
 
-#: Bad share that a rule can always ask for. A wide budget puts the usual
-#: factor out of reach (14.4 times 10 % is more than all requests), and a
-#: customer whose every request fails would then never raise the alert.
+#: Upper limit of the bad share at which a rule fires.  With a large budget
+#: the rule's factor can't be reached (14.4 times 10 % is more than all
+#: requests), and a customer whose every request fails would raise no alert.
 MAX_THRESHOLD_SHARE = 0.8
 
-#: Seconds by which a waiting time counts as none.
+#: Queueing times of up to this many seconds count as none.
 MIN_QUEUED_S = 1e-9
 
 
 class Rule(NamedTuple):
-    """An alert: the burn rate is over a factor in two windows at once.
+    """Alert rule: the burn rate reaches a factor in two windows at once.
 
-    The long window says that it matters, the short one that it still goes
-    on, so that the alert ends soon after its cause.
+    The long window shows that the burn is significant, the short one that it
+    continues, so that the alert ends soon after its cause.
 
     :param severity: ``page`` or ``ticket``
     :param long_s: long window in seconds
     :param short_s: short window in seconds
-    :param factor: burn rate that both must reach
+    :param factor: burn rate that both windows must reach
     """
 
     severity: str
@@ -80,17 +82,20 @@
 
 
 class Timings(NamedTuple):
-    """Where the time of one request went, beside its objectives.
+    """Latencies of one request and its objectives.
 
-    :param first_token_s: from arrival to first token; None if none came
-    :param per_token_s: mean time between tokens; None for a single one
-    :param queued_s: waiting in the node's queue
+    :param first_token_s: time from arrival to the first token; None if no
+        token was sent
+    :param per_token_s: mean time between tokens; None for a single token
+    :param queued_s: time in the node's queue
     :param role_change_s: part of ``queued_s`` during which an engine of
-        the pool was away for a role change
-    :param failed_attempts: attempts that an endpoint or the way broke
-    :param first_token_objective_s: objective of the customer's row
-    :param per_token_objective_s: objective of the customer's row
-    :param shed: refused unrun because its pool had too much to do
+        the pool was unavailable for a role change
+    :param failed_attempts: attempts that failed at an endpoint or on the
+        network
+    :param first_token_objective_s: objective in the customer's row
+    :param per_token_objective_s: objective in the customer's row
+    :param shed: whether the request was refused before it ran because its
+        pool was overloaded
     """
 
     first_token_s: float | None = None
@@ -104,17 +109,19 @@
 
 
 class Verdict(NamedTuple):
-    """Whether a request met its objectives, and what was in the way."""
+    """Whether a request met its objectives, and if not, the cause.
+
+    :param cause: one of :data:`CAUSES`; '' if the request met them
+    """
 
     met: bool
     cause: str = ''
 
 
 def judge(timings: Timings, complete: bool) -> Verdict:
-    """Say whether a request was good, and blame one cause if not.
+    """Return whether a request met its objectives, with one cause if not.
 
-    :param timings: where its time went
-    :param whole: whether the caller got the whole answer
+    :param complete: whether the caller got the complete answer
     """
     first_s = timings.first_token_s
     late = first_s is not None and first_s > timings.first_token_objective_s
@@ -133,8 +140,9 @@
 
 
 def _wait_cause(timings: Timings, complete: bool) -> str:
-    # A request refused from the queue has no first token: all its time was
-    # waiting. Else waiting is to blame if it took most of the time.
+    # A request refused from the queue has no first token: it spent all its
+    # time queued.  For others, queueing is the cause if it took at least
+    # half of the time.
     total_s = timings.first_token_s
     if total_s is None:
         total_s = timings.queued_s
@@ -152,11 +160,11 @@
 def covered_s(
     intervals: Iterable[tuple[float, float]], since_s: float, until_s: float
 ) -> float:
-    """Return how much of a time some interval covers, in seconds.
+    """Return how many seconds of a period the intervals cover.
 
     :param intervals: pairs of begin and end; they may overlap
-    :param since_s: start of the time
-    :param until_s: its end
+    :param since_s: start of the period
+    :param until_s: end of the period
     """
     covered = 0.0
     reached_s = since_s
@@ -170,10 +178,10 @@
 
 
 class Counts(NamedTuple):
-    """Requests of one customer in one window.
+    """Numbers of requests of one customer in one window.
 
-    :param total: good and bad ones
-    :param causes: bad ones for each of :data:`CAUSES`
+    :param total: good and bad requests
+    :param causes: bad requests for each of :data:`CAUSES`
     """
 
     total: int = 0
@@ -181,12 +189,12 @@
 
     @property
     def bad(self) -> int:
-        """Requests that did not meet their objectives."""
+        """The number of requests that did not meet their objectives."""
         return sum(self.causes)
 
 
 class Ring:
-    """Counts of one window in equal slots of time.
+    """Request counts of one sliding window, in equal time slots.
 
     :param window_s: length of the window in seconds
     """
@@ -198,12 +206,16 @@
         self.newest = 0
 
     def add(self, column: int, now_s: float) -> None:
-        """Count a request; column 0 is a good one, then the causes."""
+        """Count a request.
+
+        :param column: 0 for a good request, else 1 plus the index of its
+            cause in :data:`CAUSES`
+        """
         self._advance(now_s)
         self.cells[self.newest % SLOTS * self.width + column] += 1
 
     def sums(self, now_s: float) -> Counts:
-        """Count what lies within the window that ends now."""
+        """Return the counts of the window that ends now."""
         self._advance(now_s)
         columns = [
             sum(self.cells[column :: self.width])
@@ -221,9 +233,9 @@
 
 
 class BurnCounters:
-    """What one node has seen since its start, for every customer.
+    """Request counts of every customer since the start of one node.
 
-    Memory is bounded: :data:`SLOTS` slots for each of the windows.
+    Memory is bounded by :data:`SLOTS` slots for each window and customer.
     """
 
     def __init__(self) -> None:
@@ -243,12 +255,12 @@
             ring.add(column, now_s)
 
     def forget(self, customers: Iterable[str]) -> None:
-        """Drop customers that the table no longer has."""
+        """Drop the counts of customers removed from the operators' table."""
         for customer in customers:
             self.rings.pop(customer, None)
 
     def snapshot(self, now_s: float) -> dict[str, dict[int, Counts]]:
-        """Give the counts of all customers and windows.
+        """Return the counts of all customers, by customer and window.
 
         :param now_s: monotonic seconds
         """
@@ -263,7 +275,7 @@
 def merge(
     snapshots: Iterable[Mapping[str, Mapping[int, Counts]]],
 ) -> dict[str, dict[int, Counts]]:
-    """Add up the snapshots of several nodes.
+    """Return the sum of the snapshots of several nodes.
 
     :param snapshots: results of :meth:`BurnCounters.snapshot`
     """
@@ -286,10 +298,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WindowBurn:
-    """Burn in one window.
+    """Burn rate of one customer in one window.
 
-    :param burn_rate: share of bad requests over the error budget
-    :param causes: bad requests by cause
+    :param burn_rate: share of bad requests divided by the error budget
+    :param bad: number of bad requests
+    :param total: number of all requests
+    :param causes: number of bad requests by cause
     """
 
     window_s: int
@@ -301,10 +315,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Alert:
-    """A rule that holds now.
+    """An alert that a rule raises now.
 
     :param threshold: burn rate that both windows have reached
-    :param cause: the commonest cause in the short window
+    :param cause: most frequent cause in the short window
     """
 
     severity: str
@@ -316,7 +330,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CustomerBurn:
-    """Burn of one customer.
+    """Burn rates and alerts of one customer.
 
     :param objective: ``met_share`` of its row
     """
@@ -332,16 +346,16 @@
     objectives: Mapping[str, float],
     history_s: float = math.inf,
 ) -> list[CustomerBurn]:
-    """Work out burn rates and alerts.
+    """Return the burn rates and alerts of each customer.
 
-    A rule holds only once the counts fill its short window: a minute after
-    the start all windows are equal, and one bad minute would raise the
-    ticket that is meant for three days.
+    A rule is evaluated only once the counts fill its short window.  A minute
+    after the start all windows hold the same counts, and one bad minute would
+    raise the ticket that is meant for three days.
 
     :param snapshot: counts of one node, or merged ones of several
-    :param objectives: ``met_share`` of each customer of the table; others
-        are left out
-    :param reach_s: how far back the counts go
+    :param objectives: ``met_share`` of each customer of the operators'
+        table; other customers are left out
+    :param history_s: time that the counts cover
     """
     rules = [rule for rule in RULES if rule.short_s <= history_s]
     return [
--- a/magnoliadyke/core/capacity.py
+++ b/magnoliadyke/core/capacity.py
@@ -1,4 +1,4 @@
-"""Reading power of all engines of a service, and when it is free."""
+"""Prefill capacity of all engines of a service, and when it is free."""
 
 import bisect
 from collections.abc import Iterable
@@ -7,16 +7,17 @@
 
 
 class Capacity:
-    """Reading power of all engines, and what each has still to read.
+    """Prefill speed and backlog of the engines of a service.
 
-    :param backlogs: seconds that an engine has still to read, and its speed
-        in engines of the reading stage
+    :param backlogs: for each engine, its prefill backlog in seconds and its
+        prefill speed relative to an engine of the prefill stage
     """
 
     def __init__(self, backlogs: Iterable[tuple[float, float]]) -> None:
         self.speed = 0.0
-        # Where another engine gets free: the moment, and the work that the
-        # others have taken in by then.
+        # One entry for each engine, in the order in which they become idle:
+        # the time from now, the work that the engines before it have started
+        # by then, and the joint speed from then on.
         self._free_s: list[float] = []
         self._work_s: list[float] = []
         self._speeds: list[float] = []
@@ -30,16 +31,16 @@
             self._speeds.append(self.speed)
 
     def wait_s(self, work_s: float) -> float:
-        """Time until the engines have taken in so much more work.
+        """Return the time until the engines have started that much more work.
 
-        Whoever is free first takes the next prompt, so an engine that is
-        far behind the others delays nobody.
+        The engine that is idle first takes the next prompt, so an engine
+        with a much larger backlog than the others delays no prompt.
 
-        :param work_s: seconds of an engine of the reading stage
+        :param work_s: seconds of work of an engine of the prefill stage
         """
         if not self.speed:
             return 0.0
-        # Work that was added and taken away again may end just below zero.
+        # Work that was added and removed again may leave a sum just below 0.
         work_s = max(0.0, work_s)
         last = bisect.bisect_right(self._work_s, work_s) - 1
         remaining_s = work_s - self._work_s[last]
--- a/magnoliadyke/core/notices.py
+++ b/magnoliadyke/core/notices.py
@@ -1,9 +1,9 @@
-"""Engines that are out of use for a change, as their planners announce it.
+"""Notices that take engines out of use during a role change.
 
-A role change freezes what runs on an engine. Its planner therefore tells all
-nodes to place nothing new there, and waits until what runs has ended. A
-notice lapses by itself: a planner that dies half-way must not keep an engine
-out of use for good.
+A role change suspends the requests that run on an engine.  The planner
+therefore announces to all nodes that the engine gets no new work, and waits
+until its requests have ended.  A notice expires by itself, so that a planner
+that crashes during the change does not keep the engine out of use.
 """
 
 from collections.abc import Iterable
@@ -23,10 +23,12 @@
 
 
 class EngineNotice(NamedTuple):
-    """What a planner announces.
+    """A planner's announcement that an engine is in or out of use.
 
-    :param fencing: the planner's number; a lower one than seen is ignored
-    :param for_s: time after which the notice lapses
+    :param fencing: the planner's fencing number; a notice with a lower
+        number than an earlier one is ignored
+    :param changing: whether the engine is out of use
+    :param for_s: time after which the notice expires
     """
 
     engine: str
@@ -36,9 +38,9 @@
 
 
 class PromptNotice(NamedTuple):
-    """A node gave an engine a prompt to read.
+    """A node's announcement that it has assigned a prompt to an engine.
 
-    :param read_s: how long reading it takes, as that node predicts
+    :param read_s: prefill time of the prompt, predicted by that node
     """
 
     engine: str
@@ -46,7 +48,7 @@
 
 
 class EngineUse(NamedTuple):
-    """Whether an engine is to get new work.
+    """Whether an engine may get new work.
 
     :param state: 'up' or 'changing'
     """
@@ -56,17 +58,24 @@
 
 
 class EngineNotices:
-    """The notices in force at one node."""
+    """The notices in force at one node.
+
+    :ivar until_s: when the notice of an engine out of use expires
+    :ivar fencing: highest fencing number received, by engine
+    """
 
     def __init__(self) -> None:
         self.until_s: dict[str, float] = {}
         self.fencing: dict[str, int] = {}
 
     def apply(self, notice: EngineNotice, now_s: float) -> list[EngineUse]:
-        """Take a notice in; return what it changes.
+        """Apply a notice.
+
+        A notice with a lower fencing number is ignored: a planner that lost
+        its lease while its process was paused would otherwise put an engine
+        back into use during a change by its successor.
 
-        A planner that lost its authority while it was paused would else put
-        an engine back to use in the middle of its successor's change.
+        :returns: the engines whose use changed
         """
         if notice.fencing < self.fencing.get(notice.engine, 0):
             return []
@@ -80,7 +89,7 @@
         return [EngineUse(notice.engine, UP)]
 
     def expire(self, now_s: float) -> Iterable[EngineUse]:
-        """Return the engines whose notices lapsed."""
+        """Remove expired notices and return their engines, now usable."""
         over = [e for e, until_s in self.until_s.items() if until_s <= now_s]
         for engine in over:
             del self.until_s[engine]
