--- a/magnoliadyke/core/autoscaler.py
+++ b/magnoliadyke/core/autoscaler.py
@@ -1,10 +1,10 @@
-"""How many endpoints a service runs, of which kind, in which domain.
+"""Plan how many endpoints a service runs, by kind and failure domain.
 
-The load that this answers: prompts in rushes of seconds, shorter than an
-endpoint takes to start.  What a rush needs has to be there before it, so the
-number follows the most that was needed lately; the price is held down by the
-kind that may be taken away, spread over the failure domains, with enough of
-it to lose those of one domain.
+Prompts arrive in bursts of seconds, shorter than the start of an endpoint.
+The capacity for a burst has to be available before it, so the number of
+endpoints follows the recent peak demand.  Reclaimable endpoints keep the cost
+low: they are spread over the failure domains, with enough of them to lose
+those of any one domain.
 """
 
 from collections.abc import Mapping
@@ -14,9 +14,11 @@
 
 
 class ScaleOrder(NamedTuple):
-    """Run so many endpoints of a kind in a failure domain.
+    """Order to run a number of endpoints of one kind in a failure domain.
 
-    :param reclaimable: of the kind that may be taken away at short notice
+    :param count: endpoints of that kind that the domain is to run
+    :param reclaimable: whether the endpoints are of the kind that the
+        provider may reclaim at short notice
     """
 
     service: str
@@ -26,20 +28,25 @@
 
 
 class AvailableCapacity(NamedTuple):
-    """The endpoints in a failure domain that take work, by kind."""
+    """Numbers of endpoints in a failure domain that accept work, by kind.
+
+    :param on_demand: endpoints that the provider does not reclaim
+    :param reclaimable: endpoints that it may reclaim at short notice
+    """
 
     on_demand: int = 0
     reclaimable: int = 0
 
 
 class ScalingLimits(NamedTuple):
-    """What may be ordered, and what it costs.
-
-    :param least: endpoints in each failure domain, both kinds together
-    :param most: the same
-    :param boot_s: from an order to the first request
-    :param reclaimable_price: of an endpoint of that kind, by that of another
-    :param prices: of an endpoint and second, by failure domain
+    """Limits and prices of the endpoints of a service.
+
+    :param min_endpoints: minimum in each failure domain, both kinds together
+    :param max_endpoints: maximum in each failure domain, both kinds together
+    :param boot_s: time from an order to the first request
+    :param reclaimable_price: price of a reclaimable endpoint, relative to
+        an on-demand one
+    :param prices: price of an endpoint per second, by failure domain
     """
 
     min_endpoints: int
@@ -49,25 +56,25 @@
     prices: Mapping[str, float]
 
 
-#: How long a failure domain is left alone that had none of a kind, in
-#: seconds.
+#: Delay before a kind that was unavailable in a failure domain is ordered
+#: there again.
 UNAVAILABLE_RETRY_S = 3.0
-#: Beyond the start of an endpoint: how long it may take to be listed.
+#: Time beyond the start of an endpoint until it is registered.
 REGISTRATION_S = 3.0
-#: How long more endpoints than wanted are left alone, in seconds: those that
-#: replace others come before these leave.
+#: How long a surplus has to last before it is removed: endpoints that are
+#: being replaced stay until their replacements accept work.
 SURPLUS_DELAY_S = 8.0
 
-#: A failure domain, and whether the kind is reclaimable.
+#: A failure domain and whether the endpoint is reclaimable.
 Kind = tuple[str, bool]
 
 
 class Autoscaler:
-    """The plan for one service; one call at a time changes it.
+    """Plans the endpoints of one service; it must not be called concurrently.
 
     :ivar ordered: count and time of the latest order, by domain and kind
-    :ivar scarce_until_s: when a kind is tried again in a domain
-    :ivar surplus_since_s: since when there are more than ordered
+    :ivar unavailable_until_s: when an unavailable kind may be ordered again
+    :ivar surplus_since_s: since when there are more endpoints than planned
     """
 
     def __init__(self, service: str) -> None:
@@ -83,10 +90,10 @@
         wanted: int,
         now_s: float,
     ) -> list[ScaleOrder]:
-        """What to order now.
+        """Return the orders that are due.
 
-        :param present: by failure domain
-        :param wanted: endpoints that the load needs
+        :param available: endpoints that accept work, by failure domain
+        :param wanted: number of endpoints that the load needs
         """
         targets = self.targets(limits, available, wanted, now_s)
         orders = [
@@ -100,7 +107,8 @@
                 now_s,
             )
         ]
-        # More before less: nothing leaves before what replaces it is there.
+        # Reclaimable endpoints first: they replace on-demand ones, which are
+        # removed only once their replacements accept work.
         orders.sort(key=lambda order: not order.reclaimable)
         return orders
 
@@ -111,7 +119,11 @@
         wanted: int,
         now_s: float,
     ) -> dict[Kind, int]:
-        """How many of each kind there should be, by domain."""
+        """Return the planned number of endpoints, by domain and kind.
+
+        :param available: endpoints that accept work, by failure domain
+        :param wanted: number of endpoints that the load needs
+        """
         domains = sorted(limits.prices, key=lambda d: (limits.prices[d], d))
         reclaimable_targets = self._reclaimable_targets(
             limits, available, domains, wanted, now_s
@@ -124,7 +136,7 @@
             min(_count(available, domain, True), reclaimable_targets[domain])
             for domain in domains
         )
-        # Those that last stay until the others are there.
+        # On-demand endpoints stay until reclaimable ones replace them.
         short = max(0, wanted - ready)
         for domain in domains:
             on_demand = min(_count(available, domain, False), short)
@@ -150,11 +162,12 @@
         wanted: int,
         now_s: float,
     ) -> dict[str, int]:
-        """How many of the kind that may be taken away, by domain.
+        """Return the planned number of reclaimable endpoints, by domain.
 
-        So many, and so spread, that the others outlast the loss of those of
-        any one domain.  Where they are is left as it is: one that moves is
-        paid for twice, and has kept nothing.
+        They suffice for the load even if all those of any one domain are
+        lost.  Existing endpoints are not moved to another domain: for a
+        while both the old and the new one would be paid for, without a gain
+        in capacity.
         """
         if limits.reclaimable_price >= 1 or len(domains) < 2:
             return dict.fromkeys(domains, 0)
@@ -196,7 +209,7 @@
         limits: ScalingLimits,
         now_s: float,
     ) -> int:
-        """Endpoints of the kind in a domain, with those that are to come."""
+        """Return a domain's reclaimable endpoints, pending ones included."""
         count = _count(available, domain, True)
         last, at_s = self.ordered.get((domain, True), (0, float('-inf')))
         is_pending = now_s < at_s + limits.boot_s + REGISTRATION_S
@@ -221,7 +234,7 @@
             return False
         last, at_s = self.ordered.get(kind, (None, float('-inf')))
         if target != last:
-            # Less of the kind that may go is never urgent.
+            # A reduction of reclaimable endpoints is never urgent.
             return (
                 not kind[1] or target > count or self._is_surplus(kind, now_s)
             )
@@ -230,17 +243,17 @@
         return target > count or self._is_surplus(kind, now_s)
 
     def _is_surplus(self, kind: Kind, now_s: float) -> bool:
-        """Whether the surplus is none that comes with a replacement."""
+        """Whether the surplus has outlasted any replacement in progress."""
         return now_s - self.surplus_since_s.get(kind, now_s) >= SURPLUS_DELAY_S
 
     def record_accepted(self, order: ScaleOrder, now_s: float) -> None:
-        """An order was taken, or may have been."""
+        """Record an order that was, or may have been, accepted."""
         kind = (order.failure_domain, order.reclaimable)
         self.ordered[kind] = (order.count, now_s)
         self.surplus_since_s.pop(kind, None)
 
     def record_unavailable(self, order: ScaleOrder, now_s: float) -> None:
-        """There is none of the kind in the domain at the moment."""
+        """Record that the ordered kind is unavailable in the domain."""
         kind = (order.failure_domain, order.reclaimable)
         self.unavailable_until_s[kind] = now_s + UNAVAILABLE_RETRY_S
 
--- a/magnoliadyke/core/burn.py
+++ b/magnoliadyke/core/burn.py
@@ -32,7 +32,7 @@
     'merge',
 ]
 
-#: Causes of a bad request.
+#: Causes of a bad request; of equally frequent ones an alert names the first.
 CAUSES = ('fault', 'role_change', 'queue', 'engine')
 
 #: Time slots of each window; the window advances by one slot at a time.
--- a/magnoliadyke/core/health.py
+++ b/magnoliadyke/core/health.py
@@ -1,4 +1,4 @@
-"""Which endpoints may receive work: states, ejection, proof of return."""
+"""Endpoint health: states, outlier ejection and probation after a return."""
 
 from typing import NamedTuple
 
@@ -16,18 +16,20 @@
 CRASHED = 'crashed'
 CHANGING = 'changing'
 OUT_STATES = frozenset({LEAVING, LEFT, CRASHED, CHANGING})
-#: States from which an endpoint comes back without its past.
+#: States from which an endpoint returns on probation, since its process may
+#: have been restarted.
 PROBATION_STATES = frozenset({LEAVING, LEFT, CRASHED})
 
 
 class HealthSettings(NamedTuple):
-    """Constants of ejection.
-
-    :param failures: failures in a row that eject an endpoint
-    :param first_ejection_s: length of the first ejection
-    :param most_ejection_s: longest one; each doubles the one before
-    :param most_ejected_share: part of a pool that may be ejected at once
-    :param proofs: answers in a row that end the trial after a return
+    """Constants of ejection and probation.
+
+    :param failures: consecutive failures that eject an endpoint
+    :param first_ejection_s: duration of the first ejection
+    :param max_ejection_s: longest duration; each ejection lasts twice as
+        long as the one before
+    :param max_ejected_share: share of a pool that may be ejected at once
+    :param probation_successes: successes that end probation
     """
 
     failures: int = 3
@@ -41,12 +43,15 @@
 
 
 class EndpointHealth:
-    """What is known of one endpoint's fitness for work.
+    """Health of one endpoint.
+
+    Its state has three sources: the probes and the host list (`observed`),
+    the endpoint's own load reports (`reported`) and the operators' table
+    (`tabled`).  The endpoint is out if any of them says so, since each may
+    lag behind the others.
 
-    Several sources speak: the shell that probes and reads the host list
-    (`observed`), the endpoint's own load reports (`reported`) and the
-    operators' table (`tabled`). The first that says it is out wins, since
-    each may lag behind the others.
+    :ivar probation_left: successes until the endpoint may run more than one
+        job of this node at a time
     """
 
     __slots__ = (
@@ -73,36 +78,40 @@
         self.probation_left = 0
 
     def record_observation(self, state, now_s):
-        """Take a state from the shell.
+        """Record a state from a probe or the host list.
 
-        :returns: whether the endpoint came back from having lost its past
+        :returns: whether the endpoint returned and starts probation
         """
         returned = state == UP and self.observed in PROBATION_STATES
         if returned:
-            # The list that says so lags: it may name a host that just
-            # died, so a single job goes first and the rest after it.
+            # The host list lags and may name a host that has just crashed,
+            # so the endpoint gets a single job before any others.
             self.probation_left = self.settings.probation_successes
         self.observed = state
         self.observed_s = now_s
         return returned
 
     def record_report(self, state, at_s):
-        """Take the endpoint's own word, true at ``at_s``."""
+        """Record the state in the endpoint's own load report.
+
+        :param at_s: when the endpoint made the report
+        """
         if at_s < self.observed_s and state == UP:
-            # Older than what was observed since: no reason to come back.
+            # The report is older than the observed state, so it is no
+            # evidence that the endpoint has returned.
             return
         if state == UP and self.reported in PROBATION_STATES:
             self.probation_left = self.settings.probation_successes
         self.reported = state
 
     def record_success(self):
-        """Account a success: failures and ejections start from none."""
+        """Record a success; resets the counts of failures and ejections."""
         self.failures = 0
         self.ejections = 0
         self.probation_left = max(0, self.probation_left - 1)
 
     def record_failure(self):
-        """Account a failure.
+        """Record a failure.
 
         :returns: whether the endpoint should be ejected
         """
@@ -110,7 +119,7 @@
         return self.failures >= self.settings.failures
 
     def eject(self, now_s):
-        """Take the endpoint out for a while, twice as long each time."""
+        """Eject the endpoint, each time for twice as long, up to a limit."""
         length_s = self.settings.first_ejection_s * 2**self.ejections
         length_s = min(length_s, self.settings.max_ejection_s)
         self.ejections += 1
@@ -119,7 +128,7 @@
         self.probation_left = self.settings.probation_successes
 
     def is_out(self):
-        """Whether it said or was said to be out: nothing new goes there."""
+        """Whether the endpoint is out by any source and gets no new work."""
         return (
             self.observed in OUT_STATES
             or self.reported in OUT_STATES
@@ -127,9 +136,9 @@
         )
 
     def takes_work(self, now_s, in_flight):
-        """Whether a job may go there.
+        """Whether the endpoint may be given a job.
 
-        :param in_flight: jobs of this node that are there already
+        :param in_flight: jobs of this node in flight at the endpoint
         """
         if self.is_out() or now_s < self.ejected_until_s:
             return False
@@ -137,12 +146,12 @@
 
 
 def can_eject(healths, now_s, settings=DEFAULT_SETTINGS):
-    """Whether a pool can bear one more ejected endpoint.
+    """Whether one more endpoint of a pool may be ejected.
 
-    When most of a pool fails, the cause is hardly the endpoints: ejecting
-    them too would leave the rest to be overrun one after another.
+    When most of a pool fails, the endpoints are hardly the cause.  Ejecting
+    them all would overload the remaining ones one after another.
 
-    :param healths: of all endpoints in the pool
+    :param healths: health of each endpoint of the pool
     """
     present = [health for health in healths if not health.is_out()]
     ejected = sum(now_s < health.ejected_until_s for health in present)
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -1,4 +1,4 @@
-"""The queue of one pool: who waits, for how much, and what is asked for."""
+"""Queue and demand of one pool, by customer and priority."""
 
 from magnoliadyke.core import admission
 from magnoliadyke.core import digests
@@ -8,17 +8,20 @@
 
 __all__ = ['PoolQueue']
 
-#: Time constant of the demand that is told.
+#: Time constant of the reported demand, in seconds.
 DEMAND_MEMORY_S = 2.0
-#: Time constant of what tells a flood from a few arrivals at once.
+#: Time constant of the demand by which the pool is shared, in seconds; long
+#: enough that a few simultaneous arrivals don't count as a flood.
 FLOOD_MEMORY_S = 10.0
-#: Customers that asked for less than this a second are forgotten.
+#: Customers with a lower demand than this, in engine-seconds per second, are
+#: dropped.
 MIN_DEMAND = 1e-6
+#: Factor by which the weight of earlier prompts decays with each prompt.
 MIX_DECAY = 0.99
 
 
 class Arrivals:
-    """What one customer asks of the pool, in engine-seconds a second."""
+    """One customer's demand on the pool, in engine-seconds per second."""
 
     __slots__ = ('decode', 'prefill', 'sustained')
 
@@ -28,14 +31,18 @@
         self.sustained = limits.Rate(FLOOD_MEMORY_S, now_s)
 
     def add(self, prefill_s, decode_s, now_s):
-        """Account a job that came, in engine-seconds."""
+        """Add the work of a job that arrived, in engine-seconds."""
         self.prefill.add(prefill_s, now_s)
         self.decode.add(decode_s, now_s)
         self.sustained.add(prefill_s + decode_s, now_s)
 
 
 class PoolQueue:
-    """Queue, demand and endpoints of one pool."""
+    """Queue, demand and endpoints of one pool.
+
+    :param endpoints: the pool's endpoints
+    :param patience: the settings of admission
+    """
 
     def __init__(self, endpoints, patience):
         self.name = endpoints.name
@@ -56,16 +63,17 @@
         self.mix = {}
 
     def record_prompt_priority(self, priority, prefill_s):
-        """Remember what part of the prompts has which priority."""
+        """Add a prompt to the distribution of prefill work by priority."""
         for level in self.mix:
             self.mix[level] *= MIX_DECAY
         self.mix[priority] = self.mix.get(priority, 0.0) + prefill_s
 
     def priority_share(self, priority):
-        """Part of all prompts that an engine reads before this priority.
+        """Return the share of prefill work of this or a higher priority.
 
-        Other nodes' prompts are known as a sum only; they are taken to be
-        like our own.
+        Lower numbers are higher priorities.  For the prompts of other nodes
+        only the total is known; they are assumed to have the distribution of
+        this node's prompts.
         """
         total = sum(self.mix.values())
         if not total:
@@ -76,7 +84,10 @@
         return before / total
 
     def update_waiting(self, run, sign):
-        """Keep the sums of what waits, by customer and priority."""
+        """Update the sums of queued work, by customer and priority.
+
+        :param sign: 1 when the run joins the queue, -1 when it leaves
+        """
         customer = self.waiting.setdefault(run.job.customer, {})
         sums = customer.setdefault(run.job.priority, [0, 0.0, 0.0])
         sums[0] += sign
@@ -86,12 +97,15 @@
             del customer[run.job.priority]
 
     def waiting_count(self, customer):
-        """Jobs of the customer that wait."""
+        """Return the number of queued jobs of the customer."""
         sums = self.waiting.get(customer, {})
         return sum(each[0] for each in sums.values())
 
     def waiting_ahead(self, customer, priority):
-        """Engine-seconds that go before a new job of the customer."""
+        """Return the customer's queued work ahead of a new job.
+
+        :returns: prefill and decode engine-seconds
+        """
         prefill_s = decode_s = 0.0
         for level, sums in self.waiting.get(customer, {}).items():
             if level <= priority:
@@ -100,7 +114,10 @@
         return prefill_s, decode_s
 
     def backlog(self):
-        """Jobs and engine-seconds that wait, of all customers."""
+        """Return the queued work of all customers.
+
+        :returns: number of jobs, prefill and decode engine-seconds
+        """
         levels = [
             sums
             for customer in self.waiting.values()
@@ -113,24 +130,27 @@
         )
 
     def record_arrival(self, run, now_s):
-        """Account a new job's demand, whether or not it is taken."""
+        """Add a new job to the demand, whether or not it is admitted."""
         customer = run.job.customer
         if customer not in self.arrivals:
             self.arrivals[customer] = Arrivals(now_s)
         self.arrivals[customer].add(run.prefill_s, run.decode_s, now_s)
 
     def demand_s(self, now_s):
-        """Engine-seconds that arrive a second."""
+        """Return the demand in engine-seconds per second."""
         return sum(
             each.prefill.now(now_s) + each.decode.now(now_s)
             for each in self.arrivals.values()
         )
 
     def fair_shares(self, capacity, now_s):
-        """What part of its demand each customer can be served at most.
+        """Return the largest share of its demand each customer may be served.
+
+        It is 1 while the total demand is within the capacity.  Beyond that
+        the capacity is shared by weight, and what some customers leave
+        unused goes to the others.
 
-        All of it, unless they ask for more than the capacity. Then it is
-        shared by weight, and what some don't use goes to the others.
+        :param capacity: engine-seconds per second
         """
         demands = {}
         for customer, each in list(self.arrivals.items()):
@@ -149,12 +169,13 @@
         return parts
 
     def demand_report(self, now_s):
-        """Its demand, for peers and for the planner of roles.
+        """Return the pool's demand, for peers and for the role planner.
 
-        Capped at what fair sharing will serve: in a flood, the planner
-        would otherwise turn the pool to the work of the customer that
-        floods, most of which is refused, and starve the others of the role
-        that they need.
+        Prefill and decode demand are capped at what fair sharing serves.
+        Otherwise, during a flood by one customer, the planner would change
+        engines to the role that this customer needs, although most of its
+        requests are refused, and leave the other customers short of the
+        role that they need.
         """
         capacity = len(self.endpoints.members) * self.fraction
         parts = self.fair_shares(capacity, now_s)
