--- a/magnoliadyke/core/autoscaler.py
+++ b/magnoliadyke/core/autoscaler.py
@@ -211,9 +211,11 @@
     ) -> int:
         """Return a domain's reclaimable endpoints, pending ones included."""
         count = _count(available, domain, True)
-        last, at_s = self.ordered.get((domain, True), (0, float('-inf')))
+        ordered_count, at_s = self.ordered.get(
+            (domain, True), (0, float('-inf'))
+        )
         is_pending = now_s < at_s + limits.boot_s + REGISTRATION_S
-        return max(count, last) if is_pending else count
+        return max(count, ordered_count) if is_pending else count
 
     def _is_due(
         self,
@@ -232,8 +234,8 @@
             or self.unavailable_until_s.get(kind, now_s) > now_s
         ):
             return False
-        last, at_s = self.ordered.get(kind, (None, float('-inf')))
-        if target != last:
+        ordered_count, at_s = self.ordered.get(kind, (None, float('-inf')))
+        if target != ordered_count:
             # A reduction of reclaimable endpoints is never urgent.
             return (
                 not kind[1] or target > count or self._is_surplus(kind, now_s)
@@ -261,5 +263,5 @@
 def _count(
     available: Mapping[str, AvailableCapacity], domain: str, reclaimable: bool
 ) -> int:
-    there = available.get(domain, AvailableCapacity())
-    return there.reclaimable if reclaimable else there.on_demand
+    capacity = available.get(domain, AvailableCapacity())
+    return capacity.reclaimable if reclaimable else capacity.on_demand
--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -388,7 +388,7 @@
         )
         if same or (before is None and authority is None):
             return []
-        lost = self._requested
+        cancelled = self._requested
         self._step = _Discovering()
         self._intent_known = False
         self._reply_is_stale = self._busy
@@ -398,9 +398,9 @@
         self.state = None
         self._requested = None
         self._correcting = False
-        if lost is None:
+        if cancelled is None:
             return []
-        return [ChangeFailed(lost, 'authority lost')]
+        return [ChangeFailed(cancelled, 'authority lost')]
 
     def _advance(
         self, now_s: float, authority: leases.Authority
--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -44,8 +44,8 @@
 
         :param trend_s: time constant with which the slope decays
         """
-        reach_s = trend_s * (1.0 - math.exp(-ahead_s / trend_s))
-        return max(0.0, self.level + self.slope * reach_s)
+        effective_s = trend_s * (1.0 - math.exp(-ahead_s / trend_s))
+        return max(0.0, self.level + self.slope * effective_s)
 
 
 class Series:
@@ -81,12 +81,12 @@
         self._value += value
         self._value2 += value * value
 
-    def _decay(self, passed_s):
-        keep = math.exp(-passed_s / self.memory_s)
+    def _decay(self, elapsed_s):
+        keep = math.exp(-elapsed_s / self.memory_s)
         # The time of a sample is its negative age.
-        self._time2 += passed_s * (passed_s * self._weight - 2 * self._time)
-        self._time -= passed_s * self._weight
-        self._cross -= passed_s * self._value
+        self._time2 += elapsed_s * (elapsed_s * self._weight - 2 * self._time)
+        self._time -= elapsed_s * self._weight
+        self._cross -= elapsed_s * self._value
         for name in ('_time', '_time2', '_value', '_value2', '_cross'):
             setattr(self, name, keep * getattr(self, name))
         self._weight *= keep
@@ -200,7 +200,7 @@
         ]
         count = len(self._smoothed)
         longest = min(MAX_PERIOD_BINS, 2 * count // 3)
-        found = {
+        correlations = {
             lag: _correlation(columns, lag)
             for lag in range(MIN_PERIOD_BINS // 2, longest)
         }
@@ -208,11 +208,15 @@
         self.weight = 0.0
         # Any slow change correlates with itself at short lags.  Only a
         # correlation that falls to zero and rises again is a cycle.
-        negative_lags = [lag for lag, value in found.items() if value <= 0]
+        negative_lags = [
+            lag for lag, value in correlations.items() if value <= 0
+        ]
         if not negative_lags:
             return
         candidates = {
-            lag: found[lag] for lag in found if lag > negative_lags[0]
+            lag: correlations[lag]
+            for lag in correlations
+            if lag > negative_lags[0]
         }
         # Multiples of the period correlate as well; the shortest lag is the
         # period.
@@ -222,16 +226,18 @@
             for lag, value in candidates.items()
             if value >= min_peak
             and lag >= MIN_PERIOD_BINS
-            and value >= found[lag - 1]
-            and value >= found.get(lag + 1, 1.0)
+            and value >= correlations[lag - 1]
+            and value >= correlations.get(lag + 1, 1.0)
         ]
         for lag in peaks:
             overlap = (count - lag) / SMOOTHED_BINS
             needed = max(MIN_CORRELATION, SIGNIFICANCE / math.sqrt(overlap))
-            if found[lag] >= needed:
+            if correlations[lag] >= needed:
                 self._lag = lag
                 self.period_s = lag * BIN_S
-                self.weight = min(1.0, found[lag] / FULL_WEIGHT_CORRELATION)
+                self.weight = min(
+                    1.0, correlations[lag] / FULL_WEIGHT_CORRELATION
+                )
                 return
 
 
@@ -303,14 +309,14 @@
         self._due = left
 
     def _update_error(self, lead_s, squares, now_s):
-        known = self._squares.get(lead_s)
-        if known is None:
+        previous = self._squares.get(lead_s)
+        if previous is None:
             self._squares[lead_s] = now_s, squares
             return
-        keep = math.exp((known[0] - now_s) / self.memory_s)
+        keep = math.exp((previous[0] - now_s) / self.memory_s)
         mixed = [
             keep * old + (1 - keep) * new
-            for old, new in zip(known[1], squares, strict=True)
+            for old, new in zip(previous[1], squares, strict=True)
         ]
         self._squares[lead_s] = now_s, mixed
 
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -41,17 +41,17 @@
     """Queue, demand and endpoints of one pool.
 
     :param endpoints: the pool's endpoints
-    :param patience: the settings of admission
+    :param settings: the admission settings
     """
 
-    def __init__(self, endpoints, patience):
+    def __init__(self, endpoints, settings):
         self.name = endpoints.name
         self.endpoints = endpoints
         self.number = quarantine.short(endpoints.name)
         self.queue = fairness.FairQueue()
         self.arrivals = {}
         self.lateness = admission.ErrorQuantile(
-            1.0 - patience.late_share, patience.error_step_s
+            1.0 - settings.late_share, settings.error_step_s
         )
         self.refusals = admission.RefusalShares()
         self.waiting = {}
@@ -158,15 +158,15 @@
             if demands[customer] < MIN_DEMAND:
                 del self.arrivals[customer], demands[customer]
         weights = {name: self.queue.weight(name) for name in demands}
-        parts = {}
-        left = capacity
-        left_weight = sum(weights.values())
+        shares = {}
+        remaining = capacity
+        remaining_weight = sum(weights.values())
         for name in sorted(demands, key=lambda n: demands[n] / weights[n]):
-            share = max(0.0, left) * weights[name] / left_weight
-            parts[name] = min(1.0, share / demands[name])
-            left -= parts[name] * demands[name]
-            left_weight -= weights[name]
-        return parts
+            share = max(0.0, remaining) * weights[name] / remaining_weight
+            shares[name] = min(1.0, share / demands[name])
+            remaining -= shares[name] * demands[name]
+            remaining_weight -= weights[name]
+        return shares
 
     def demand_report(self, now_s):
         """Return the pool's demand, for peers and for the role planner.
@@ -178,9 +178,9 @@
         role that they need.
         """
         capacity = len(self.endpoints.members) * self.fraction
-        parts = self.fair_shares(capacity, now_s)
+        shares = self.fair_shares(capacity, now_s)
         prefill = decode = prefill_s = decode_s = 0.0
-        for name, part in parts.items():
+        for name, part in shares.items():
             each = self.arrivals[name]
             prefill += part * each.prefill.now(now_s)
             decode += part * each.decode.now(now_s)
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -456,7 +456,7 @@
         self.total = sum(before)
         self.cells = cells
         self.price = state.price_tokens
-        self.away = max(1, round(settings.outage_s / settings.cell_s))
+        self.outage_cells = max(1, round(settings.outage_s / settings.cell_s))
         low = max(state.min_prefill, before[0] - MAX_STEPS)
         high = min(self.total - state.min_decode, before[0] + MAX_STEPS)
         self.splits = range(low, high + 1)
@@ -492,12 +492,12 @@
         :param start: prefill engines before the change
         :param after: prefill engines after the change
         """
-        end = min(cell + self.away, len(self.cells))
+        end = min(cell + self.outage_cells, len(self.cells))
         prefills = min(start, after)
         decodes = self.total - max(start, after)
         total = self._best[end][after] - self.price
-        for away in range(cell, end):
-            total += self._tokens(away, prefills, decodes)
+        for later_cell in range(cell, end):
+            total += self._tokens(later_cell, prefills, decodes)
         return total
 
     def _solve(self):
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -147,9 +147,9 @@
         # Below the minimum of decode engines the pause before a reversal
         # does not apply: a single decode engine would have to serve the
         # prompts of all prefill engines.
-        least = min_decoding(fleet.total)
+        minimum = min_decoding(fleet.total)
         decoding = fleet.decoding + fleet.to_decode
-        short = decoding < least and not change.to_prefill
+        short = decoding < minimum and not change.to_prefill
         if not short and self._is_reversal(change, now_s):
             return None
         self.last = change
@@ -163,34 +163,34 @@
             # changes whatever the load, even if it is the only one left or
             # all others are changing.
             return Change(False) if fleet.prefilling else None
-        least = min_decoding(fleet.total)
+        minimum = min_decoding(fleet.total)
         decoding = fleet.decoding + fleet.to_decode
-        if decoding < least and fleet.prefilling > decoding:
+        if decoding < minimum and fleet.prefilling > decoding:
             # Applies even while another engine changes to prefill: with one
             # decode engine no request is served while that engine is down.
             return Change(False)
-        most = max(1, int(fleet.total * self.settings.max_changing_share))
-        most -= fleet.changing
-        if most < 1:
+        maximum = max(1, int(fleet.total * self.settings.max_changing_share))
+        maximum -= fleet.changing
+        if maximum < 1:
             return None
-        return self._best_change(fleet, most, least)
+        return self._best_change(fleet, maximum, minimum)
 
     def _best_change(
-        self, fleet: Fleet, most: int, least: int
+        self, fleet: Fleet, maximum: int, minimum: int
     ) -> Change | None:
         """Return the change that serves the largest share of the load.
 
         None if no change gains enough.
 
-        :param most: largest number of engines to change
-        :param least: smallest number of decode engines to keep
+        :param maximum: largest number of engines to change
+        :param minimum: smallest number of decode engines to keep
         """
         if not self.samples:
             return None
         best = None
         best_served = self._served_with(fleet, 0) + self.settings.gain
-        to_prefill = min(most, fleet.decoding - least)
-        to_decode = min(most, fleet.prefilling - 1)
+        to_prefill = min(maximum, fleet.decoding - minimum)
+        to_decode = min(maximum, fleet.prefilling - 1)
         for moved in _steps(-to_decode, to_prefill):
             expected = self._served_with(fleet, moved)
             if expected > best_served:
@@ -217,13 +217,13 @@
         if present >= enough:
             return None
         best = None
-        most = present * self.settings.headroom_gain
+        maximum = present * self.settings.headroom_gain
         for moved in _steps(-to_decode, to_prefill):
             if self._served_with(fleet, moved) < served:
                 continue
             headroom = min(self._headroom(fleet, moved), enough)
-            if headroom > most:
-                most = headroom
+            if headroom > maximum:
+                maximum = headroom
                 best = Change(moved > 0, abs(moved))
         return best
 
@@ -247,14 +247,14 @@
 
         :param moved: engines that change to prefill; negative, to decode
         """
-        away = self._served(
+        during_change = self._served(
             fleet,
             fleet.prefilling + min(moved, 0),
             fleet.decoding - max(moved, 0),
         )
         after = self._served(fleet, *self._split_after(fleet, moved))
         lost = min(1.0, fleet.change_s / self.settings.pause_s)
-        return lost * away + (1 - lost) * after
+        return lost * during_change + (1 - lost) * after
 
     def _split_after(self, fleet: Fleet, moved: int) -> tuple[int, int]:
         """Return the prefill and decode engines after all changes."""
@@ -317,11 +317,11 @@
     return 2 if total >= 4 else 1
 
 
-def _ratio(power: float, asked: float) -> float:
-    return power / asked if asked > 0 else math.inf
+def _ratio(capacity: float, demand: float) -> float:
+    return capacity / demand if demand > 0 else math.inf
 
 
-def _steps(least: int, most: int) -> list[int]:
+def _steps(minimum: int, maximum: int) -> list[int]:
     """Return the candidate numbers of engines to move, without 0.
 
     Small numbers are all included, larger ones in steps that grow with the
@@ -329,7 +329,7 @@
     included.
     """
     found = []
-    for bound, sign in ((most, 1), (-least, -1)):
+    for bound, sign in ((maximum, 1), (-minimum, -1)):
         moved = 1
         while moved < bound:
             found.append(sign * moved)
