--- a/magnoliadyke/core/autoscaler.py
+++ b/magnoliadyke/core/autoscaler.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-__all__ = ['Autoscaler', 'ScalingLimits', 'ScaleOrder', 'AvailableCapacity']
+__all__ = ['Autoscaler', 'AvailableCapacity', 'ScaleOrder', 'ScalingLimits']
 
 
 class ScaleOrder(NamedTuple):
--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -30,11 +30,11 @@
 
 __all__ = [
     'Change',
+    'ChangeFailed',
     'Command',
     'CommandSettings',
     'EngineCommands',
     'EngineState',
-    'ChangeFailed',
     'Intent',
     'Prepare',
     'ReadIntent',
--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -5,7 +5,7 @@
 import operator
 from typing import NamedTuple
 
-__all__ = ['ForecastErrors', 'Forecast', 'SeasonalForecast', 'Series']
+__all__ = ['Forecast', 'ForecastErrors', 'SeasonalForecast', 'Series']
 
 #: Samples are averaged over bins of this length before the period search.
 BIN_S = 4.0
