--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -15,8 +15,8 @@
 
 from magnoliadyke.core import admission
 from magnoliadyke.core import costs
+from magnoliadyke.core import digestexchange
 from magnoliadyke.core import digests
-from magnoliadyke.core import exchange
 from magnoliadyke.core import health
 from magnoliadyke.core import jobs
 from magnoliadyke.core import learning
@@ -42,7 +42,7 @@
 
 # The names under which the shell knows these.
 Digest = digests.Digest
-Demand = exchange.Demand
+Demand = digestexchange.Demand
 
 #: Jobs that can't be placed before a round gives up. Bounds the work of one
 #: event when many customers wait for a full pool.
@@ -144,7 +144,7 @@
         self._add_endpoints(list(endpoints))
         self.learner = learning.Learner(self.models, self.beliefs, self.router)
         self.suspects = suspects.Suspects(self.quarantine)
-        self.exchange = exchange.Exchange(
+        self.digest_exchange = digestexchange.Exchange(
             self.epoch, self.pools, self.limits, self.quarantine
         )
 
@@ -177,7 +177,7 @@
         for name, row in view.customers.items():
             for pool in self.pools.values():
                 pool.queue.set_weight(name, row.weight)
-                self.exchange.know(name, pool.name)
+                self.digest_exchange.know(name, pool.name)
         for name, endpoint in self.endpoints.items():
             row = view.endpoints.get(name)
             state = row.state if row is not None else 'in'
@@ -746,11 +746,11 @@
 
     def digest(self, now_s):
         """This node's news, for all peers."""
-        return self.exchange.digest(self.runs.values(), now_s)
+        return self.digest_exchange.digest(self.runs.values(), now_s)
 
     def peer_digest(self, host, digest, now_s):
         """A peer's news."""
-        self.exchange.hear(host, digest, now_s)
+        self.digest_exchange.hear(host, digest, now_s)
         return []
 
     def peer_prompt(self, name, read_s, now_s):
@@ -764,7 +764,7 @@
 
     def demand(self, pool_name, now_s):
         """What the pool is asked for, by all nodes heard of late."""
-        return self.exchange.demand(pool_name, now_s)
+        return self.digest_exchange.demand(pool_name, now_s)
 
     def subset(self, pool_name):
         """Names of the pool's endpoints that this node uses.
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from magnoliadyke.core import freshness
-from magnoliadyke.core import hosthints
+from magnoliadyke.core import hostdiscovery
 from magnoliadyke.core import membership
 from magnoliadyke.core import notices
 from magnoliadyke import errors
@@ -92,10 +92,10 @@
 class Listed(typing.NamedTuple):
     """The platform's list of hosts was read.
 
-    :param hosts: a :class:`magnoliadyke.core.hosthints.HostList`
+    :param hosts: a :class:`magnoliadyke.core.hostdiscovery.HostList`
     """
 
-    hosts: hosthints.HostList
+    hosts: hostdiscovery.HostList
 
 
 class PromptsSent(typing.NamedTuple):
@@ -189,7 +189,7 @@
         self.incarnation = incarnation
         seeds = {each.name: seed(each) for each in settings.hosts}
         self.settled_hosts = frozenset(seeds)
-        self.listed = hosthints.HostList(-math.inf)
+        self.listed = hostdiscovery.HostList(-math.inf)
         own = seeds[host]._replace(incarnation=incarnation)
         self.membership = membership.Membership(
             own,
@@ -277,7 +277,7 @@
         names = {row.host for row in listed.hosts}
         for host in known.seeds.keys() - self.settled_hosts - names:
             del known.seeds[host]
-        for peer in hosthints.newcomers(listed, known.seeds, known.own):
+        for peer in hostdiscovery.newcomers(listed, known.seeds, known.own):
             LOG.event('host_listed', member=peer.host, address=peer.address)
             known.hint(peer)
 
@@ -285,7 +285,7 @@
         """Return the members as the rest of the node is to see them."""
         view = self.membership.view()
         own = self.membership.own.host
-        members = hosthints.without_leaving(view.members, self.listed, own)
+        members = hostdiscovery.without_leaving(view.members, self.listed, own)
         return view._replace(members=members)
 
     def hold_table(self, held, now_s):
--- a/magnoliadyke/hostlist.py
+++ b/magnoliadyke/hostlist.py
@@ -3,7 +3,7 @@
 import gevent
 
 from magnoliadyke import app
-from magnoliadyke.core import hosthints
+from magnoliadyke.core import hostdiscovery
 from magnoliadyke import endpoint
 from magnoliadyke import errors
 from magnoliadyke import gossip as gossips
@@ -55,7 +55,7 @@
             self.read()
             alive = len(self.gossip.members.last.alive())
             share = 1 + JITTER_SHARE * (self.rng.random() - 0.5)
-            self.clock.sleep(hosthints.poll_interval_s(alive) * share)
+            self.clock.sleep(hostdiscovery.poll_interval_s(alive) * share)
 
     def read(self):
         """Read the list once."""
@@ -63,7 +63,7 @@
             reply = self.connections.call('GET', '/hosts', b'', (), TIMEOUT_S)
             if reply.status != STATUS_OK:
                 raise ValueError(f'status {reply.status}')
-            listed = hosthints.read_list(reply.json())
+            listed = hostdiscovery.read_list(reply.json())
         except (errors.EndpointUnreachable, ValueError) as error:
             LOG.repeated('host_list_unread', 'host_list', error=str(error))
             return
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -3,7 +3,7 @@
 import pytest
 
 from magnoliadyke.core import digests
-from magnoliadyke.core import hosthints
+from magnoliadyke.core import hostdiscovery
 from magnoliadyke.core import membership
 from magnoliadyke.core import notices
 from magnoliadyke import gossip
@@ -116,7 +116,7 @@
     fleet.start('h4')
     fleet.settings = own
     rows = ({'host': 'h4', 'state': 'live', 'address': 'h4'},)
-    listed = hosthints.read_list({'hosts': rows, 'at_s': 1.0})
+    listed = hostdiscovery.read_list({'hosts': rows, 'at_s': 1.0})
     for name in fleet.names:
         fleet.nodes[name].gossip.post(gossip.Listed(listed))
     fleet.run_until(lambda: 'h4' in fleet.working(), 10.0)
