--- a/magnoliadyke/core/credits.py
+++ b/magnoliadyke/core/credits.py
@@ -16,57 +16,57 @@
 
 from magnoliadyke.core import othersload
 
-__all__ = ['EndpointLoad', 'Lagged', 'allowed_streams']
+__all__ = ['EndpointLoad', 'LaggedLoad', 'allowed_streams']
 
 HISTORY_S = 15.0
 #: Less than this of others' prompts is none.
-NO_OTHERS_S = 0.01
+MIN_PEER_PREFILL_S = 0.01
 
 
-class Lagged:
+class LaggedLoad:
     """A quantity on an endpoint: own part exact, others' part reported."""
 
-    __slots__ = ('others', 'own', 'times', 'values')
+    __slots__ = ('local', 'peers', 'times', 'values')
 
     def __init__(self):
-        self.own = 0.0
-        self.others = 0.0
+        self.local = 0.0
+        self.peers = 0.0
         self.times = collections.deque()
         self.values = collections.deque()
 
     def add(self, amount, now_s):
         """Change the own part."""
-        self.own += amount
+        self.local += amount
         self.times.append(now_s)
-        self.values.append(self.own)
+        self.values.append(self.local)
         while self.times[0] < now_s - HISTORY_S:
             self.times.popleft()
             self.values.popleft()
 
-    def own_at(self, at_s):
+    def local_at(self, at_s):
         """The own part at a time of the near past."""
         index = bisect.bisect_right(self.times, at_s)
         if index:
             return self.values[index - 1]
-        return self.values[0] if self.values else self.own
+        return self.values[0] if self.values else self.local
 
     def report(self, total, at_s):
         """Take a reported total that was true at ``at_s``."""
-        self.others = max(0.0, total - self.own_at(at_s))
+        self.peers = max(0.0, total - self.local_at(at_s))
 
     def total(self):
         """The own part and what others had at the last report."""
-        return self.own + self.others
+        return self.local + self.peers
 
     def clear(self):
         """Forget all; the endpoint started anew."""
-        self.own = 0.0
-        self.others = 0.0
+        self.local = 0.0
+        self.peers = 0.0
         self.times.clear()
         self.values.clear()
 
 
-def allowed_streams(limit, fraction, own_at_report, total_at_report):
+def allowed_streams(limit, credit_share, local_at_report, total_at_report):
     """Streams that one node may have on an engine.
 
     :param limit: streams that the engine serves in time
@@ -74,20 +74,20 @@
     :param own_at_report: its own streams when the report was true
     :param total_at_report: all nodes' streams then
     """
-    part = fraction * limit
+    guaranteed = credit_share * limit
     free = max(0.0, limit - total_at_report)
-    return max(1.0, part, own_at_report + fraction * free)
+    return max(1.0, guaranteed, local_at_report + credit_share * free)
 
 
 class _Prompt:
     """A prompt of this node that an endpoint reads or will read."""
 
-    __slots__ = ('job_id', 'left_s', 'priority')
+    __slots__ = ('job_id', 'priority', 'remaining_s')
 
-    def __init__(self, job_id, priority, left_s):
+    def __init__(self, job_id, priority, remaining_s):
         self.job_id = job_id
         self.priority = priority
-        self.left_s = left_s
+        self.remaining_s = remaining_s
 
 
 class EndpointLoad:
@@ -100,15 +100,15 @@
 
     def __init__(self):
         self.jobs = set()
-        self.streams = Lagged()
-        self.kv_tokens = Lagged()
+        self.streams = LaggedLoad()
+        self.kv_tokens = LaggedLoad()
         self.kv_capacity = 0
         self.reserved = 0
         self.prompts = []
         self.prompts_at_s = 0.0
-        self.backlog = Lagged()
-        self.others = othersload.OthersPrompts()
-        self.last_done_s = float('-inf')
+        self.backlog = LaggedLoad()
+        self.peers = othersload.OthersPrompts()
+        self.last_prefill_done_s = float('-inf')
 
     def clear(self):
         """It lost all its work."""
@@ -118,20 +118,20 @@
         self.backlog.clear()
         self.reserved = 0
         self.prompts.clear()
-        self.others = othersload.OthersPrompts()
+        self.peers = othersload.OthersPrompts()
 
-    def undisturbed(self):
+    def has_only_local_prompts(self):
         """Whether no other node's prompts were there at the last report."""
-        return self.others.reported_s < NO_OTHERS_S
+        return self.peers.reported_s < MIN_PEER_PREFILL_S
 
     def add_prompt(self, job_id, priority, seconds, now_s):
         """A prompt was sent; the endpoint reads the urgent ones first."""
         self._advance(now_s)
         prompt = _Prompt(job_id, priority, seconds)
-        place = len(self.prompts)
-        while place and self.prompts[place - 1].priority > priority:
-            place -= 1
-        self.prompts.insert(place, prompt)
+        position = len(self.prompts)
+        while position and self.prompts[position - 1].priority > priority:
+            position -= 1
+        self.prompts.insert(position, prompt)
         self.backlog.add(seconds, now_s)
 
     def remove_prompt(self, job_id, now_s):
@@ -140,28 +140,28 @@
         for index, prompt in enumerate(self.prompts):
             if prompt.job_id == job_id:
                 del self.prompts[index]
-                self.backlog.add(-prompt.left_s, now_s)
+                self.backlog.add(-prompt.remaining_s, now_s)
                 return
 
-    def own_wait_s(self, priority, now_s):
+    def local_wait_s(self, priority, now_s):
         """Seconds of this node's prompts that are read before a new one."""
         self._advance(now_s)
         wait_s = 0.0
         for prompt in self.prompts:
             if prompt.priority > priority:
                 break
-            wait_s += prompt.left_s
+            wait_s += prompt.remaining_s
         return wait_s
 
-    def others_wait_s(self, now_s):
+    def peers_wait_s(self, now_s):
         """Seconds of other nodes' prompts that wait there."""
-        return self.others.wait_s(now_s, bool(self.prompts))
+        return self.peers.wait_s(now_s, bool(self.prompts))
 
-    def report_prompts(self, seconds, at_s, now_s):
+    def record_prefill_backlog(self, seconds, at_s, now_s):
         """Take the reported prefill backlog, true at ``at_s``."""
         self._advance(now_s)
-        beyond_s = max(0.0, seconds - self.backlog.own_at(at_s))
-        self.others.report(beyond_s, at_s)
+        peers_backlog_s = max(0.0, seconds - self.backlog.local_at(at_s))
+        self.peers.report(peers_backlog_s, at_s)
 
     def _advance(self, now_s):
         """Let the first prompt be read for the time that passed.
@@ -174,7 +174,7 @@
         if passed_s <= 0 or not self.prompts:
             return
         first = self.prompts[0]
-        read_s = min(passed_s, first.left_s)
+        read_s = min(passed_s, first.remaining_s)
         if read_s > 0:
-            first.left_s -= read_s
+            first.remaining_s -= read_s
             self.backlog.add(-read_s, now_s)
--- a/magnoliadyke/core/digestexchange.py
+++ b/magnoliadyke/core/digestexchange.py
@@ -5,20 +5,20 @@
 from magnoliadyke.core import digests
 from magnoliadyke.core import quarantine
 
-__all__ = ['Demand', 'Exchange']
+__all__ = ['Demand', 'DigestExchange']
 
-SUSPECTS_TOLD = 24
+MAX_SUSPECTS_SENT = 24
 #: How long a digest may be on its way: it is encoded once a second and rides
 #: on the datagrams of that second. Word of suspects is taken to be so much
 #: older than it says. Else word that goes round from node to node hardly
 #: ages, a run that ended long ago seems to go on, and no suspect gets its
 #: turn. Enough, as word then never seems younger than it is.
-ON_ITS_WAY_S = 1.5
+MAX_DIGEST_DELAY_S = 1.5
 #: A peer that was not heard for so long is forgotten.
-SILENT_S = 60.0
+PEER_RETENTION_S = 60.0
 #: Totals remembered of one peer. Customers that it serves much are told in
 #: each digest and stay; of the others only a first figure is lost.
-MOST_TOTALS = 64
+MAX_TOTALS_PER_PEER = 64
 
 
 class Demand(NamedTuple):
@@ -42,7 +42,7 @@
     running: int
 
 
-class Exchange:
+class DigestExchange:
     """Digests out and in.
 
     :param epoch: differs at each start of a node
@@ -58,39 +58,39 @@
         self.shares = bounds.shares
         self.quarantine = judge
         self.peers = {}
-        self.told = {}
+        self.last_sent = {}
         self.names = {}
-        self.turn = 0
+        self.rotation = 0
 
     def digest(self, runs, now_s):
         """This node's news, for all peers.
 
         :param runs: the node's jobs
         """
-        self._forget_silent(now_s)
+        self._expire_peers(now_s)
         pools = tuple(pool.news(now_s) for pool in self.pools.values())
-        for news in pools:
-            key = ('pool', news.pool)
-            self.shares.tell(key, news.asked_s_per_s, now_s)
-        suspects = self._suspect_news(runs, now_s)
-        customers = self._customer_news(now_s)
+        for report in pools:
+            key = ('pool', report.pool)
+            self.shares.tell(key, report.arriving_s_per_s, now_s)
+        suspects = self._suspect_reports(runs, now_s)
+        customers = self._customer_usages(now_s)
         return digests.Digest(self.epoch, pools, customers, suspects)
 
-    def hear(self, host, digest, now_s):
+    def receive_digest(self, host, digest, now_s):
         """A peer's news."""
-        known = self.peers.get(host)
-        if known is None or known.epoch != digest.epoch:
-            known = self.peers[host] = _Peer(digest.epoch)
-        known.heard_s = now_s
+        peer_state = self.peers.get(host)
+        if peer_state is None or peer_state.epoch != digest.epoch:
+            peer_state = self.peers[host] = _Peer(digest.epoch)
+        peer_state.received_s = now_s
         demands = {}
-        for news in digest.pools:
-            known.pools[news.pool] = news
-            demands['pool', news.pool] = news.asked_s_per_s
-        for news in digest.customers:
-            self._hear_customer(known, news, demands)
+        for report in digest.pools:
+            peer_state.pools[report.pool] = report
+            demands['pool', report.pool] = report.arriving_s_per_s
+        for report in digest.customers:
+            self._merge_customer(peer_state, report, demands)
         self.shares.hear(host, demands, now_s)
-        for news in digest.suspects:
-            self._hear_suspect(news, now_s)
+        for report in digest.suspects:
+            self._merge_suspect(report, now_s)
 
     def demand(self, pool_name, now_s):
         """What the pool is asked for by all nodes.
@@ -99,13 +99,13 @@
         taken to be like these.
         """
         pool = self.pools[pool_name]
-        own = pool.news(now_s)[2:]
-        heard = self._heard(pool.number, now_s)
-        others = max(0, self.shares.nodes - 1)
-        scale = others / len(heard) if heard else 0.0
-        sums = [sum(values) for values in zip(*heard, strict=True)]
-        sums = sums or [0.0] * len(own)
-        total = [a + b * scale for a, b in zip(own, sums, strict=True)]
+        local = pool.news(now_s)[2:]
+        peer_demands = self._recent_pool_demands(pool.number, now_s)
+        peer_count = max(0, self.shares.nodes - 1)
+        scale = peer_count / len(peer_demands) if peer_demands else 0.0
+        sums = [sum(values) for values in zip(*peer_demands, strict=True)]
+        sums = sums or [0.0] * len(local)
+        total = [a + b * scale for a, b in zip(local, sums, strict=True)]
         prefill, decode, queued_prefill, queued_decode, queued, running = total
         return Demand(
             prefill,
@@ -116,23 +116,23 @@
             round(running),
         )
 
-    def _forget_silent(self, now_s):
+    def _expire_peers(self, now_s):
         """Hosts are replaced all the time; what they told goes with them."""
-        oldest_s = now_s - SILENT_S
+        oldest_s = now_s - PEER_RETENTION_S
         for host, peer in list(self.peers.items()):
-            if peer.heard_s < oldest_s:
+            if peer.received_s < oldest_s:
                 del self.peers[host]
 
-    def _heard(self, number, now_s):
+    def _recent_pool_demands(self, number, now_s):
         """Figures of a pool from the peers heard of late."""
         oldest_s = now_s - self.shares.settings.fresh_s
         return [
             peer.pools[number][2:]
             for peer in self.peers.values()
-            if peer.heard_s >= oldest_s and number in peer.pools
+            if peer.received_s >= oldest_s and number in peer.pools
         ]
 
-    def _suspect_news(self, runs, now_s):
+    def _suspect_reports(self, runs, now_s):
         if not self.quarantine.entries:
             return ()
         held = set()
@@ -141,87 +141,93 @@
             if run.dispatched_s is not None:
                 self.quarantine.runs(run.fingerprint, now_s)
         return tuple(
-            digests.suspect_news(item, now_s)
-            for item in self.quarantine.newest(SUSPECTS_TOLD, now_s, held)
+            digests.suspect_report(item, now_s)
+            for item in self.quarantine.newest(MAX_SUSPECTS_SENT, now_s, held)
         )
 
-    def _customer_news(self, now_s):
+    def _customer_usages(self, now_s):
         """The customers whose figures moved most, and some of the rest."""
-        news = {}
+        report = {}
         for pool in self.pools.values():
             for customer, served_s in pool.queue.served.items():
-                number = self.know(customer, pool.name)
+                number = self.register_name(customer, pool.name)
                 usage = self.limits.usage(customer, now_s)
-                news[number] = digests.CustomerNews(
+                report[number] = digests.CustomerUsage(
                     number,
                     digests.served_ms(served_s),
                     usage.token_rate.now(now_s),
                     max(0, usage.running + usage.waiting),
                 )
-        chosen = self._moved_most(news)
+        chosen = self._select_customers(report)
         for each in chosen:
-            self.told[each.customer] = each
+            self.last_sent[each.customer] = each
             self.limits.tell(self.names[each.customer][0], now_s)
         return tuple(chosen)
 
-    def _moved_most(self, news):
-        most = digests.MOST_CUSTOMERS
-        if len(news) <= most:
-            return list(news.values())
-        ranked = sorted(news.values(), key=self._movement, reverse=True)
-        chosen = {each.customer: each for each in ranked[: most * 3 // 4]}
-        rest = sorted(number for number in news if number not in chosen)
-        while len(chosen) < most:
-            self.turn += 1
-            number = rest[self.turn % len(rest)]
-            chosen[number] = news[number]
+    def _select_customers(self, report):
+        max_customers = digests.MAX_CUSTOMERS
+        if len(report) <= max_customers:
+            return list(report.values())
+        ranked = sorted(
+            report.values(), key=self._change_since_sent, reverse=True
+        )
+        chosen = {
+            each.customer: each for each in ranked[: max_customers * 3 // 4]
+        }
+        remaining = sorted(number for number in report if number not in chosen)
+        while len(chosen) < max_customers:
+            self.rotation += 1
+            number = remaining[self.rotation % len(remaining)]
+            chosen[number] = report[number]
         return list(chosen.values())
 
-    def _movement(self, news):
-        told = self.told.get(news.customer)
-        if told is None:
+    def _change_since_sent(self, report):
+        last_sent = self.last_sent.get(report.customer)
+        if last_sent is None:
             return float('inf')
-        served_s = digests.served_since_s(told.served_ms, news.served_ms)
-        wanted = abs(news.wanted - told.wanted)
+        served_s = digests.served_since_s(
+            last_sent.served_ms, report.served_ms
+        )
+        wanted = abs(report.wanted - last_sent.wanted)
         return abs(served_s) + wanted * 0.1
 
-    def know(self, customer, pool_name):
+    def register_name(self, customer, pool_name):
         """Learn a name that peers tell as a checksum."""
         number = quarantine.short(f'{customer}/{pool_name}')
         self.names[number] = (customer, pool_name)
         return number
 
-    def _hear_customer(self, known, news, demands):
-        name = self.names.get(news.customer)
+    def _merge_customer(self, peer_state, report, demands):
+        name = self.names.get(report.customer)
         if name is None:
             return
         customer, pool_name = name
         row = self.limits.rows.get(customer)
         if row is not None and (row.requests_s or row.tokens_s):
-            demands[customer, 'rate'] = news.tokens_s
-        demands[customer, 'concurrency'] = news.wanted
-        before = known.served.pop(news.customer, None)
-        known.served[news.customer] = news.served_ms
-        if len(known.served) > MOST_TOTALS:
-            del known.served[next(iter(known.served))]
-        if before is not None:
-            served_s = digests.served_since_s(before, news.served_ms)
+            demands[customer, 'rate'] = report.tokens_s
+        demands[customer, 'concurrency'] = report.wanted
+        previous_ms = peer_state.served.pop(report.customer, None)
+        peer_state.served[report.customer] = report.served_ms
+        if len(peer_state.served) > MAX_TOTALS_PER_PEER:
+            del peer_state.served[next(iter(peer_state.served))]
+        if previous_ms is not None:
+            served_s = digests.served_since_s(previous_ms, report.served_ms)
             self.pools[pool_name].queue.charge_remote(customer, served_s)
 
-    def _hear_suspect(self, news, now_s):
+    def _merge_suspect(self, report, now_s):
         self.quarantine.merge(
-            news.fingerprint,
-            news.pool,
-            news.rank,
-            news.cleared,
-            digests.blames_of(news, now_s),
+            report.fingerprint,
+            report.pool,
+            report.rank,
+            report.cleared,
+            digests.blames_of(report, now_s),
             now_s,
         )
-        encoded_s = now_s - ON_ITS_WAY_S
-        waiting_s = encoded_s - news.waiting_age_s
-        running_s = encoded_s - news.running_age_s
-        self.quarantine.waits(news.fingerprint, waiting_s)
-        self.quarantine.runs(news.fingerprint, running_s)
+        encoded_s = now_s - MAX_DIGEST_DELAY_S
+        waiting_s = encoded_s - report.waiting_age_s
+        running_s = encoded_s - report.running_age_s
+        self.quarantine.waits(report.fingerprint, waiting_s)
+        self.quarantine.runs(report.fingerprint, running_s)
 
 
 class _Peer:
@@ -229,6 +235,6 @@
 
     def __init__(self, epoch):
         self.epoch = epoch
-        self.heard_s = float('-inf')
+        self.received_s = float('-inf')
         self.pools = {}
         self.served = {}
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -15,17 +15,17 @@
 from magnoliadyke.core import quarantine
 
 __all__ = [
-    'MOST_BYTES',
-    'MOST_CUSTOMERS',
-    'MOST_POOLS',
-    'CustomerNews',
+    'MAX_BYTES',
+    'MAX_CUSTOMERS',
+    'MAX_POOLS',
+    'CustomerUsage',
     'Digest',
-    'PoolNews',
-    'SuspectNews',
+    'PoolDemand',
+    'SuspectReport',
     'blames_of',
     'served_ms',
     'served_since_s',
-    'suspect_news',
+    'suspect_report',
 ]
 
 VERSION = 1
@@ -35,27 +35,27 @@
 SUSPECT = struct.Struct('!6sIBBBB')
 BLAME = struct.Struct('!IH')
 
-MOST_POOLS = 4
-MOST_CUSTOMERS = 16
-SUSPECT_BYTES = 240
-MOST_BYTES = (
+MAX_POOLS = 4
+MAX_CUSTOMERS = 16
+MAX_SUSPECTS_BYTES = 240
+MAX_BYTES = (
     HEAD.size
-    + MOST_POOLS * POOL.size
-    + MOST_CUSTOMERS * CUSTOMER.size
-    + SUSPECT_BYTES
+    + MAX_POOLS * POOL.size
+    + MAX_CUSTOMERS * CUSTOMER.size
+    + MAX_SUSPECTS_BYTES
 )
 
 CLEARED_BIT = 0x80
 COUNT_BITS = 0x0F
 AGE_UNIT_S = 0.1
-MOST_COUNT = 0xFFFF
-MOST_BLAMES = 2
-LONG_AGO = 0xFF
+MAX_UINT16 = 0xFFFF
+MAX_BLAMES = 2
+AGE_UNBOUNDED = 0xFF
 SERVED_MODULUS = 1 << 32
 SERVED_UNIT_S = 0.001
 
 
-class PoolNews(NamedTuple):
+class PoolDemand(NamedTuple):
     """A node's demand on one pool.
 
     :param pool: checksum of the pool's name
@@ -66,7 +66,7 @@
     """
 
     pool: int
-    asked_s_per_s: float
+    arriving_s_per_s: float
     prefill_s_per_s: float
     decode_s_per_s: float
     queued_prefill_s: float
@@ -75,7 +75,7 @@
     running: int
 
 
-class CustomerNews(NamedTuple):
+class CustomerUsage(NamedTuple):
     """What a node served a customer in one pool.
 
     :param customer: checksum of 'customer/pool'
@@ -90,7 +90,7 @@
     wanted: int
 
 
-class SuspectNews(NamedTuple):
+class SuspectReport(NamedTuple):
     """A request that may crash engines.
 
     :param fingerprint: six bytes
@@ -126,20 +126,22 @@
 
     def to_bytes(self):
         """Encode, within :data:`MOST_BYTES`."""
-        pools = self.pools[:MOST_POOLS]
-        customers = self.customers[:MOST_CUSTOMERS]
-        suspects = _fitting(self.suspects)
+        pools = self.pools[:MAX_POOLS]
+        customers = self.customers[:MAX_CUSTOMERS]
+        suspects = _fitting_suspects(self.suspects)
         parts = [
             HEAD.pack(
                 VERSION, len(pools), len(customers), len(suspects), self.epoch
             )
         ]
-        parts.extend(POOL.pack(*_capped(news)) for news in pools)
-        for news in customers:
-            wanted = min(news.wanted, MOST_COUNT)
-            parts.append(CUSTOMER.pack(*news[:3], wanted))
-        for news in suspects:
-            parts.append(_suspect_bytes(news))
+        parts.extend(
+            POOL.pack(*_with_capped_counts(report)) for report in pools
+        )
+        for report in customers:
+            wanted = min(report.wanted, MAX_UINT16)
+            parts.append(CUSTOMER.pack(*report[:3], wanted))
+        for report in suspects:
+            parts.append(_encode_suspect(report))
         return b''.join(parts)
 
     @classmethod
@@ -159,22 +161,27 @@
     @classmethod
     def _decode(cls, data):
         _, pools, customers, suspects, epoch = HEAD.unpack_from(data)
-        at = HEAD.size
-        pool_news = []
+        offset = HEAD.size
+        pool_demands = []
         for _ in range(pools):
-            pool_news.append(PoolNews(*POOL.unpack_from(data, at)))
-            at += POOL.size
-        customer_news = []
+            pool_demands.append(PoolDemand(*POOL.unpack_from(data, offset)))
+            offset += POOL.size
+        customer_usages = []
         for _ in range(customers):
-            customer_news.append(CustomerNews(*CUSTOMER.unpack_from(data, at)))
-            at += CUSTOMER.size
-        suspect_news = []
+            customer_usages.append(
+                CustomerUsage(*CUSTOMER.unpack_from(data, offset))
+            )
+            offset += CUSTOMER.size
+        suspect_reports = []
         for _ in range(suspects):
-            news = _read_suspect(data, at)
-            suspect_news.append(news)
-            at += news.size()
+            report = _decode_suspect(data, offset)
+            suspect_reports.append(report)
+            offset += report.size()
         return cls(
-            epoch, tuple(pool_news), tuple(customer_news), tuple(suspect_news)
+            epoch,
+            tuple(pool_demands),
+            tuple(customer_usages),
+            tuple(suspect_reports),
         )
 
 
@@ -191,71 +198,76 @@
     return passed * SERVED_UNIT_S
 
 
-def _capped(news):
-    queued = min(news.queued, MOST_COUNT)
-    return (*news[:6], queued, min(news.running, MOST_COUNT))
+def _with_capped_counts(report):
+    queued = min(report.queued, MAX_UINT16)
+    return (*report[:6], queued, min(report.running, MAX_UINT16))
 
 
-def _fitting(suspects):
+def _fitting_suspects(suspects):
     fitting = []
-    left = SUSPECT_BYTES
-    for news in suspects:
-        left -= news.size()
+    left = MAX_SUSPECTS_BYTES
+    for report in suspects:
+        left -= report.size()
         if left < 0:
             break
-        fitting.append(news)
+        fitting.append(report)
     return fitting
 
 
-def _suspect_bytes(news):
-    flags = len(news.blames)
-    flags |= CLEARED_BIT if news.cleared else 0
-    fields = (news.fingerprint, news.pool, news.rank, flags)
-    ages = (_age(news.waiting_age_s), _age(news.running_age_s))
+def _encode_suspect(report):
+    flags = len(report.blames)
+    flags |= CLEARED_BIT if report.cleared else 0
+    fields = (report.fingerprint, report.pool, report.rank, flags)
+    ages = (
+        _encode_age(report.waiting_age_s),
+        _encode_age(report.running_age_s),
+    )
     parts = [SUSPECT.pack(*fields, *ages)]
-    for crash, age_s in news.blames:
-        age = min(max(0, round(age_s / AGE_UNIT_S)), MOST_COUNT)
+    for crash, age_s in report.blames:
+        age = min(max(0, round(age_s / AGE_UNIT_S)), MAX_UINT16)
         parts.append(BLAME.pack(crash, age))
     return b''.join(parts)
 
 
-def _age(age_s):
-    if age_s >= LONG_AGO * AGE_UNIT_S:
-        return LONG_AGO
+def _encode_age(age_s):
+    if age_s >= AGE_UNBOUNDED * AGE_UNIT_S:
+        return AGE_UNBOUNDED
     return max(0, round(age_s / AGE_UNIT_S))
 
 
-def _age_s(age):
-    return float('inf') if age == LONG_AGO else age * AGE_UNIT_S
+def _decode_age_s(age):
+    return float('inf') if age == AGE_UNBOUNDED else age * AGE_UNIT_S
 
 
-def _read_suspect(data, at):
-    fields = SUSPECT.unpack_from(data, at)
+def _decode_suspect(data, offset):
+    fields = SUSPECT.unpack_from(data, offset)
     fingerprint, pool, rank, flags, waiting, running = fields
-    at += SUSPECT.size
+    offset += SUSPECT.size
     blames = []
     for _ in range(flags & COUNT_BITS):
-        crash, age = BLAME.unpack_from(data, at)
+        crash, age = BLAME.unpack_from(data, offset)
         blames.append((crash, age * AGE_UNIT_S))
-        at += BLAME.size
-    return SuspectNews(
+        offset += BLAME.size
+    return SuspectReport(
         fingerprint,
         pool,
         rank,
         bool(flags & CLEARED_BIT),
-        _age_s(waiting),
-        _age_s(running),
+        _decode_age_s(waiting),
+        _decode_age_s(running),
         tuple(blames),
     )
 
 
-def suspect_news(item, now_s):
+def suspect_report(item, now_s):
     """News of a (fingerprint, entry) of the quarantine."""
     fingerprint, entry = item
     cleared = not entry.blames
-    told = entry.void[-MOST_BLAMES:] if cleared else entry.blames
-    blames = tuple((blame.crash, now_s - blame.at_s) for blame in told)
-    return SuspectNews(
+    blames_to_send = entry.void[-MAX_BLAMES:] if cleared else entry.blames
+    blames = tuple(
+        (blame.crash, now_s - blame.at_s) for blame in blames_to_send
+    )
+    return SuspectReport(
         fingerprint,
         entry.pool,
         entry.rank,
@@ -266,8 +278,9 @@
     )
 
 
-def blames_of(news, now_s):
+def blames_of(report, now_s):
     """Blames in this node's time."""
     return [
-        quarantine.Blame(crash, now_s - age_s) for crash, age_s in news.blames
+        quarantine.Blame(crash, now_s - age_s)
+        for crash, age_s in report.blames
     ]
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -40,7 +40,7 @@
 ]
 
 #: A clock may run this much faster or slower than another one.
-DRIFT_SHARE = 0.1
+MAX_CLOCK_DRIFT_SHARE = 0.1
 #: A confirmation of this age, as a share of ``stale_s``, is worth renewing.
 RENEW_SHARE = 0.4
 NEVER = -math.inf
@@ -141,7 +141,7 @@
     ) -> None:
         self.host = host
         self.incarnation = incarnation
-        self.roster = frozenset(failure_domains) | {host}
+        self.configured_hosts = frozenset(failure_domains) | {host}
         self.quorum = quorum_of({host: '', **failure_domains})
         self.settings = settings
         self.started_s = now_s
@@ -158,7 +158,9 @@
         self._last_acknowledged_s = NEVER
         self._staged_s = NEVER
 
-    def hold(self, table_revision: int, staged_revision: int) -> None:
+    def set_held_revisions(
+        self, table_revision: int, staged_revision: int
+    ) -> None:
         """The node now holds this table."""
         self.has_table = True
         self.table_revision = table_revision
@@ -172,7 +174,7 @@
             self.store_at_s = max(self.store_at_s, sent_s)
             self.rooted = True
 
-    def answered(
+    def handle_probe_answer(
         self, sent_s: float, now_s: float, sightings: Iterable[Sighting]
     ) -> None:
         """A probe sent at ``sent_s`` was answered; the peer comes first."""
@@ -180,23 +182,23 @@
             if sighting.host == self.host:
                 continue
             at_s = sent_s - max(0.0, sighting.age_s)
-            self._note(at_s, sighting)
+            self._record_evidence(at_s, sighting)
             if position == 0:
                 self.first_peer_s = min(self.first_peer_s, now_s)
-                self._follow(sent_s, sighting)
+                self._adopt_store_confirmation(sent_s, sighting)
 
-    def _note(self, at_s: float, sighting: Sighting) -> None:
+    def _record_evidence(self, at_s: float, sighting: Sighting) -> None:
         known = self.evidence.get(sighting.host)
-        if known is None or self._newer(at_s, sighting, known):
+        if known is None or self._is_newer(at_s, sighting, known):
             self.evidence[sighting.host] = _Evidence(at_s, sighting)
 
     @staticmethod
-    def _newer(at_s: float, sighting: Sighting, known: _Evidence) -> bool:
+    def _is_newer(at_s: float, sighting: Sighting, known: _Evidence) -> bool:
         if sighting.incarnation != known.sighting.incarnation:
             return sighting.incarnation > known.sighting.incarnation
         return at_s > known.at_s
 
-    def _follow(self, sent_s: float, peer: Sighting) -> None:
+    def _adopt_store_confirmation(self, sent_s: float, peer: Sighting) -> None:
         """Take over the store's word from a peer that knows no more."""
         if not self._holds(peer.table_revision, peer.staged_revision):
             return
@@ -212,7 +214,7 @@
             and staged_revision <= self.staged_revision
         )
 
-    def behind(self) -> str | None:
+    def host_with_newer_table(self) -> str | None:
         """A host that was seen with a newer table, to fetch it from."""
         newest = max(
             self.evidence.values(),
@@ -232,7 +234,7 @@
         """Seconds since the store's word, own or passed on, was true."""
         return now_s - self.store_at_s
 
-    def wants_store(self, now_s: float) -> bool:
+    def is_store_read_due(self, now_s: float) -> bool:
         """Whether a read of the store is due.
 
         Peers pass the store's word on; so a few reads serve the fleet.
@@ -240,7 +242,7 @@
         age_s = self.store_age_s(now_s)
         return age_s > RENEW_SHARE * self.settings.stale_s
 
-    def fresh(self, now_s: float) -> bool:
+    def is_fresh(self, now_s: float) -> bool:
         """Whether the node may rely on its table."""
         if not self.has_table:
             return False
@@ -267,7 +269,7 @@
         A store that was restored to an older copy would start a node with
         a table that had been replaced.  Hence it listens for peers first.
         """
-        if not self.fresh(now_s):
+        if not self.is_fresh(now_s):
             return False
         return now_s >= min(
             self.first_peer_s, self.started_s + self.settings.join_s
@@ -310,14 +312,16 @@
             self.spare,
         )
 
-    def relayed(self, now_s: float, most: int, rng: Any) -> list[Sighting]:
+    def relayed_sightings(
+        self, now_s: float, max_hosts: int, rng: Any
+    ) -> list[Sighting]:
         """What this node can tell of others, ``most`` of them drawn by lot.
 
         :param rng: an object with ``randrange``.
         """
         recent = [evidence for _, evidence in self._recent(now_s)]
         chosen = []
-        while recent and len(chosen) < most:
+        while recent and len(chosen) < max_hosts:
             drawn = rng.randrange(len(recent))
             recent[drawn], recent[-1] = recent[-1], recent[drawn]
             chosen.append(recent.pop())
@@ -331,7 +335,7 @@
         return [
             (host, evidence)
             for host, evidence in self.evidence.items()
-            if evidence.at_s >= oldest_s and host in self.roster
+            if evidence.at_s >= oldest_s and host in self.configured_hosts
         ]
 
     def acceptance(
@@ -358,9 +362,9 @@
             for host, evidence in recent.items()
             if evidence.sighting.staged_revision >= revision
         } | {self.host}
-        self._acknowledge(holders, revision, now_s)
+        self._record_acknowledgements(holders, revision, now_s)
         stopped = frozenset(stopped)
-        missing = tuple(sorted(self.roster - holders))
+        missing = tuple(sorted(self.configured_hosts - holders))
         idle = stopped | self._idle_since_staged(recent)
         lagging = tuple(
             host for host in missing if host in recent and host not in idle
@@ -369,8 +373,11 @@
             return Wait(revision, lagging)
         if missing and len(missing) >= self.quorum:
             return Blocked(revision, missing)
-        unsure = set(missing) - idle | self._strangers(revision) - stopped
-        if unsure and not self._had_time_to_stop(now_s):
+        unsure = (
+            set(missing) - idle
+            | self._hosts_outside_settings(revision) - stopped
+        )
+        if unsure and not self._are_missing_hosts_stale(now_s):
             return Wait(revision, tuple(sorted(unsure)))
         return Accept(revision, missing)
 
@@ -389,22 +396,24 @@
             and evidence.at_s >= self._staged_s
         )
 
-    def _strangers(self, revision: int) -> set[str]:
+    def _hosts_outside_settings(self, revision: int) -> set[str]:
         """Hosts outside the settings that may work without the edit.
 
         They came by the platform's list of hosts. The quorum does not count
         them, but they are given the time to learn of the edit or to stop.
         """
-        oldest_s = self._staged_s - self.settings.stale_s * (1 + DRIFT_SHARE)
+        oldest_s = self._staged_s - self.settings.stale_s * (
+            1 + MAX_CLOCK_DRIFT_SHARE
+        )
         return {
             host
             for host, evidence in self.evidence.items()
-            if host not in self.roster
+            if host not in self.configured_hosts
             and evidence.at_s > oldest_s
             and evidence.sighting.staged_revision < revision
         }
 
-    def _acknowledge(
+    def _record_acknowledgements(
         self, holders: set[str], revision: int, now_s: float
     ) -> None:
         if revision != self._acknowledged_revision:
@@ -415,11 +424,11 @@
             self._acknowledged |= holders
             self._last_acknowledged_s = now_s
 
-    def _had_time_to_stop(self, now_s: float) -> bool:
+    def _are_missing_hosts_stale(self, now_s: float) -> bool:
         """Whether all hosts that miss the edit are stale by now.
 
         Their evidence dates from before the last host acknowledged: any
         later answer would have shown them the edit.
         """
         waited_s = now_s - self._last_acknowledged_s
-        return waited_s > self.settings.stale_s * (1 + DRIFT_SHARE)
+        return waited_s > self.settings.stale_s * (1 + MAX_CLOCK_DRIFT_SHARE)
--- a/magnoliadyke/core/hostdiscovery.py
+++ b/magnoliadyke/core/hostdiscovery.py
@@ -17,18 +17,18 @@
 __all__ = [
     'HostList',
     'ListedHost',
-    'newcomers',
+    'hosts_to_probe',
     'poll_interval_s',
-    'read_list',
+    'parse_host_list',
     'without_leaving',
 ]
 
 LEAVING = 'leaving'
 LIVE = 'live'
-SHORTEST_POLL_S = 10.0
-LONGEST_POLL_S = 60.0
+MIN_POLL_INTERVAL_S = 10.0
+MAX_POLL_INTERVAL_S = 60.0
 #: While a node sees nobody, the list is all that it has.
-LONELY_POLL_S = 2.0
+ISOLATED_POLL_INTERVAL_S = 2.0
 
 
 class ListedHost(NamedTuple):
@@ -52,7 +52,7 @@
     hosts: tuple[ListedHost, ...] = ()
 
 
-def read_list(document: Any) -> HostList:
+def parse_host_list(document: Any) -> HostList:
     """Read the list as the platform publishes it.
 
     :raises ValueError: when it is not one
@@ -70,7 +70,7 @@
         raise ValueError(f'no list of hosts: {error!r}') from error
 
 
-def newcomers(
+def hosts_to_probe(
     listed: HostList, known: Iterable[str], own: membership.Member
 ) -> list[membership.Member]:
     """Return hosts to knock at.
@@ -105,18 +105,18 @@
     :param own: this host; its own word on itself counts
     """
     leaving = {row.host for row in listed.hosts if row.leaving} - {own}
-    told = {
+    without_work = {
         host: member._replace(takes_work=False)
         for host, member in members.items()
         if host in leaving and member.incarnation / 1000 <= listed.at_s
     }
-    after = {**members, **told}
-    if any(_able(member) for member in after.values()):
-        return after
+    adjusted = {**members, **without_work}
+    if any(_accepts_work(member) for member in adjusted.values()):
+        return adjusted
     return dict(members)
 
 
-def _able(member: membership.Member) -> bool:
+def _accepts_work(member: membership.Member) -> bool:
     return member.state == membership.ALIVE and member.takes_work
 
 
@@ -129,5 +129,5 @@
     :param alive: members that are alive, oneself among them
     """
     if alive <= 1:
-        return LONELY_POLL_S
-    return min(LONGEST_POLL_S, max(SHORTEST_POLL_S, float(alive)))
+        return ISOLATED_POLL_INTERVAL_S
+    return min(MAX_POLL_INTERVAL_S, max(MIN_POLL_INTERVAL_S, float(alive)))
--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -66,8 +66,8 @@
     def prompt_read(self, run, endpoint, now_s):
         """A prompt was read; the time since the last one tells its cost."""
         load = endpoint.load
-        since_s = max(run.dispatched_s, load.last_done_s)
-        load.last_done_s = now_s
+        since_s = max(run.dispatched_s, load.last_prefill_done_s)
+        load.last_prefill_done_s = now_s
         if run.job.kind == 'service':
             return
         took_s = max(0.0, now_s - since_s)
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -21,7 +21,7 @@
 
 __all__ = [
     'Ack',
-    'DigestHeard',
+    'DigestReceived',
     'Member',
     'MembersView',
     'Membership',
@@ -40,7 +40,7 @@
 _STATE_RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3}
 MAX_HEALTH = 4
 #: Independent suspicions that shorten the wait to its least.
-CONFIRMATIONS = 2
+MAX_CONFIRMATIONS = 2
 #: Each update is sent this often for each doubling of the fleet.
 RETRANSMIT_FACTOR = 3
 
@@ -63,8 +63,8 @@
     helpers: int = 3
     updates: int = 4
     sightings: int = 8
-    pause_s: float = 1.5
-    knock_s: float = 1.0
+    pause_threshold_s: float = 1.5
+    unreachable_probe_interval_s: float = 1.0
     survey: int = 64
 
 
@@ -144,7 +144,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class DigestHeard:
+class DigestReceived:
     """A peer's digest, as it set it."""
 
     host: str
@@ -165,7 +165,7 @@
     incarnation: int
 
 
-Action = Send | DigestHeard | Paused | Superseded
+Action = Send | DigestReceived | Paused | Superseded
 
 
 class MembersView(NamedTuple):
@@ -187,7 +187,7 @@
     target: str
     sequence: int
     sent_s: float
-    asked_helpers: bool = False
+    asked_indirectly: bool = False
 
 
 class _Relay(NamedTuple):
@@ -238,17 +238,17 @@
             now_s,
         )
         self._sequence = 0
-        self._order: list[str] = []
+        self._probe_order: list[str] = []
         self._probe: _Probe | None = None
         self._next_probe_s = now_s
-        self._next_knock_s = now_s
+        self._next_unreachable_probe_s = now_s
         self._last_tick_s = now_s
-        self._knocks: dict[int, float] = {}
-        self._late: dict[int, float] = {}
+        self._unscheduled_probes: dict[int, float] = {}
+        self._timed_out: dict[int, float] = {}
         self._received_s = now_s
         self._relays: dict[int, _Relay] = {}
         self._suspicions: dict[str, _Suspicion] = {}
-        self._news: dict[str, int] = {}
+        self._update_sends: dict[str, int] = {}
         self._hosts: list[str] = []
         self._view: MembersView | None = None
 
@@ -278,7 +278,7 @@
 
     def set_table(self, table_revision: int, staged_revision: int) -> None:
         """Tell the others which table this node holds."""
-        self.freshness.hold(table_revision, staged_revision)
+        self.freshness.set_held_revisions(table_revision, staged_revision)
 
     def set_spare(self, spare: float) -> None:
         """Tell the others how much room this node has.
@@ -287,7 +287,7 @@
         """
         self.freshness.spare = spare
 
-    def decline(self) -> None:
+    def stop_taking_work(self) -> None:
         """Take no new work from now on, whatever the evidence says."""
         self.accepts = False
 
@@ -297,14 +297,14 @@
         One probe a period would take a period for each host; an edit is
         rare enough to pay for more.
         """
-        peers = self._shuffled(self._others(ALIVE, SUSPECT))
+        peers = self._shuffled(self._peers_in_state(ALIVE, SUSPECT))
         sends: list[Action] = []
         for peer in peers[: self.settings.survey]:
             sends.append(self._ping(peer, now_s))
-            self._knocks[self._sequence] = now_s
+            self._unscheduled_probes[self._sequence] = now_s
         return sends
 
-    def hint(self, peer: Member) -> None:
+    def add_seed(self, peer: Member) -> None:
         """A host that the platform lists; it lags, so it is only knocked."""
         if peer.host != self.own.host:
             self.seeds.setdefault(peer.host, peer)
@@ -312,7 +312,7 @@
     def leave(self, successor: str, now_s: float) -> list[Action]:
         """Say farewell; the records go to the successor."""
         self.own = self.own._replace(state=LEFT, successor=successor)
-        peers = self._shuffled(self._others(ALIVE))
+        peers = self._shuffled(self._peers_in_state(ALIVE))
         chosen = peers[: 2 * self.settings.helpers]
         return [self._ping(peer, now_s) for peer in chosen]
 
@@ -323,22 +323,22 @@
         actions: list[Action] = []
         gap_s = now_s - self._last_tick_s
         self._last_tick_s = now_s
-        if gap_s > self.settings.pause_s:
-            actions.append(self._resume(gap_s, now_s))
+        if gap_s > self.settings.pause_threshold_s:
+            actions.append(self._handle_pause(gap_s, now_s))
         self.freshness.tick(now_s)
         self._refresh_own(now_s)
         actions += self._check_probe(now_s)
         if now_s >= self._next_probe_s:
             actions += self._start_probe(now_s)
-        if now_s >= self._next_knock_s:
-            actions += self._knock(now_s)
+        if now_s >= self._next_unreachable_probe_s:
+            actions += self._probe_unreachable(now_s)
         self._expire_suspicions(now_s)
-        self._forget_relays(now_s)
+        self._expire_probes(now_s)
         return actions
 
-    def _resume(self, gap_s: float, now_s: float) -> Paused:
+    def _handle_pause(self, gap_s: float, now_s: float) -> Paused:
         """Doubt oneself first: probes and suspicions ran out unheard."""
-        self._doubt_self()
+        self._raise_health_score()
         self._probe = None
         for suspicion in self._suspicions.values():
             suspicion.since_s = now_s
@@ -371,12 +371,12 @@
     def _next_target(self) -> Member | None:
         """Go round in a shuffled order, so that each has its turn."""
         for _ in range(len(self.members) + 1):
-            if not self._order:
-                others = self._others(ALIVE, SUSPECT)
-                self._order = [m.host for m in self._shuffled(others)]
-                if not self._order:
+            if not self._probe_order:
+                others = self._peers_in_state(ALIVE, SUSPECT)
+                self._probe_order = [m.host for m in self._shuffled(others)]
+                if not self._probe_order:
                     return None
-            member = self.members.get(self._order.pop())
+            member = self.members.get(self._probe_order.pop())
             if member is not None and member.state in (ALIVE, SUSPECT):
                 return member
         return None
@@ -386,21 +386,21 @@
         if probe is None:
             return []
         waited_s = now_s - probe.sent_s
-        patience = 1 + self.health
-        if waited_s >= self.settings.period_s * patience:
+        health_multiplier = 1 + self.health
+        if waited_s >= self.settings.period_s * health_multiplier:
             self._probe = None
-            self._late[probe.sequence] = probe.sent_s
+            self._timed_out[probe.sequence] = probe.sent_s
             if self._received_s < probe.sent_s:
-                self._doubt_self()
+                self._raise_health_score()
             self._suspect(probe.target, self.own.host, now_s)
             return []
-        late = waited_s >= self.settings.ping_timeout_s * patience
-        if late and not probe.asked_helpers:
-            probe.asked_helpers = True
-            return self._ask_helpers(probe, now_s)
+        late = waited_s >= self.settings.ping_timeout_s * health_multiplier
+        if late and not probe.asked_indirectly:
+            probe.asked_indirectly = True
+            return self._send_ping_requests(probe, now_s)
         return []
 
-    def _doubt_self(self) -> None:
+    def _raise_health_score(self) -> None:
         """Be more patient: it may be oneself who is slow or cut off.
 
         Signs are that nobody at all is heard, or that answers come after
@@ -409,7 +409,7 @@
         """
         self.health = min(MAX_HEALTH, self.health + 1)
 
-    def _ask_helpers(self, probe: _Probe, now_s: float) -> list[Action]:
+    def _send_ping_requests(self, probe: _Probe, now_s: float) -> list[Action]:
         target = self.members.get(probe.target)
         if target is None:
             return []
@@ -422,7 +422,7 @@
                     target.host,
                     target.address,
                     target.peer_port,
-                    *self._riders(helper, now_s),
+                    *self._piggyback(helper, now_s),
                 ),
             )
             for helper in self._helpers(target)
@@ -434,60 +434,66 @@
         When a whole domain is cut off, helpers elsewhere say so at once;
         helpers near the target alone could not tell.
         """
-        others = [m for m in self._others(ALIVE) if m.host != target.host]
+        others = [
+            m for m in self._peers_in_state(ALIVE) if m.host != target.host
+        ]
         others = self._shuffled(others)
         domains: set[str] = set()
-        first = []
-        rest = []
+        first_of_domain = []
+        others_of_domain = []
         for member in others:
             if member.failure_domain in domains:
-                rest.append(member)
+                others_of_domain.append(member)
             else:
                 domains.add(member.failure_domain)
-                first.append(member)
-        return (first + rest)[: self.settings.helpers]
+                first_of_domain.append(member)
+        return (first_of_domain + others_of_domain)[: self.settings.helpers]
 
-    def _knock(self, now_s: float) -> list[Action]:
+    def _probe_unreachable(self, now_s: float) -> list[Action]:
         """Probe a host believed gone: after a partition someone must."""
-        self._next_knock_s = now_s + self.settings.knock_s
-        gone = [
+        self._next_unreachable_probe_s = (
+            now_s + self.settings.unreachable_probe_interval_s
+        )
+        unreachable = [
             self.members.get(host, seed)
             for host, seed in self.seeds.items()
             if host not in self.members
             or self.members[host].state in (DEAD, LEFT)
         ]
-        if not gone:
+        if not unreachable:
             return []
-        send = self._ping(self.rng.choice(gone), now_s)
-        self._knocks[self._sequence] = now_s
+        send = self._ping(self.rng.choice(unreachable), now_s)
+        self._unscheduled_probes[self._sequence] = now_s
         return [send]
 
     def _expire_suspicions(self, now_s: float) -> None:
         for host, suspicion in list(self._suspicions.items()):
-            if now_s - suspicion.since_s >= self._suspicion_s(suspicion):
+            if now_s - suspicion.since_s >= self._suspicion_timeout_s(
+                suspicion
+            ):
                 del self._suspicions[host]
                 member = self.members[host]
                 if member.state == SUSPECT:
-                    self._store(member._replace(state=DEAD))
+                    self._set_and_announce(member._replace(state=DEAD))
 
-    def _suspicion_s(self, suspicion: _Suspicion) -> float:
+    def _suspicion_timeout_s(self, suspicion: _Suspicion) -> float:
         """Three times the least wait when alone, less when others agree.
 
         A slow node thinks that all the others are; nobody confirms, and its
         own local health draws the wait out further.
         """
-        least_s = self.settings.suspicion_s
-        confirmed = min(CONFIRMATIONS, len(suspicion.sources) - 1)
-        share = math.log(1 + confirmed) / math.log(1 + CONFIRMATIONS)
+        min_s = self.settings.suspicion_s
+        confirmed = min(MAX_CONFIRMATIONS, len(suspicion.sources) - 1)
+        share = math.log(1 + confirmed) / math.log(1 + MAX_CONFIRMATIONS)
         factor = 3 - 2 * share
-        return least_s * max(1.0, factor) * (1 + self.health / 4)
+        return min_s * max(1.0, factor) * (1 + self.health / 4)
 
-    def _forget_relays(self, now_s: float) -> None:
+    def _expire_probes(self, now_s: float) -> None:
         oldest_s = now_s - 2 * MAX_HEALTH * self.settings.period_s
         self._relays = {
             s: r for s, r in self._relays.items() if r.sent_s > oldest_s
         }
-        for sent in (self._knocks, self._late):
+        for sent in (self._unscheduled_probes, self._timed_out):
             for sequence, sent_s in list(sent.items()):
                 if sent_s < oldest_s:
                     del sent[sequence]
@@ -498,19 +504,19 @@
         """Take a datagram in."""
         self._received_s = now_s
         actions = self._merge_all((message.source, *message.updates), now_s)
-        self._note_sightings(message.sightings)
+        self._merge_sightings(message.sightings)
         if message.digest:
-            actions.append(DigestHeard(message.source.host, message.digest))
+            actions.append(DigestReceived(message.source.host, message.digest))
         match message:
             case Ping():
-                actions += self._answer(message, now_s)
+                actions += self._handle_ping(message, now_s)
             case PingRequest():
-                actions += self._relay(message, now_s)
+                actions += self._handle_ping_request(message, now_s)
             case Ack():
-                actions += self._take_ack(message, now_s)
+                actions += self._handle_ack(message, now_s)
         return actions
 
-    def _answer(self, ping: Ping, now_s: float) -> list[Action]:
+    def _handle_ping(self, ping: Ping, now_s: float) -> list[Action]:
         if ping.target != self.own.host:
             return []
         self._refresh_own(now_s)
@@ -519,11 +525,13 @@
             ping.sequence,
             self.own,
             source.host,
-            *self._riders(source, now_s),
+            *self._piggyback(source, now_s),
         )
         return [Send((source.address, source.peer_port), ack)]
 
-    def _relay(self, request: PingRequest, now_s: float) -> list[Action]:
+    def _handle_ping_request(
+        self, request: PingRequest, now_s: float
+    ) -> list[Action]:
         self._sequence += 1
         self._relays[self._sequence] = _Relay(
             request.source, request.sequence, now_s
@@ -533,22 +541,22 @@
             self._sequence,
             self.own,
             request.target,
-            *self._riders(known, now_s),
+            *self._piggyback(known, now_s),
         )
         return [Send((request.target_address, request.target_port), ping)]
 
-    def _take_ack(self, ack: Ack, now_s: float) -> list[Action]:
+    def _handle_ack(self, ack: Ack, now_s: float) -> list[Action]:
         relay = self._relays.pop(ack.sequence, None)
         if relay is not None:
-            passed_on = ack._replace(
+            forwarded = ack._replace(
                 sequence=relay.sequence, target=relay.requester.host
             )
             address = (relay.requester.address, relay.requester.peer_port)
-            return [Send(address, passed_on)]
-        sent_s = self._knocks.pop(ack.sequence, None)
-        late_s = self._late.pop(ack.sequence, None)
+            return [Send(address, forwarded)]
+        sent_s = self._unscheduled_probes.pop(ack.sequence, None)
+        late_s = self._timed_out.pop(ack.sequence, None)
         if late_s is not None:
-            self._doubt_self()
+            self._raise_health_score()
             sent_s = late_s
         probe = self._probe
         if probe is not None and probe.sequence == ack.sequence:
@@ -558,18 +566,18 @@
             self._probe = None
             self.health = max(0, self.health - 1)
         if sent_s is not None:
-            self._cleared(ack.source)
-            self.freshness.answered(sent_s, now_s, ack.sightings)
+            self._clear_own_suspicion(ack.source)
+            self.freshness.handle_probe_answer(sent_s, now_s, ack.sightings)
         return []
 
-    def _cleared(self, source: Member) -> None:
+    def _clear_own_suspicion(self, source: Member) -> None:
         """It answered: own suspicion of it ends; it refutes the others'."""
         member = self.members.get(source.host)
         if member is not None and member.state == SUSPECT:
             suspicion = self._suspicions.get(source.host)
             if suspicion is not None and suspicion.sources == {self.own.host}:
                 del self._suspicions[source.host]
-                self._put(member._replace(state=ALIVE))
+                self._set_member(member._replace(state=ALIVE))
 
     # State.
 
@@ -581,41 +589,47 @@
         for member in members:
             source = source or member.host
             if member.host == self.own.host:
-                actions += self._hear_of_self(member)
+                actions += self._merge_self(member)
             else:
                 self._merge(member, source, now_s)
         return actions
 
-    def _hear_of_self(self, said: Member) -> list[Action]:
-        if said.incarnation > self.own.incarnation:
-            return [Superseded(said.incarnation)]
-        wrong = said.state in (SUSPECT, DEAD) and self.own.state == ALIVE
-        if wrong and said.incarnation == self.own.incarnation:
-            if said.refutations >= self.own.refutations:
-                self._doubt_self()
-                self._refute(said.refutations)
+    def _merge_self(self, received: Member) -> list[Action]:
+        if received.incarnation > self.own.incarnation:
+            return [Superseded(received.incarnation)]
+        is_accused = (
+            received.state in (SUSPECT, DEAD) and self.own.state == ALIVE
+        )
+        if is_accused and received.incarnation == self.own.incarnation:
+            if received.refutations >= self.own.refutations:
+                self._raise_health_score()
+                self._refute(received.refutations)
         return []
 
     def _refute(self, refutations: int) -> None:
         self.own = self.own._replace(refutations=refutations + 1)
-        self._news[self.own.host] = 0
+        self._update_sends[self.own.host] = 0
 
-    def _merge(self, said: Member, source: str, now_s: float) -> None:
-        known = self.members.get(said.host)
+    def _merge(self, received: Member, source: str, now_s: float) -> None:
+        known = self.members.get(received.host)
         if known is None:
-            if said.state != DEAD:
-                self._store(said)
-                if said.state == SUSPECT:
-                    self._suspicions[said.host] = _Suspicion(now_s, {source})
+            if received.state != DEAD:
+                self._set_and_announce(received)
+                if received.state == SUSPECT:
+                    self._suspicions[received.host] = _Suspicion(
+                        now_s, {source}
+                    )
             return
-        if _supersedes(said, known):
-            self._store(_with_revisions(said, known))
-            if said.state == SUSPECT:
-                self._suspicions[said.host] = _Suspicion(now_s, {source})
+        if _supersedes(received, known):
+            self._set_and_announce(_with_revisions(received, known))
+            if received.state == SUSPECT:
+                self._suspicions[received.host] = _Suspicion(now_s, {source})
             else:
-                self._suspicions.pop(said.host, None)
-        elif said.state == SUSPECT and _order(said) == _order(known):
-            suspicion = self._suspicions.get(said.host)
+                self._suspicions.pop(received.host, None)
+        elif received.state == SUSPECT and _version(received) == _version(
+            known
+        ):
+            suspicion = self._suspicions.get(received.host)
             if suspicion is not None:
                 suspicion.sources.add(source)
 
@@ -624,15 +638,15 @@
         if member is None or member.state not in (ALIVE, SUSPECT):
             return
         if member.state == ALIVE:
-            self._store(member._replace(state=SUSPECT))
+            self._set_and_announce(member._replace(state=SUSPECT))
         suspicion = self._suspicions.setdefault(host, _Suspicion(now_s, set()))
         suspicion.sources.add(source)
 
-    def _store(self, member: Member) -> None:
-        self._put(member)
-        self._news[member.host] = 0
+    def _set_and_announce(self, member: Member) -> None:
+        self._set_member(member)
+        self._update_sends[member.host] = 0
 
-    def _put(self, member: Member) -> None:
+    def _set_member(self, member: Member) -> None:
         known = self.members.get(member.host)
         if known is None:
             self._hosts.append(member.host)
@@ -640,7 +654,9 @@
             self.members[member.host] = member
             self._view = None
 
-    def _note_sightings(self, sightings: Iterable[freshness.Sighting]) -> None:
+    def _merge_sightings(
+        self, sightings: Iterable[freshness.Sighting]
+    ) -> None:
         """Revisions only grow within an incarnation; order is no matter."""
         for seen in sightings:
             known = self.members.get(seen.host)
@@ -654,22 +670,24 @@
                 spare=seen.spare,
                 takes_work=seen.takes_work,
             )
-            self._put(seen_now)
+            self._set_member(seen_now)
 
     # Riders: what every datagram carries.
 
     def _ping(self, peer: Member, now_s: float) -> Send:
         self._sequence += 1
         ping = Ping(
-            self._sequence, self.own, peer.host, *self._riders(peer, now_s)
+            self._sequence, self.own, peer.host, *self._piggyback(peer, now_s)
         )
         return Send((peer.address, peer.peer_port), ping)
 
-    def _riders(
+    def _piggyback(
         self, receiver: Member | None, now_s: float
     ) -> tuple[tuple[Member, ...], tuple[freshness.Sighting, ...], bytes]:
-        most = self.settings.sightings - 1
-        relayed = self.freshness.relayed(now_s, most, self.rng)
+        max_relayed = self.settings.sightings - 1
+        relayed = self.freshness.relayed_sightings(
+            now_s, max_relayed, self.rng
+        )
         sightings = (self._own_sighting(now_s), *relayed)
         return self._updates(receiver), sightings, self.digest
 
@@ -685,18 +703,20 @@
             if known is not None and known.state in (SUSPECT, DEAD):
                 chosen.append(known)
         limit = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.members) + 2))
-        for host in sorted(self._news, key=self._news.__getitem__):
+        for host in sorted(
+            self._update_sends, key=self._update_sends.__getitem__
+        ):
             if len(chosen) >= self.settings.updates:
                 break
-            self._news[host] += 1
-            if self._news[host] > limit:
-                del self._news[host]
+            self._update_sends[host] += 1
+            if self._update_sends[host] > limit:
+                del self._update_sends[host]
             member = self.members.get(host)
             if member is not None and member not in chosen:
                 chosen.append(member)
-        return tuple(chosen + self._filler(chosen))
+        return tuple(chosen + self._random_update(chosen))
 
-    def _filler(self, chosen: list[Member]) -> list[Member]:
+    def _random_update(self, chosen: list[Member]) -> list[Member]:
         """One more member, told at random: a newcomer hears of all."""
         if len(chosen) >= min(self.settings.updates, len(self._hosts)):
             return []
@@ -708,24 +728,24 @@
     def _shuffled(self, items: list[Any]) -> list[Any]:
         return sorted(items, key=lambda _: self.rng.random())
 
-    def _others(self, *states: str) -> list[Member]:
+    def _peers_in_state(self, *states: str) -> list[Member]:
         return [m for m in self.members.values() if m.state in states]
 
 
-def _order(member: Member) -> tuple[int, int]:
+def _version(member: Member) -> tuple[int, int]:
     return (member.incarnation, member.refutations)
 
 
-def _supersedes(said: Member, known: Member) -> bool:
-    if _order(said) != _order(known):
-        return _order(said) > _order(known)
-    return _STATE_RANK[said.state] > _STATE_RANK[known.state]
+def _supersedes(received: Member, known: Member) -> bool:
+    if _version(received) != _version(known):
+        return _version(received) > _version(known)
+    return _STATE_RANK[received.state] > _STATE_RANK[known.state]
 
 
-def _with_revisions(said: Member, known: Member) -> Member:
-    if said.incarnation != known.incarnation:
-        return said
-    return said._replace(
-        table_revision=max(said.table_revision, known.table_revision),
-        staged_revision=max(said.staged_revision, known.staged_revision),
+def _with_revisions(received: Member, known: Member) -> Member:
+    if received.incarnation != known.incarnation:
+        return received
+    return received._replace(
+        table_revision=max(received.table_revision, known.table_revision),
+        staged_revision=max(received.staged_revision, known.staged_revision),
     )
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -166,7 +166,7 @@
             for sums in self.waiting.get(name, {}).values():
                 prefill_s += part * sums[1]
                 decode_s += part * sums[2]
-        return digests.PoolNews(
+        return digests.PoolDemand(
             self.number,
             self.demand_s(now_s),
             prefill,
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -383,7 +383,7 @@
         for endpoint in members:
             load = endpoint.load
             room = self._room(endpoint, limit, fraction)
-            if load.streams.own + load.reserved >= room:
+            if load.streams.local + load.reserved >= room:
                 continue
             kv_capacity = load.kv_capacity
             if kv_capacity and load.kv_tokens.total() + needed > kv_capacity:
@@ -397,8 +397,8 @@
         """Streams that this node may have there."""
         streams = endpoint.load.streams
         if fraction >= FULL:
-            return limit - streams.others
-        own = streams.own_at(endpoint.reported_at_s)
+            return limit - streams.peers
+        own = streams.local_at(endpoint.reported_at_s)
         return credits.allowed_streams(
             limit, fraction, own, endpoint.reported_streams
         )
@@ -433,8 +433,8 @@
         streams = load.streams.total()
         prompt_s = model.prefill_s(endpoint.role, tokens, streams)
         prompt_s *= endpoint.slowness
-        wait_s = load.own_wait_s(job.priority, now_s)
-        others_s = load.others_wait_s(now_s)
+        wait_s = load.local_wait_s(job.priority, now_s)
+        others_s = load.peers_wait_s(now_s)
         wait_s += others_s * terms.others_share
         read_s = prompt_s
         if load.prompts and endpoint.role == PREFILL:
@@ -453,7 +453,7 @@
         whose turn it is, which then never finds the engine free.
         """
         priority = job.priority if terms.first else LAST_PRIORITY
-        return endpoint.load.own_wait_s(priority, now_s)
+        return endpoint.load.local_wait_s(priority, now_s)
 
     def _best_split(self, job, members, terms, now_s):
         """The best engine in the prefill role, if only after a wait."""
@@ -534,7 +534,7 @@
         best = min(candidates, key=_score_s)
         settings = self.settings
         blind_s = max(
-            each.endpoint.load.others.unseen_s(now_s) for each in candidates
+            each.endpoint.load.peers.unseen_s(now_s) for each in candidates
         )
         slack_s = settings.slack_s + settings.blind_slack * blind_s
         good = [
--- a/magnoliadyke/core/runs.py
+++ b/magnoliadyke/core/runs.py
@@ -72,7 +72,7 @@
         """
         load = endpoint.load
         self.prompt_at = endpoint
-        self.read_undisturbed = load.undisturbed()
+        self.read_undisturbed = load.has_only_local_prompts()
         load.jobs.add(self.job.id)
         load.add_prompt(self.job.id, self.job.priority, seconds, now_s)
 
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -144,7 +144,7 @@
         self._add_endpoints(list(endpoints))
         self.learner = learning.Learner(self.models, self.beliefs, self.router)
         self.suspects = suspects.Suspects(self.quarantine)
-        self.digest_exchange = digestexchange.Exchange(
+        self.digest_exchange = digestexchange.DigestExchange(
             self.epoch, self.pools, self.limits, self.quarantine
         )
 
@@ -177,7 +177,7 @@
         for name, row in view.customers.items():
             for pool in self.pools.values():
                 pool.queue.set_weight(name, row.weight)
-                self.digest_exchange.know(name, pool.name)
+                self.digest_exchange.register_name(name, pool.name)
         for name, endpoint in self.endpoints.items():
             row = view.endpoints.get(name)
             state = row.state if row is not None else 'in'
@@ -212,7 +212,7 @@
         prompts_s = model.prefill_s(
             report.role, report.queued_prompt_tokens, report.running
         )
-        load.report_prompts(prompts_s, report.at_s, now_s)
+        load.record_prefill_backlog(prompts_s, report.at_s, now_s)
         self._set_role(endpoint, report.role, now_s)
         return self._drain_all(now_s)
 
@@ -750,7 +750,7 @@
 
     def peer_digest(self, host, digest, now_s):
         """A peer's news."""
-        self.digest_exchange.hear(host, digest, now_s)
+        self.digest_exchange.receive_digest(host, digest, now_s)
         return []
 
     def peer_prompt(self, name, read_s, now_s):
@@ -760,7 +760,7 @@
         """
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
-            endpoint.load.others.told(read_s, now_s)
+            endpoint.load.peers.told(read_s, now_s)
 
     def demand(self, pool_name, now_s):
         """What the pool is asked for, by all nodes heard of late."""
--- a/magnoliadyke/core/schema.py
+++ b/magnoliadyke/core/schema.py
@@ -23,7 +23,7 @@
     'view_of',
 ]
 
-NAME_LENGTH = 64
+MAX_NAME_LENGTH = 64
 
 Cell = Any
 Cells = Mapping[str, Cell]
@@ -383,19 +383,19 @@
     if column is None:
         return _unknown(cell, value)
     name = cell.split('/')[1]
-    if not 0 < len(name) <= NAME_LENGTH or not name.isprintable():
+    if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
         return Problem(
             cell,
             value,
             'the name of the row is empty, too long or unprintable',
-            f'use 1 to {NAME_LENGTH} printable characters without a slash',
+            f'use 1 to {MAX_NAME_LENGTH} printable characters without a slash',
         )
-    if value is None or _fits(column, value):
+    if value is None or _is_valid(column, value):
         return None
     return _out_of_range(cell, value, column)
 
 
-def _fits(column: Column, value: Cell) -> bool:
+def _is_valid(column: Column, value: Cell) -> bool:
     if column.kind == 'choice':
         return value in column.choices
     if column.kind == 'keys':
--- a/magnoliadyke/core/table.py
+++ b/magnoliadyke/core/table.py
@@ -57,11 +57,11 @@
 ]
 
 FORMAT = 1
-HISTORY_LENGTH = 100
-HISTORY_BYTES = 100_000
-EDIT_IDS_KEPT = 512
+MAX_HISTORY_CHANGES = 100
+MAX_HISTORY_BYTES = 100_000
+MAX_EDIT_IDS = 512
 #: The store holds a megabyte; the rest is for its own envelope.
-DOCUMENT_BYTES = 900_000
+MAX_DOCUMENT_BYTES = 900_000
 
 # The rest of the node knows the table by this module.
 SCHEMA = schema.SCHEMA
@@ -225,7 +225,7 @@
     document: Document,
     edit: Edit,
     inventory: Inventory | None = None,
-    floor: int = 0,
+    min_revision: int = 0,
 ) -> Staged | Conflict | Invalid | AlreadyApplied:
     """Add an edit to the staged ones.
 
@@ -246,11 +246,11 @@
     problems = tablerules.problems(cells, inventory)
     if problems:
         return Invalid(tuple(problems))
-    revision = max(staged_revision(document) + 1, floor)
+    revision = max(staged_revision(document) + 1, min_revision)
     change = _change(edit, revision)
     after: Document = {**document, 'staged': [*document['staged'], change]}
     size = len(dump(after))
-    if size > DOCUMENT_BYTES:
+    if size > MAX_DOCUMENT_BYTES:
         return Invalid((_too_large(edit, size),))
     return Staged(after, revision)
 
@@ -277,7 +277,7 @@
         'revision': ready[-1]['revision'],
         'cells': cells,
         'changed': changed,
-        'applied': _youngest(applied),
+        'applied': _newest_edit_ids(applied),
         'staged': document['staged'][len(ready) :],
         'history': _trimmed([*document['history'], *ready]),
     }
@@ -352,17 +352,17 @@
 def _trimmed(history: list[Change]) -> list[Change]:
     kept: list[Change] = []
     size = 0
-    for change in reversed(history[-HISTORY_LENGTH:]):
+    for change in reversed(history[-MAX_HISTORY_CHANGES:]):
         size += len(json.dumps(change))
-        if size > HISTORY_BYTES:
+        if size > MAX_HISTORY_BYTES:
             break
         kept.append(change)
     return kept[::-1]
 
 
-def _youngest(applied: Mapping[str, int]) -> dict[str, int]:
+def _newest_edit_ids(applied: Mapping[str, int]) -> dict[str, int]:
     by_age = sorted(applied.items(), key=operator.itemgetter(1))
-    return dict(by_age[-EDIT_IDS_KEPT:])
+    return dict(by_age[-MAX_EDIT_IDS:])
 
 
 def _change(edit: Edit, revision: int) -> Change:
@@ -414,6 +414,6 @@
     return Problem(
         next(iter(edit.cells), ''),
         size,
-        f'the table would take {size} of {DOCUMENT_BYTES} bytes',
+        f'the table would take {size} of {MAX_DOCUMENT_BYTES} bytes',
         'remove rows that are no longer used, then send the edit again',
     )
--- a/magnoliadyke/core/tablerules.py
+++ b/magnoliadyke/core/tablerules.py
@@ -29,7 +29,7 @@
     found = _shared_keys(cells)
     if inventory is not None:
         found += _unknown_rows(cells, inventory)
-        found += _starved_pools(cells, inventory)
+        found += _undersized_pools(cells, inventory)
         found += _all_drained(cells, inventory)
     return found
 
@@ -69,25 +69,29 @@
     return problems
 
 
-def _starved_pools(
+def _undersized_pools(
     cells: schema.Cells, inventory: Inventory
 ) -> list[schema.Problem]:
     rows = schema.view_of(cells, 0)
     problems = []
     for pool, endpoints in inventory.pools.items():
         row = rows.pool(pool)
-        least = row.min_prefill + row.min_decode
+        required = row.min_prefill + row.min_decode
         working = [e for e in endpoints if rows.endpoint(e).state == 'in']
-        if len(working) >= least or not _touches(cells, pool, endpoints):
+        if len(working) >= required or not _mentions_pool(
+            cells, pool, endpoints
+        ):
             continue
-        reason = f'{len(working)} endpoints are in, {least} are the least'
+        reason = f'{len(working)} endpoints are in, {required} are the least'
         remedy = 'lower min_prefill or min_decode, or take endpoints in'
         cell = f'pools/{pool}/min_decode'
         problems.append(schema.Problem(cell, row.min_decode, reason, remedy))
     return problems
 
 
-def _touches(cells: schema.Cells, pool: str, endpoints: Iterable[str]) -> bool:
+def _mentions_pool(
+    cells: schema.Cells, pool: str, endpoints: Iterable[str]
+) -> bool:
     rows = {f'pools/{pool}', *(f'endpoints/{e}' for e in endpoints)}
     return any(cell.rpartition('/')[0] in rows for cell in cells)
 
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -267,7 +267,7 @@
             return
         self.records[record.host] = record
         self.listed.add(record.host)
-        self.core.hint(_member(record))
+        self.core.add_seed(_member(record))
 
     def unlisted_host(self, host: str) -> None:
         """A host's key is gone; gossip says whether the host is.
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -277,9 +277,11 @@
         names = {row.host for row in listed.hosts}
         for host in known.seeds.keys() - self.settled_hosts - names:
             del known.seeds[host]
-        for peer in hostdiscovery.newcomers(listed, known.seeds, known.own):
+        for peer in hostdiscovery.hosts_to_probe(
+            listed, known.seeds, known.own
+        ):
             LOG.event('host_listed', member=peer.host, address=peer.address)
-            known.hint(peer)
+            known.add_seed(peer)
 
     def view(self):
         """Return the members as the rest of the node is to see them."""
@@ -390,7 +392,7 @@
             match action:
                 case membership.Send(address, message):
                     self.send(address, message)
-                case membership.DigestHeard(host, digest):
+                case membership.DigestReceived(host, digest):
                     self.digests.publish(PeerDigest(host, digest))
                 case membership.Paused(for_s):
                     LOG.warning_event('paused', for_s=for_s)
@@ -438,12 +440,14 @@
         )
         return Standing(
             at_s=now_s,
-            fresh=known.fresh(now_s),
+            fresh=known.is_fresh(now_s),
             takes_work=known.takes_work(now_s),
             quorate=self.quorate(),
-            wants_store=known.wants_store(now_s),
+            wants_store=known.is_store_read_due(now_s),
             unconfirmed=known.acts_on_staged(now_s),
-            newer_at=self.peer_address(known.behind() or self.ahead()),
+            newer_at=self.peer_address(
+                known.host_with_newer_table() or self.ahead()
+            ),
             newest=max(newest, known.staged_revision),
             acceptance=self.acceptance(now_s) if staged else None,
         )
--- a/magnoliadyke/hostlist.py
+++ b/magnoliadyke/hostlist.py
@@ -63,7 +63,7 @@
             reply = self.connections.call('GET', '/hosts', b'', (), TIMEOUT_S)
             if reply.status != STATUS_OK:
                 raise ValueError(f'status {reply.status}')
-            listed = hostdiscovery.read_list(reply.json())
+            listed = hostdiscovery.parse_host_list(reply.json())
         except (errors.EndpointUnreachable, ValueError) as error:
             LOG.repeated('host_list_unread', 'host_list', error=str(error))
             return
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -130,7 +130,7 @@
 
 def ack(own, number, sequence):
     """An answer from one member, with as many updates as may ride."""
-    sightings = own.freshness.relayed(0.0, 7, own.rng)
+    sightings = own.freshness.relayed_sightings(0.0, 7, own.rng)
     updates = tuple(
         member((number + step) % 7 + 1) for step in range(own.settings.updates)
     )
@@ -168,7 +168,7 @@
         member(step % (size - 1) + 1),
         'host-0',
         (),
-        tuple(own.freshness.relayed(now_s, 7, own.rng)),
+        tuple(own.freshness.relayed_sightings(now_s, 7, own.rng)),
         b'x' * 300,
     )
     for action in own.receive(probe, now_s):
--- a/magnoliadyke/lab/gossipcost.py
+++ b/magnoliadyke/lab/gossipcost.py
@@ -111,7 +111,9 @@
         takes_work=True,
     )
     known = task.membership.freshness
-    sightings = tuple(known.relayed(now_s, SIGHTINGS, random.Random(sequence)))
+    sightings = tuple(
+        known.relayed_sightings(now_s, SIGHTINGS, random.Random(sequence))
+    )
     message = membership.Ack(
         sequence, source, task.membership.own.host, (), sightings, b''
     )
--- a/tests/test_credits.py
+++ b/tests/test_credits.py
@@ -10,7 +10,7 @@
 def test_a_lagging_report_is_corrected_by_what_was_sent_since():
     # The report says 10 streams, 4 of them ours, but is 3 s old; we have
     # sent 5 more since. Taken as it is, it would hide these.
-    streams = credits.Lagged()
+    streams = credits.LaggedLoad()
     streams.add(4, 1.0)
     streams.add(5, 3.0)
     streams.report(10, 2.0)
@@ -18,7 +18,7 @@
 
 
 def test_others_are_never_negative():
-    streams = credits.Lagged()
+    streams = credits.LaggedLoad()
     streams.add(5, 1.0)
     streams.report(2, 2.0)
     assert streams.total() == 5
@@ -51,9 +51,9 @@
     load = credits.EndpointLoad()
     load.add_prompt('long', 5, 0.6, 0.0)
     load.add_prompt('urgent', 2, 0.1, 0.0)
-    assert load.own_wait_s(2, 0.0) == pytest.approx(0.1)
-    assert load.own_wait_s(5, 0.0) == pytest.approx(0.7)
-    assert load.own_wait_s(5, 0.05) == pytest.approx(0.65)
+    assert load.local_wait_s(2, 0.0) == pytest.approx(0.1)
+    assert load.local_wait_s(5, 0.0) == pytest.approx(0.7)
+    assert load.local_wait_s(5, 0.05) == pytest.approx(0.65)
 
 
 def test_a_late_prompt_does_not_make_the_next_seem_read():
@@ -62,26 +62,28 @@
     load = credits.EndpointLoad()
     load.add_prompt('first', 5, 0.2, 0.0)
     load.add_prompt('second', 5, 0.3, 0.0)
-    assert load.own_wait_s(5, 10.0) == pytest.approx(0.3)
+    assert load.local_wait_s(5, 10.0) == pytest.approx(0.3)
     load.remove_prompt('first', 10.0)
     load.remove_prompt('second', 10.0)
-    assert load.own_wait_s(5, 10.0) == 0
-    assert load.backlog.own == pytest.approx(0)
+    assert load.local_wait_s(5, 10.0) == 0
+    assert load.backlog.local == pytest.approx(0)
 
 
 def test_an_old_report_fades_into_the_mean():
     load = credits.EndpointLoad()
     for number in range(400):
-        load.report_prompts(0.5 * (number % 2), float(number), number + 0.1)
-    assert load.others_wait_s(399.0) == pytest.approx(0.5, abs=0.01)
-    assert load.others_wait_s(410.0) == pytest.approx(0.25, abs=0.02)
-    assert not load.undisturbed()
+        load.record_prefill_backlog(
+            0.5 * (number % 2), float(number), number + 0.1
+        )
+    assert load.peers_wait_s(399.0) == pytest.approx(0.5, abs=0.01)
+    assert load.peers_wait_s(410.0) == pytest.approx(0.25, abs=0.02)
+    assert not load.has_only_local_prompts()
 
 
 def test_our_own_prompts_are_not_taken_for_others():
     load = credits.EndpointLoad()
     load.add_prompt('ours', 5, 0.5, 1.0)
-    load.report_prompts(2.0, 1.0, 1.2)
-    assert load.others.reported_s == pytest.approx(1.5)
-    load.report_prompts(0.3, 1.2, 1.3)
-    assert load.others.reported_s == pytest.approx(0.0)
+    load.record_prefill_backlog(2.0, 1.0, 1.2)
+    assert load.peers.reported_s == pytest.approx(1.5)
+    load.record_prefill_backlog(0.3, 1.2, 1.3)
+    assert load.peers.reported_s == pytest.approx(0.0)
--- a/tests/test_digestexchange.py
+++ b/tests/test_digestexchange.py
@@ -55,7 +55,7 @@
     for now_s in range(40):
         serve(plan, 'c7', 1.0)
         digest = plan.digest(float(now_s))
-        assert len(digest.customers) == digests.MOST_CUSTOMERS
+        assert len(digest.customers) == digests.MAX_CUSTOMERS
         told |= {news.customer for news in digest.customers}
     assert len(told) == 100
 
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -9,11 +9,11 @@
 numbers = st.integers(0, (1 << 32) - 1)
 levels = st.floats(0, 1e6, width=32)
 counts = st.integers(0, 10**6)
-pools = st.builds(digests.PoolNews, numbers, *[levels] * 5, counts, counts)
-customers = st.builds(digests.CustomerNews, numbers, numbers, levels, counts)
+pools = st.builds(digests.PoolDemand, numbers, *[levels] * 5, counts, counts)
+customers = st.builds(digests.CustomerUsage, numbers, numbers, levels, counts)
 blames = st.lists(st.tuples(numbers, st.floats(0, 6000)), max_size=2)
 suspects = st.builds(
-    digests.SuspectNews,
+    digests.SuspectReport,
     st.binary(min_size=6, max_size=6),
     numbers,
     st.integers(0, 255),
@@ -34,10 +34,10 @@
 @hypothesis.given(whole)
 def test_size_is_bounded_and_what_fits_comes_back(digest):
     data = digest.to_bytes()
-    assert len(data) <= digests.MOST_BYTES <= 600
+    assert len(data) <= digests.MAX_BYTES <= 600
     read = digests.Digest.from_bytes(data + b'of a later version')
     assert read.epoch == digest.epoch
-    assert len(read.pools) == min(len(digest.pools), digests.MOST_POOLS)
+    assert len(read.pools) == min(len(digest.pools), digests.MAX_POOLS)
     assert read.to_bytes() == data
     for before, after in zip(digest.suspects, read.suspects, strict=False):
         assert after[:4] == before[:4]
@@ -49,7 +49,7 @@
 
 
 def test_bytes_cut_short_are_refused_with_a_remedy():
-    news = digests.PoolNews(1, 0.0, 0.0, 0.0, 0.0, 0.0, 0, 0)
+    news = digests.PoolDemand(1, 0.0, 0.0, 0.0, 0.0, 0.0, 0, 0)
     data = digests.Digest(7, (news,)).to_bytes()
     for length in range(len(data)):
         with pytest.raises(ValueError, match='compatible versions'):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -37,7 +37,7 @@
         rule = self.rule
         table = max(table, rule.table_revision)
         staged = max(staged, rule.staged_revision)
-        rule.hold(table, staged)
+        rule.set_held_revisions(table, staged)
         self.in_force = max(self.in_force, table)
 
     def act(self, now_s):
@@ -92,15 +92,17 @@
 
     def answer(self, node, peer):
         told = [peer.rule.sighting(self.now_s)]
-        told += peer.rule.relayed(self.now_s, len(HOSTS), random.Random(0))
+        told += peer.rule.relayed_sightings(
+            self.now_s, len(HOSTS), random.Random(0)
+        )
         if peer.rule.has_table:
             node.hold(told[0].table_revision, told[0].staged_revision)
-        node.rule.answered(self.now_s, self.now_s, told)
+        node.rule.handle_probe_answer(self.now_s, self.now_s, told)
 
     def try_to_accept(self):
         for host in sorted(self.reaches_store - self.stopped):
             rule = self.nodes[host].rule
-            if self.staged == self.table or not rule.fresh(self.now_s):
+            if self.staged == self.table or not rule.is_fresh(self.now_s):
                 continue
             if rule.staged_revision != self.staged:
                 continue
@@ -283,21 +285,21 @@
     rule = fleet.nodes['h0'].rule
     told = [fleet.nodes['h1'].rule.sighting(fleet.now_s)]
     later_s = fleet.now_s + 10.0
-    rule.answered(fleet.now_s, later_s, told)
-    assert not rule.fresh(later_s)
+    rule.handle_probe_answer(fleet.now_s, later_s, told)
+    assert not rule.is_fresh(later_s)
 
 
 def test_start_waits_for_peers_that_know_better():
     """A restored store would start a node with a table long replaced."""
     rule = freshness.Freshness('h0', 1, DALA, SETTINGS, 0.0)
-    rule.hold(3, 3)
+    rule.set_held_revisions(3, 3)
     rule.store_confirmed(0.1, 3, 3)
-    assert rule.fresh(0.2)
+    assert rule.is_fresh(0.2)
     assert not rule.takes_work(0.2)
     assert rule.takes_work(1.0)
     told = freshness.Sighting('h1', 1, 0.0, 8, 8, 0.0, True, True, 1.0)
-    rule.answered(0.2, 0.3, [told])
-    assert rule.behind() == 'h1'
+    rule.handle_probe_answer(0.2, 0.3, [told])
+    assert rule.host_with_newer_table() == 'h1'
 
 
 def test_no_acceptance_below_a_table_in_force():
@@ -305,8 +307,8 @@
     fleet = Fleet()
     told = freshness.Sighting('h1', 99, 0.0, 8, 8, 0.0, True, True, 1.0)
     rule = fleet.nodes['h0'].rule
-    rule.answered(fleet.now_s, fleet.now_s, [told])
-    rule.hold(1, 2)
+    rule.handle_probe_answer(fleet.now_s, fleet.now_s, [told])
+    rule.set_held_revisions(1, 2)
     assert rule.acceptance(fleet.now_s) == freshness.Wait(2, ('h1',))
 
 
@@ -316,7 +318,7 @@
         told = freshness.Sighting(
             host, 1, 0.0, 1, staged, 0.0, True, takes_work, 1.0
         )
-        rule.answered(at_s, at_s, [told])
+        rule.handle_probe_answer(at_s, at_s, [told])
 
 
 def test_a_host_idle_before_the_edit_is_waited_for():
@@ -327,7 +329,7 @@
     """
     rule = freshness.Freshness('h0', 1, DALA, SETTINGS, 0.0)
     told_by(rule, 0.0, ['h7'], 1, takes_work=False)
-    rule.hold(1, 2)
+    rule.set_held_revisions(1, 2)
     others = HOSTS[1:7]
     rule.acceptance(0.1)
     told_by(rule, 0.2, others, 2)
@@ -339,7 +341,7 @@
 
 def test_a_host_idle_after_the_edit_is_not_waited_for():
     rule = freshness.Freshness('h0', 1, DALA, SETTINGS, 0.0)
-    rule.hold(1, 2)
+    rule.set_held_revisions(1, 2)
     rule.acceptance(0.1)
     told_by(rule, 0.2, HOSTS[1:7], 2)
     told_by(rule, 0.2, ['h7'], 1, takes_work=False)
@@ -354,7 +356,7 @@
     """
     rule = freshness.Freshness('h0', 1, DALA, SETTINGS, 0.0)
     told_by(rule, 0.0, ['h7'], 1)
-    rule.hold(1, 2)
+    rule.set_held_revisions(1, 2)
     rule.acceptance(0.1)
     told_by(rule, 0.2, HOSTS[1:7], 2)
     assert rule.acceptance(0.3) == freshness.Wait(2, ('h7',))
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -84,7 +84,7 @@
     # requests it suspects of crashes: with 16 customers and suspects its
     # digest was larger than datagrams took, and was left out without a word.
     fleet.run(3.0)
-    digest = b'x' * digests.MOST_BYTES
+    digest = b'x' * digests.MAX_BYTES
     fleet.nodes['h0'].gossip.post(gossip.OwnDigest(digest))
     fleet.run(3.0)
     heard = [fleet.nodes[name].gossip.digests.last for name in ('h1', 'h2')]
@@ -98,12 +98,12 @@
         for number in range(4)
     )
     ping = membership.Ping(
-        1, node.membership.own, 'h1', members, (), b'x' * digests.MOST_BYTES
+        1, node.membership.own, 'h1', members, (), b'x' * digests.MAX_BYTES
     )
     sent_before = node.sent_bytes
     node.send(('h1', 2), ping)
     size = node.sent_bytes - sent_before
-    assert digests.MOST_BYTES < size <= constants.MAX_DATAGRAM_BYTES
+    assert digests.MAX_BYTES < size <= constants.MAX_DATAGRAM_BYTES
 
 
 def test_an_edit_waits_for_a_host_outside_the_settings(fleet):
@@ -116,7 +116,7 @@
     fleet.start('h4')
     fleet.settings = own
     rows = ({'host': 'h4', 'state': 'live', 'address': 'h4'},)
-    listed = hostdiscovery.read_list({'hosts': rows, 'at_s': 1.0})
+    listed = hostdiscovery.parse_host_list({'hosts': rows, 'at_s': 1.0})
     for name in fleet.names:
         fleet.nodes[name].gossip.post(gossip.Listed(listed))
     fleet.run_until(lambda: 'h4' in fleet.working(), 10.0)
--- a/tests/test_hostdiscovery.py
+++ b/tests/test_hostdiscovery.py
@@ -13,12 +13,12 @@
         {'host': host, 'state': state, 'address': f'a-{host}'}
         for host, state in states.items()
     ]
-    return hostdiscovery.read_list({'hosts': rows, 'at_s': at_s})
+    return hostdiscovery.parse_host_list({'hosts': rows, 'at_s': at_s})
 
 
 def test_only_live_hosts_that_nobody_knows_are_knocked_at():
     hosts = listed(1.0, h1='live', h2='live', h3='leaving', h4='odd')
-    (found,) = hostdiscovery.newcomers(hosts, ['h1'], OWN)
+    (found,) = hostdiscovery.hosts_to_probe(hosts, ['h1'], OWN)
     assert (found.host, found.address, found.peer_port) == ('h2', 'a-h2', 2)
 
 
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize('document', [None, {}, {'hosts': [{}], 'at_s': 1}])
 def test_what_is_no_list_is_refused(document):
     with pytest.raises(ValueError, match='no list of hosts'):
-        hostdiscovery.read_list(document)
+        hostdiscovery.parse_host_list(document)
 
 
 def test_large_fleets_read_rarely():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -222,7 +222,7 @@
     network.run(0.5)
     network.nodes[0].survey(network.now_s)
     assert network.nodes[4].own.takes_work
-    network.nodes[4].decline()
+    network.nodes[4].stop_taking_work()
     network.run(4.0)
     assert not network.nodes[0].view().members['h4'].takes_work
 
@@ -235,8 +235,8 @@
     network.run(4.0)
     seen = network.nodes[1].view().members['h6']
     assert (seen.table_revision, seen.staged_revision) == (4, 5)
-    assert (1, membership.DigestHeard('h6', b'load')) in network.heard
-    assert network.nodes[1].freshness.behind() == 'h6'
+    assert (1, membership.DigestReceived('h6', b'load')) in network.heard
+    assert network.nodes[1].freshness.host_with_newer_table() == 'h6'
 
 
 def test_survey_brings_evidence_of_all_at_once():
@@ -263,7 +263,7 @@
         )
         ack = membership.Ack(0, peer, 'h0', (), (sighting,), b'')
         node.receive(ack, 0.1)
-        node.freshness.answered(0.0, 0.1, [sighting])
+        node.freshness.handle_probe_answer(0.0, 0.1, [sighting])
     (send, *_) = node.tick(0.5)
     settings = membership.MembershipSettings()
     assert len(send.message.updates) <= settings.updates
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -63,7 +63,7 @@
     arrive(pool, 'lease', 2.4, 1.5)
     arrive(pool, 'portal', 2.0, 5.0)
     news = pool.news(60.0)
-    assert news.asked_s_per_s == pytest.approx(10.9, rel=0.05)
+    assert news.arriving_s_per_s == pytest.approx(10.9, rel=0.05)
     total = news.prefill_s_per_s + news.decode_s_per_s
     assert total == pytest.approx(5.0, rel=0.05)
     assert news.prefill_s_per_s == pytest.approx(2.4 + 1.1 * 2 / 7, rel=0.05)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -143,8 +143,8 @@
     # busier a moment later if each of them believes it.
     pool = make_pool()
     for number, endpoint in enumerate(pool.by_role['prefill']):
-        endpoint.load.others.report(0.5 * number, 0.0)
-        endpoint.load.others.mean_s = 0.3
+        endpoint.load.peers.report(0.5 * number, 0.0)
+        endpoint.load.peers.mean_s = 0.3
     router = make_router()
     places = [
         router.place(make_job(), pool, TERMS, 0.0).prefill.name
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -433,11 +433,11 @@
             load = endpoint.load
             assert load.jobs <= running
             assert load.reserved >= 0
-            assert load.streams.own >= 0
+            assert load.streams.local >= 0
             if not load.jobs:
                 assert load.reserved == 0
-                assert load.streams.own == 0
-                assert load.kv_tokens.own == 0
+                assert load.streams.local == 0
+                assert load.kv_tokens.local == 0
                 assert not load.prompts
 
     def teardown(self):
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -121,10 +121,10 @@
 
 def test_history_is_bounded():
     document = table.empty()
-    for number in range(table.HISTORY_LENGTH + 5):
+    for number in range(table.MAX_HISTORY_CHANGES + 5):
         cells = {'customers/lease/weight': number + 1}
         document = accepted(document, cells, f'e{number}')
-    assert len(document['history']) == table.HISTORY_LENGTH
+    assert len(document['history']) == table.MAX_HISTORY_CHANGES
     cells = {f'customers/{"c" * 60}{n}/weight': 2 for n in range(2000)}
     document = accepted(document, cells, 'large')
     assert len(table.dump({**document, 'cells': {}, 'changed': {}})) < 110_000
