--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -1,26 +1,4 @@
-"""Who may go on with the table it has, and when an edit may be accepted.
-
-Both sides of a partition compute the rule in this module, so that what one
-side accepts is known to every node that takes work on the other.
-
-A node is *fresh* while, within the last ``stale_s``, either
-
-* the store confirmed the table that the node holds, to itself or to a peer
-  at the end of a chain of answered probes, or
-* at least ``quorum`` hosts of the settings, itself among them, were seen
-  that know no newer table.
-
-A staged edit is *accepted* once every host has acknowledged it, or fewer
-than ``quorum`` hosts are missing and those have had the time to notice that
-they are cut off.  Hosts that miss an edit are then always too few to go on
-by themselves, and any host that they would count in has the edit and shows
-it.  A missing group of ``quorum`` hosts or more goes on serving, hence it
-blocks the edit until it is back or an operator overrides.
-
-Evidence comes from answers to own probes only, and dates from when the probe
-was sent.  A process that was stopped finds old datagrams in its socket; they
-would else look like news.
-"""
+"""Decides whether a node's table is fresh and when an edit is accepted."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -39,19 +17,19 @@
     'quorum_of',
 ]
 
-#: A clock may run this much faster or slower than another one.
+#: Maximum difference between the rates of two hosts' clocks.
 MAX_CLOCK_DRIFT_SHARE = 0.1
-#: A confirmation of this age, as a share of ``stale_s``, is worth renewing.
+#: Share of ``stale_s`` after which the store's confirmation is renewed.
 RENEW_SHARE = 0.4
 NEVER = -math.inf
 
 
 class FreshnessSettings(NamedTuple):
-    """Times of the rule; the same on all nodes.
+    """Timeouts of the freshness rule; the same on all nodes.
 
-    :param stale_s: longest time on old evidence.
-    :param join_s: how long a starting node listens for peers that know a
-        newer table than the store does.
+    :param stale_s: age at which evidence expires.
+    :param join_s: maximum time that a starting node waits for a first peer,
+        which may know a newer table than the store.
     """
 
     stale_s: float = 3.0
@@ -59,13 +37,13 @@
 
 
 class Sighting(NamedTuple):
-    """What a host knew at some moment.
+    """State of a host at one moment, as gossip carries it.
 
-    :param age_s: time since that moment, when the datagram was made.
-    :param store_age_s: age of the store's word behind that host's table.
-    :param rooted: the process has once held a table confirmed by the store
-        or by a quorum; others may count it in.
-    :param spare: free share of the host, 0 to 1.
+    :param age_s: time from that moment to the encoding of the datagram.
+    :param store_age_s: age of the store's confirmation of the host's table.
+    :param rooted: whether the process has ever held a table confirmed by the
+        store or by a quorum; only such hosts count towards a quorum.
+    :param spare: share of the host's capacity that is free, 0 to 1.
     """
 
     host: str
@@ -81,7 +59,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Accept:
-    """The staged revision may be accepted."""
+    """The staged revision may be accepted.
+
+    :param missing: hosts that have not acknowledged it.
+    """
 
     revision: int
     missing: tuple[str, ...] = ()
@@ -89,7 +70,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Wait:
-    """Not yet: these hosts have not acknowledged, or have to stop first."""
+    """The staged revision can't be accepted yet.
+
+    :param laggards: hosts that have not acknowledged the edit, that hold a
+        newer table, or whose evidence has to expire first.
+    """
 
     revision: int
     laggards: tuple[str, ...]
@@ -97,7 +82,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Blocked:
-    """Too many hosts are missing; they may be serving by themselves."""
+    """Too many hosts are missing: they may form a quorum and serve.
+
+    :param missing: hosts that have not acknowledged the edit.
+    """
 
     revision: int
     missing: tuple[str, ...]
@@ -110,11 +98,11 @@
 
 
 def quorum_of(failure_domains: Mapping[str, str]) -> int:
-    """Hosts that make a group large enough to go on without the store.
+    """Number of hosts that may continue without the store.
 
-    One more than the largest failure domain holds: the loss of any one
-    domain never blocks an edit.  At most half of the hosts, so that an even
-    split leaves both sides serving.
+    It is one more than the largest failure domain has, so that the loss of
+    any one domain never blocks an edit.  It is at most half of the hosts,
+    rounded up, so that after an even split both sides continue.
 
     :param failure_domains: the failure domain of each host.
     """
@@ -126,7 +114,28 @@
 
 
 class Freshness:
-    """The rule, as one node computes it.
+    """The freshness rule of one node.
+
+    Both sides of a partition apply this rule, so that every node that takes
+    work on one side knows the edits that the other side has accepted.
+
+    A node is *fresh* while, within the last ``stale_s``, either
+
+    * the store confirmed the node's table, to the node or to a peer at the
+      end of a chain of answered probes, or
+    * at least ``quorum`` hosts of the settings, including the node, were
+      seen that know no newer table.
+
+    A staged edit may be *accepted* once every host has acknowledged it, or
+    fewer than ``quorum`` hosts are missing and their evidence has expired.
+    The hosts that miss an edit are then always too few for a quorum, and any
+    further host that they could count has the edit and shows it to them.
+    A missing group of ``quorum`` hosts or more continues to serve, so it
+    blocks the edit until it is back or an operator overrides.
+
+    Only answers to a node's own probes are evidence, dated from when the
+    probe was sent: a process that was stopped finds old datagrams in its
+    socket, which would otherwise look recent.
 
     :param failure_domains: the failure domain of every host in the settings.
     """
@@ -161,7 +170,7 @@
     def set_held_revisions(
         self, table_revision: int, staged_revision: int
     ) -> None:
-        """The node now holds this table."""
+        """Set the revisions of the table that the node holds."""
         self.has_table = True
         self.table_revision = table_revision
         self.staged_revision = staged_revision
@@ -169,7 +178,10 @@
     def store_confirmed(
         self, sent_s: float, table_revision: int, staged_revision: int
     ) -> None:
-        """A read of the store, begun at ``sent_s``, showed these revisions."""
+        """Record the revisions that a read of the store returned.
+
+        :param sent_s: when the read was sent.
+        """
         if self._holds(table_revision, staged_revision):
             self.store_at_s = max(self.store_at_s, sent_s)
             self.rooted = True
@@ -177,7 +189,11 @@
     def handle_probe_answer(
         self, sent_s: float, now_s: float, sightings: Iterable[Sighting]
     ) -> None:
-        """A probe sent at ``sent_s`` was answered; the peer comes first."""
+        """Record the evidence in the answer to a probe.
+
+        :param sent_s: when the probe was sent.
+        :param sightings: first that of the peer, then those it relays.
+        """
         for position, sighting in enumerate(sightings):
             if sighting.host == self.host:
                 continue
@@ -199,7 +215,7 @@
         return at_s > known.at_s
 
     def _adopt_store_confirmation(self, sent_s: float, peer: Sighting) -> None:
-        """Take over the store's word from a peer that knows no more."""
+        """Adopt the store's confirmation of a peer without a newer table."""
         if not self._holds(peer.table_revision, peer.staged_revision):
             return
         at_s = sent_s - max(0.0, peer.store_age_s)
@@ -215,7 +231,7 @@
         )
 
     def host_with_newer_table(self) -> str | None:
-        """A host that was seen with a newer table, to fetch it from."""
+        """The host to fetch a newer table from; None if none is known."""
         newest = max(
             self.evidence.values(),
             key=lambda e: (
@@ -231,13 +247,13 @@
         return newest.sighting.host
 
     def store_age_s(self, now_s: float) -> float:
-        """Seconds since the store's word, own or passed on, was true."""
+        """Age of the store's last confirmation, also one through peers."""
         return now_s - self.store_at_s
 
     def is_store_read_due(self, now_s: float) -> bool:
         """Whether a read of the store is due.
 
-        Peers pass the store's word on; so a few reads serve the fleet.
+        Peers relay the store's confirmation, so few nodes have to read it.
         """
         age_s = self.store_age_s(now_s)
         return age_s > RENEW_SHARE * self.settings.stale_s
@@ -251,7 +267,11 @@
         return len(self.group(now_s)) >= self.quorum
 
     def group(self, now_s: float) -> set[str]:
-        """Hosts that were seen lately and know no newer table."""
+        """Hosts with recent evidence that count towards a quorum.
+
+        They know no newer table than this node.  The node itself is included
+        if it is rooted.
+        """
         hosts = {
             host
             for host, evidence in self._recent(now_s)
@@ -266,8 +286,9 @@
     def takes_work(self, now_s: float) -> bool:
         """Whether the node takes new work.
 
-        A store that was restored to an older copy would start a node with
-        a table that had been replaced.  Hence it listens for peers first.
+        From a store that was restored from a backup, a starting node may
+        read a table that has been replaced.  It therefore waits for a first
+        peer, for at most ``join_s``.
         """
         if not self.is_fresh(now_s):
             return False
@@ -276,12 +297,13 @@
         )
 
     def tick(self, now_s: float) -> None:
-        """Let a process that started without the store count as a member.
+        """Let a process that started without the store count in a quorum.
 
-        It may have acknowledged an edit in its former life and have met a
-        group that misses this edit.  After twice ``stale_s`` all evidence
-        is younger than any acceptance that still relied on that life, and
-        a quorum that shows nothing newer is then as good as the store.
+        An earlier process of this host may have acknowledged an edit, and
+        the hosts that this process sees may lack this edit.  After twice
+        ``stale_s`` all evidence is younger than any acceptance that relied on
+        the earlier process.  A quorum without a newer table is then as
+        reliable as the store.
         """
         waited_s = now_s - self.started_s
         if self.rooted or waited_s < 2 * self.settings.stale_s:
@@ -290,16 +312,16 @@
             self.rooted = True
 
     def acts_on_staged(self, now_s: float) -> bool:
-        """Whether staged edits are to be put in force unconfirmed.
+        """Whether staged edits are in force before they are accepted.
 
-        A node that has acknowledged an edit and then loses touch cannot
-        tell whether the edit was accepted.  Since a staged edit is never
-        withdrawn, acting on it early contradicts nothing.
+        A node that has acknowledged an edit and then has no recent
+        confirmation by the store can't tell whether the edit was accepted.
+        A staged edit is never withdrawn, so applying it early is consistent.
         """
         return self.store_age_s(now_s) > self.settings.stale_s
 
     def sighting(self, now_s: float) -> Sighting:
-        """What this node tells of itself."""
+        """The sighting that this node sends of itself."""
         return Sighting(
             self.host,
             self.incarnation,
@@ -315,8 +337,9 @@
     def relayed_sightings(
         self, now_s: float, max_hosts: int, rng: Any
     ) -> list[Sighting]:
-        """What this node can tell of others, ``most`` of them drawn by lot.
+        """Sightings of other hosts to relay, chosen at random.
 
+        :param max_hosts: maximum number of sightings.
         :param rng: an object with ``randrange``.
         """
         recent = [evidence for _, evidence in self._recent(now_s)]
@@ -341,12 +364,12 @@
     def acceptance(
         self, now_s: float, stopped: Iterable[str] = ()
     ) -> Accept | Wait | Blocked:
-        """Whether the staged revision held may be accepted.
+        """Whether the staged revision that the node holds may be accepted.
 
-        The node must itself be fresh by the store: the caller follows with
-        a compare-and-swap there.
+        The store must have confirmed the node's table within ``stale_s``;
+        the caller then accepts by a compare-and-swap in the store.
 
-        :param stopped: hosts that said farewell.
+        :param stopped: hosts that have announced that they leave.
         """
         revision = self.staged_revision
         recent = dict(self._recent(now_s))
@@ -384,10 +407,10 @@
     def _idle_since_staged(
         self, recent: Mapping[str, _Evidence]
     ) -> frozenset[str]:
-        """Hosts that have stopped to take work.
+        """Hosts that were seen to take no work after the edit was staged.
 
-        One that was seen idle before the edit was staged may have begun to
-        work since; it is waited for like the others.
+        A host that was last seen idle before that may have begun to take
+        work, so acceptance waits for it like for any other host.
         """
         return frozenset(
             host
@@ -397,10 +420,11 @@
         )
 
     def _hosts_outside_settings(self, revision: int) -> set[str]:
-        """Hosts outside the settings that may work without the edit.
+        """Hosts outside the settings that may take work without the edit.
 
-        They came by the platform's list of hosts. The quorum does not count
-        them, but they are given the time to learn of the edit or to stop.
+        They were found by the platform's list of hosts.  They do not count
+        in the quorum, but acceptance waits until they have the edit or their
+        evidence has expired.
         """
         oldest_s = self._staged_s - self.settings.stale_s * (
             1 + MAX_CLOCK_DRIFT_SHARE
@@ -425,10 +449,10 @@
             self._last_acknowledged_s = now_s
 
     def _are_missing_hosts_stale(self, now_s: float) -> bool:
-        """Whether all hosts that miss the edit are stale by now.
+        """Whether the evidence of all hosts that miss the edit has expired.
 
-        Their evidence dates from before the last host acknowledged: any
-        later answer would have shown them the edit.
+        It dates from before the last acknowledgement, since any later answer
+        would have shown them the edit.
         """
         waited_s = now_s - self._last_acknowledged_s
         return waited_s > self.settings.stale_s * (1 + MAX_CLOCK_DRIFT_SHARE)
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -1,14 +1,4 @@
-"""Who is alive: gossip with indirect probes, suspicion and incarnations.
-
-The protocol is SWIM with the local health of Lifeguard.  Each period a node
-probes one peer; a peer that does not answer is asked for through helpers in
-several failure domains, then suspected, and declared dead unless it refutes
-in time.  News rides on probes and answers; the bytes of a datagram and the
-datagrams of a period are bounded, whatever the size of the fleet.
-
-An incarnation belongs to a process and is given at its start; a later
-process of the host has a higher one.  ``refutations`` counts within it.
-"""
+"""SWIM group membership with Lifeguard's local health score."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -38,23 +28,32 @@
 DEAD = 'dead'
 LEFT = 'left'
 _STATE_RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3}
+#: Maximum of the local health score; 0 is healthy.
 MAX_HEALTH = 4
-#: Independent suspicions that shorten the wait to its least.
+#: Confirmations by other hosts that reduce the suspicion timeout to its
+#: minimum.
 MAX_CONFIRMATIONS = 2
-#: Each update is sent this often for each doubling of the fleet.
+#: Each update is sent this many times per doubling of the fleet size.
 RETRANSMIT_FACTOR = 3
 
 
 class MembershipSettings(NamedTuple):
-    """Times and bounds of the protocol.
-
-    :param suspicion_s: least time between suspicion and death.
-    :param helpers: peers asked to probe in one's stead.
-    :param updates: members told of in a datagram.
-    :param sightings: hosts vouched for in a datagram.
-    :param pause_s: a gap between ticks that counts as a pause.
-    :param knock_s: time between probes of a host believed gone.
-    :param survey: most peers probed at once by a survey.
+    """Intervals and limits of the protocol.
+
+    :param period_s: time between two probes.
+    :param ping_timeout_s: time without an answer after which indirect
+        probes are requested, at a health score of 0.
+    :param suspicion_s: minimum time from suspecting a host to declaring it
+        dead.
+    :param helpers: maximum number of peers that are asked for an indirect
+        probe.
+    :param updates: maximum number of members in a datagram.
+    :param sightings: maximum number of sightings in a datagram.
+    :param pause_threshold_s: a longer gap between two ticks means that the
+        process was paused.
+    :param unreachable_probe_interval_s: time between two probes of hosts
+        that are dead, have left or have never answered.
+    :param survey: maximum number of peers that a survey probes.
     """
 
     period_s: float = 0.5
@@ -69,10 +68,14 @@
 
 
 class Member(NamedTuple):
-    """A host as others see it.
-
-    :param spare: free share of the host, 0 to 1.
-    :param successor: host that took over the records of one that left.
+    """Gossip state of a host.
+
+    :param incarnation: identifies a process of the host; a process that
+        starts later has a higher one.
+    :param refutations: suspicions that this process has refuted; orders its
+        updates within the incarnation.
+    :param spare: share of the host's capacity that is free, 0 to 1.
+    :param successor: host that took over the records of a host that left.
     """
 
     host: str
@@ -91,10 +94,11 @@
 
 
 class Ping(NamedTuple):
-    """Are you there?
+    """A probe.
 
-    :param source: the sender, first-hand.
-    :param target: host meant; another process at its address keeps still.
+    :param source: state of the sender.
+    :param target: probed host; a process of another host that now has the
+        address does not answer.
     """
 
     sequence: int
@@ -106,7 +110,7 @@
 
 
 class PingRequest(NamedTuple):
-    """Probe the target for me and pass its answer on."""
+    """A request to probe the target and to forward its answer."""
 
     sequence: int
     source: Member
@@ -119,7 +123,10 @@
 
 
 class Ack(NamedTuple):
-    """Here I am; ``source`` is the probed host, also through a helper."""
+    """The answer to a probe.
+
+    :param source: state of the probed host, also in a forwarded answer.
+    """
 
     sequence: int
     source: Member
@@ -134,7 +141,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Send:
-    """Send a datagram.
+    """A datagram to send.
 
     :param address: numeric address and port.
     """
@@ -145,7 +152,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DigestReceived:
-    """A peer's digest, as it set it."""
+    """A peer's digest, as encoded by that peer."""
 
     host: str
     digest: bytes
@@ -153,14 +160,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Paused:
-    """The process stood still; leases are to be dropped before acting."""
+    """The process was paused: leases must be dropped before it acts."""
 
     for_s: float
 
 
 @dataclasses.dataclass(frozen=True)
 class Superseded:
-    """A newer process runs for this host; this one is to stop."""
+    """A newer process of this host is running: this one must stop."""
 
     incarnation: int
 
@@ -169,16 +176,16 @@
 
 
 class MembersView(NamedTuple):
-    """The members, oneself among them.
+    """The members, including this host.
 
-    :param lost_domains: failure domains of which no host answers.
+    :param lost_domains: failure domains without an alive host.
     """
 
     members: Mapping[str, Member]
     lost_domains: frozenset[str] = frozenset()
 
     def alive(self) -> list[Member]:
-        """Members that are thought to be alive, oneself among them."""
+        """The members in state alive, including this host."""
         return [m for m in self.members.values() if m.state == ALIVE]
 
 
@@ -203,12 +210,19 @@
 
 
 class Membership:
-    """The protocol of one node.
+    """Protocol state of one node.
 
-    :param self_member: oneself, with the incarnation of this process.
+    Each period the node probes one peer.  If the peer does not answer, peers
+    in several failure domains are asked to probe it.  If they get no answer
+    either, it is suspected, and declared dead unless it refutes the
+    suspicion in time.  Updates are piggybacked on probes and answers.  The
+    bytes of a datagram and the datagrams of a period are bounded, whatever
+    the size of the fleet.
+
+    :param self_member: this host, with the incarnation of this process.
     :param rng: source of randomness.
-    :param peers: hosts of the settings, to join by; state and revisions in
-        them are not believed.
+    :param peers: hosts of the settings, used as seeds; their states and
+        revisions are ignored.
     """
 
     def __init__(
@@ -252,13 +266,14 @@
         self._hosts: list[str] = []
         self._view: MembersView | None = None
 
-    # What the rest of the node reads and tells.
+    # Interface to the rest of the node.
 
     def view(self) -> MembersView:
-        """The members now; the same object until one of them changes.
+        """The current members; the same object until one of them changes.
 
-        It is asked for at each tick and datagram. Rebuilt each time, it
-        took a node of a large fleet most of what membership costs.
+        The view is read at each tick and for each datagram.  Rebuilding it
+        each time would take most of the CPU time that membership uses in a
+        large fleet.
         """
         if self._view is None or self._view.members[self.own.host] != self.own:
             self._view = self._build_view()
@@ -277,25 +292,25 @@
         return MembersView(members, lost)
 
     def set_table(self, table_revision: int, staged_revision: int) -> None:
-        """Tell the others which table this node holds."""
+        """Set the table revisions that gossip announces for this node."""
         self.freshness.set_held_revisions(table_revision, staged_revision)
 
     def set_spare(self, spare: float) -> None:
-        """Tell the others how much room this node has.
+        """Set the free capacity that gossip announces for this node.
 
-        :param spare: 0 (none) to 1
+        :param spare: free share, 0 to 1
         """
         self.freshness.spare = spare
 
     def stop_taking_work(self) -> None:
-        """Take no new work from now on, whatever the evidence says."""
+        """Announce permanently that this node takes no new work."""
         self.accepts = False
 
     def survey(self, now_s: float) -> list[Action]:
-        """Probe many peers at once, to hear soon who holds which table.
+        """Probe many peers at once to learn which table each of them holds.
 
-        One probe a period would take a period for each host; an edit is
-        rare enough to pay for more.
+        With one probe a period this would take one period per host.  Edits
+        of the table are rare enough for the additional datagrams.
         """
         peers = self._shuffled(self._peers_in_state(ALIVE, SUSPECT))
         sends: list[Action] = []
@@ -305,21 +320,27 @@
         return sends
 
     def add_seed(self, peer: Member) -> None:
-        """A host that the platform lists; it lags, so it is only knocked."""
+        """Add a host of the platform's list to the hosts that are probed.
+
+        The list lags, so the host becomes a member only when it answers.
+        """
         if peer.host != self.own.host:
             self.seeds.setdefault(peer.host, peer)
 
     def leave(self, successor: str, now_s: float) -> list[Action]:
-        """Say farewell; the records go to the successor."""
+        """Announce to some peers that this host leaves.
+
+        :param successor: host that takes over the records.
+        """
         self.own = self.own._replace(state=LEFT, successor=successor)
         peers = self._shuffled(self._peers_in_state(ALIVE))
         chosen = peers[: 2 * self.settings.helpers]
         return [self._ping(peer, now_s) for peer in chosen]
 
-    # Time.
+    # Timers.
 
     def tick(self, now_s: float) -> list[Action]:
-        """To be called about every tenth of a second."""
+        """Handle due timers; to be called about every 0.1 s."""
         actions: list[Action] = []
         gap_s = now_s - self._last_tick_s
         self._last_tick_s = now_s
@@ -337,7 +358,10 @@
         return actions
 
     def _handle_pause(self, gap_s: float, now_s: float) -> Paused:
-        """Doubt oneself first: probes and suspicions ran out unheard."""
+        """Drop the probe and restart all suspicions after a pause.
+
+        Their timeouts passed while this process could not receive answers.
+        """
         self._raise_health_score()
         self._probe = None
         for suspicion in self._suspicions.values():
@@ -369,7 +393,7 @@
         return [send]
 
     def _next_target(self) -> Member | None:
-        """Go round in a shuffled order, so that each has its turn."""
+        """The next peer to probe, round-robin in a shuffled order."""
         for _ in range(len(self.members) + 1):
             if not self._probe_order:
                 others = self._peers_in_state(ALIVE, SUSPECT)
@@ -401,11 +425,12 @@
         return []
 
     def _raise_health_score(self) -> None:
-        """Be more patient: it may be oneself who is slow or cut off.
+        """Lengthen all timeouts: this host may be slow or partitioned.
 
-        Signs are that nobody at all is heard, or that answers come after
-        their time.  While others are heard in time, a peer that is not has
-        failed, and patience would only delay the news of several failures.
+        The signs are that no datagram at all arrives, that answers arrive
+        after the timeout, or that others suspect this host.  While other
+        peers answer in time, a silent peer has failed, and longer timeouts
+        would only delay the detection of several failures.
         """
         self.health = min(MAX_HEALTH, self.health + 1)
 
@@ -429,10 +454,10 @@
         ]
 
     def _helpers(self, target: Member) -> list[Member]:
-        """Peers to probe in one's stead, first one of each failure domain.
+        """Peers that send indirect probes, first one per failure domain.
 
-        When a whole domain is cut off, helpers elsewhere say so at once;
-        helpers near the target alone could not tell.
+        When a whole domain is partitioned, helpers in other domains detect
+        it; helpers in the domain of the target would still reach it.
         """
         others = [
             m for m in self._peers_in_state(ALIVE) if m.host != target.host
@@ -450,7 +475,11 @@
         return (first_of_domain + others_of_domain)[: self.settings.helpers]
 
     def _probe_unreachable(self, now_s: float) -> list[Action]:
-        """Probe a host believed gone: after a partition someone must."""
+        """Probe a random seed that is dead, has left or never answered.
+
+        Without these probes the two sides of a partition would not find
+        each other again after it has healed.
+        """
         self._next_unreachable_probe_s = (
             now_s + self.settings.unreachable_probe_interval_s
         )
@@ -477,10 +506,11 @@
                     self._set_and_announce(member._replace(state=DEAD))
 
     def _suspicion_timeout_s(self, suspicion: _Suspicion) -> float:
-        """Three times the least wait when alone, less when others agree.
+        """Time from suspicion to death.
 
-        A slow node thinks that all the others are; nobody confirms, and its
-        own local health draws the wait out further.
+        Without a confirmation by other hosts it is three times the minimum.
+        A slow node suspects all others: nobody confirms it, and its own
+        health score lengthens the timeout further.
         """
         min_s = self.settings.suspicion_s
         confirmed = min(MAX_CONFIRMATIONS, len(suspicion.sources) - 1)
@@ -501,7 +531,7 @@
     # Messages.
 
     def receive(self, message: Message, now_s: float) -> list[Action]:
-        """Take a datagram in."""
+        """Handle a received datagram."""
         self._received_s = now_s
         actions = self._merge_all((message.source, *message.updates), now_s)
         self._merge_sightings(message.sightings)
@@ -571,7 +601,10 @@
         return []
 
     def _clear_own_suspicion(self, source: Member) -> None:
-        """It answered: own suspicion of it ends; it refutes the others'."""
+        """End a suspicion that only this node holds: the peer answered.
+
+        Suspicions by other hosts are refuted by the peer itself.
+        """
         member = self.members.get(source.host)
         if member is not None and member.state == SUSPECT:
             suspicion = self._suspicions.get(source.host)
@@ -579,7 +612,7 @@
                 del self._suspicions[source.host]
                 self._set_member(member._replace(state=ALIVE))
 
-    # State.
+    # Member states.
 
     def _merge_all(
         self, members: Iterable[Member], now_s: float
@@ -657,7 +690,11 @@
     def _merge_sightings(
         self, sightings: Iterable[freshness.Sighting]
     ) -> None:
-        """Revisions only grow within an incarnation; order is no matter."""
+        """Merge table revisions, free capacity and readiness for work.
+
+        Revisions only grow within an incarnation, so sightings may arrive
+        in any order.
+        """
         for seen in sightings:
             known = self.members.get(seen.host)
             if known is None or known.incarnation != seen.incarnation:
@@ -672,7 +709,7 @@
             )
             self._set_member(seen_now)
 
-    # Riders: what every datagram carries.
+    # Piggybacked updates, sightings and digest of each datagram.
 
     def _ping(self, peer: Member, now_s: float) -> Send:
         self._sequence += 1
@@ -692,10 +729,10 @@
         return self._updates(receiver), sightings, self.digest
 
     def _updates(self, receiver: Member | None) -> tuple[Member, ...]:
-        """Members to tell of, the least told first.
+        """Members to send in a datagram, those sent least often first.
 
-        A receiver that is believed gone is told so above all; only it can
-        refute.
+        If the receiver is suspected or declared dead, its own state comes
+        first, since only the receiver can refute it.
         """
         chosen = []
         if receiver is not None:
@@ -717,7 +754,10 @@
         return tuple(chosen + self._random_update(chosen))
 
     def _random_update(self, chosen: list[Member]) -> list[Member]:
-        """One more member, told at random: a newcomer hears of all."""
+        """A random further member if there is space for one.
+
+        A host that has just joined thus learns of all members in time.
+        """
         if len(chosen) >= min(self.settings.updates, len(self._hosts)):
             return []
         while True:
