--- a/magnoliadyke/core/digestexchange.py
+++ b/magnoliadyke/core/digestexchange.py
@@ -1,4 +1,4 @@
-"""What a node tells its peers and makes of what they tell."""
+"""Builds a node's gossip digest and merges the digests of its peers."""
 
 from typing import NamedTuple
 
@@ -8,29 +8,30 @@
 __all__ = ['Demand', 'DigestExchange']
 
 MAX_SUSPECTS_SENT = 24
-#: How long a digest may be on its way: it is encoded once a second and rides
-#: on the datagrams of that second. Word of suspects is taken to be so much
-#: older than it says. Else word that goes round from node to node hardly
-#: ages, a run that ended long ago seems to go on, and no suspect gets its
-#: turn. Enough, as word then never seems younger than it is.
+#: Upper bound of the age of a digest when it arrives: it is encoded once a
+#: second and sent with all datagrams of that second. The bound is added to
+#: the ages in suspect reports. Otherwise reports that nodes forward to each
+#: other would hardly age: a run that ended long ago would seem to go on, and
+#: no other suspect would be retried.
 MAX_DIGEST_DELAY_S = 1.5
-#: A peer that was not heard for so long is forgotten.
+#: The state of a peer is dropped after this time without a digest.
 PEER_RETENTION_S = 60.0
-#: Totals remembered of one peer. Customers that it serves much are told in
-#: each digest and stay; of the others only a first figure is lost.
+#: Customers whose totals are kept per peer. Those with much usage are in
+#: every digest and stay. For another customer whose total was dropped, the
+#: usage up to its next report is not counted.
 MAX_TOTALS_PER_PEER = 64
 
 
 class Demand(NamedTuple):
-    """Work that a pool is asked for by all nodes, for the planner of roles.
+    """Demand of all nodes on a pool, used to plan the roles of its engines.
 
-    Counts what fair sharing will serve; the rest of a flood is refused.
+    It covers only work that fair sharing admits; excess load is rejected.
 
-    :param prefill_s_per_s: engine-seconds of prefill arriving a second
-    :param decode_s_per_s: engine-seconds of decode arriving a second
-    :param queued: jobs that wait
-    :param queued_prefill_s: engine-seconds of prefill that wait
-    :param queued_decode_s: engine-seconds of decode that wait
+    :param prefill_s_per_s: engine-seconds of prefill that arrive per second
+    :param decode_s_per_s: engine-seconds of decode that arrive per second
+    :param queued: jobs in the queues
+    :param queued_prefill_s: engine-seconds of prefill in the queues
+    :param queued_decode_s: engine-seconds of decode in the queues
     :param running: jobs dispatched and not finished
     """
 
@@ -43,9 +44,9 @@
 
 
 class DigestExchange:
-    """Digests out and in.
+    """Builds and merges digests for one node.
 
-    :param epoch: differs at each start of a node
+    :param epoch: number that differs at each start of the node
     :param pools: :class:`magnoliadyke.core.pools.PoolQueue` by name
     :param bounds: :class:`magnoliadyke.core.limits.Limits`
     :param judge: :class:`magnoliadyke.core.quarantine.Quarantine`
@@ -63,9 +64,9 @@
         self.rotation = 0
 
     def digest(self, runs, now_s):
-        """This node's news, for all peers.
+        """Build this node's digest, which is the same for all peers.
 
-        :param runs: the node's jobs
+        :param runs: jobs of the node, waiting or dispatched
         """
         self._expire_peers(now_s)
         pools = tuple(pool.news(now_s) for pool in self.pools.values())
@@ -77,7 +78,10 @@
         return digests.Digest(self.epoch, pools, customers, suspects)
 
     def receive_digest(self, host, digest, now_s):
-        """A peer's news."""
+        """Merge a peer's digest.
+
+        :param host: the peer
+        """
         peer_state = self.peers.get(host)
         if peer_state is None or peer_state.epoch != digest.epoch:
             peer_state = self.peers[host] = _Peer(digest.epoch)
@@ -93,10 +97,10 @@
             self._merge_suspect(report, now_s)
 
     def demand(self, pool_name, now_s):
-        """What the pool is asked for by all nodes.
+        """Estimate the demand of all nodes on a pool.
 
-        In a big fleet a node hears some of its peers only; the rest are
-        taken to be like these.
+        In a large fleet a node has recent digests of only some peers; the
+        mean demand of these is assumed for the others.
         """
         pool = self.pools[pool_name]
         local = pool.news(now_s)[2:]
@@ -117,14 +121,20 @@
         )
 
     def _expire_peers(self, now_s):
-        """Hosts are replaced all the time; what they told goes with them."""
+        """Drop the state of peers that no longer send digests.
+
+        Hosts are replaced often, so the state would otherwise grow.
+        """
         oldest_s = now_s - PEER_RETENTION_S
         for host, peer in list(self.peers.items()):
             if peer.received_s < oldest_s:
                 del self.peers[host]
 
     def _recent_pool_demands(self, number, now_s):
-        """Figures of a pool from the peers heard of late."""
+        """Demand on a pool from each peer with a recent digest.
+
+        :param number: checksum of the pool's name
+        """
         oldest_s = now_s - self.shares.settings.fresh_s
         return [
             peer.pools[number][2:]
@@ -146,53 +156,54 @@
         )
 
     def _customer_usages(self, now_s):
-        """The customers whose figures moved most, and some of the rest."""
-        report = {}
+        """Usage of the customers to send in the next digest."""
+        usages = {}
         for pool in self.pools.values():
             for customer, served_s in pool.queue.served.items():
                 number = self.register_name(customer, pool.name)
                 usage = self.limits.usage(customer, now_s)
-                report[number] = digests.CustomerUsage(
+                usages[number] = digests.CustomerUsage(
                     number,
                     digests.served_ms(served_s),
                     usage.token_rate.now(now_s),
                     max(0, usage.running + usage.waiting),
                 )
-        chosen = self._select_customers(report)
+        chosen = self._select_customers(usages)
         for each in chosen:
             self.last_sent[each.customer] = each
             self.limits.tell(self.names[each.customer][0], now_s)
         return tuple(chosen)
 
-    def _select_customers(self, report):
+    def _select_customers(self, usages):
         max_customers = digests.MAX_CUSTOMERS
-        if len(report) <= max_customers:
-            return list(report.values())
+        if len(usages) <= max_customers:
+            return list(usages.values())
         ranked = sorted(
-            report.values(), key=self._change_since_sent, reverse=True
+            usages.values(), key=self._change_since_sent, reverse=True
         )
         chosen = {
             each.customer: each for each in ranked[: max_customers * 3 // 4]
         }
-        remaining = sorted(number for number in report if number not in chosen)
+        remaining = sorted(number for number in usages if number not in chosen)
         while len(chosen) < max_customers:
             self.rotation += 1
             number = remaining[self.rotation % len(remaining)]
-            chosen[number] = report[number]
+            chosen[number] = usages[number]
         return list(chosen.values())
 
-    def _change_since_sent(self, report):
-        last_sent = self.last_sent.get(report.customer)
+    def _change_since_sent(self, usage):
+        last_sent = self.last_sent.get(usage.customer)
         if last_sent is None:
             return float('inf')
-        served_s = digests.served_since_s(
-            last_sent.served_ms, report.served_ms
-        )
-        wanted = abs(report.wanted - last_sent.wanted)
+        served_s = digests.served_since_s(last_sent.served_ms, usage.served_ms)
+        wanted = abs(usage.wanted - last_sent.wanted)
         return abs(served_s) + wanted * 0.1
 
     def register_name(self, customer, pool_name):
-        """Learn a name that peers tell as a checksum."""
+        """Register the checksum by which digests name a customer and pool.
+
+        :returns: the checksum
+        """
         number = quarantine.short(f'{customer}/{pool_name}')
         self.names[number] = (customer, pool_name)
         return number
@@ -231,7 +242,11 @@
 
 
 class _Peer:
-    """What a peer last told."""
+    """State from the digests of one peer.
+
+    :ivar pools: last :class:`digests.PoolDemand` by pool checksum
+    :ivar served: last total in ms by customer checksum
+    """
 
     def __init__(self, epoch):
         self.epoch = epoch
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -1,13 +1,4 @@
-"""What a node tells its peers about its work, in a few hundred bytes.
-
-The size depends neither on the endpoints nor on the customers: each digest
-carries the customers whose figures moved most since they were last told and
-goes round the rest. All figures are totals or levels, so a lost digest is
-made good by the next.
-
-A digest has at most :data:`MOST_BYTES` bytes: 8 for the head, 4 pools of
-28, 16 customers of 14, and suspects in 240.
-"""
+"""Gossip digests: load and suspect requests of a node in a bounded size."""
 
 import struct
 from typing import NamedTuple
@@ -59,10 +50,14 @@
     """A node's demand on one pool.
 
     :param pool: checksum of the pool's name
-    :param asked_s_per_s: engine-seconds that arrive a second
-    :param prefill_s_per_s: those of prefill, as far as fair sharing will
-        serve them
-    :param queued_prefill_s: engine-seconds that wait
+    :param arriving_s_per_s: engine-seconds of work that arrive per second
+    :param prefill_s_per_s: engine-seconds of prefill that arrive per second
+        and that fair sharing admits
+    :param decode_s_per_s: the same for decode
+    :param queued_prefill_s: engine-seconds of prefill in the queue
+    :param queued_decode_s: engine-seconds of decode in the queue
+    :param queued: jobs in the queue
+    :param running: jobs dispatched and not finished
     """
 
     pool: int
@@ -76,12 +71,12 @@
 
 
 class CustomerUsage(NamedTuple):
-    """What a node served a customer in one pool.
+    """A customer's usage of one pool through one node.
 
     :param customer: checksum of 'customer/pool'
     :param served_ms: engine-milliseconds served, modulo 2**32
-    :param tokens_s: tokens a second that the customer asks of the node
-    :param wanted: its requests there, running and waiting
+    :param tokens_s: tokens per second that the customer requests of the node
+    :param wanted: its running and waiting requests at the node
     """
 
     customer: int
@@ -93,11 +88,17 @@
 class SuspectReport(NamedTuple):
     """A request that may crash engines.
 
-    :param fingerprint: six bytes
-    :param waiting_age_s: since it was last known to wait on some node, as
-        the sender heard; word of it travels on from node to node
-    :param running_age_s: likewise, to run
-    :param blames: (checksum of the endpoint, age in seconds) of its crashes
+    :param fingerprint: digest of the request, six bytes
+    :param pool: checksum of the pool's name
+    :param rank: output tokens before the crash, capped; a request with fewer
+        is more suspect
+    :param cleared: whether the crashes in ``blames`` are known not to be
+        caused by the request
+    :param waiting_age_s: time since the request was last known to wait on
+        any node; nodes forward the reports of other nodes
+    :param running_age_s: time since it was last known to run on any node
+    :param blames: crashes attributed to the request, each as (checksum of
+        the endpoint, age in seconds)
     """
 
     fingerprint: bytes
@@ -109,14 +110,22 @@
     blames: tuple
 
     def size(self):
-        """Bytes that the news takes in a digest."""
+        """Encoded size of the report in bytes."""
         return SUSPECT.size + len(self.blames) * BLAME.size
 
 
 class Digest(NamedTuple):
-    """All of one node's news.
+    """Demand, customer usage and suspect requests of one node.
 
-    :param epoch: changes when the node starts anew, and its totals with it
+    The size depends neither on the number of endpoints nor on that of
+    customers: a digest carries the customers whose figures have changed most
+    since they were last sent, and the others in turn.  All figures are totals
+    or levels, so the next digest makes up for a lost one.
+
+    A digest takes at most :data:`MAX_BYTES` bytes: 8 for the header, 4 pools
+    of 28 bytes, 16 customers of 14 bytes, and 240 bytes for suspects.
+
+    :param epoch: changes at a restart of the node, which resets its totals
     """
 
     epoch: int
@@ -125,7 +134,10 @@
     suspects: tuple = ()
 
     def to_bytes(self):
-        """Encode, within :data:`MOST_BYTES`."""
+        """Encode in at most :data:`MAX_BYTES` bytes.
+
+        Entries beyond the limits are left out.
+        """
         pools = self.pools[:MAX_POOLS]
         customers = self.customers[:MAX_CUSTOMERS]
         suspects = _fitting_suspects(self.suspects)
@@ -146,16 +158,16 @@
 
     @classmethod
     def from_bytes(cls, data):
-        """Decode; what a later version adds behind is left alone.
+        """Decode; fields that a later version appends are ignored.
 
-        :raises ValueError: the bytes are no digest
+        :raises ValueError: the bytes end before the digest does
         """
         try:
             return cls._decode(data)
         except struct.error as error:
             raise ValueError(
-                f'digest of {len(data)} bytes is cut short ({error}); '
-                'see that all nodes run compatible versions'
+                f'gossip digest of {len(data)} bytes is truncated ({error}); '
+                'check that all nodes run compatible versions'
             ) from error
 
     @classmethod
@@ -186,12 +198,15 @@
 
 
 def served_ms(served_s):
-    """A running total as it travels."""
+    """Encode a running total of engine-seconds, modulo 2**32 ms."""
     return round(served_s / SERVED_UNIT_S) % SERVED_MODULUS
 
 
 def served_since_s(before_ms, after_ms):
-    """Engine-seconds between two totals; corrections may be negative."""
+    """Engine-seconds between two totals.
+
+    The result is negative if the total was corrected downwards.
+    """
     passed = (after_ms - before_ms) % SERVED_MODULUS
     if passed >= SERVED_MODULUS // 2:
         passed -= SERVED_MODULUS
@@ -260,7 +275,10 @@
 
 
 def suspect_report(item, now_s):
-    """News of a (fingerprint, entry) of the quarantine."""
+    """Build the report of a quarantine entry.
+
+    :param item: (fingerprint, entry)
+    """
     fingerprint, entry = item
     cleared = not entry.blames
     blames_to_send = entry.void[-MAX_BLAMES:] if cleared else entry.blames
@@ -279,7 +297,7 @@
 
 
 def blames_of(report, now_s):
-    """Blames in this node's time."""
+    """The crashes of a report, with times of this node's clock."""
     return [
         quarantine.Blame(crash, now_s - age_s)
         for crash, age_s in report.blames
