--- a/magnoliadyke/core/credits.py
+++ b/magnoliadyke/core/credits.py
@@ -1,15 +1,4 @@
-"""What is believed to be at work on an endpoint, and how much more may go.
-
-Load reports lag by seconds, and several nodes use the same engines. Each
-node knows exactly what it sent itself; of the rest it knows what a report
-said beyond its own part at the time. Both together are the present belief.
-
-Streams on an engine are credits, split between the nodes by their demand.
-A node may go beyond its part by its share of what a report shows free. So
-nodes that see the same idle engine at once together fill it rather than
-each on its own: with equal views, at most one engine's worth is borrowed on
-top of what the parts guarantee, and the next report ends it.
-"""
+"""Estimates the load of an endpoint and limits a node's streams on it."""
 
 import bisect
 import collections
@@ -18,13 +7,22 @@
 
 __all__ = ['EndpointLoad', 'LaggedLoad', 'allowed_streams']
 
+#: Retention of local load; must exceed the delay of load reports.
 HISTORY_S = 15.0
-#: Less than this of others' prompts is none.
+#: Engine-seconds of peers' prompts below which they count as none.
 MIN_PEER_PREFILL_S = 0.01
 
 
 class LaggedLoad:
-    """A quantity on an endpoint: own part exact, others' part reported."""
+    """A load quantity of an endpoint: exact local load plus peers' load.
+
+    Load reports lag by seconds, and several nodes use the same engines. The
+    local load is what this node has sent itself. The peers' load is the last
+    reported total minus the local load at the time of that report.
+
+    :ivar local: load that this node has sent
+    :ivar peers: load from peers at the last report
+    """
 
     __slots__ = ('local', 'peers', 'times', 'values')
 
@@ -35,7 +33,7 @@
         self.values = collections.deque()
 
     def add(self, amount, now_s):
-        """Change the own part."""
+        """Add an amount, which may be negative, to the local load."""
         self.local += amount
         self.times.append(now_s)
         self.values.append(self.local)
@@ -44,22 +42,25 @@
             self.values.popleft()
 
     def local_at(self, at_s):
-        """The own part at a time of the near past."""
+        """The local load at a time within the last :data:`HISTORY_S`."""
         index = bisect.bisect_right(self.times, at_s)
         if index:
             return self.values[index - 1]
         return self.values[0] if self.values else self.local
 
     def report(self, total, at_s):
-        """Take a reported total that was true at ``at_s``."""
+        """Update the peers' load from a report.
+
+        :param total: load of all nodes at ``at_s``
+        """
         self.peers = max(0.0, total - self.local_at(at_s))
 
     def total(self):
-        """The own part and what others had at the last report."""
+        """The local load now plus the peers' load at the last report."""
         return self.local + self.peers
 
     def clear(self):
-        """Forget all; the endpoint started anew."""
+        """Reset to zero after a restart of the endpoint."""
         self.local = 0.0
         self.peers = 0.0
         self.times.clear()
@@ -67,12 +68,19 @@
 
 
 def allowed_streams(limit, credit_share, local_at_report, total_at_report):
-    """Streams that one node may have on an engine.
-
-    :param limit: streams that the engine serves in time
-    :param fraction: this node's part of the credits, 0 to 1
-    :param own_at_report: its own streams when the report was true
-    :param total_at_report: all nodes' streams then
+    """Maximum number of streams that one node may have on an engine.
+
+    The streams of an engine are credits, divided between the nodes by their
+    demand. A node may exceed its guaranteed credits by its share of the
+    streams that a report shows free. Nodes that see the same idle engine at
+    the same time thus fill it together, not each on its own: if they have the
+    same report, they borrow at most one engine's streams beyond the guaranteed
+    credits, until the next report.
+
+    :param limit: streams that the engine serves within its objectives
+    :param credit_share: this node's share of the credits, 0 to 1
+    :param local_at_report: this node's streams at the time of the report
+    :param total_at_report: streams of all nodes at that time
     """
     guaranteed = credit_share * limit
     free = max(0.0, limit - total_at_report)
@@ -80,7 +88,10 @@
 
 
 class _Prompt:
-    """A prompt of this node that an endpoint reads or will read."""
+    """A prompt of this node whose prefill at an endpoint is not done.
+
+    :ivar remaining_s: estimated engine time until its prefill is done
+    """
 
     __slots__ = ('job_id', 'priority', 'remaining_s')
 
@@ -91,11 +102,14 @@
 
 
 class EndpointLoad:
-    """What this node believes is at work on one endpoint.
-
-    :ivar jobs: ids of this node's jobs that are there
-    :ivar reserved: of those, streams that have not begun
-    :ivar last_done_s: when it last finished reading one of our prompts
+    """Estimated load of one endpoint.
+
+    :ivar jobs: ids of this node's jobs at the endpoint
+    :ivar reserved: streams of these jobs that have not begun
+    :ivar prompts: this node's prompts in the order of their prefill
+    :ivar backlog: queued prefill work in seconds
+    :ivar last_prefill_done_s: when the endpoint last finished the prefill of
+        a prompt of this node
     """
 
     def __init__(self):
@@ -111,7 +125,7 @@
         self.last_prefill_done_s = float('-inf')
 
     def clear(self):
-        """It lost all its work."""
+        """Reset after the endpoint has lost all its work."""
         self.jobs.clear()
         self.streams.clear()
         self.kv_tokens.clear()
@@ -121,11 +135,16 @@
         self.peers = othersload.OthersPrompts()
 
     def has_only_local_prompts(self):
-        """Whether no other node's prompts were there at the last report."""
+        """Whether the last report showed no prompts of other nodes."""
         return self.peers.reported_s < MIN_PEER_PREFILL_S
 
     def add_prompt(self, job_id, priority, seconds, now_s):
-        """A prompt was sent; the endpoint reads the urgent ones first."""
+        """Record a sent prompt, after those of the same priority.
+
+        The endpoint prefills prompts by priority, the lowest number first.
+
+        :param seconds: estimated prefill time
+        """
         self._advance(now_s)
         prompt = _Prompt(job_id, priority, seconds)
         position = len(self.prompts)
@@ -135,7 +154,7 @@
         self.backlog.add(seconds, now_s)
 
     def remove_prompt(self, job_id, now_s):
-        """A prompt was read, or given up."""
+        """Remove a prompt whose prefill is done or cancelled."""
         self._advance(now_s)
         for index, prompt in enumerate(self.prompts):
             if prompt.job_id == job_id:
@@ -144,7 +163,7 @@
                 return
 
     def local_wait_s(self, priority, now_s):
-        """Seconds of this node's prompts that are read before a new one."""
+        """Prefill time of this node's prompts before a new one."""
         self._advance(now_s)
         wait_s = 0.0
         for prompt in self.prompts:
@@ -154,20 +173,24 @@
         return wait_s
 
     def peers_wait_s(self, now_s):
-        """Seconds of other nodes' prompts that wait there."""
+        """Estimated prefill time of the prompts of other nodes."""
         return self.peers.wait_s(now_s, bool(self.prompts))
 
     def record_prefill_backlog(self, seconds, at_s, now_s):
-        """Take the reported prefill backlog, true at ``at_s``."""
+        """Update the peers' backlog from a report.
+
+        :param seconds: prefill backlog of all nodes at ``at_s``
+        """
         self._advance(now_s)
         peers_backlog_s = max(0.0, seconds - self.backlog.local_at(at_s))
         self.peers.report(peers_backlog_s, at_s)
 
     def _advance(self, now_s):
-        """Let the first prompt be read for the time that passed.
+        """Subtract the elapsed time from the first prompt's remaining time.
 
-        What is left over is not given to the next one: the first is not
-        done before the endpoint says so, however wrong the estimate was.
+        Time beyond its estimate is not subtracted from the next prompt: the
+        first one is done only when the endpoint reports it, however wrong the
+        estimate was.
         """
         passed_s = now_s - self.prompts_at_s
         self.prompts_at_s = now_s
--- a/magnoliadyke/core/hostdiscovery.py
+++ b/magnoliadyke/core/hostdiscovery.py
@@ -1,11 +1,4 @@
-"""What the platform's list of hosts is worth: hints, since it lags.
-
-The list names addresses to knock at, so that a host is found that is in
-nobody's settings, and a fleet of which every host was replaced still joins.
-It calls no host alive or dead: only probes do. A host that it calls leaving
-is no longer named to callers, until a process answers that was started after
-the list was made.
-"""
+"""Finds hosts to probe, and leaving hosts, in the platform's host list."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -27,12 +20,12 @@
 LIVE = 'live'
 MIN_POLL_INTERVAL_S = 10.0
 MAX_POLL_INTERVAL_S = 60.0
-#: While a node sees nobody, the list is all that it has.
+#: Used while no peer is alive: the list is then the only source of hosts.
 ISOLATED_POLL_INTERVAL_S = 2.0
 
 
 class ListedHost(NamedTuple):
-    """A row of the list.
+    """An entry of the platform's host list.
 
     :param address: numeric address
     """
@@ -43,9 +36,15 @@
 
 
 class HostList(NamedTuple):
-    """The list.
+    """The platform's host list.
+
+    The list lags, so it never makes a host alive or dead; only probes do.
+    It gives the addresses of hosts that are in no node's settings, so that a
+    fleet in which every host was replaced still finds its members. A host
+    that the list marks as leaving is not announced to callers, unless its
+    process was started after the list was made.
 
-    :param at_s: wall time at which it was true
+    :param at_s: wall time for which the list is valid
     """
 
     at_s: float
@@ -53,9 +52,9 @@
 
 
 def parse_host_list(document: Any) -> HostList:
-    """Read the list as the platform publishes it.
+    """Parse a decoded host list of the platform.
 
-    :raises ValueError: when it is not one
+    :raises ValueError: a field is missing or has the wrong type
     """
     try:
         rows = tuple(
@@ -67,17 +66,18 @@
         )
         return HostList(float(document['at_s']), rows)
     except (KeyError, TypeError) as error:
-        raise ValueError(f'no list of hosts: {error!r}') from error
+        raise ValueError(f'malformed host list: {error!r}') from error
 
 
 def hosts_to_probe(
     listed: HostList, known: Iterable[str], own: membership.Member
 ) -> list[membership.Member]:
-    """Return hosts to knock at.
+    """Return listed hosts that are not yet probed and are not leaving.
 
     The list has no ports; the hosts of a deployment use the same ones.
 
-    :param known: hosts that are knocked at anyway
+    :param known: hosts that are probed already
+    :param own: this host
     """
     known = frozenset(known)
     return [
@@ -97,12 +97,12 @@
 def without_leaving(
     members: Mapping[str, membership.Member], listed: HostList, own: str
 ) -> dict[str, membership.Member]:
-    """Return the members; those that are leaving take no work.
+    """Return the members, with leaving ones marked as taking no work.
 
-    Should the list call all of them leaving, it is not believed: callers
-    would be left without any host on the word of a list that lags.
+    If no member would take work, the list is ignored: it lags, and callers
+    would be left without any host.
 
-    :param own: this host; its own word on itself counts
+    :param own: this host, whose entry in the list is ignored
     """
     leaving = {row.host for row in listed.hosts if row.leaving} - {own}
     without_work = {
@@ -123,10 +123,10 @@
 def poll_interval_s(alive: int) -> float:
     """Return the time between two reads of the list by one node.
 
-    The fleet as a whole reads about once a second, up to 60 hosts; beyond
-    that each reads once a minute.
+    From 10 to 60 hosts the fleet as a whole reads about once a second; in a
+    larger fleet each host reads once a minute.
 
-    :param alive: members that are alive, oneself among them
+    :param alive: members that are alive, including this host
     """
     if alive <= 1:
         return ISOLATED_POLL_INTERVAL_S
--- a/tests/test_hostdiscovery.py
+++ b/tests/test_hostdiscovery.py
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize('document', [None, {}, {'hosts': [{}], 'at_s': 1}])
 def test_what_is_no_list_is_refused(document):
-    with pytest.raises(ValueError, match='no list of hosts'):
+    with pytest.raises(ValueError, match='malformed host list'):
         hostdiscovery.parse_host_list(document)
 
 
