--- a/magnoliadyke/core/schema.py
+++ b/magnoliadyke/core/schema.py
@@ -1,4 +1,4 @@
-"""The sheets of the operators' table: columns, rows and single cells."""
+"""Schema of the operators' table: sheets, columns, rows and cells."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -33,8 +33,10 @@
     """One column of a sheet.
 
     :param kind: 'count', 'number', 'share', 'choice' or 'keys'.
-    :param low: least value, for numbers.
-    :param high: greatest value, for numbers.
+    :param low: minimum value, for numbers.
+    :param high: maximum value, for numbers.
+    :param choices: allowed values, for kind 'choice'.
+    :param effect: description for operators.
     """
 
     sheet: str
@@ -66,7 +68,7 @@
 
 
 class PoolRow(NamedTuple):
-    """How the roles of a pool are planned."""
+    """How prefill and decode roles are assigned to a pool's endpoints."""
 
     role_change_price: float = 500
     min_prefill: int = 1
@@ -286,9 +288,10 @@
 
 
 class View(NamedTuple):
-    """The table as the rest of the node reads it.
+    """The rows of the table at one revision.
 
-    A customer without a row is unknown; other rows fall back to defaults.
+    A customer without a row is unknown; pools, endpoints and hosts without
+    a row have the defaults.
     """
 
     revision: int
@@ -298,20 +301,20 @@
     hosts: Mapping[str, HostRow]
 
     def pool(self, name: str) -> PoolRow:
-        """Row of a pool, with defaults when it has none."""
+        """The row of a pool, or the defaults if it has none."""
         return self.pools.get(name, PoolRow())
 
     def endpoint(self, name: str) -> EndpointRow:
-        """Row of an endpoint, with defaults when it has none."""
+        """The row of an endpoint, or the defaults if it has none."""
         return self.endpoints.get(name, EndpointRow())
 
     def host(self, name: str) -> HostRow:
-        """Row of a host, with defaults when it has none."""
+        """The row of a host, or the defaults if it has none."""
         return self.hosts.get(name, HostRow())
 
 
 class Problem(NamedTuple):
-    """What is wrong with a cell, and what to do about it."""
+    """An invalid cell, with the reason and the remedy."""
 
     cell: str
     value: Cell
@@ -323,7 +326,10 @@
 
 
 def column_of(cell: str) -> Column | None:
-    """The column of a cell, None when there is none."""
+    """The column of a cell; None if the schema has no such column.
+
+    :param cell: name of the cell, as sheet/row/column
+    """
     parts = cell.split('/')
     if len(parts) != 3:
         return None
@@ -331,7 +337,7 @@
 
 
 def view_of(cells: Cells, revision: int) -> View:
-    """The rows that the cells make up; unknown columns are passed over."""
+    """Build the rows from cells; cells of unknown columns are ignored."""
     rows: dict[str, dict[str, dict[str, Cell]]] = {s: {} for s in SHEETS}
     for cell, value in cells.items():
         if column_of(cell) is not None:
@@ -345,7 +351,7 @@
 
 
 def parse_cell(cell: str, text: str) -> Cell | Problem:
-    """The value that a text stands for; an empty text is the default."""
+    """Parse the text of a cell; an empty text gives None, the default."""
     column = column_of(cell)
     if column is None:
         return _unknown(cell, text)
@@ -364,7 +370,7 @@
 
 
 def cell_text(value: Cell) -> str:
-    """The text of a cell, as :func:`parse_cell` reads it."""
+    """Format a value as text that :func:`parse_cell` accepts."""
     if value is None:
         return ''
     if isinstance(value, list | tuple):
@@ -373,7 +379,7 @@
 
 
 def cell_problems(cells: Cells) -> list[Problem]:
-    """What is wrong with single cells."""
+    """Problems of single cells, without the rules across rows."""
     found = (_cell_problem(cell, value) for cell, value in cells.items())
     return [problem for problem in found if problem is not None]
 
@@ -387,7 +393,7 @@
         return Problem(
             cell,
             value,
-            'the name of the row is empty, too long or unprintable',
+            'the row name is empty, too long or not printable',
             f'use 1 to {MAX_NAME_LENGTH} printable characters without a slash',
         )
     if value is None or _is_valid(column, value):
--- a/magnoliadyke/core/tablerules.py
+++ b/magnoliadyke/core/tablerules.py
@@ -1,4 +1,4 @@
-"""Rules of the table that concern several rows, or names in the settings."""
+"""Checks the operators' table across rows and against the settings."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -10,9 +10,9 @@
 
 
 class Inventory(NamedTuple):
-    """Names that the settings know, for the checks across rows.
+    """Names in the settings, for the checks across rows.
 
-    :param pools: endpoint names of each pool of model engines.
+    :param pools: names of the endpoints of each pool of model engines.
     :param endpoints: names of all endpoints.
     :param hosts: names of all hosts.
     """
@@ -25,7 +25,10 @@
 def problems(
     cells: schema.Cells, inventory: Inventory | None
 ) -> list[schema.Problem]:
-    """What is wrong with rows taken together."""
+    """Problems of valid cells that concern several rows or the settings.
+
+    :param inventory: names in the settings; None skips the checks on them.
+    """
     found = _shared_keys(cells)
     if inventory is not None:
         found += _unknown_rows(cells, inventory)
@@ -44,7 +47,7 @@
             owner = owners.setdefault(key, cell)
             if owner != cell:
                 remedy = 'give each customer keys of its own'
-                reason = f'the key also stands in {owner}'
+                reason = f'the key is also in {owner}'
                 problems.append(schema.Problem(cell, key, reason, remedy))
     return problems
 
@@ -82,8 +85,11 @@
             cells, pool, endpoints
         ):
             continue
-        reason = f'{len(working)} endpoints are in, {required} are the least'
-        remedy = 'lower min_prefill or min_decode, or take endpoints in'
+        reason = (
+            f"{len(working)} endpoints have state 'in'; "
+            f'at least {required} are required'
+        )
+        remedy = "lower min_prefill or min_decode, or set endpoints to 'in'"
         cell = f'pools/{pool}/min_decode'
         problems.append(schema.Problem(cell, row.min_decode, reason, remedy))
     return problems
--- a/magnoliadyke/core/workspaces.py
+++ b/magnoliadyke/core/workspaces.py
@@ -1,8 +1,4 @@
-"""Who may use a route: workspaces, their keys, and what proves them.
-
-A key is never held, only its digest: what is logged, dumped or told to
-another host can't give it away.
-"""
+"""Authorizes requests on a route by the keys of workspaces."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -33,11 +29,12 @@
 class Workspaces:
     """The workspaces of one configuration, by the digests of their keys.
 
-    A key that stands in two workspaces belongs to the one that is listed
-    first.
+    Only digests are kept, so that neither logs, dumps nor messages to other
+    hosts can disclose a key. A key of several workspaces belongs to the one
+    that is listed first.
 
     :param listed: workspaces with their keys
-    :ivar shared: keys that stand in more than one workspace
+    :ivar shared: number of times that a key is listed for a further workspace
     """
 
     def __init__(
@@ -55,7 +52,7 @@
         return len(self._by_digest)
 
     def holder(self, key_digest: bytes | None) -> Workspace | None:
-        """The workspace that holds a key; None if none does."""
+        """The workspace that has a key; None if no workspace has it."""
         if key_digest is None:
             return None
         return self._by_digest.get(key_digest)
@@ -63,27 +60,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Allowed:
-    """The request may run, on behalf of a workspace if its route has one."""
+    """The request is authorized.
+
+    :param workspace: whose key it has; None if the route needs no key
+    """
 
     workspace: Workspace | None = None
 
 
 @dataclasses.dataclass(frozen=True)
 class UnknownKey:
-    """No workspace holds the key."""
+    """The request has no key, or no workspace has its key."""
 
     remedy: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Unconfirmed:
-    """This host can't tell whether the key has been taken away."""
+    """The host's configuration may be outdated and the key revoked."""
 
     reason: str = 'the configuration is not confirmed at present'
 
 
 def digest(key: bytes) -> bytes:
-    """The digest that stands for a key."""
+    """The digest by which a key is looked up."""
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest()
 
 
@@ -93,12 +93,13 @@
     key_digest: bytes | None,
     confirmed: bool,
 ) -> Allowed | UnknownKey | Unconfirmed:
-    """Whether a request may run under a configuration.
+    """Authorize a request under a configuration.
 
-    A host that has no proof of its configuration says so before it looks at
-    the key: one that it doesn't know may have been added since.
+    Without proof that the configuration is current, the result is
+    :class:`Unconfirmed` for every key: an unknown key may have been added
+    since.
 
-    :param key_digest: of the caller's key, None if it gave none
+    :param key_digest: digest of the caller's key; None without a key
     :param confirmed: whether the configuration is known to be the newest
     """
     known = configuration.workspaces
--- a/tests/test_tablerules.py
+++ b/tests/test_tablerules.py
@@ -19,11 +19,11 @@
         ({'pools/lease-model/min_decode': 3}, 'lower min_prefill'),
         (
             {'endpoints/e1/state': 'drain', 'endpoints/e2/state': 'drain'},
-            '1 endpoints are in, 2 are the least',
+            "1 endpoints have state 'in'; at least 2 are required",
         ),
         (
             {'customers/a/keys': [KEY], 'customers/b/keys': [KEY]},
-            'also stands in customers/a/keys',
+            'the key is also in customers/a/keys',
         ),
         (
             {'hosts/h1/state': 'drain', 'hosts/h2/state': 'drain'},
