--- a/magnoliadyke/core/digestexchange.py
+++ b/magnoliadyke/core/digestexchange.py
@@ -48,16 +48,17 @@
 
     :param epoch: number that differs at each start of the node
     :param pools: :class:`magnoliadyke.core.pools.PoolQueue` by name
-    :param bounds: :class:`magnoliadyke.core.limits.Limits`
-    :param judge: :class:`magnoliadyke.core.quarantine.Quarantine`
+    :param limits: :class:`magnoliadyke.core.limits.Limits`
+    :param request_quarantine:
+        :class:`magnoliadyke.core.quarantine.Quarantine`
     """
 
-    def __init__(self, epoch, pools, bounds, judge):
+    def __init__(self, epoch, pools, limits, request_quarantine):
         self.epoch = epoch
         self.pools = pools
-        self.limits = bounds
-        self.shares = bounds.shares
-        self.quarantine = judge
+        self.limits = limits
+        self.shares = limits.shares
+        self.quarantine = request_quarantine
         self.peers = {}
         self.last_sent = {}
         self.names = {}
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -29,7 +29,7 @@
 LEFT = 'left'
 _STATE_RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3}
 #: Maximum of the local health score; 0 is healthy.
-MAX_HEALTH = 4
+MAX_HEALTH_SCORE = 4
 #: Confirmations by other hosts that reduce the suspicion timeout to its
 #: minimum.
 MAX_CONFIRMATIONS = 2
@@ -239,7 +239,7 @@
         self.rng = rng
         self.digest = b''
         self.accepts = True
-        self.health = 0
+        self.health_score = 0
         self.members: dict[str, Member] = {}
         self.seeds = {p.host: p for p in peers if p.host != self_member.host}
         domains = {p.host: p.failure_domain for p in self.seeds.values()}
@@ -410,7 +410,7 @@
         if probe is None:
             return []
         waited_s = now_s - probe.sent_s
-        health_multiplier = 1 + self.health
+        health_multiplier = 1 + self.health_score
         if waited_s >= self.settings.period_s * health_multiplier:
             self._probe = None
             self._timed_out[probe.sequence] = probe.sent_s
@@ -432,7 +432,7 @@
         peers answer in time, a silent peer has failed, and longer timeouts
         would only delay the detection of several failures.
         """
-        self.health = min(MAX_HEALTH, self.health + 1)
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
 
     def _send_ping_requests(self, probe: _Probe, now_s: float) -> list[Action]:
         target = self.members.get(probe.target)
@@ -516,10 +516,10 @@
         confirmed = min(MAX_CONFIRMATIONS, len(suspicion.sources) - 1)
         share = math.log(1 + confirmed) / math.log(1 + MAX_CONFIRMATIONS)
         factor = 3 - 2 * share
-        return min_s * max(1.0, factor) * (1 + self.health / 4)
+        return min_s * max(1.0, factor) * (1 + self.health_score / 4)
 
     def _expire_probes(self, now_s: float) -> None:
-        oldest_s = now_s - 2 * MAX_HEALTH * self.settings.period_s
+        oldest_s = now_s - 2 * MAX_HEALTH_SCORE * self.settings.period_s
         self._relays = {
             s: r for s, r in self._relays.items() if r.sent_s > oldest_s
         }
@@ -594,7 +594,7 @@
                 return []
             sent_s = probe.sent_s
             self._probe = None
-            self.health = max(0, self.health - 1)
+            self.health_score = max(0, self.health_score - 1)
         if sent_s is not None:
             self._clear_own_suspicion(ack.source)
             self.freshness.handle_probe_answer(sent_s, now_s, ack.sightings)
