--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -40,7 +40,9 @@
 COUNT_BITS = 0x0F
 AGE_UNIT_S = 0.1
 MAX_UINT16 = 0xFFFF
+#: Crashes in the report of a cleared request; the latest are sent.
 MAX_BLAMES = 2
+#: Encodes every age from AGE_UNBOUNDED * AGE_UNIT_S up; decoded as infinity.
 AGE_UNBOUNDED = 0xFF
 SERVED_MODULUS = 1 << 32
 SERVED_UNIT_S = 0.001
@@ -54,8 +56,9 @@
     :param prefill_s_per_s: engine-seconds of prefill that arrive per second
         and that fair sharing admits
     :param decode_s_per_s: the same for decode
-    :param queued_prefill_s: engine-seconds of prefill in the queue
-    :param queued_decode_s: engine-seconds of decode in the queue
+    :param queued_prefill_s: engine-seconds of prefill that wait in the queue
+        and that fair sharing admits
+    :param queued_decode_s: the same for decode
     :param queued: jobs in the queue
     :param running: jobs dispatched and not finished
     """
