--- a/magnoliadyke/core/oldentries.py
+++ b/magnoliadyke/core/staleentries.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from magnoliadyke.core import catalog
-from magnoliadyke.core import lapses
+from magnoliadyke.core import expiredentries
 from magnoliadyke.core import position
 
 __all__ = ['OldEntries', 'PassedOver']
@@ -22,7 +22,7 @@
 #: that is still there is of an endpoint that lives.
 GONE_S = 5.0
 #: An endpoint that lives has written its entry again by then, in seconds.
-WRITTEN_S = lapses.LAPSE_S
+WRITTEN_S = expiredentries.LAPSE_S
 
 
 class PassedOver(NamedTuple):
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -8,9 +8,9 @@
 from magnoliadyke.core import burn
 from magnoliadyke.core import jobs
 from magnoliadyke.core import membership
+from magnoliadyke.core import migrationtarget
 from magnoliadyke.core import notices
 from magnoliadyke.core import outcomes
-from magnoliadyke.core import refuge
 from magnoliadyke.core import scheduler
 from magnoliadyke.core import snapshot
 from magnoliadyke.core import table
@@ -362,7 +362,9 @@
     def move_stream(self, message, now_s):
         """Give an answer its place on another engine."""
         core = self.scheduler
-        name = refuge.choose(core.runs, core.pools, message.job_id, now_s)
+        name = migrationtarget.choose(
+            core.runs, core.pools, message.job_id, now_s
+        )
         message.reply(name)
         return core.moved(message.job_id, name, now_s)
 
--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -3,7 +3,7 @@
 import collections
 import typing
 
-from magnoliadyke.core import lapses
+from magnoliadyke.core import expiredentries
 from magnoliadyke.core import revisionlag
 from magnoliadyke.gateway import peerstate
 from magnoliadyke import logs
@@ -57,7 +57,7 @@
             behind = follower.lag.behind(follower.clock.now_s(), in_reach)
             if behind is not None:
                 self._read_or_ask(behind)
-            if follower.mirror.lapses.asks_others():
+            if follower.mirror.expired_entries.asks_others():
                 self._explain_outage()
             if follower.clock.now_s() < self.introduced_s:
                 self._introduce()
@@ -101,7 +101,7 @@
                 LOG.warning_event('state_incomplete', told_by=address)
                 continue
             items = {key: items[key] for key in state.positions}
-            self.follower.mirror.lapses.regained_with(
+            self.follower.mirror.expired_entries.regained_with(
                 state.regained_s, self.follower.clock.now_s()
             )
             self.follower.take_all(items, state.position)
@@ -129,8 +129,8 @@
         Those that were cut off with this one, or that it has not met again,
         can't tell yet; it asks until one can, while entries are doubted.
         """
-        known = self.follower.mirror.lapses
-        told: list[lapses.Reach | None] = []
+        known = self.follower.mirror.expired_entries
+        told: list[expiredentries.Reach | None] = []
         alone = None
         for address in self._asked(''):
             state = peerstate.fetch(address, self.follower.lag.own)
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -9,7 +9,7 @@
 
 from magnoliadyke import app
 from magnoliadyke import clock as clocks
-from magnoliadyke.core import lapses
+from magnoliadyke.core import expiredentries
 from magnoliadyke.core import position
 from magnoliadyke.core import revisionlag
 from magnoliadyke.gateway import catchup
@@ -192,20 +192,22 @@
             },
             self.lag.own,
             self._reach(now_s),
-            self.mirror.lapses.regained_ago_s(now_s),
-            self.mirror.old_entries.told(now_s),
+            self.mirror.expired_entries.regained_ago_s(now_s),
+            self.mirror.stale_entries.told(now_s),
         )
 
-    def _reach(self, now_s: float) -> lapses.Reach | None:
+    def _reach(self, now_s: float) -> expiredentries.Reach | None:
         """Word of the store, its own or that of a host that watches."""
         if self.failing_since_s is not None or self.lag.own == position.START:
             return None
         since_s = self.regained_s
         age_s = 0.0
         if self.listening:
-            since_s = max(since_s, self.mirror.lapses.regained_s)
+            since_s = max(since_s, self.mirror.expired_entries.regained_s)
             age_s = now_s - self.updated_s
-        return lapses.Reach(min(now_s - since_s, MAX_IN_REACH_S), age_s)
+        return expiredentries.Reach(
+            min(now_s - since_s, MAX_IN_REACH_S), age_s
+        )
 
     # The store.
 
@@ -285,7 +287,7 @@
         self.clock.sleep(GATHER_S)
         self.mirror.settle()
         wait_s = self.watch_s
-        if self.mirror.lapses.doubted:
+        if self.mirror.expired_entries.doubted:
             wait_s = min(wait_s, DOUBT_WATCH_S)
         base = self.lag.own
         match self._watch_unless_behind(base, wait_s):
@@ -379,7 +381,7 @@
         self.updated_s = now_s
         if not self.listening:
             return
-        self.mirror.lapses.regained_with(told.regained_s, now_s)
+        self.mirror.expired_entries.regained_with(told.regained_s, now_s)
         if told.position <= self.lag.own:
             return
         if told.base > self.lag.own or not told.complete:
@@ -402,7 +404,7 @@
             return
         now_s = self.clock.now_s()
         self.relayed_s = now_s
-        regained_s = self.mirror.lapses.regained_ago_s(now_s)
+        regained_s = self.mirror.expired_entries.regained_ago_s(now_s)
         told = tuple(each for each in changes if each.key not in self.untold)
         self.others.relay(
             keyupdates.split(
@@ -439,7 +441,7 @@
         self.failures = 0
         if self.failing_since_s is not None:
             LOG.event('store_regained', after_s=now_s - self.failing_since_s)
-            self.mirror.lapses.regained(now_s, self.failing_since_s)
+            self.mirror.expired_entries.regained(now_s, self.failing_since_s)
             self.failing_since_s = None
             self.regained_s = now_s
 
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -14,9 +14,9 @@
 from thrift.transport import TTransport
 
 from magnoliadyke import app
-from magnoliadyke.core import lapses
-from magnoliadyke.core import oldentries
+from magnoliadyke.core import expiredentries
 from magnoliadyke.core import position
+from magnoliadyke.core import staleentries
 from magnoliadyke import errors
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
@@ -53,9 +53,9 @@
     items: tuple[store.Item, ...]
     positions: dict[str, position.Position]
     position: position.Position
-    reach: lapses.Reach | None
+    reach: expiredentries.Reach | None
     regained_s: float | None
-    passed_over: tuple[oldentries.PassedOver, ...] = ()
+    passed_over: tuple[staleentries.PassedOver, ...] = ()
 
 
 class StateServer(app.Component):
@@ -165,7 +165,7 @@
         raise errors.ProtocolError('a state without its era')
     reach = None
     if reply.in_reach_ms is not None and reply.word_age_ms is not None:
-        reach = lapses.Reach(
+        reach = expiredentries.Reach(
             reply.in_reach_ms / 1000, reply.word_age_ms / 1000
         )
     return PeerState(
@@ -186,7 +186,7 @@
         reach,
         _seconds(reply.regained_ms),
         tuple(
-            oldentries.PassedOver(
+            staleentries.PassedOver(
                 each.name,
                 position.Position(reply.era, each.revision),
                 each.gone,
--- a/magnoliadyke/gateway/suspects.py
+++ b/magnoliadyke/gateway/suspects.py
@@ -4,7 +4,7 @@
 from typing import Callable
 
 from magnoliadyke import clock as clocks
-from magnoliadyke.core import crashes
+from magnoliadyke.core import crashhistory
 from magnoliadyke.gateway import codec as codecs
 from magnoliadyke.gateway import placing_codec
 from magnoliadyke import logs
@@ -36,7 +36,7 @@
     ) -> None:
         self.clock = clock
         self.tell = tell
-        self.record = crashes.CrashRecord()
+        self.record = crashhistory.CrashRecord()
         self.told_since_s = float('-inf')
         self.told = 0
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashhistory.py
@@ -1,10 +1,10 @@
 """Requests after which endpoints die: who is barred, who is not."""
 
-from magnoliadyke.core import crashes
+from magnoliadyke.core import crashhistory
 
 
 def record(*broken):
-    made = crashes.CrashRecord()
+    made = crashhistory.CrashRecord()
     for request, endpoint, at_s in broken:
         made.broke(request, (endpoint,), at_s)
     return made
@@ -48,19 +48,19 @@
     made = record(*((b'r', f'e{n}', 0.0) for n in range(3)))
     for second in range(0, 1000, 50):
         assert made.barred_s(b'r', float(second))
-    assert not made.barred_s(b'r', 1000.0 + crashes.FORGET_S)
+    assert not made.barred_s(b'r', 1000.0 + crashhistory.FORGET_S)
 
 
 def test_old_crashes_do_not_add_up():
     made = record((b'r', 'e1', 0.0), (b'r', 'e2', 1.0))
-    made.broke(b'r', ('e3',), 2.0 + crashes.FORGET_S)
-    assert not made.barred_s(b'r', 2.0 + crashes.FORGET_S)
+    made.broke(b'r', ('e3',), 2.0 + crashhistory.FORGET_S)
+    assert not made.barred_s(b'r', 2.0 + crashhistory.FORGET_S)
 
 
 def test_memory_is_bounded():
-    many = crashes.MOST_REQUESTS + 100
+    many = crashhistory.MOST_REQUESTS + 100
     made = record(*((b'%d' % n, 'e1', n * 1e-4) for n in range(many)))
-    assert len(made) == crashes.MOST_REQUESTS
+    assert len(made) == crashhistory.MOST_REQUESTS
     assert b'%d' % (many - 1) in made.suspects
     made.broke(b'last', ('e1',), 1000.0)
     assert list(made.suspects) == [b'last']
--- a/tests/test_lapses.py
+++ b/tests/test_expiredentries.py
@@ -3,7 +3,7 @@
 import pytest
 
 from magnoliadyke.core import catalog
-from magnoliadyke.core import lapses
+from magnoliadyke.core import expiredentries
 
 
 def endpoint(name, leaving=False):
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def lapsed(known):
-    return lapses.Lapses(known)
+    return expiredentries.Lapses(known)
 
 
 def test_one_that_vanishes_is_gone(lapsed):
@@ -32,8 +32,8 @@
 def test_one_that_vanishes_after_an_outage_may_be_back(lapsed):
     lapsed.regained(10.0, lost_s=4.0)
     assert lapsed.lost(['e0'], 11.0) == []
-    assert lapsed.settle(10.0 + lapses.LAPSE_S - 0.1) == []
-    assert lapsed.settle(10.0 + lapses.LAPSE_S) == ['e0']
+    assert lapsed.settle(10.0 + expiredentries.LAPSE_S - 0.1) == []
+    assert lapsed.settle(10.0 + expiredentries.LAPSE_S) == ['e0']
     assert not lapsed.doubted
 
 
@@ -53,7 +53,7 @@
 def test_most_that_vanish_together_are_kept_for_a_moment(lapsed):
     """The store may have been away without a host's notice."""
     assert lapsed.lost(['e0', 'e1', 'e2'], 10.0) == []
-    gone = lapsed.settle(10.0 + lapses.TOGETHER_S)
+    gone = lapsed.settle(10.0 + expiredentries.TOGETHER_S)
     assert sorted(gone) == ['e0', 'e1', 'e2']
 
 
@@ -76,7 +76,7 @@
     lapsed.lost(['e0'], 10.0)
     lapsed.shared()
     assert not lapsed.asks_others()
-    assert lapsed.settle(10.0 + lapses.LAPSE_S) == ['e0']
+    assert lapsed.settle(10.0 + expiredentries.LAPSE_S) == ['e0']
 
 
 def test_nobody_is_asked_while_nothing_is_doubted(lapsed):
@@ -86,16 +86,16 @@
 
 def test_who_has_had_the_store_long_enough_shows_an_outage_of_one(lapsed):
     lapsed.regained(10.0, lost_s=4.0)
-    settled = lapses.Reach(lapses.LAPSE_S + 0.1, 0.0)
-    shared = lapses.Reach(0.3, 0.0)
+    settled = expiredentries.Reach(expiredentries.LAPSE_S + 0.1, 0.0)
+    shared = expiredentries.Reach(0.3, 0.0)
     assert lapsed.alone([shared, None, settled], 10.1)
     assert lapsed.alone([shared, shared], 10.1) is False
 
 
 def test_outage_stays_unexplained_until_all_asked_can_tell(lapsed):
     lapsed.regained(10.0, lost_s=4.0)
-    shared = lapses.Reach(0.3, 0.0)
-    before_the_return = lapses.Reach(100.0, 0.2)
+    shared = expiredentries.Reach(0.3, 0.0)
+    before_the_return = expiredentries.Reach(100.0, 0.2)
     assert lapsed.alone([], 10.1) is None
     assert lapsed.alone([shared, None], 10.1) is None
     assert lapsed.alone([before_the_return], 10.1) is None
@@ -103,7 +103,7 @@
 
 def test_short_outage_of_one_is_shown_by_who_had_none(lapsed):
     lapsed.regained(10.0, lost_s=9.5)
-    assert lapsed.alone([lapses.Reach(1.0, 0.0)], 10.1)
+    assert lapsed.alone([expiredentries.Reach(1.0, 0.0)], 10.1)
 
 
 def test_endpoint_that_another_host_still_lists_is_not_gone(lapsed):
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -4,7 +4,7 @@
 import pytest
 
 from magnoliadyke import clock as clocks
-from magnoliadyke.core import lapses
+from magnoliadyke.core import expiredentries
 from magnoliadyke.core import position
 from magnoliadyke.gateway import peerstate
 from magnoliadyke.gateway import store
@@ -213,12 +213,17 @@
         answer_calls(node)
     advance_until(
         clock,
-        lambda: all(n.follower.mirror.lapses.doubted for n in world.nodes),
+        lambda: all(
+            n.follower.mirror.expired_entries.doubted for n in world.nodes
+        ),
     )
     advance_until(
         clock,
         lambda: (
-            not any(n.follower.mirror.lapses.unexplained for n in world.nodes)
+            not any(
+                n.follower.mirror.expired_entries.unexplained
+                for n in world.nodes
+            )
         ),
     )
     assert all('p1' in n.catalog.endpoints for n in world.nodes)
@@ -294,7 +299,7 @@
     node, *others = world.nodes
     leave_while_cut_off(world, clock, node)
     for each in others:
-        each.follower.regained_s = clock.now_s() - lapses.LAPSE_S - 0.5
+        each.follower.regained_s = clock.now_s() - expiredentries.LAPSE_S - 0.5
     answer_calls(node)
     took_s = advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
     assert took_s < BOUND_S
@@ -307,15 +312,15 @@
 
     def unaware(address, known):
         listed = dict.fromkeys(('servers/p1', 'servers/p2'), known)
-        reach = lapses.Reach(100.0, 0.0)
+        reach = expiredentries.Reach(100.0, 0.0)
         return peerstate.PeerState((), listed, known, reach, None)
 
     node = world.nodes[0]
     leave_while_cut_off(world, clock, node)
     monkeypatch.setattr(peerstate, 'fetch', unaware)
     answer_calls(node)
-    advance_until(clock, lambda: node.follower.mirror.lapses.doubted)
-    until_s = node.follower.regained_s + lapses.LAPSE_S - STEP_S
+    advance_until(clock, lambda: node.follower.mirror.expired_entries.doubted)
+    until_s = node.follower.regained_s + expiredentries.LAPSE_S - STEP_S
     while clock.now_s() < until_s:
         assert 'p1' in node.catalog.endpoints
         clock.advance(STEP_S)
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -118,12 +118,14 @@
         lambda: node.follower.failing_since_s is None, 'the return'
     )
     gatewayworld.wait_for(
-        lambda: 'p1' in node.follower.mirror.lapses.doubted, 'the doubt'
+        lambda: 'p1' in node.follower.mirror.expired_entries.doubted,
+        'the doubt',
     )
     assert call(world, '/safe/x')[0].status == 200
     world.list(endpoint)
     gatewayworld.wait_for(
-        lambda: 'p1' not in node.follower.mirror.lapses.doubted, 'the entry'
+        lambda: 'p1' not in node.follower.mirror.expired_entries.doubted,
+        'the entry',
     )
     assert 'p1' in node.catalog.endpoints
 
--- a/tests/test_refuge.py
+++ b/tests/test_migrationtarget.py
@@ -2,7 +2,7 @@
 
 import types
 
-from magnoliadyke.core import refuge
+from magnoliadyke.core import migrationtarget
 
 
 def engine(name, role, streams, takes_work=True):
@@ -22,7 +22,7 @@
     run = types.SimpleNamespace(
         stream_at=here, job=types.SimpleNamespace(pool='p')
     )
-    return refuge.choose({'j': run}, pools, 'j', 0.0)
+    return migrationtarget.choose({'j': run}, pools, 'j', 0.0)
 
 
 HERE = engine('e0', 'decode', 0)
@@ -41,4 +41,4 @@
 
 
 def test_a_job_that_has_ended_needs_no_place():
-    assert refuge.choose({}, {}, 'j', 0.0) == ''
+    assert migrationtarget.choose({}, {}, 'j', 0.0) == ''
--- a/tests/test_oldentries.py
+++ b/tests/test_staleentries.py
@@ -3,8 +3,8 @@
 import pytest
 
 from magnoliadyke.core import catalog
-from magnoliadyke.core import oldentries
 from magnoliadyke.core import position
+from magnoliadyke.core import staleentries
 
 COPIED = position.Position(2, 20)
 WRITTEN_SINCE = position.Position(2, 31)
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def old(known):
-    return oldentries.OldEntries(known)
+    return staleentries.OldEntries(known)
 
 
 def is_old(old, after_s=0.0, written=COPIED):
@@ -57,19 +57,19 @@
     old.copied(endpoint(), COPIED, NOW_S)
     assert is_old(old)
     assert not old.outlasted(NOW_S)
-    assert old.outlasted(NOW_S + oldentries.WRITTEN_S) == ['e']
-    assert not is_old(old, oldentries.WRITTEN_S)
+    assert old.outlasted(NOW_S + staleentries.WRITTEN_S) == ['e']
+    assert not is_old(old, staleentries.WRITTEN_S)
 
 
 def test_endpoint_that_was_gone_comes_back_when_it_is_still_listed(old):
     old.gone('e', NOW_S - 1.0)
     old.copied(endpoint(), COPIED, NOW_S)
     assert is_old(old)
-    assert not is_old(old, oldentries.GONE_S)
+    assert not is_old(old, staleentries.GONE_S)
 
 
 def test_endpoint_gone_long_ago_is_not_remembered(old):
-    old.gone('e', NOW_S - oldentries.REMEMBERED_S - 1.0)
+    old.gone('e', NOW_S - staleentries.REMEMBERED_S - 1.0)
     old.copied(endpoint(), COPIED, NOW_S)
     assert not is_old(old)
 
@@ -86,7 +86,7 @@
     old.gone('f', NOW_S)
     old.copied(endpoint(), COPIED, NOW_S)
     old.copied(endpoint(id='f'), COPIED, NOW_S)
-    other = oldentries.OldEntries(catalog.Catalog())
+    other = staleentries.OldEntries(catalog.Catalog())
     for each in old.told(NOW_S + 1.0):
         other.learn(each, NOW_S + 1.0)
     assert other.old == old.old
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -4,8 +4,8 @@
 import pytest
 
 from magnoliadyke import clock as clocks
-from magnoliadyke.core import oldentries
 from magnoliadyke.core import position
+from magnoliadyke.core import staleentries
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import members
 from magnoliadyke.gateway import peerstate
@@ -99,7 +99,7 @@
     advance_until(clock, lambda: known_leaving(world, 'p1'))
     restore(world, clock, copy)
     arrived = len(world.endpoints['p1'].arrivals)
-    for _ in range(int(2 * oldentries.GONE_S / test_follower.STEP_S)):
+    for _ in range(int(2 * staleentries.GONE_S / test_follower.STEP_S)):
         clock.advance(test_follower.STEP_S)
         gevent.sleep(0.001)
         assert known_leaving(world, 'p1')
@@ -110,7 +110,7 @@
     advance_until(
         clock,
         lambda: (
-            not any(n.follower.mirror.old_entries.old for n in world.nodes)
+            not any(n.follower.mirror.stale_entries.old for n in world.nodes)
         ),
     )
     assert known_leaving(world, 'p1')
