--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -251,7 +251,7 @@
     def give(self, answer, stream):
         """Answer with a whole answer."""
         if answer.kind != 'model':
-            tell(self.resp, records.OTHER_BODY)
+            tell(self.resp, records.KEY_REUSED)
             return
         events = streams.model_events(answer)
         if stream:
--- a/magnoliadyke/claiming.py
+++ b/magnoliadyke/claiming.py
@@ -112,25 +112,25 @@
         table, wall_s = self.claims, self.clock.wall_s()
         match answer:
             case keyvalue.Found(value=value, revision=revision):
-                return table.was_read(name, value, revision, wall_s)
+                return table.record_read(name, value, revision, wall_s)
             case keyvalue.Absent():
-                return table.was_read(name, None, 0, wall_s)
+                return table.record_read(name, None, 0, wall_s)
             case keyvalue.Stored(revision=revision):
-                return table.was_written(name, revision, wall_s)
+                return table.record_written(name, revision, wall_s)
             case keyvalue.Conflict(revision=revision, value=value):
-                return table.was_refused(name, value, revision, wall_s)
+                return table.record_conflict(name, value, revision, wall_s)
             case keyvalue.Unavailable(maybe_applied=maybe_applied):
-                return table.failed(name, maybe_applied)
+                return table.record_failure(name, maybe_applied)
             case _:
-                return table.failed(name, False)
+                return table.record_failure(name, False)
 
     def put_off(self, bucket, retry_after_s):
         """Make a bucket's call a little later, unless it waited too long."""
         if self.clock.now_s() - self.since_s[bucket] > LONGEST_WAIT_S:
             del self.since_s[bucket]
-            self.apply(self.claims.failed(bucket, False))
+            self.apply(self.claims.record_failure(bucket, False))
             return
-        self.claims.postponed(bucket)
+        self.claims.record_postponed(bucket)
         self.line.appendleft(bucket)
         if not self.paused:
             self.paused = True
@@ -154,9 +154,9 @@
 
     def start_call(self, bucket):
         """Make a bucket's call with all claims that wait for it now."""
-        self.claims.postponed(bucket)
+        self.claims.record_postponed(bucket)
         called = False
-        for action in self.claims.again(bucket, self.clock.wall_s()):
+        for action in self.claims.retry_call(bucket, self.clock.wall_s()):
             match action:
                 case claims.Read() | claims.Write():
                     called = True
--- a/magnoliadyke/core/backoffs.py
+++ b/magnoliadyke/core/backoffs.py
@@ -8,7 +8,7 @@
 __all__ = ['Backoffs']
 
 #: Backoffs that are remembered before those that are over are looked for.
-MOST_BACKOFFS = 1024
+MAX_BACKOFFS = 1024
 
 
 class Backoffs:
@@ -20,17 +20,19 @@
     def __init__(self) -> None:
         self.until_s: dict[str, float] = {}
 
-    def asked(self, endpoint_id: str, for_s: float, now_s: float) -> None:
+    def record_backoff(
+        self, endpoint_id: str, for_s: float, now_s: float
+    ) -> None:
         """An endpoint has turned a request away and told when to return.
 
         :param for_s: how long to back off, in seconds
         """
-        if len(self.until_s) >= MOST_BACKOFFS:
+        if len(self.until_s) >= MAX_BACKOFFS:
             self.forget(now_s)
         until_s = max(now_s + for_s, self.until_s.get(endpoint_id, 0.0))
         self.until_s[endpoint_id] = until_s
 
-    def left_s(self, endpoint_id: str, now_s: float) -> float:
+    def remaining_s(self, endpoint_id: str, now_s: float) -> float:
         """How much longer an endpoint wants nothing, in seconds."""
         return max(0.0, self.until_s.get(endpoint_id, now_s) - now_s)
 
@@ -38,18 +40,18 @@
         self, endpoints: Iterable[catalog.Endpoint], now_s: float
     ) -> list[catalog.Endpoint]:
         """Endpoints that may be asked."""
-        return [e for e in endpoints if not self.left_s(e.id, now_s)]
+        return [e for e in endpoints if not self.remaining_s(e.id, now_s)]
 
-    def least_s(
+    def shortest_remaining_s(
         self, endpoints: Iterable[catalog.Endpoint], now_s: float
     ) -> float:
         """How long none of them may be asked; 0 if one may, or none is."""
         shortest_s = math.inf
         for endpoint in endpoints:
-            left_s = self.left_s(endpoint.id, now_s)
-            if not left_s:
+            remaining_s = self.remaining_s(endpoint.id, now_s)
+            if not remaining_s:
                 return 0.0
-            shortest_s = min(shortest_s, left_s)
+            shortest_s = min(shortest_s, remaining_s)
         return shortest_s if shortest_s < math.inf else 0.0
 
     def active(self, now_s: float) -> list[str]:
--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -18,19 +18,19 @@
 #: How much a failure costs a caller, in answer times.
 FAILURE_COST = 8.0
 #: An endpoint that could not be reached rests this long, doubled in a row.
-REST_S = 0.5
-MAX_REST_S = 4.0
+COOLDOWN_S = 0.5
+MAX_COOLDOWN_S = 4.0
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
+class EndpointStats:
     """What a host has seen of an endpoint."""
 
     outstanding: int = 0
     answer_s: float = PRIOR_S
-    failures: float = 0.0
+    failure_rate: float = 0.0
     unreachable: int = 0
-    rest_until_s: float = 0.0
+    cooldown_until_s: float = 0.0
 
 
 class Balancer:
@@ -46,7 +46,7 @@
     def __init__(self, failure_domain: str, rng: Any) -> None:
         self.failure_domain = failure_domain
         self.rng = rng
-        self.standings: dict[str, Standing] = {}
+        self.stats_by_id: dict[str, EndpointStats] = {}
 
     def choose(
         self,
@@ -60,63 +60,65 @@
         refusal would be certain, a send only likely to fail.
         """
         usable = [e for e in endpoints if e.id not in avoid]
-        awake = [e for e in usable if self._rests_until_s(e) <= now_s]
-        candidates = awake or usable
+        ready = [e for e in usable if self._cooldown_until_s(e) <= now_s]
+        candidates = ready or usable
         if not candidates:
             return None
         return min(candidates, key=self._cost)
 
-    def _rests_until_s(self, endpoint: catalog.Endpoint) -> float:
-        standing = self.standings.get(endpoint.id)
-        return standing.rest_until_s if standing is not None else 0.0
+    def _cooldown_until_s(self, endpoint: catalog.Endpoint) -> float:
+        stats = self.stats_by_id.get(endpoint.id)
+        return stats.cooldown_until_s if stats is not None else 0.0
 
     def _cost(self, endpoint: catalog.Endpoint) -> float:
-        standing = self.standings.get(endpoint.id) or Standing()
-        waiting = standing.outstanding / max(1, endpoint.slots)
-        cost = standing.answer_s * (1 + waiting)
-        cost *= 1 + FAILURE_COST * standing.failures
+        stats = self.stats_by_id.get(endpoint.id) or EndpointStats()
+        waiting = stats.outstanding / max(1, endpoint.slots)
+        cost = stats.answer_s * (1 + waiting)
+        cost *= 1 + FAILURE_COST * stats.failure_rate
         if endpoint.failure_domain != self.failure_domain:
             cost *= REMOTE_FACTOR
         return cost * (1 + 0.05 * self.rng.random())
 
-    def _standing(self, endpoint_id: str) -> Standing:
-        return self.standings.setdefault(endpoint_id, Standing())
+    def _stats(self, endpoint_id: str) -> EndpointStats:
+        return self.stats_by_id.setdefault(endpoint_id, EndpointStats())
 
-    def sent(self, endpoint_id: str) -> None:
+    def record_sent(self, endpoint_id: str) -> None:
         """A request is on its way."""
-        self._standing(endpoint_id).outstanding += 1
+        self._stats(endpoint_id).outstanding += 1
 
-    def answered(self, endpoint_id: str, took_s: float, failed: bool) -> None:
+    def record_answer(
+        self, endpoint_id: str, took_s: float, failed: bool
+    ) -> None:
         """An answer came.
 
         :param failed: it was the endpoint's own failure
         """
-        standing = self._standing(endpoint_id)
-        standing.outstanding -= 1
-        standing.unreachable = 0
-        standing.answer_s += TIME_WEIGHT * (took_s - standing.answer_s)
-        self._note(standing, failed)
+        stats = self._stats(endpoint_id)
+        stats.outstanding -= 1
+        stats.unreachable = 0
+        stats.answer_s += TIME_WEIGHT * (took_s - stats.answer_s)
+        self._update_failure_rate(stats, failed)
 
-    def left(self, endpoint_id: str) -> None:
+    def record_cancel(self, endpoint_id: str) -> None:
         """The caller left before the answer; nothing is learned."""
-        self._standing(endpoint_id).outstanding -= 1
+        self._stats(endpoint_id).outstanding -= 1
 
-    def lost(self, endpoint_id: str, now_s: float) -> None:
+    def record_failure(self, endpoint_id: str, now_s: float) -> None:
         """The endpoint did not answer, or could not be reached."""
-        standing = self._standing(endpoint_id)
-        standing.outstanding -= 1
-        standing.unreachable += 1
-        self._note(standing, True)
-        if standing.unreachable >= 2:
-            rest_s = REST_S * 2 ** min(standing.unreachable - 2, 3)
-            standing.rest_until_s = now_s + min(rest_s, MAX_REST_S)
+        stats = self._stats(endpoint_id)
+        stats.outstanding -= 1
+        stats.unreachable += 1
+        self._update_failure_rate(stats, True)
+        if stats.unreachable >= 2:
+            cooldown_s = COOLDOWN_S * 2 ** min(stats.unreachable - 2, 3)
+            stats.cooldown_until_s = now_s + min(cooldown_s, MAX_COOLDOWN_S)
 
     def forget(self, listed: set[str]) -> None:
         """Drop what is known of endpoints that are gone."""
-        for endpoint_id in [e for e in self.standings if e not in listed]:
-            if self.standings[endpoint_id].outstanding <= 0:
-                del self.standings[endpoint_id]
+        for endpoint_id in [e for e in self.stats_by_id if e not in listed]:
+            if self.stats_by_id[endpoint_id].outstanding <= 0:
+                del self.stats_by_id[endpoint_id]
 
-    def _note(self, standing: Standing, failed: bool) -> None:
+    def _update_failure_rate(self, stats: EndpointStats, failed: bool) -> None:
         target = 1.0 if failed else 0.0
-        standing.failures += FAILURE_WEIGHT * (target - standing.failures)
+        stats.failure_rate += FAILURE_WEIGHT * (target - stats.failure_rate)
--- a/magnoliadyke/core/budget.py
+++ b/magnoliadyke/core/budget.py
@@ -80,7 +80,7 @@
         self._share = 1.0
         self._rate_s = settings.rate_s
         self._tokens = settings.burst
-        self._at_s = now_s
+        self._refilled_s = now_s
         self._not_before_s: dict[CallKind, float] = {}
 
     @property
@@ -108,19 +108,19 @@
         return Granted()
 
     def _refill(self, now_s: float) -> None:
-        gained = (now_s - self._at_s) * self.rate_s
+        gained = (now_s - self._refilled_s) * self.rate_s
         self._tokens = min(self.settings.burst, self._tokens + gained)
-        self._at_s = now_s
+        self._refilled_s = now_s
 
     def succeeded(self, kind: CallKind, now_s: float) -> None:
         """The store answered."""
         if self.failures:
-            self._return(kind, now_s)
+            self._spread_resumption(kind, now_s)
         self.failures = 0
         self._share = min(1.0, self._share + 0.05)
         self._not_before_s.pop(kind, None)
 
-    def _return(self, kind: CallKind, now_s: float) -> None:
+    def _spread_resumption(self, kind: CallKind, now_s: float) -> None:
         """Spread what piled up; a herd would bring the store down again."""
         for other in CallKind:
             if other is not kind and other >= CallKind.CLAIMS:
--- a/magnoliadyke/core/catalog.py
+++ b/magnoliadyke/core/catalog.py
@@ -12,7 +12,7 @@
 
 #: Names of endpoints whose latest start is remembered, beyond those of the
 #: largest fleet that is planned for.
-MOST_NAMES = 8192
+MAX_NAMES = 8192
 
 
 class Stage(enum.Enum):
@@ -50,7 +50,7 @@
     leaving: bool
     stage: Stage
     published: str = ''
-    born_ms: int = 0
+    started_ms: int = 0
     reclaimable: bool = False
 
     @property
@@ -75,13 +75,13 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.by_service: dict[str, dict[str, Endpoint]] = {}
         self.by_name: dict[str, str] = {}
-        self._born_ms: collections.OrderedDict[str, int] = (
+        self._started_ms: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self.said_leaving: collections.OrderedDict[str, None] = (
+        self.announced_leaving: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self.leavers: set[str] = set()
+        self.leaving_ids: set[str] = set()
         self.checked_s: float | None = None
         self.generation = 0
 
@@ -101,22 +101,22 @@
         self.generation += 1
         return True
 
-    def latest_born_ms(self, name: str) -> int:
+    def latest_started_ms(self, name: str) -> int:
         """When the latest known process of a name began; 0 if unknown."""
-        return self._born_ms.get(name, 0)
+        return self._started_ms.get(name, 0)
 
     def _remember_start(self, endpoint: Endpoint) -> None:
-        if not endpoint.born_ms:
+        if not endpoint.started_ms:
             return
-        self._born_ms[endpoint.name] = endpoint.born_ms
-        self._born_ms.move_to_end(endpoint.name)
-        if len(self._born_ms) > MOST_NAMES:
-            self._born_ms.popitem(last=False)
+        self._started_ms[endpoint.name] = endpoint.started_ms
+        self._started_ms.move_to_end(endpoint.name)
+        if len(self._started_ms) > MAX_NAMES:
+            self._started_ms.popitem(last=False)
 
     def put(self, endpoint: Endpoint) -> None:
         """An endpoint is listed, or its entry has changed."""
-        if endpoint.id in self.said_leaving:
-            self.leavers.add(endpoint.id)
+        if endpoint.id in self.announced_leaving:
+            self.leaving_ids.add(endpoint.id)
             endpoint = endpoint._replace(leaving=True)
         before = self.endpoints.get(endpoint.id)
         if before is not None and before.service != endpoint.service:
@@ -128,15 +128,15 @@
         of_service[endpoint.id] = endpoint
         self.generation += 1
 
-    def heard_leaving(self, endpoint_id: str) -> bool:
+    def mark_leaving(self, endpoint_id: str) -> bool:
         """An endpoint has said itself that it leaves.
 
         :returns: whether it was not known to leave
         """
-        self.said_leaving[endpoint_id] = None
-        self.said_leaving.move_to_end(endpoint_id)
-        if len(self.said_leaving) > MOST_NAMES:
-            self.said_leaving.popitem(last=False)
+        self.announced_leaving[endpoint_id] = None
+        self.announced_leaving.move_to_end(endpoint_id)
+        if len(self.announced_leaving) > MAX_NAMES:
+            self.announced_leaving.popitem(last=False)
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None or endpoint.leaving:
             return False
@@ -146,7 +146,7 @@
     def remove(self, endpoint_id: str) -> Endpoint | None:
         """An endpoint is no longer listed."""
         endpoint = self.endpoints.pop(endpoint_id, None)
-        self.leavers.discard(endpoint_id)
+        self.leaving_ids.discard(endpoint_id)
         if endpoint is not None:
             if self.by_name.get(endpoint.name) == endpoint_id:
                 del self.by_name[endpoint.name]
--- a/magnoliadyke/core/claims.py
+++ b/magnoliadyke/core/claims.py
@@ -186,7 +186,7 @@
         self.owner = owner
         self.settings = settings
         self.buckets = {}
-        self.gathered = {}
+        self.pending = {}
 
     def name_of(self, digest):
         """Return the name of the bucket that a claim belongs to."""
@@ -209,7 +209,7 @@
         if bucket.known and held and digest not in bucket.doubtful:
             return [Lost(claim, held.owner)]
         bucket.waiting[digest] = claim
-        self.gathered[bucket.name] = bucket
+        self.pending[bucket.name] = bucket
         return []
 
     def flush(self, wall_s):
@@ -217,9 +217,9 @@
 
         :param wall_s: seconds since the epoch
         """
-        gathered, self.gathered = self.gathered, {}
+        pending, self.pending = self.pending, {}
         actions = []
-        for bucket in gathered.values():
+        for bucket in pending.values():
             actions += self.advance(bucket, wall_s)
         return actions
 
@@ -282,7 +282,7 @@
         bucket.busy = False
         return actions
 
-    def was_read(self, name, value, revision, wall_s):
+    def record_read(self, name, value, revision, wall_s):
         """Report what a bucket holds.
 
         :param value: text, or None when the bucket is absent
@@ -292,7 +292,7 @@
         self.learn(bucket, value, revision)
         return self.write(bucket, wall_s)
 
-    def was_written(self, name, revision, wall_s):
+    def record_written(self, name, revision, wall_s):
         """Report that a write took effect."""
         bucket = self.buckets[name]
         actions = []
@@ -309,7 +309,7 @@
             bucket.known = False
         return actions + self.advance(bucket, wall_s)
 
-    def was_refused(self, name, value, revision, wall_s):
+    def record_conflict(self, name, value, revision, wall_s):
         """Report that another node wrote first, and what it wrote."""
         bucket = self.buckets[name]
         bucket.waiting = {**bucket.written, **bucket.waiting}
@@ -317,7 +317,7 @@
         self.learn(bucket, value, revision)
         return self.write(bucket, wall_s)
 
-    def postponed(self, name):
+    def record_postponed(self, name):
         """Report that a call was not made, and will be tried again.
 
         Claims that come until then share the call.
@@ -327,14 +327,14 @@
         bucket.written = {}
         return []
 
-    def again(self, name, wall_s):
+    def retry_call(self, name, wall_s):
         """Start a postponed call."""
         bucket = self.buckets[name]
         if not bucket.known:
             return [Read(name)]
         return self.write(bucket, wall_s)
 
-    def failed(self, name, maybe_applied):
+    def record_failure(self, name, maybe_applied):
         """Report that the store did not answer.
 
         The claims are refused: nothing runs under them. A write that may
--- a/magnoliadyke/core/confirmation.py
+++ b/magnoliadyke/core/confirmation.py
@@ -18,12 +18,12 @@
 #: the others by its word, get a new one; from which any other host is asked;
 #: and from which the store is.
 RENEW_SHARE = 0.2
-ASK_OTHERS_SHARE = 0.4
+ASK_PEERS_SHARE = 0.4
 ASK_STORE_SHARE = 0.55
 #: Kept free of the bound, in seconds, for clocks that run apart.
 MARGIN_S = 0.1
 #: Questions without answer that are remembered.
-MOST_QUESTIONS = 64
+MAX_PENDING_QUERIES = 64
 NEVER = float('-inf')
 
 
@@ -32,7 +32,7 @@
 
     NOBODY = 'nobody'
     LEADER = 'leader'
-    OTHERS = 'others'
+    PEERS = 'others'
     STORE = 'store'
 
 
@@ -51,8 +51,8 @@
 
     bound_s: float | None
     proved_s: float = NEVER
-    questions: dict[int, float] = dataclasses.field(default_factory=dict)
-    newest_told: int = -1
+    queries: dict[int, float] = dataclasses.field(default_factory=dict)
+    newest_peer_version: int = -1
 
     def holds(self, now_s: float) -> bool:
         """Whether keys may be used."""
@@ -72,32 +72,32 @@
             return Source.NOBODY
         if leading or age >= ASK_STORE_SHARE:
             return Source.STORE
-        return Source.LEADER if age < ASK_OTHERS_SHARE else Source.OTHERS
+        return Source.LEADER if age < ASK_PEERS_SHARE else Source.PEERS
 
-    def asks(self, nonce: int, now_s: float) -> None:
+    def record_query(self, nonce: int, now_s: float) -> None:
         """A question is sent to other hosts."""
-        self.questions[nonce] = now_s
-        while len(self.questions) > MOST_QUESTIONS:
-            del self.questions[next(iter(self.questions))]
+        self.queries[nonce] = now_s
+        while len(self.queries) > MAX_PENDING_QUERIES:
+            del self.queries[next(iter(self.queries))]
 
-    def answered(
+    def record_reply(
         self, nonce: int, version: int, age_s: float, own_version: int
     ) -> bool:
         """Another host has told its version and the age of its proof.
 
         :returns: whether it goes by a newer version than this host
         """
-        asked_s = self.questions.get(nonce)
-        self.newest_told = max(self.newest_told, version)
-        if asked_s is not None and age_s >= 0:
-            self.proved(asked_s - age_s, own_version)
+        queried_s = self.queries.get(nonce)
+        self.newest_peer_version = max(self.newest_peer_version, version)
+        if queried_s is not None and age_s >= 0:
+            self.record_proof(queried_s - age_s, own_version)
         return version > own_version
 
-    def proved(self, at_s: float, own_version: int) -> None:
+    def record_proof(self, at_s: float, own_version: int) -> None:
         """Nobody who was asked knew a newer version at a moment.
 
         A store that came back from an older copy does not know what other
         hosts go by.
         """
-        if own_version >= self.newest_told:
+        if own_version >= self.newest_peer_version:
             self.proved_s = max(self.proved_s, at_s)
--- a/magnoliadyke/core/crashhistory.py
+++ b/magnoliadyke/core/crashhistory.py
@@ -10,21 +10,21 @@
 import dataclasses
 from typing import Iterable
 
-__all__ = ['CrashRecord']
+__all__ = ['CrashHistory']
 
 #: Endpoints at which a request broke off before it is taken for the cause.
 #: Two happen to others by bad luck: a request that is sent on from one
 #: endpoint that dies to another that dies as well.
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 #: How long a request is remembered after its last try, in seconds; callers
 #: try again within seconds, and an endpoint is back after some.
-FORGET_S = 120.0
+RETENTION_S = 120.0
 #: Requests remembered: all that dozens of endpoints run when they crash.
-MOST_REQUESTS = 4096
+MAX_REQUESTS = 4096
 
 
 @dataclasses.dataclass(slots=True)
-class _Suspect:
+class _RequestCrashes:
     """What is known of one request.
 
     :ivar endpoints: processes at which it broke off
@@ -33,19 +33,19 @@
 
     endpoints: set[str]
     seen_s: float
-    served_s: float = float('-inf')
+    succeeded_s: float = float('-inf')
 
 
-class CrashRecord:
+class CrashHistory:
     """At which endpoints requests broke off, by digest of the request."""
 
     def __init__(self) -> None:
-        self.suspects: dict[bytes, _Suspect] = {}
+        self.requests: dict[bytes, _RequestCrashes] = {}
 
     def __len__(self) -> int:
-        return len(self.suspects)
+        return len(self.requests)
 
-    def broke(
+    def record_crash(
         self, request: bytes, endpoints: Iterable[str], now_s: float
     ) -> bool:
         """A request broke off at these endpoints.
@@ -53,43 +53,43 @@
         :param endpoints: ids of their processes; another start has another
         :returns: whether that was news
         """
-        suspect = self.suspects.pop(request, None)
-        if suspect is None or self._is_old(suspect, now_s):
-            suspect = _Suspect(set(), now_s)
+        entry = self.requests.pop(request, None)
+        if entry is None or self._is_expired(entry, now_s):
+            entry = _RequestCrashes(set(), now_s)
         # The last one seen is the last one dropped.
-        self.suspects[request] = suspect
-        suspect.seen_s = now_s
-        known = len(suspect.endpoints)
-        suspect.endpoints.update(endpoints)
+        self.requests[request] = entry
+        entry.seen_s = now_s
+        known = len(entry.endpoints)
+        entry.endpoints.update(endpoints)
         self._trim(now_s)
-        return len(suspect.endpoints) > known
+        return len(entry.endpoints) > known
 
-    def served(self, request: bytes, now_s: float) -> None:
+    def record_success(self, request: bytes, now_s: float) -> None:
         """A request was answered whole: it crashes nothing."""
-        suspect = self.suspects.get(request)
-        if suspect is not None:
-            suspect.served_s = now_s
+        entry = self.requests.get(request)
+        if entry is not None:
+            entry.succeeded_s = now_s
 
     def barred_s(self, request: bytes, now_s: float) -> float:
         """How long a request is not to be run, in seconds; 0 if it may."""
-        suspect = self.suspects.get(request)
-        if suspect is None or len(suspect.endpoints) < MOST_CRASHES:
+        entry = self.requests.get(request)
+        if entry is None or len(entry.endpoints) < MAX_CRASHES:
             return 0.0
-        if self._is_old(suspect, now_s):
-            del self.suspects[request]
+        if self._is_expired(entry, now_s):
+            del self.requests[request]
             return 0.0
-        if now_s - suspect.served_s < FORGET_S:
+        if now_s - entry.succeeded_s < RETENTION_S:
             return 0.0
-        suspect.seen_s = now_s
-        return FORGET_S
+        entry.seen_s = now_s
+        return RETENTION_S
 
-    def _is_old(self, suspect: _Suspect, now_s: float) -> bool:
-        return now_s - suspect.seen_s > FORGET_S
+    def _is_expired(self, entry: _RequestCrashes, now_s: float) -> bool:
+        return now_s - entry.seen_s > RETENTION_S
 
     def _trim(self, now_s: float) -> None:
-        while self.suspects:
-            request, oldest = next(iter(self.suspects.items()))
-            full = len(self.suspects) > MOST_REQUESTS
-            if not full and not self._is_old(oldest, now_s):
+        while self.requests:
+            request, oldest = next(iter(self.requests.items()))
+            full = len(self.requests) > MAX_REQUESTS
+            if not full and not self._is_expired(oldest, now_s):
                 return
-            del self.suspects[request]
+            del self.requests[request]
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -253,7 +253,7 @@
     """News of a (fingerprint, entry) of the quarantine."""
     fingerprint, entry = item
     cleared = not entry.blames
-    told = entry.void[-MOST_BLAMES:] if cleared else entry.blames
+    told = entry.cleared_blames[-MOST_BLAMES:] if cleared else entry.blames
     blames = tuple((blame.crash, now_s - blame.at_s) for blame in told)
     return SuspectNews(
         fingerprint,
--- a/magnoliadyke/core/exchange.py
+++ b/magnoliadyke/core/exchange.py
@@ -139,7 +139,7 @@
         for run in runs:
             held.add(run.fingerprint)
             if run.dispatched_s is not None:
-                self.quarantine.runs(run.fingerprint, now_s)
+                self.quarantine.record_running(run.fingerprint, now_s)
         return tuple(
             digests.suspect_news(item, now_s)
             for item in self.quarantine.newest(SUSPECTS_TOLD, now_s, held)
@@ -187,7 +187,7 @@
 
     def know(self, customer, pool_name):
         """Learn a name that peers tell as a checksum."""
-        number = quarantine.short(f'{customer}/{pool_name}')
+        number = quarantine.name_checksum(f'{customer}/{pool_name}')
         self.names[number] = (customer, pool_name)
         return number
 
@@ -220,8 +220,8 @@
         encoded_s = now_s - ON_ITS_WAY_S
         waiting_s = encoded_s - news.waiting_age_s
         running_s = encoded_s - news.running_age_s
-        self.quarantine.waits(news.fingerprint, waiting_s)
-        self.quarantine.runs(news.fingerprint, running_s)
+        self.quarantine.record_waiting(news.fingerprint, waiting_s)
+        self.quarantine.record_running(news.fingerprint, running_s)
 
 
 class _Peer:
--- a/magnoliadyke/core/migrationtarget.py
+++ b/magnoliadyke/core/migrationtarget.py
@@ -5,10 +5,10 @@
 
 from magnoliadyke.core import routing
 
-__all__ = ['choose']
+__all__ = ['choose_target']
 
 
-def choose(
+def choose_target(
     runs: Mapping[str, Any],
     pools: Mapping[str, Any],
     job_id: str,
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -40,7 +40,7 @@
     def __init__(self, endpoints, patience):
         self.name = endpoints.name
         self.endpoints = endpoints
-        self.number = quarantine.short(endpoints.name)
+        self.number = quarantine.name_checksum(endpoints.name)
         self.queue = fairness.FairQueue()
         self.arrivals = {}
         self.lateness = admission.ErrorQuantile(
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -31,7 +31,7 @@
     'Quarantine',
     'QuarantineSettings',
     'fingerprint_of',
-    'short',
+    'name_checksum',
 ]
 
 CLEAR = 'clear'
@@ -39,8 +39,8 @@
 CONVICTED = 'convicted'
 
 CRASHES_TO_CONVICT = 2
-MOST_RANK = 255
-MOST_VOID = 4
+MAX_RANK = 255
+MAX_CLEARED_BLAMES = 4
 FINGERPRINT_BYTES = 6
 
 
@@ -61,7 +61,7 @@
     suspect_s: float = 300.0
     convicted_s: float = 1800.0
     waiting_s: float = 8.0
-    most_entries: int = 512
+    max_entries: int = 512
 
 
 DEFAULT_SETTINGS = QuarantineSettings()
@@ -93,13 +93,13 @@
         'rank',
         'running_s',
         'seen_s',
-        'void',
+        'cleared_blames',
         'waiting_s',
     )
 
     def __init__(self, rank, pool, now_s):
         self.blames = []
-        self.void = []
+        self.cleared_blames = []
         self.rank = rank
         self.pool = pool
         self.seen_s = now_s
@@ -114,7 +114,9 @@
 
     def clear(self, now_s):
         """It did not cause the crash that it was blamed for."""
-        self.void = [*self.void, *self.blames][-MOST_VOID:]
+        self.cleared_blames = [*self.cleared_blames, *self.blames][
+            -MAX_CLEARED_BLAMES:
+        ]
         self.blames = []
         self.seen_s = now_s
 
@@ -125,7 +127,7 @@
     return digest.digest()
 
 
-def short(name):
+def name_checksum(name):
     """Four bytes that stand for a name in digests."""
     return zlib.crc32(name.encode())
 
@@ -142,34 +144,34 @@
 
         :param batch: (fingerprint, output tokens so far) of what ran on it
         """
-        crash = short(endpoint)
+        crash = name_checksum(endpoint)
         for fingerprint, tokens in batch:
-            rank = min(int(tokens), MOST_RANK)
-            entry = self._entry(fingerprint, rank, short(pool), now_s)
-            self._add(entry, Blame(crash, now_s))
-        self._explain(now_s)
+            rank = min(int(tokens), MAX_RANK)
+            entry = self._entry(fingerprint, rank, name_checksum(pool), now_s)
+            self._add_blame(entry, Blame(crash, now_s))
+        self._clear_bystanders(now_s)
         self._trim()
 
     def verdict(self, fingerprint, now_s):
         """Judge a request by its fingerprint: clear, suspect, convicted."""
         entry = self.entries.get(fingerprint)
-        if entry is None or self._forgotten(entry, now_s):
+        if entry is None or self._is_expired(entry, now_s):
             return CLEAR
         return entry.verdict()
 
-    def seen(self, fingerprint, now_s):
+    def record_sighting(self, fingerprint, now_s):
         """A known request came again: remember it for longer."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
             entry.seen_s = now_s
 
-    def ran_whole(self, fingerprint, now_s):
+    def record_success(self, fingerprint, now_s):
         """It ran to its end and the engine lives."""
         entry = self.entries.get(fingerprint)
         if entry is not None and entry.verdict() == SUSPECT:
             entry.clear(now_s)
 
-    def turn(self, fingerprint, since_s, now_s):
+    def is_trial_due(self, fingerprint, since_s, now_s):
         """Whether it is this suspect's turn to run.
 
         All nodes order the suspects of a pool alike, so that two of them
@@ -202,13 +204,13 @@
         """When a suspect may run; before, its run was the one that died."""
         return entry.blames[-1].at_s + self.settings.settle_s
 
-    def waits(self, fingerprint, now_s):
+    def record_waiting(self, fingerprint, now_s):
         """A suspect waits on some node."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
             entry.waiting_s = max(entry.waiting_s, now_s)
 
-    def runs(self, fingerprint, now_s):
+    def record_running(self, fingerprint, now_s):
         """A suspect runs on some node."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
@@ -223,10 +225,10 @@
         entry = self._entry(fingerprint, rank, pool, now_s)
         for blame in blames:
             if cleared:
-                self._void(entry, blame, now_s)
+                self._merge_cleared(entry, blame, now_s)
             else:
-                self._add(entry, blame)
-        self._explain(now_s)
+                self._add_blame(entry, blame)
+        self._clear_bystanders(now_s)
         self._trim()
 
     def newest(self, count, now_s, held=()):
@@ -241,31 +243,31 @@
         known = [
             item
             for item in self.entries.items()
-            if not self._forgotten(item[1], now_s)
+            if not self._is_expired(item[1], now_s)
         ]
         fresh_s = now_s - self.settings.waiting_s
-        known.sort(key=lambda item: _telling_order(item, held, fresh_s))
+        known.sort(key=lambda item: _send_order(item, held, fresh_s))
         return known[:count]
 
     def tick(self, now_s):
         """Drop what has been forgotten."""
         for fingerprint, entry in list(self.entries.items()):
-            if self._forgotten(entry, now_s):
+            if self._is_expired(entry, now_s):
                 del self.entries[fingerprint]
 
     def _entry(self, fingerprint, rank, pool, now_s):
         entry = self.entries.get(fingerprint)
-        if entry is None or self._forgotten(entry, now_s):
+        if entry is None or self._is_expired(entry, now_s):
             entry = Entry(rank, pool, now_s)
             self.entries[fingerprint] = entry
         entry.rank = min(entry.rank, rank)
         return entry
 
-    def _add(self, entry, blame):
-        if self._within(blame, entry.void):
+    def _add_blame(self, entry, blame):
+        if self._contains(blame, entry.cleared_blames):
             return
         for index, known in enumerate(entry.blames):
-            if self._same(known, blame):
+            if self._is_same_crash(known, blame):
                 earlier = min(known.at_s, blame.at_s)
                 entry.blames[index] = Blame(known.crash, earlier)
                 return
@@ -274,66 +276,70 @@
         del entry.blames[CRASHES_TO_CONVICT:]
         entry.seen_s = max(entry.seen_s, blame.at_s)
 
-    def _void(self, entry, blame, now_s):
+    def _merge_cleared(self, entry, blame, now_s):
         """A peer knows that this crash was none of its doing."""
-        if entry.verdict() == CONVICTED or self._within(blame, entry.void):
+        if entry.verdict() == CONVICTED or self._contains(
+            blame, entry.cleared_blames
+        ):
             return
-        if self._within(blame, entry.blames):
+        if self._contains(blame, entry.blames):
             entry.clear(now_s)
         else:
-            entry.void = [*entry.void, blame][-MOST_VOID:]
+            entry.cleared_blames = [*entry.cleared_blames, blame][
+                -MAX_CLEARED_BLAMES:
+            ]
 
-    def _explain(self, now_s):
+    def _clear_bystanders(self, now_s):
         """Clear whoever was blamed for what a convict did."""
-        explained = [
+        attributed = [
             blame
             for entry in self.entries.values()
             if entry.verdict() == CONVICTED
             for blame in entry.blames
         ]
-        if not explained:
+        if not attributed:
             return
         for entry in self.entries.values():
-            if entry.verdict() == SUSPECT and self._within(
-                entry.blames[0], explained
+            if entry.verdict() == SUSPECT and self._contains(
+                entry.blames[0], attributed
             ):
                 entry.clear(now_s)
 
-    def _within(self, blame, others):
-        return any(self._same(blame, known) for known in others)
+    def _contains(self, blame, others):
+        return any(self._is_same_crash(blame, known) for known in others)
 
-    def _same(self, one, other):
+    def _is_same_crash(self, one, other):
         """Whether two nodes tell of the same crash."""
         apart_s = abs(one.at_s - other.at_s)
         limit_s = self.settings.same_crash_s
         return one.crash == other.crash and apart_s < limit_s
 
-    def _forgotten(self, entry, now_s):
+    def _is_expired(self, entry, now_s):
         keep_s = self.settings.suspect_s
         if entry.verdict() == CONVICTED:
             keep_s = self.settings.convicted_s
         return now_s - entry.seen_s > keep_s
 
     def _trim(self):
-        excess = len(self.entries) - self.settings.most_entries
+        excess = len(self.entries) - self.settings.max_entries
         if excess <= 0:
             return
-        order = sorted(self.entries.items(), key=_news_order)
+        order = sorted(self.entries.items(), key=_importance_order)
         for fingerprint, _ in order[-excess:]:
             del self.entries[fingerprint]
 
 
-def _news_order(item):
+def _importance_order(item):
     """Convicts first, then suspects, the newest and likeliest first."""
     fingerprint, entry = item
-    standing = (CONVICTED, SUSPECT, CLEAR).index(entry.verdict())
-    return standing, -entry.seen_s, entry.rank, fingerprint
+    group = (CONVICTED, SUSPECT, CLEAR).index(entry.verdict())
+    return group, -entry.seen_s, entry.rank, fingerprint
 
 
-def _telling_order(item, held, fresh_s):
+def _send_order(item, held, fresh_s):
     """Convicts, this node's own, those cleared of late, and the rest."""
     fingerprint, entry = item
     verdict = entry.verdict()
     cleared = verdict == CLEAR and entry.seen_s >= fresh_s
-    standing = (verdict == CONVICTED, fingerprint in held, cleared, True)
-    return standing.index(True), _news_order(item)
+    group = (verdict == CONVICTED, fingerprint in held, cleared, True)
+    return group.index(True), _importance_order(item)
--- a/magnoliadyke/core/records.py
+++ b/magnoliadyke/core/records.py
@@ -19,29 +19,29 @@
     'RecordSettings',
     'RecordTable',
     'Replay',
-    'Tell',
+    'Resolved',
 ]
 
 RECORD_OVERHEAD_BYTES = 400
 NO_FLOOR = float('-inf')
-GONE = outcomes.Unknown(
+ANSWER_GONE = outcomes.Unknown(
     'answer_gone',
     'the answer is no longer kept; look up the effect before asking again',
 )
-FORGOTTEN = outcomes.Unknown(
+KEY_EXPIRED = outcomes.Unknown(
     'key_expired',
     'the ticket of this key is too old to tell; look up the effect, then '
     'use a key of a new ticket',
 )
-OTHER_BODY = outcomes.Rejected(
+KEY_REUSED = outcomes.Rejected(
     'key_reused',
     'this key came with another request before; use a new number',
     409,
 )
-OTHER_CUSTOMER = outcomes.Rejected(
+KEY_OF_ANOTHER_CUSTOMER = outcomes.Rejected(
     'key_of_another_customer', 'use a key of your own ticket', 403
 )
-INTERRUPTED = outcomes.Unknown(
+HOME_STOPPED = outcomes.Unknown(
     'home_stopped',
     'the host stopped before the request ended; look up the effect before '
     'asking again',
@@ -122,7 +122,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tell:
+class Resolved:
     """Tell the caller this outcome; nothing runs."""
 
     outcome: typing.Any
@@ -182,13 +182,13 @@
         """
         record = self.records.get(key)
         if record is not None:
-            return self.reopen(record, customer, digest)
+            return self.resolve_known(record, customer, digest)
         forgotten = issued_s <= max(self.floor_s, floor_s)
-        if forgotten or self.too_old(issued_s, now_s):
-            return Tell(FORGOTTEN)
+        if forgotten or self.is_too_old(issued_s, now_s):
+            return Resolved(KEY_EXPIRED)
         record = Record(key, customer, digest, self.expiry_of(issued_s))
         self.insert(record)
-        self.shed(now_s)
+        self.evict(now_s)
         return New(record)
 
     def find(self, key, customer):
@@ -198,15 +198,15 @@
         """
         record = self.records.get(key)
         if record is None:
-            return Tell(GONE)
-        return self.reopen(record, customer, record.digest)
+            return Resolved(ANSWER_GONE)
+        return self.resolve_known(record, customer, record.digest)
 
-    def reopen(self, record, customer, digest):
+    def resolve_known(self, record, customer, digest):
         """Judge a key that is known."""
         if record.customer != customer:
-            return Tell(OTHER_CUSTOMER)
+            return Resolved(KEY_OF_ANOTHER_CUSTOMER)
         if record.digest != digest:
-            return Tell(OTHER_BODY)
+            return Resolved(KEY_REUSED)
         match record.state:
             case 'running':
                 return Attach(record)
@@ -215,9 +215,9 @@
             case 'answered':
                 return Replay(record.answer)
             case _:
-                return Tell(record.outcome)
+                return Resolved(record.outcome)
 
-    def too_old(self, issued_s, now_s):
+    def is_too_old(self, issued_s, now_s):
         """Tell whether a ticket may no longer bring new keys."""
         return now_s - issued_s >= self.settings.accept_s
 
@@ -242,7 +242,7 @@
         record.size_bytes = len(answer.body) + RECORD_OVERHEAD_BYTES
         self.bytes_used += record.size_bytes
         self.answered[record.key] = now_s
-        self.shed(now_s)
+        self.evict(now_s)
 
     def settle(self, record, outcome):
         """End a record with an outcome that every resend gets, too.
@@ -259,12 +259,12 @@
         """Drop a record whose key no caller can send again."""
         self.records.pop(record.key, None)
 
-    def shed(self, now_s):
+    def evict(self, now_s):
         """Drop what is over the bounds of time, bytes and number."""
-        self.shed_answers(now_s)
-        self.shed_keys(now_s)
+        self.evict_answers(now_s)
+        self.evict_keys(now_s)
 
-    def shed_answers(self, now_s):
+    def evict_answers(self, now_s):
         """Turn the oldest answers into tombstones."""
         oldest_s = now_s - self.settings.answer_keep_s
         while self.answered:
@@ -283,9 +283,9 @@
         self.bytes_used -= record.size_bytes
         record.size_bytes = 0
         record.answer = None
-        self.settle(record, GONE)
+        self.settle(record, ANSWER_GONE)
 
-    def shed_keys(self, now_s):
+    def evict_keys(self, now_s):
         """Forget keys whose tickets can't bring new ones any more."""
         kept = []
         while self.expiry:
@@ -356,7 +356,7 @@
         self.insert(record)
         if record.state == 'answered':
             self.answered[record.key] = now_s
-        self.shed(now_s)
+        self.evict(now_s)
 
 
 class ExportedRecord(typing.TypedDict):
@@ -375,7 +375,7 @@
     """Return one record as a line of JSON (bytes)."""
     outcome = record.outcome
     if record.state == 'running':
-        outcome = INTERRUPTED
+        outcome = HOME_STOPPED
     else:
         home = record.home
     answer = record.answer
@@ -430,4 +430,4 @@
         for kind in (outcomes.NotRun, outcomes.Unknown, outcomes.Rejected)
     }
     tag, *values = fields
-    return kinds[tag](*values) if tag in kinds else GONE
+    return kinds[tag](*values) if tag in kinds else ANSWER_GONE
--- a/magnoliadyke/core/retries.py
+++ b/magnoliadyke/core/retries.py
@@ -9,11 +9,11 @@
 __all__ = ['RetryBudgets']
 
 #: Attempts of one job, the first included.
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 #: Most retries that a quiet time can save up.
-MOST_SAVED = 20.0
+MAX_SAVED_RETRIES = 20.0
 #: What a customer begins with, so that its first failures are retried.
-FIRST = 2.0
+INITIAL_RETRIES = 2.0
 
 
 class RetryBudgets:
@@ -27,8 +27,8 @@
     def deposit(self, customer, retry_share):
         """Account a first attempt."""
         self.requests += 1
-        saved = self.saved.get(customer, FIRST)
-        self.saved[customer] = min(MOST_SAVED, saved + retry_share)
+        saved = self.saved.get(customer, INITIAL_RETRIES)
+        self.saved[customer] = min(MAX_SAVED_RETRIES, saved + retry_share)
 
     def withdraw(self, customer, attempts):
         """Ask for one more attempt of a job.
@@ -36,8 +36,8 @@
         :param attempts: attempts that the job has had
         :returns: whether it may go on
         """
-        saved = self.saved.get(customer, FIRST)
-        if saved < 1.0 or attempts >= MOST_ATTEMPTS:
+        saved = self.saved.get(customer, INITIAL_RETRIES)
+        if saved < 1.0 or attempts >= MAX_ATTEMPTS:
             return False
         self.saved[customer] = saved - 1.0
         self.retries += 1
--- a/magnoliadyke/core/retrybudget.py
+++ b/magnoliadyke/core/retrybudget.py
@@ -8,7 +8,7 @@
 SLICES = 10
 #: Share of the allowance that is spent: hosts differ for a moment in how
 #: many they think there are, and requests are counted where they arrive.
-SPENT_SHARE = 0.7
+USABLE_SHARE = 0.7
 
 
 class RetryBudget:
@@ -27,26 +27,26 @@
         self.slice_s = window_s / SLICES
         self.hosts = 1
         self.requests: collections.deque[tuple[int, int]] = collections.deque()
-        self.repeats: collections.deque[tuple[int, int]] = collections.deque()
+        self.retries: collections.deque[tuple[int, int]] = collections.deque()
 
-    def request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """A caller's request for the service has arrived."""
         self._count(self.requests, now_s)
 
     def has_left(self, now_s: float) -> bool:
         """Whether a repeat could be sent now."""
         allowed = self.ratio * self._sum(self.requests, now_s)
-        allowed = (allowed + self.extra / self.hosts) * SPENT_SHARE
-        return self._sum(self.repeats, now_s) + 1 <= allowed
+        allowed = (allowed + self.extra / self.hosts) * USABLE_SHARE
+        return self._sum(self.retries, now_s) + 1 <= allowed
 
-    def take(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Spend one repeat, if one is left.
 
         :returns: whether the repeat may be sent
         """
         if not self.has_left(now_s):
             return False
-        self._count(self.repeats, now_s)
+        self._count(self.retries, now_s)
         return True
 
     def _count(
--- a/magnoliadyke/core/revisionlag.py
+++ b/magnoliadyke/core/revisionlag.py
@@ -15,7 +15,7 @@
 
 #: Positions that are remembered until this host has seen them; beyond so
 #: many, the oldest one already shows how long it has been behind.
-MOST_TOLD = 64
+MAX_POSITIONS = 64
 
 
 class Behind(NamedTuple):
@@ -31,7 +31,7 @@
     for_s: float
 
 
-class _Told(NamedTuple):
+class _PeerPosition(NamedTuple):
     host: str
     position: position.Position
     at_s: float
@@ -47,45 +47,49 @@
     def __init__(self, allowed_s: float) -> None:
         self.allowed_s = allowed_s
         self.own = position.START
-        self.told: collections.deque[_Told] = collections.deque()
-        self.asked_s = float('-inf')
+        self.unseen: collections.deque[_PeerPosition] = collections.deque()
+        self.polled_s = float('-inf')
 
-    def seen(self, upto: position.Position) -> None:
+    def record_own_position(self, upto: position.Position) -> None:
         """This host has seen the store's keys up to a position."""
         self.own = max(self.own, upto)
-        while self.told and self.told[0].position <= self.own:
-            self.told.popleft()
+        while self.unseen and self.unseen[0].position <= self.own:
+            self.unseen.popleft()
 
-    def asks(self, at_s: float) -> None:
+    def record_poll(self, at_s: float) -> None:
         """The store is asked for changes then, and not before.
 
         What it does not tell in a pause between two calls is no lag.
         """
-        self.asked_s = at_s
+        self.polled_s = at_s
 
-    def hear(self, host: str, upto: position.Position, now_s: float) -> None:
+    def record_peer_position(
+        self, host: str, upto: position.Position, now_s: float
+    ) -> None:
         """Another host has told up to where it has seen the keys."""
-        newest = self.told[-1].position if self.told else self.own
-        if upto > newest and len(self.told) < MOST_TOLD:
-            self.told.append(_Told(host, upto, now_s))
+        newest = self.unseen[-1].position if self.unseen else self.own
+        if upto > newest and len(self.unseen) < MAX_POSITIONS:
+            self.unseen.append(_PeerPosition(host, upto, now_s))
 
     def missed_s(self, now_s: float) -> float:
         """How long ago another host told first what this one has not seen.
 
         Zero if there is nothing; also counted while the store is not asked.
         """
-        return now_s - self.told[0].at_s if self.told else 0.0
+        return now_s - self.unseen[0].at_s if self.unseen else 0.0
 
-    def behind(self, now_s: float, asks: bool = True) -> Behind | None:
+    def behind(
+        self, now_s: float, store_reachable: bool = True
+    ) -> Behind | None:
         """The newest that this host should have seen by now, or None.
 
         :param asks: it may still hear from the store; else it is behind as
             soon as another host knows more
         """
         newest = None
-        for told in self.told:
-            for_s = now_s - max(told.at_s, self.asked_s)
-            if asks and for_s < self.allowed_s:
+        for each in self.unseen:
+            for_s = now_s - max(each.at_s, self.polled_s)
+            if store_reachable and for_s < self.allowed_s:
                 break
-            newest = Behind(told.host, told.position, for_s)
+            newest = Behind(each.host, each.position, for_s)
         return newest
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -143,7 +143,7 @@
         self.pool_models = {}
         self._add_endpoints(list(endpoints))
         self.learner = learning.Learner(self.models, self.beliefs, self.router)
-        self.suspects = suspects.Suspects(self.quarantine)
+        self.suspects = suspects.SuspectQueue(self.quarantine)
         self.exchange = exchange.Exchange(
             self.epoch, self.pools, self.limits, self.quarantine
         )
@@ -399,7 +399,7 @@
         fingerprint = quarantine.fingerprint_of(job.fingerprint)
         verdict = self.quarantine.verdict(fingerprint, now_s)
         if verdict == quarantine.CONVICTED:
-            self.quarantine.seen(fingerprint, now_s)
+            self.quarantine.record_sighting(fingerprint, now_s)
             return _convicted()
         if not pool.endpoints.present():
             return admission.no_endpoint(admission.MOST_RETRY_S / 10, self.rng)
@@ -643,7 +643,7 @@
 
     def _whole(self, run, result, now_s):
         """A job's whole answer has come."""
-        self.quarantine.ran_whole(run.fingerprint, now_s)
+        self.quarantine.record_success(run.fingerprint, now_s)
         self._recharge(run, self.learner.finished(run, result, now_s))
         tokens = result.prompt_tokens + result.output_tokens
         if run.job.kind == 'model':
@@ -680,7 +680,7 @@
         if failed.crashed:
             self._crashed(endpoint, now_s)
             # It was there, whether or not its prefill was known done.
-            self.suspects.blame(run, endpoint, now_s)
+            self.suspects.record_blame(run, endpoint, now_s)
             endpoint.health.eject(now_s)
             self.beliefs.wiped(endpoint.name)
             return
@@ -692,10 +692,10 @@
 
     def _crashed(self, endpoint, now_s):
         runs = [self.runs[job_id] for job_id in endpoint.load.jobs]
-        self.suspects.crashed(endpoint, runs, now_s)
+        self.suspects.record_engine_crash(endpoint, runs, now_s)
 
     def _may_retry(self, run, endpoint, failed):
-        if run.attempts >= retries.MOST_ATTEMPTS:
+        if run.attempts >= retries.MAX_ATTEMPTS:
             return False
         if failed.crashed:
             # Batch mates of a crash go on elsewhere; crashes are too rare,
@@ -722,12 +722,12 @@
     def _try_suspects(self, pool, now_s):
         """Run the suspect whose turn it is, on the engine kept for it."""
         actions = []
-        for run, verdict in self.suspects.judged(pool, now_s):
+        for run, verdict in self.suspects.pop_decided(pool, now_s):
             if verdict == quarantine.CONVICTED:
                 actions += self._refuse(run, _convicted(), now_s)
             else:
                 self._queue(run, pool, now_s)
-        run = self.suspects.next(pool, self.runs, now_s)
+        run = self.suspects.next_suspect(pool, self.runs, now_s)
         if run is None:
             return actions
         spare_s = run.timing.latest_start_s - now_s
@@ -738,7 +738,7 @@
         if placement is None:
             return actions
         alone = not pool.trial.load.jobs
-        self.suspects.begins(run, pool, now_s)
+        self.suspects.record_trial_start(run, pool, now_s)
         action = self._dispatch(run, pool, placement, now_s, alone)
         return [*actions, action]
 
--- a/magnoliadyke/core/shutdown.py
+++ b/magnoliadyke/core/shutdown.py
@@ -5,14 +5,14 @@
 __all__ = ['Shutdown']
 
 #: How long others may need to hear that this host leaves, in seconds.
-SPREAD_S = 0.5
+LEAVE_ANNOUNCEMENT_S = 0.5
 #: The listener is closed this long before the platform ends the process, in
 #: seconds.
 CLOSE_BEFORE_S = 2.0
 #: Time kept for the last steps of a stop, in seconds.
 EXIT_BEFORE_S = 0.7
 #: Time kept for the way of a last answer, in seconds.
-ANSWER_S = 0.1
+ANSWER_TRANSIT_S = 0.1
 #: Time for the last answers and the ends of their connections, in seconds.
 LAST_ANSWERS_S = 0.3
 #: Time for all else that a process has to end, in seconds.
@@ -33,10 +33,12 @@
     directory_ttl_s: float
 
     @property
-    def refuses_s(self) -> float:
+    def refuses_from_s(self) -> float:
         """From then on callers can know of other hosts."""
-        known_s = self.begun_s + self.directory_ttl_s + SPREAD_S
-        return min(known_s, self.closes_s)
+        announced_s = (
+            self.begun_s + self.directory_ttl_s + LEAVE_ANNOUNCEMENT_S
+        )
+        return min(announced_s, self.closes_s)
 
     @property
     def closes_s(self) -> float:
@@ -53,7 +55,7 @@
         """When nothing is waited for any longer."""
         return self.ends_s + LAST_ANSWERS_S
 
-    def takes(self, now_s: float, deadline_s: float) -> bool:
+    def accepts(self, now_s: float, deadline_s: float) -> bool:
         """Whether a request that has just come is served.
 
         One that may outlast this host is better off elsewhere: refused, it
@@ -61,6 +63,6 @@
 
         :param deadline_s: when its caller gives up
         """
-        if now_s < self.refuses_s:
+        if now_s < self.refuses_from_s:
             return True
-        return deadline_s <= self.ends_s - ANSWER_S
+        return deadline_s <= self.ends_s - ANSWER_TRANSIT_S
--- a/magnoliadyke/core/staleentries.py
+++ b/magnoliadyke/core/staleentries.py
@@ -12,20 +12,20 @@
 from magnoliadyke.core import expiredentries
 from magnoliadyke.core import position
 
-__all__ = ['OldEntries', 'PassedOver']
+__all__ = ['StaleEntries', 'StaleEntry']
 
 #: How long endpoints that have gone are remembered, in seconds: copies are
 #: some seconds old.
-REMEMBERED_S = 60.0
-MOST_REMEMBERED = 4096
+REMOVAL_RETENTION_S = 60.0
+MAX_REMOVALS = 4096
 #: An entry that nobody renews is removed within this time, in seconds; one
 #: that is still there is of an endpoint that lives.
-GONE_S = 5.0
+UNRENEWED_ENTRY_TTL_S = 5.0
 #: An endpoint that lives has written its entry again by then, in seconds.
-WRITTEN_S = expiredentries.LAPSE_S
+REWRITE_TIMEOUT_S = expiredentries.ENTRY_GRACE_S
 
 
-class PassedOver(NamedTuple):
+class StaleEntry(NamedTuple):
     """An entry that a host does not go by, for one that has just started.
 
     :param gone: the endpoint had gone; else it had said that it leaves
@@ -38,7 +38,7 @@
     for_s: float | None
 
 
-class _Old(NamedTuple):
+class _Stale(NamedTuple):
     """An entry that is passed over.
 
     :param gone: the endpoint had gone
@@ -49,7 +49,7 @@
     gone: bool
 
 
-class OldEntries:
+class StaleEntries:
     """Which entries are passed over, and until when.
 
     :ivar old: by name of the endpoint
@@ -57,19 +57,19 @@
 
     def __init__(self, known: catalog.Catalog) -> None:
         self.catalog = known
-        self.old: dict[str, _Old] = {}
-        self.gone_s: collections.OrderedDict[str, float] = (
+        self.entries: dict[str, _Stale] = {}
+        self.removed_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
-    def gone(self, endpoint_id: str, now_s: float) -> None:
+    def record_removal(self, endpoint_id: str, now_s: float) -> None:
         """An endpoint is gone."""
-        self.gone_s[endpoint_id] = now_s
-        self.gone_s.move_to_end(endpoint_id)
-        if len(self.gone_s) > MOST_REMEMBERED:
-            self.gone_s.popitem(last=False)
+        self.removed_s[endpoint_id] = now_s
+        self.removed_s.move_to_end(endpoint_id)
+        if len(self.removed_s) > MAX_REMOVALS:
+            self.removed_s.popitem(last=False)
 
-    def copied(
+    def record_restored(
         self,
         endpoint: catalog.Endpoint,
         written: position.Position,
@@ -79,57 +79,65 @@
 
         :param written: where the copy has it
         """
-        until_s = self._old_until_s(endpoint, now_s)
+        until_s = self._stale_until_s(endpoint, now_s)
         if until_s is None:
-            self.old.pop(endpoint.name, None)
+            self.entries.pop(endpoint.name, None)
         else:
             gone = endpoint.id not in self.catalog.endpoints
-            self.old[endpoint.name] = _Old(written, until_s, gone)
+            self.entries[endpoint.name] = _Stale(written, until_s, gone)
 
-    def _old_until_s(
+    def _stale_until_s(
         self, endpoint: catalog.Endpoint, now_s: float
     ) -> float | None:
         known = self.catalog.endpoints.get(endpoint.id)
         if known is None:
-            gone_s = self.gone_s.get(endpoint.id)
-            if gone_s is None or now_s - gone_s > REMEMBERED_S:
+            removed_s = self.removed_s.get(endpoint.id)
+            if removed_s is None or now_s - removed_s > REMOVAL_RETENTION_S:
                 return None
-            return now_s + GONE_S
+            return now_s + UNRENEWED_ENTRY_TTL_S
         if known == endpoint or endpoint.leaving:
             return None
         # A leave is never taken back, so it waits for no time to pass.
-        return float('inf') if known.leaving else now_s + WRITTEN_S
+        return float('inf') if known.leaving else now_s + REWRITE_TIMEOUT_S
 
-    def is_old(
+    def is_stale(
         self, name: str, written: position.Position, now_s: float
     ) -> bool:
         """Whether an entry is passed over; one written since is not."""
-        old = self.old.get(name)
-        if old is None:
+        entry = self.entries.get(name)
+        if entry is None:
             return False
-        if old.written == written and now_s < old.until_s:
+        if entry.written == written and now_s < entry.until_s:
             return True
-        del self.old[name]
+        del self.entries[name]
         return False
 
-    def told(self, now_s: float) -> tuple[PassedOver, ...]:
+    def export(self, now_s: float) -> tuple[StaleEntry, ...]:
         """Leaves and ends that the entries do not show."""
         return tuple(
-            PassedOver(
+            StaleEntry(
                 name,
-                old.written,
-                old.gone,
-                old.until_s - now_s if old.gone else None,
+                entry.written,
+                entry.gone,
+                entry.until_s - now_s if entry.gone else None,
             )
-            for name, old in self.old.items()
-            if old.gone or old.until_s == float('inf')
+            for name, entry in self.entries.items()
+            if entry.gone or entry.until_s == float('inf')
         )
 
-    def learn(self, told: PassedOver, now_s: float) -> None:
+    def merge_peer_entry(self, peer_entry: StaleEntry, now_s: float) -> None:
         """Another host passes an entry over."""
-        until_s = float('inf') if told.for_s is None else now_s + told.for_s
-        self.old[told.name] = _Old(told.written, until_s, told.gone)
+        until_s = (
+            float('inf')
+            if peer_entry.for_s is None
+            else now_s + peer_entry.for_s
+        )
+        self.entries[peer_entry.name] = _Stale(
+            peer_entry.written, until_s, peer_entry.gone
+        )
 
-    def outlasted(self, now_s: float) -> list[str]:
+    def expired_names(self, now_s: float) -> list[str]:
         """Names of endpoints that have not written their entries again."""
-        return [n for n, old in self.old.items() if now_s >= old.until_s]
+        return [
+            n for n, entry in self.entries.items() if now_s >= entry.until_s
+        ]
--- a/magnoliadyke/core/suspects.py
+++ b/magnoliadyke/core/suspects.py
@@ -3,69 +3,69 @@
 from magnoliadyke.core import quarantine
 from magnoliadyke.core import routing
 
-__all__ = ['Suspects']
+__all__ = ['SuspectQueue']
 
 #: How long a suspect whose turn it is waits for its engine to run dry.
 TRIAL_WAIT_S = 5.0
 NEVER_S = float('-inf')
 
 
-class Suspects:
+class SuspectQueue:
     """Keeps suspects apart from all other jobs of the node.
 
     :param judge: :class:`magnoliadyke.core.quarantine.Quarantine`
     """
 
     def __init__(self, judge):
-        self.judge = judge
-        self.blamed_s = {}
+        self.quarantine = judge
+        self.last_crash_s = {}
 
-    def crashed(self, endpoint, runs, now_s):
+    def record_engine_crash(self, endpoint, runs, now_s):
         """Blame what ran on an endpoint, once for each crash."""
-        last_s = self.blamed_s.get(endpoint.name, NEVER_S)
-        if now_s - last_s < self.judge.settings.same_crash_s:
+        last_s = self.last_crash_s.get(endpoint.name, NEVER_S)
+        if now_s - last_s < self.quarantine.settings.same_crash_s:
             return
-        self.blamed_s[endpoint.name] = now_s
+        self.last_crash_s[endpoint.name] = now_s
         batch = [
             (run.fingerprint, run.tokens)
             for run in runs
             if run.job.fingerprint and run.was_at(endpoint)
         ]
         pool = endpoint.info.pool
-        self.judge.blame(endpoint.name, pool, batch, now_s)
+        self.quarantine.blame(endpoint.name, pool, batch, now_s)
 
-    def blame(self, run, endpoint, now_s):
+    def record_blame(self, run, endpoint, now_s):
         """A job's own failure tells that it was there."""
         if run.job.fingerprint:
             batch = [(run.fingerprint, run.tokens)]
             pool = endpoint.info.pool
-            self.judge.blame(endpoint.name, pool, batch, now_s)
+            self.quarantine.blame(endpoint.name, pool, batch, now_s)
 
     def verdict(self, run, now_s):
         """Judge a run; one without a fingerprint is clear."""
         if not run.job.fingerprint:
             return quarantine.CLEAR
-        return self.judge.verdict(run.fingerprint, now_s)
+        return self.quarantine.verdict(run.fingerprint, now_s)
 
     def add(self, run, pool, now_s):
         """Queue a suspect until an endpoint can be given to it alone."""
-        self.judge.waits(run.fingerprint, now_s)
+        self.quarantine.record_waiting(run.fingerprint, now_s)
         run.queued_s = now_s
         pool.suspects.append(run)
 
-    def judged(self, pool, now_s):
+    def pop_decided(self, pool, now_s):
         """Take out those that are suspects no longer: (job, verdict)."""
-        done = []
+        decided = []
         for run in list(pool.suspects):
             verdict = self.verdict(run, now_s)
             if verdict == quarantine.SUSPECT:
-                self.judge.waits(run.fingerprint, now_s)
+                self.quarantine.record_waiting(run.fingerprint, now_s)
             else:
                 pool.suspects.remove(run)
-                done.append((run, verdict))
-        return done
+                decided.append((run, verdict))
+        return decided
 
-    def next(self, pool, runs, now_s):
+    def next_suspect(self, pool, runs, now_s):
         """The suspect that should run now, on ``pool.trial``, or None.
 
         :param runs: the node's jobs by id
@@ -75,21 +75,25 @@
         if trial is None:
             return None
         if trial.alone is not None:
-            self.judge.runs(runs[trial.alone].fingerprint, now_s)
+            self.quarantine.record_running(
+                runs[trial.alone].fingerprint, now_s
+            )
             return None
         for run in pool.suspects:
-            if self.judge.turn(run.fingerprint, run.queued_s, now_s):
+            if self.quarantine.is_trial_due(
+                run.fingerprint, run.queued_s, now_s
+            ):
                 waited_s = now_s - run.queued_s
-                waited_s -= self.judge.settings.settle_s
-                dry = not trial.load.jobs
-                return run if dry or waited_s >= TRIAL_WAIT_S else None
+                waited_s -= self.quarantine.settings.settle_s
+                idle = not trial.load.jobs
+                return run if idle or waited_s >= TRIAL_WAIT_S else None
         return None
 
-    def begins(self, run, pool, now_s):
+    def record_trial_start(self, run, pool, now_s):
         """A suspect runs now, and nothing else of this node beside it."""
         pool.suspects.remove(run)
         pool.trial.alone = run.job.id
-        self.judge.runs(run.fingerprint, now_s)
+        self.quarantine.record_running(run.fingerprint, now_s)
 
     def _choose_trial(self, pool):
         """Keep one engine for suspects, the same on every node.
@@ -108,6 +112,7 @@
             members = pool.endpoints.by_role[role]
             if members:
                 return min(
-                    members, key=lambda each: quarantine.short(each.name)
+                    members,
+                    key=lambda each: quarantine.name_checksum(each.name),
                 )
         return None
--- a/magnoliadyke/core/usage.py
+++ b/magnoliadyke/core/usage.py
@@ -43,7 +43,7 @@
 
 
 def split(
-    windows: dict[int, dict[str, int]], most: int
+    windows: dict[int, dict[str, int]], max_counts: int
 ) -> Iterator[dict[int, dict[str, int]]]:
     """Parts of what is to be told, with so many counts at most.
 
@@ -53,7 +53,7 @@
     size = 0
     for window, begun in windows.items():
         for workspace, count in begun.items():
-            if size == most:
+            if size == max_counts:
                 yield part
                 part, size = {}, 0
             part.setdefault(window, {})[workspace] = count
@@ -73,7 +73,7 @@
         self.kept = kept
         self.windows: dict[int, collections.Counter[str]] = {}
 
-    def begun(self, workspace: str, wall_s: float) -> None:
+    def record_start(self, workspace: str, wall_s: float) -> None:
         """A request of a workspace began to run."""
         window = window_of(wall_s, self.length_s)
         counts = self.windows.setdefault(window, collections.Counter())
@@ -107,7 +107,7 @@
         self.kept = kept
         self.windows: dict[int, dict[tuple[str, int], dict[str, int]]] = {}
 
-    def told(
+    def record_tally(
         self, host: str, incarnation: int, window: int, begun: dict[str, int]
     ) -> None:
         """Take the totals of one process in one window."""
--- a/magnoliadyke/core/walltime.py
+++ b/magnoliadyke/core/walltime.py
@@ -7,15 +7,15 @@
 
 import statistics
 
-__all__ = ['FleetTime', 'WallTime']
+__all__ = ['MedianClock', 'AdjustedClock']
 
 #: A host that differs from the median by more is told the time, in seconds.
-MOST_OFF_S = 0.15
+MAX_OFFSET_S = 0.15
 #: How long a host's word counts for the median, in seconds.
-KEPT_S = 10.0
+SAMPLE_RETENTION_S = 10.0
 
 
-class WallTime:
+class AdjustedClock:
     """The time of day as one host has it.
 
     :param wall_s: seconds since the epoch, by the machine's clock
@@ -35,7 +35,7 @@
         self.offset_s = wall_s - now_s
 
 
-class FleetTime:
+class MedianClock:
     """The median of what the hosts take for the time of day.
 
     A word that was long on its way, or waited while this host stood still,
@@ -45,42 +45,44 @@
     :param own: of the host that asks the others
     """
 
-    def __init__(self, own: WallTime) -> None:
+    def __init__(self, own: AdjustedClock) -> None:
         self.own = own
-        self._told: dict[str, tuple[float, float]] = {}
+        self._samples: dict[str, tuple[float, float]] = {}
 
-    def told(self, host: str, wall_s: float, now_s: float) -> float | None:
+    def record_peer_time(
+        self, host: str, wall_s: float, now_s: float
+    ) -> float | None:
         """A host has told its time.
 
         :returns: the time to tell it, if it is off
         """
-        word = (wall_s - self.own.at(now_s), now_s)
-        known = self._told.get(host)
-        if known is not None and now_s - known[1] <= KEPT_S:
-            word = max(word, known)
-        self._told[host] = word
-        ahead_s = word[0]
+        sample = (wall_s - self.own.at(now_s), now_s)
+        known = self._samples.get(host)
+        if known is not None and now_s - known[1] <= SAMPLE_RETENTION_S:
+            sample = max(sample, known)
+        self._samples[host] = sample
+        ahead_s = sample[0]
         median_s = self._median_s(now_s)
-        if abs(median_s) > MOST_OFF_S:
+        if abs(median_s) > MAX_OFFSET_S:
             # Of all hosts this one differs: the others' words stay as they
             # are, seen from the new time.
             self.own.set(self.own.at(now_s) + median_s, now_s)
-            self._told = {
+            self._samples = {
                 each: (ahead - median_s, at_s)
-                for each, (ahead, at_s) in self._told.items()
+                for each, (ahead, at_s) in self._samples.items()
             }
             ahead_s -= median_s
             median_s = 0.0
-        if abs(ahead_s - median_s) <= MOST_OFF_S:
+        if abs(ahead_s - median_s) <= MAX_OFFSET_S:
             return None
         return self.own.at(now_s) + median_s
 
     def _median_s(self, now_s: float) -> float:
-        self._told = {
-            host: word
-            for host, word in self._told.items()
-            if now_s - word[1] <= KEPT_S
+        self._samples = {
+            host: sample
+            for host, sample in self._samples.items()
+            if now_s - sample[1] <= SAMPLE_RETENTION_S
         }
         return statistics.median(
-            [0.0, *(ahead_s for ahead_s, _ in self._told.values())]
+            [0.0, *(ahead_s for ahead_s, _ in self._samples.values())]
         )
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -362,7 +362,7 @@
     def move_stream(self, message, now_s):
         """Give an answer its place on another engine."""
         core = self.scheduler
-        name = migrationtarget.choose(
+        name = migrationtarget.choose_target(
             core.runs, core.pools, message.job_id, now_s
         )
         message.reply(name)
--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -57,7 +57,7 @@
             behind = follower.lag.behind(follower.clock.now_s(), in_reach)
             if behind is not None:
                 self._read_or_ask(behind)
-            if follower.mirror.expired_entries.asks_others():
+            if follower.mirror.expired_entries.needs_peer_reports():
                 self._explain_outage()
             if follower.clock.now_s() < self.introduced_s:
                 self._introduce()
@@ -101,7 +101,7 @@
                 LOG.warning_event('state_incomplete', told_by=address)
                 continue
             items = {key: items[key] for key in state.positions}
-            self.follower.mirror.expired_entries.regained_with(
+            self.follower.mirror.expired_entries.record_peer_regained(
                 state.regained_s, self.follower.clock.now_s()
             )
             self.follower.take_all(items, state.position)
@@ -135,14 +135,14 @@
         for address in self._asked(''):
             state = peerstate.fetch(address, self.follower.lag.own)
             told.append(state and state.reach)
-            alone = known.alone(told, self.follower.clock.now_s())
+            alone = known.is_local_outage(told, self.follower.clock.now_s())
             if alone:
                 listed = self.follower.mirror.listed_in(state.positions)
-                self.follower.mirror.drop_all(known.explained(listed))
+                self.follower.mirror.drop_all(known.resolve_outage(listed))
                 break
         if alone is False:
-            known.shared()
-        if known.unexplained:
+            known.record_shared_outage()
+        if known.outage_unresolved:
             self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
         else:
             LOG.event('outage_explained', alone=alone, asked=len(told))
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -108,7 +108,7 @@
                 self._ask_others(self._some_peers())
                 if self._may_ask_store() and not self._ask_store():
                     self.clock.sleep(RETRY_S * (1 + self.rng.random()))
-            case confirmation.Source.OTHERS:
+            case confirmation.Source.PEERS:
                 self._ask_others(self._some_peers())
             case confirmation.Source.LEADER:
                 leader = self.placer.leader
@@ -171,7 +171,7 @@
             return False
         if item.position.era and not self._has_met_others():
             return False
-        self.proof.proved(asked_s, own_version)
+        self.proof.record_proof(asked_s, own_version)
         return True
 
     def _has_met_others(self) -> bool:
@@ -179,7 +179,7 @@
 
         The others may go by a newer configuration than the copy has.
         """
-        if self.proof.newest_told >= 0 or not self.members.listening():
+        if self.proof.newest_peer_version >= 0 or not self.members.listening():
             return True
         return self.clock.boot_s() - self.started_s >= MEET_S
 
@@ -188,7 +188,7 @@
     def _ask_others(self, addresses: list[str]) -> None:
         for address in addresses:
             nonce = self.rng.getrandbits(62)
-            self.proof.asks(nonce, self.clock.boot_s())
+            self.proof.record_query(nonce, self.clock.boot_s())
             self.placer.send(address, duty_codec.ConfirmationRequest(nonce))
 
     def asked(
@@ -212,7 +212,9 @@
         if configuration is None:
             return
         nonce, version, age_s = reply
-        if self.proof.answered(nonce, version, age_s, configuration.version):
+        if self.proof.record_reply(
+            nonce, version, age_s, configuration.version
+        ):
             LOG.event(
                 'configuration_behind',
                 version=configuration.version,
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -115,7 +115,7 @@
 
     def run(self) -> outcomes.Outcome:
         """Serve the request; the caller has its answer afterwards."""
-        self._budget().request(self.parts.clock.now_s())
+        self._budget().record_request(self.parts.clock.now_s())
         try:
             return self._run()
         except callers.CallerLeft:
@@ -188,18 +188,23 @@
     def _backoff_s(self, endpoint_id: str) -> float:
         """How much longer an endpoint wants nothing from this host."""
         now_s = self.parts.clock.now_s()
-        return self.parts.backoffs.left_s(endpoint_id, now_s)
+        return self.parts.backoffs.remaining_s(endpoint_id, now_s)
 
     def _retry_after_s(self) -> float:
         """When a request that none takes may come back."""
         usable = self.parts.catalog.usable(self.service)
         now_s = self.parts.clock.now_s()
-        return self.parts.backoffs.least_s(usable, now_s) or RETRY_AFTER_S
+        return (
+            self.parts.backoffs.shortest_remaining_s(usable, now_s)
+            or RETRY_AFTER_S
+        )
 
     def _may_send(self) -> bool:
         """Count a send that is to run; all but the first are repeats."""
         self.sends += 1
-        return self.sends == 1 or self._budget().take(self.parts.clock.now_s())
+        return self.sends == 1 or self._budget().try_acquire(
+            self.parts.clock.now_s()
+        )
 
     def _may_go_on(self) -> bool:
         if self.runs >= self.route.max_attempts:
@@ -248,7 +253,7 @@
 
     def _heard_backoff(self, endpoint: catalog.Endpoint, for_s: float) -> None:
         now_s = self.parts.clock.now_s()
-        self.parts.backoffs.asked(endpoint.id, for_s, now_s)
+        self.parts.backoffs.record_backoff(endpoint.id, for_s, now_s)
         LOG.event(
             'endpoint_asked_to_back_off',
             id=self.request.id.decode('latin-1'),
@@ -257,7 +262,7 @@
         )
 
     def _heard_leaving(self, endpoint: catalog.Endpoint) -> None:
-        if self.parts.catalog.heard_leaving(endpoint.id):
+        if self.parts.catalog.mark_leaving(endpoint.id):
             LOG.event(
                 'endpoint_said_leaving',
                 id=self.request.id.decode('latin-1'),
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -192,8 +192,8 @@
             },
             self.lag.own,
             self._reach(now_s),
-            self.mirror.expired_entries.regained_ago_s(now_s),
-            self.mirror.stale_entries.told(now_s),
+            self.mirror.expired_entries.since_regained_s(now_s),
+            self.mirror.stale_entries.export(now_s),
         )
 
     def _reach(self, now_s: float) -> expiredentries.Reach | None:
@@ -283,11 +283,11 @@
 
     def _watch(self) -> bool:
         """Take the next changes; False where all has to be read anew."""
-        self.lag.asks(self.clock.now_s() + GATHER_S)
+        self.lag.record_poll(self.clock.now_s() + GATHER_S)
         self.clock.sleep(GATHER_S)
         self.mirror.settle()
         wait_s = self.watch_s
-        if self.mirror.expired_entries.doubted:
+        if self.mirror.expired_entries.grace_until_s:
             wait_s = min(wait_s, DOUBT_WATCH_S)
         base = self.lag.own
         match self._watch_unless_behind(base, wait_s):
@@ -353,7 +353,7 @@
         self._seen(at)
 
     def _seen(self, upto: position.Position) -> None:
-        self.lag.seen(upto)
+        self.lag.record_own_position(upto)
         if self.others is not None:
             self.others.tell_position(self.lag.own)
 
@@ -368,7 +368,7 @@
         at_s = self.clock.now_s()
         if self.listening:
             at_s += GATHER_S
-        self.lag.hear(host, upto, at_s)
+        self.lag.record_peer_position(host, upto, at_s)
 
     def take_updates(self, told: placing_codec.KeyUpdates) -> None:
         """A host that watches the store tells what it has seen.
@@ -381,7 +381,9 @@
         self.updated_s = now_s
         if not self.listening:
             return
-        self.mirror.expired_entries.regained_with(told.regained_s, now_s)
+        self.mirror.expired_entries.record_peer_regained(
+            told.regained_s, now_s
+        )
         if told.position <= self.lag.own:
             return
         if told.base > self.lag.own or not told.complete:
@@ -404,7 +406,7 @@
             return
         now_s = self.clock.now_s()
         self.relayed_s = now_s
-        regained_s = self.mirror.expired_entries.regained_ago_s(now_s)
+        regained_s = self.mirror.expired_entries.since_regained_s(now_s)
         told = tuple(each for each in changes if each.key not in self.untold)
         self.others.relay(
             keyupdates.split(
@@ -441,7 +443,9 @@
         self.failures = 0
         if self.failing_since_s is not None:
             LOG.event('store_regained', after_s=now_s - self.failing_since_s)
-            self.mirror.expired_entries.regained(now_s, self.failing_since_s)
+            self.mirror.expired_entries.record_store_regained(
+                now_s, self.failing_since_s
+            )
             self.failing_since_s = None
             self.regained_s = now_s
 
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -334,7 +334,7 @@
         if self.shutdown is None:
             return True
         # Its body may have come long after its head.
-        return self.shutdown.takes(self.clock.now_s(), one.deadline_s)
+        return self.shutdown.accepts(self.clock.now_s(), one.deadline_s)
 
     def _admit(
         self,
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -81,8 +81,8 @@
         self.gone = gone
         self.clock = clock
         self.items: dict[str, store.Item] = {}
-        self.expired_entries = expiredentries.Lapses(known)
-        self.stale_entries = staleentries.OldEntries(known)
+        self.expired_entries = expiredentries.ExpiredEntries(known)
+        self.stale_entries = staleentries.StaleEntries(known)
         self.unusable: collections.Counter[str] = collections.Counter()
 
     def replace(self, items: dict[str, store.Item]) -> None:
@@ -122,7 +122,7 @@
             position=at,
             items=len(items),
             unlisted=len(missing),
-            passed_over=len(self.stale_entries.old),
+            passed_over=len(self.stale_entries.entries),
         )
 
     def listed_in(self, keys: Container[str]) -> set[str]:
@@ -139,7 +139,7 @@
         return [e for e in self.catalog.by_name.values() if e not in listed]
 
     def learn_passed_over(
-        self, told: tuple[staleentries.PassedOver, ...]
+        self, told: tuple[staleentries.StaleEntry, ...]
     ) -> None:
         """Take over which entries another host does not go by."""
         for each in told:
@@ -149,7 +149,7 @@
                 continue
             if endpoint_id is None:
                 continue
-            self.stale_entries.learn(each, self.clock.now_s())
+            self.stale_entries.merge_peer_entry(each, self.clock.now_s())
             LOG.event(
                 'endpoint_passed_over', endpoint=endpoint_id, gone=each.gone
             )
@@ -163,8 +163,8 @@
         endpoint = self.decoder.endpoint(item.key, item.value)
         if isinstance(endpoint, catalog.UnusableRecord):
             return
-        self.stale_entries.copied(endpoint, item.position, now_s)
-        if self.stale_entries.is_old(endpoint.name, item.position, now_s):
+        self.stale_entries.record_restored(endpoint, item.position, now_s)
+        if self.stale_entries.is_stale(endpoint.name, item.position, now_s):
             LOG.event(
                 'endpoint_of_copy',
                 endpoint=endpoint.id,
@@ -228,22 +228,22 @@
         if isinstance(endpoint, catalog.UnusableRecord):
             self._ignore_endpoint(item, endpoint.reason)
             return
-        latest_ms = self.catalog.latest_born_ms(endpoint.name)
-        if latest_ms and not endpoint.born_ms:
+        latest_ms = self.catalog.latest_started_ms(endpoint.name)
+        if latest_ms and not endpoint.started_ms:
             self._ignore_endpoint(item, 'it does not say when it began')
             return
-        if endpoint.born_ms < latest_ms:
+        if endpoint.started_ms < latest_ms:
             # Of a process that has been replaced.  Taken for the present
             # one, all that is known would go twice: now, and when the new
             # entry is seen again.
             self.unusable['former endpoint'] += 1
             LOG.repeated('endpoint_former', item.key, key=item.key)
             return
-        if self.stale_entries.is_old(
+        if self.stale_entries.is_stale(
             endpoint.name, item.position, self.clock.now_s()
         ):
             return
-        self.expired_entries.listed(endpoint.id)
+        self.expired_entries.record_entry(endpoint.id)
         before = self.catalog.endpoints.get(endpoint.id)
         if before == endpoint:
             return
@@ -277,7 +277,7 @@
             self._forget(self.catalog.by_name[name])
 
     def _forget(self, endpoint_id: str) -> None:
-        self.expired_entries.listed(endpoint_id)
+        self.expired_entries.record_entry(endpoint_id)
         self._drop(endpoint_id)
 
     def _put_own(self, item: store.Item) -> None:
@@ -294,9 +294,9 @@
 
     def _lose(self, missing: list[str]) -> None:
         """Endpoints have vanished from the list, together."""
-        gone = self.expired_entries.lost(missing, self.clock.now_s())
+        gone = self.expired_entries.record_missing(missing, self.clock.now_s())
         for endpoint_id in missing:
-            if endpoint_id in self.expired_entries.doubted:
+            if endpoint_id in self.expired_entries.grace_until_s:
                 LOG.event('endpoint_doubted', endpoint=endpoint_id)
         self.drop_all(gone)
 
@@ -306,11 +306,11 @@
         Entries of a copy that nobody wrote again in time hold from now on.
         """
         now_s = self.clock.now_s()
-        self.drop_all(self.expired_entries.settle(now_s))
-        for name in self.stale_entries.outlasted(now_s):
+        self.drop_all(self.expired_entries.pop_expired(now_s))
+        for name in self.stale_entries.expired_names(now_s):
             item = self.items.get(self.decoder.endpoint_prefix + name)
             if item is None:
-                del self.stale_entries.old[name]
+                del self.stale_entries.entries[name]
             else:
                 self._apply(item)
 
@@ -322,5 +322,5 @@
     def _drop(self, endpoint_id: str) -> None:
         if self.catalog.remove(endpoint_id) is not None:
             LOG.event('endpoint_gone', endpoint=endpoint_id)
-            self.stale_entries.gone(endpoint_id, self.clock.now_s())
+            self.stale_entries.record_removal(endpoint_id, self.clock.now_s())
             self.gone(endpoint_id)
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -55,7 +55,7 @@
     position: position.Position
     reach: expiredentries.Reach | None
     regained_s: float | None
-    passed_over: tuple[staleentries.PassedOver, ...] = ()
+    passed_over: tuple[staleentries.StaleEntry, ...] = ()
 
 
 class StateServer(app.Component):
@@ -186,7 +186,7 @@
         reach,
         _seconds(reply.regained_ms),
         tuple(
-            staleentries.PassedOver(
+            staleentries.StaleEntry(
                 each.name,
                 position.Position(reply.era, each.revision),
                 each.gone,
--- a/magnoliadyke/gateway/plainexchange.py
+++ b/magnoliadyke/gateway/plainexchange.py
@@ -90,11 +90,11 @@
         self.tried.add(endpoint.id)
         self.endpoint = endpoint.id
         begun_s = self.parts.clock.now_s()
-        balancer.sent(endpoint.id)
+        balancer.record_sent(endpoint.id)
         try:
             result = self._send_whole(endpoint, self._try_s())
         except callers.Interrupted:
-            balancer.left(endpoint.id)
+            balancer.record_cancel(endpoint.id)
             raise
         self._note_try(result, endpoint.id)
         now_s = self.parts.clock.now_s()
@@ -103,11 +103,11 @@
         match result:
             case outcomes.Whole(facts=facts):
                 failed = facts.status >= 500
-                balancer.answered(endpoint.id, now_s - begun_s, failed)
+                balancer.record_answer(endpoint.id, now_s - begun_s, failed)
             case outcomes.NotRun(arrived=True):
-                balancer.answered(endpoint.id, now_s - begun_s, True)
+                balancer.record_answer(endpoint.id, now_s - begun_s, True)
             case _:
-                balancer.lost(endpoint.id, now_s)
+                balancer.record_failure(endpoint.id, now_s)
         return result
 
     def _try_s(self) -> float:
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -156,7 +156,7 @@
             if each.stage is catalog.Stage.DECODE and not each.leaving
         )
         now_s = self.parts.clock.now_s()
-        return self.parts.backoffs.least_s(answering, now_s)
+        return self.parts.backoffs.shortest_remaining_s(answering, now_s)
 
     def _unavailable(self) -> list[str]:
         """Engines that take nothing, which the placing host may not know.
@@ -167,7 +167,9 @@
         listed = known.by_service.get(self.service, {})
         backing_off = self.parts.backoffs.active(self.parts.clock.now_s())
         ids = [
-            each for each in (*backing_off, *known.leavers) if each in listed
+            each
+            for each in (*backing_off, *known.leaving_ids)
+            if each in listed
         ]
         return ids[:MOST_UNAVAILABLE]
 
--- a/magnoliadyke/gateway/suspects.py
+++ b/magnoliadyke/gateway/suspects.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.clock = clock
         self.tell = tell
-        self.record = crashhistory.CrashRecord()
+        self.record = crashhistory.CrashHistory()
         self.told_since_s = float('-inf')
         self.told = 0
 
@@ -44,7 +44,7 @@
         """An endpoint broke a request off without an answer."""
         now_s = self.clock.now_s()
         fingerprint = _fingerprint(request)
-        if not self.record.broke(fingerprint, (endpoint,), now_s):
+        if not self.record.record_crash(fingerprint, (endpoint,), now_s):
             return
         self._log_barred(fingerprint, now_s)
         if now_s - self.told_since_s >= 1.0:
@@ -54,21 +54,21 @@
         if self.told > MOST_TOLD_A_SECOND:
             LOG.repeated('broken_request_untold', endpoint, told=self.told)
             return
-        known = tuple(self.record.suspects[fingerprint].endpoints)
+        known = tuple(self.record.requests[fingerprint].endpoints)
         self.tell(placing_codec.Broken(fingerprint, known))
 
     def heard(self, message: placing_codec.Broken) -> None:
         """Another host tells of a request that broke off there."""
         now_s = self.clock.now_s()
         fingerprint, endpoints = message
-        if self.record.broke(fingerprint, endpoints, now_s):
+        if self.record.record_crash(fingerprint, endpoints, now_s):
             self._log_barred(fingerprint, now_s)
 
     def served(self, request: codecs.Request) -> None:
         """A request was answered whole."""
         if len(self.record):
             now_s = self.clock.now_s()
-            self.record.served(_fingerprint(request), now_s)
+            self.record.record_success(_fingerprint(request), now_s)
 
     def barred_s(self, request: codecs.Request) -> float:
         """How long a request is not to be run, in seconds; 0 if it may.
@@ -82,7 +82,7 @@
 
     def _log_barred(self, fingerprint: bytes, now_s: float) -> None:
         if self.record.barred_s(fingerprint, now_s):
-            endpoints = self.record.suspects[fingerprint].endpoints
+            endpoints = self.record.requests[fingerprint].endpoints
             LOG.warning_event(
                 'request_barred',
                 fingerprint=fingerprint.hex(),
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -86,8 +86,8 @@
         self.store = kept
         self.calls = calls
         self.clock = clock
-        self.wall = walltime.WallTime(clock.wall_s(), clock.boot_s())
-        self.fleet_time = walltime.FleetTime(self.wall)
+        self.wall = walltime.AdjustedClock(clock.wall_s(), clock.boot_s())
+        self.fleet_time = walltime.MedianClock(self.wall)
         self.kept = usage.kept_windows(settings.window_s, settings.due_s)
         self.tally = usage.Tally(settings.window_s, self.kept)
         self.ledger = usage.Ledger(self.kept)
@@ -122,7 +122,7 @@
     def begun(self, workspace: str, ago_s: float = 0.0) -> None:
         """A request of a workspace has begun to run."""
         if self.calls is not None:
-            self.tally.begun(workspace, self.wall_s() - ago_s)
+            self.tally.record_start(workspace, self.wall_s() - ago_s)
 
     def _tell_all(self) -> None:
         while True:
@@ -174,14 +174,18 @@
         for window, begun in message.windows.items():
             # A host whose clock is far off would push the others' out.
             if present - self.kept < window <= present + 1:
-                ledger.told(message.host, message.incarnation, window, begun)
+                ledger.record_tally(
+                    message.host, message.incarnation, window, begun
+                )
         if not self.placer.leading:
             return None
         if message.host == self.host or message.wall_s is None:
             return None
         now_s = self.clock.boot_s()
         before_s = self.wall_s()
-        told = self.fleet_time.told(message.host, message.wall_s, now_s)
+        told = self.fleet_time.record_peer_time(
+            message.host, message.wall_s, now_s
+        )
         self._moved(self.wall_s() - before_s)
         return None if told is None else duty_codec.WallTime(told)
 
@@ -195,7 +199,7 @@
 
     def _moved(self, by_s: float) -> None:
         """This host goes by another time of day from now on."""
-        if abs(by_s) < walltime.MOST_OFF_S:
+        if abs(by_s) < walltime.MAX_OFFSET_S:
             return
         LOG.event('wall_time_corrected', by_ms=round(by_s * 1000))
         self.tally.shift(by_s)
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -189,7 +189,7 @@
             return self.open(request, key, self.clock.now_s())
         if owner != self.name and self.directory.member_of(owner):
             return self.relay(request, request.key, owner)
-        return Settled(records.GONE)
+        return Settled(records.ANSWER_GONE)
 
     def place_elsewhere(self, request, key, home):
         """Relay to the home of a key, or say that it is gone.
@@ -234,7 +234,7 @@
     def follow_away(self, request, key, home):
         """Follow a request that still runs at a home that is stopping."""
         if self.directory.member_of(home) is None:
-            return Settled(records.INTERRUPTED)
+            return Settled(records.HOME_STOPPED)
         return self.relay(request, key, home)
 
     def known(self, found, key):
@@ -244,7 +244,7 @@
                 return Following(record.run, key)
             case records.Replay(answer):
                 return Kept(answer)
-            case records.Tell(outcome):
+            case records.Resolved(outcome):
                 return Settled(outcome)
 
     def admit(self, request, record):
@@ -478,7 +478,7 @@
         match found:
             case records.Replay(answer):
                 return answer
-            case records.Tell(outcome) if name in self.records.records:
+            case records.Resolved(outcome) if name in self.records.records:
                 return outcome
             case _:
                 return None
@@ -540,7 +540,7 @@
             return self.known(found, key)
         owner = self.claiming.owner_of(digest)
         if not owner or owner == self.name:
-            return Settled(records.GONE)
+            return Settled(records.ANSWER_GONE)
         return self.find_elsewhere(request, owner, offset)
 
     def find_elsewhere(self, request, home, offset):
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -299,7 +299,7 @@
     key = f'host-1.1700000000000.{number // 100}-0123456789abcdef/{number}'
     digest = f'{number:032x}'
     opened = kept.open(key, 'customer-1', digest, 0.0, 0.0)
-    kept.settle(opened.record, records.INTERRUPTED)
+    kept.settle(opened.record, records.HOME_STOPPED)
 
 
 def customers_view(count):
--- a/magnoliadyke/lab/platformendpoint.py
+++ b/magnoliadyke/lab/platformendpoint.py
@@ -69,7 +69,7 @@
     :ivar refuses_resumed: streams that go on are turned away
     :ivar fails_resumed: streams that go on end in 500
     :ivar crashes_on: body of a request that ends it when it begins it
-    :ivar born_ms: when it began, 0 if it doesn't say
+    :ivar started_ms: when it began, 0 if it doesn't say
     :ivar refuses_after: runs after which everything is turned away
     :ivar change_s: time in which it carries an order for a stage out, None
         if it only notes orders
@@ -103,7 +103,7 @@
         self.crashes_on: bytes | None = None
         self.refuses_resumed = False
         self.fails_resumed = False
-        self.born_ms = 0
+        self.started_ms = 0
         self.refuses_after: int | None = None
         self.says_leaving = False
         self.backoff_s: float | None = None
@@ -137,8 +137,8 @@
         }
         if self.stage:
             entry['stage'] = self.stage
-        if self.born_ms:
-            entry['born'] = self.born_ms
+        if self.started_ms:
+            entry['born'] = self.started_ms
         return entry
 
     @property
@@ -217,8 +217,8 @@
                 'busy': False,
                 'sequence': len(self.orders),
             }
-            if self.born_ms:
-                state['born'] = self.born_ms
+            if self.started_ms:
+                state['born'] = self.started_ms
             caller.answer(200, [], json.dumps(state).encode())
         elif path == '/api/order':
             order = json.loads(body)
--- a/magnoliadyke/lab/platformfleet.py
+++ b/magnoliadyke/lab/platformfleet.py
@@ -167,7 +167,7 @@
         made.pause_s = PAUSE_S
         made.events = EVENTS
         made.takes_s = dict.fromkeys(LONG_PREFIXES, LONG_S)
-        made.born_ms = round(time.time() * 1000)
+        made.started_ms = round(time.time() * 1000)
         self.endpoints[name] = made
         self.store.put(f'servers/{name}', made.entry())
 
--- a/magnoliadyke/platform/engines.py
+++ b/magnoliadyke/platform/engines.py
@@ -33,7 +33,7 @@
         status, fields = reply
         if status != STATUS_OK:
             return enginecontrol.Unreachable(f'status {status}')
-        if endpoint.born_ms and fields.get('born') != endpoint.born_ms:
+        if endpoint.started_ms and fields.get('born') != endpoint.started_ms:
             # Its entry is still that of the process before: the number of
             # orders that it has taken is not that of this one.
             return enginecontrol.Unreachable('another process answers')
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -366,7 +366,7 @@
         self.ingress.drain(course)
         self.members.leave()
         self.leadership.resign()
-        self._wait_until(course.refuses_s, False)
+        self._wait_until(course.refuses_from_s, False)
         self.ingress.refuse_waiting()
         self._wait_until(course.closes_s, False)
         self.ingress.close_idle()
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -184,18 +184,18 @@
     stage = fields.text(found, 'stage', '')
     if stage and stage not in STAGES:
         raise fields.BadField('stage is not known')
-    born_ms = fields.whole(found, 'born', 0, 0)
+    started_ms = fields.whole(found, 'born', 0, 0)
     return catalog.Endpoint(
         # What is known of a process is kept by this id: one that starts
         # again under its name is another, which knows and holds nothing.
-        id=f'{name}~{born_ms:x}' if born_ms else name,
+        id=f'{name}~{started_ms:x}' if started_ms else name,
         service=fields.text(found, 'service'),
         address=fields.address(found, 'address'),
         failure_domain=fields.text(found, 'zone'),
         slots=fields.whole(found, 'slots', 1),
         leaving=state != STATE_READY,
         stage=STAGES.get(stage, catalog.Stage.NONE),
-        published=name if born_ms else '',
-        born_ms=born_ms,
+        published=name if started_ms else '',
+        started_ms=started_ms,
         reclaimable=fields.flag(found, 'spot'),
     )
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -162,7 +162,7 @@
         if not isinstance(outcome, records.Answer):
             return outcome
         if outcome.kind != 'model':
-            return records.OTHER_BODY
+            return records.KEY_REUSED
         events = streams.model_events(outcome)
         label = (self.key, 'kept')
         self.assembly.begin(label)
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -21,8 +21,8 @@
     for _ in range(times):
         each = made.choose(endpoints, set(), now_s)
         names.append(each.id)
-        made.sent(each.id)
-        made.answered(each.id, 0.02, False)
+        made.record_sent(each.id)
+        made.record_answer(each.id, 0.02, False)
     return names
 
 
@@ -34,8 +34,8 @@
 def test_slow_endpoint_is_avoided():
     made = balancer()
     for _ in range(10):
-        made.sent('slow')
-        made.answered('slow', 0.2, False)
+        made.record_sent('slow')
+        made.record_answer('slow', 0.2, False)
     names = chosen(made, [endpoint('slow'), endpoint('far', 'z2')])
     assert set(names) == {'far'}
 
@@ -44,8 +44,8 @@
     """It answers at once with failures and its health is good."""
     made = balancer()
     for number in range(20):
-        made.sent('grey')
-        made.answered('grey', 0.001, number % 2 == 0)
+        made.record_sent('grey')
+        made.record_answer('grey', 0.001, number % 2 == 0)
     names = chosen(made, [endpoint('grey'), endpoint('far', 'z2')])
     assert names.count('far') > 40
 
@@ -53,7 +53,7 @@
 def test_busy_endpoint_shares():
     made = balancer()
     for _ in range(12):
-        made.sent('near')
+        made.record_sent('near')
     assert (
         made.choose([endpoint('near'), endpoint('far', 'z2')], set(), 0.0).id
         == 'far'
@@ -63,8 +63,8 @@
 def test_unreachable_endpoint_rests_and_is_tried_again():
     made = balancer()
     for _ in range(2):
-        made.sent('near')
-        made.lost('near', 0.0)
+        made.record_sent('near')
+        made.record_failure('near', 0.0)
     both = [endpoint('near'), endpoint('far', 'z2')]
     assert made.choose(both, set(), 0.1).id == 'far'
     assert made.choose([endpoint('near')], set(), 0.1).id == 'near'
@@ -78,4 +78,4 @@
     made = balancer()
     chosen(made, [endpoint('near')], times=1)
     made.forget(set())
-    assert not made.standings
+    assert not made.stats_by_id
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -60,24 +60,24 @@
         name, action = self.calls.pop(number)
         table = self.tables[name]
         if fate == 'later':
-            self.apply(name, table.postponed(action.bucket))
-            self.apply(name, table.again(action.bucket, 100.0))
+            self.apply(name, table.record_postponed(action.bucket))
+            self.apply(name, table.retry_call(action.bucket, 100.0))
             return
         if fate == 'down':
-            self.apply(name, table.failed(action.bucket, False))
+            self.apply(name, table.record_failure(action.bucket, False))
             return
         applied = self.carry_out(action)
         if fate == 'lost':
             maybe = isinstance(action, claims.Write)
-            self.apply(name, table.failed(action.bucket, maybe))
+            self.apply(name, table.record_failure(action.bucket, maybe))
         elif isinstance(action, claims.Read):
-            self.answer(name, table.was_read, action)
+            self.answer(name, table.record_read, action)
         elif applied:
             self.apply(
-                name, table.was_written(action.bucket, self.revision, 100.0)
+                name, table.record_written(action.bucket, self.revision, 100.0)
             )
         else:
-            self.answer(name, table.was_refused, action)
+            self.answer(name, table.record_conflict, action)
 
     def answer(self, name, report, action):
         self.apply(
@@ -102,9 +102,9 @@
     assert table.add(KEYS[0]) == []
     assert table.add(KEYS[1]) == []
     assert table.flush(1.0) == [claims.Read('000')]
-    (write,) = table.was_read('000', None, 0, 1.0)
+    (write,) = table.record_read('000', None, 0, 1.0)
     assert KEYS[0] in write.value and KEYS[1] in write.value
-    won = table.was_written('000', 9, 1.0)
+    won = table.record_written('000', 9, 1.0)
     assert [type(each) for each in won] == [claims.Won, claims.Won]
 
 
@@ -127,5 +127,5 @@
     table = claims.ClaimTable('a.1', small)
     table.add(KEYS[0])
     table.flush(1.0)
-    (refused,) = table.was_read('000', None, 0, 1.0)
+    (refused,) = table.record_read('000', None, 0, 1.0)
     assert refused.reason == 'claims_full'
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -11,7 +11,7 @@
 def test_proof_lasts_no_longer_than_the_bound():
     proof = confirmation.Confirmation(BOUND_S)
     assert not proof.holds(100.0)
-    proof.proved(100.0, 1)
+    proof.record_proof(100.0, 1)
     assert proof.holds(104.8)
     assert not proof.holds(105.0)
 
@@ -25,32 +25,32 @@
 def test_proof_dates_from_the_question():
     """An answer that waited in a socket while the host stood still."""
     proof = confirmation.Confirmation(BOUND_S)
-    proof.asks(7, 100.0)
-    assert not proof.answered(7, 3, 0.5, 3)
+    proof.record_query(7, 100.0)
+    assert not proof.record_reply(7, 3, 0.5, 3)
     assert proof.proved_s == 99.5
     assert not proof.holds(104.5)
 
 
 def test_answer_to_no_question_proves_nothing():
     proof = confirmation.Confirmation(BOUND_S)
-    assert not proof.answered(7, 3, 0.0, 3)
+    assert not proof.record_reply(7, 3, 0.0, 3)
     assert not proof.holds(0.0)
 
 
 def test_newer_version_elsewhere_ends_all_proof_of_the_older_one():
     """A store that came back from a copy knows the older version only."""
     proof = confirmation.Confirmation(BOUND_S)
-    proof.asks(7, 100.0)
-    assert proof.answered(7, 4, 0.0, 3)
-    proof.proved(101.0, 3)
+    proof.record_query(7, 100.0)
+    assert proof.record_reply(7, 4, 0.0, 3)
+    proof.record_proof(101.0, 3)
     assert not proof.holds(101.0)
-    proof.proved(102.0, 4)
+    proof.record_proof(102.0, 4)
     assert proof.holds(102.0)
 
 
 def test_one_host_asks_the_store_for_all():
     proof = confirmation.Confirmation(BOUND_S)
-    proof.proved(100.0, 1)
+    proof.record_proof(100.0, 1)
     sources = [
         (proof.source(100.0 + age_s, True), proof.source(100.0 + age_s, False))
         for age_s in (0.5, 1.5, 2.5, 3.5)
@@ -59,7 +59,7 @@
     assert sources == [
         (source.NOBODY, source.NOBODY),
         (source.STORE, source.LEADER),
-        (source.STORE, source.OTHERS),
+        (source.STORE, source.PEERS),
         (source.STORE, source.STORE),
     ]
 
@@ -86,17 +86,17 @@
         proof = proofs[host]
         match draw(strategies.sampled_from(('store', 'ask', 'hear', 'read'))):
             case 'store' if newest <= versions[host]:
-                proof.proved(now_s, versions[host])
+                proof.record_proof(now_s, versions[host])
             case 'ask':
                 other = draw(strategies.integers(0, count - 1))
-                proof.asks(nonce, now_s)
+                proof.record_query(nonce, now_s)
                 age_s = now_s - proofs[other].proved_s
                 waiting.append((host, nonce, versions[other], age_s))
             case 'hear' if waiting:
                 to, asked, version, age_s = waiting.pop(
                     draw(strategies.integers(0, len(waiting) - 1))
                 )
-                proofs[to].answered(asked, version, age_s, versions[to])
+                proofs[to].record_reply(asked, version, age_s, versions[to])
             case 'read':
                 versions[host] = newest
         for version, each in zip(versions, proofs, strict=True):
--- a/tests/test_crashhistory.py
+++ b/tests/test_crashhistory.py
@@ -4,16 +4,16 @@
 
 
 def record(*broken):
-    made = crashhistory.CrashRecord()
+    made = crashhistory.CrashHistory()
     for request, endpoint, at_s in broken:
-        made.broke(request, (endpoint,), at_s)
+        made.record_crash(request, (endpoint,), at_s)
     return made
 
 
 def test_request_is_barred_after_three_endpoints():
     made = record((b'r', 'e1', 0.0), (b'r', 'e2', 1.0))
     assert not made.barred_s(b'r', 1.0)
-    made.broke(b'r', ('e3',), 2.0)
+    made.record_crash(b'r', ('e3',), 2.0)
     assert made.barred_s(b'r', 2.0)
     assert not made.barred_s(b'other', 2.0)
 
@@ -26,8 +26,8 @@
 
 def test_only_news_is_told():
     made = record((b'r', 'e1', 0.0))
-    assert made.broke(b'r', ('e1', 'e2'), 0.1)
-    assert not made.broke(b'r', ('e2',), 0.2)
+    assert made.record_crash(b'r', ('e1', 'e2'), 0.1)
+    assert not made.record_crash(b'r', ('e2',), 0.2)
 
 
 def test_request_that_is_answered_elsewhere_is_not_to_blame():
@@ -38,9 +38,9 @@
     """
     made = record(*((b'r', f'e{n}', 0.1 * n) for n in range(3)))
     assert made.barred_s(b'r', 0.5)
-    made.served(b'r', 0.5)
+    made.record_success(b'r', 0.5)
     assert not made.barred_s(b'r', 0.6)
-    made.broke(b'r', ('e9',), 0.7)
+    made.record_crash(b'r', ('e9',), 0.7)
     assert not made.barred_s(b'r', 0.8)
 
 
@@ -48,19 +48,19 @@
     made = record(*((b'r', f'e{n}', 0.0) for n in range(3)))
     for second in range(0, 1000, 50):
         assert made.barred_s(b'r', float(second))
-    assert not made.barred_s(b'r', 1000.0 + crashhistory.FORGET_S)
+    assert not made.barred_s(b'r', 1000.0 + crashhistory.RETENTION_S)
 
 
 def test_old_crashes_do_not_add_up():
     made = record((b'r', 'e1', 0.0), (b'r', 'e2', 1.0))
-    made.broke(b'r', ('e3',), 2.0 + crashhistory.FORGET_S)
-    assert not made.barred_s(b'r', 2.0 + crashhistory.FORGET_S)
+    made.record_crash(b'r', ('e3',), 2.0 + crashhistory.RETENTION_S)
+    assert not made.barred_s(b'r', 2.0 + crashhistory.RETENTION_S)
 
 
 def test_memory_is_bounded():
-    many = crashhistory.MOST_REQUESTS + 100
+    many = crashhistory.MAX_REQUESTS + 100
     made = record(*((b'%d' % n, 'e1', n * 1e-4) for n in range(many)))
-    assert len(made) == crashhistory.MOST_REQUESTS
-    assert b'%d' % (many - 1) in made.suspects
-    made.broke(b'last', ('e1',), 1000.0)
-    assert list(made.suspects) == [b'last']
+    assert len(made) == crashhistory.MAX_REQUESTS
+    assert b'%d' % (many - 1) in made.requests
+    made.record_crash(b'last', ('e1',), 1000.0)
+    assert list(made.requests) == [b'last']
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -93,7 +93,7 @@
     gone, next_one = (quarantine.fingerprint_of(each) for each in 'ab')
     for judge in judges:
         judge.blame('d1', 'p', [(gone, 0), (next_one, 9)], 0.0)
-    judges[0].runs(gone, 8.0)
+    judges[0].record_running(gone, 8.0)
     for second in range(8, 24):
         told = [plan.digest(float(second)).to_bytes() for plan in plans]
         for receiver, plan in enumerate(plans):
@@ -102,10 +102,10 @@
                     digest = digests.Digest.from_bytes(data)
                     plan.peer_digest(f'h{sender}', digest, second + 0.95)
     waiting_s = judges[0].settings.waiting_s
-    assert not judges[0].turn(next_one, 0.0, 8.0 + waiting_s)
+    assert not judges[0].is_trial_due(next_one, 0.0, 8.0 + waiting_s)
     for judge in judges:
         assert judge.entries[gone].running_s <= 8.0
-        assert judge.turn(next_one, 0.0, 8.1 + waiting_s)
+        assert judge.is_trial_due(next_one, 0.0, 8.1 + waiting_s)
 
 
 def test_a_clearing_is_told_though_the_digest_is_full():
@@ -119,8 +119,8 @@
         blamed = [(each, 9) for each in batch]
         plan.quarantine.blame('d1', 'p', blamed, 0.0)
     last = max(batch)
-    second.quarantine.runs(last, 9.0)
-    first.quarantine.ran_whole(last, 10.0)
+    second.quarantine.record_running(last, 9.0)
+    first.quarantine.record_success(last, 10.0)
     data = first.digest(10.0).to_bytes()
     second.peer_digest('h1', digests.Digest.from_bytes(data), 10.1)
     assert second.quarantine.verdict(last, 10.1) == quarantine.CLEAR
--- a/tests/test_expiredentries.py
+++ b/tests/test_expiredentries.py
@@ -22,38 +22,38 @@
 
 @pytest.fixture
 def lapsed(known):
-    return expiredentries.Lapses(known)
+    return expiredentries.ExpiredEntries(known)
 
 
 def test_one_that_vanishes_is_gone(lapsed):
-    assert lapsed.lost(['e0', 'unknown'], 10.0) == ['e0']
+    assert lapsed.record_missing(['e0', 'unknown'], 10.0) == ['e0']
 
 
 def test_one_that_vanishes_after_an_outage_may_be_back(lapsed):
-    lapsed.regained(10.0, lost_s=4.0)
-    assert lapsed.lost(['e0'], 11.0) == []
-    assert lapsed.settle(10.0 + expiredentries.LAPSE_S - 0.1) == []
-    assert lapsed.settle(10.0 + expiredentries.LAPSE_S) == ['e0']
-    assert not lapsed.doubted
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
+    assert lapsed.record_missing(['e0'], 11.0) == []
+    assert lapsed.pop_expired(10.0 + expiredentries.ENTRY_GRACE_S - 0.1) == []
+    assert lapsed.pop_expired(10.0 + expiredentries.ENTRY_GRACE_S) == ['e0']
+    assert not lapsed.grace_until_s
 
 
 def test_one_that_is_back_stays(lapsed):
-    lapsed.regained(10.0, lost_s=4.0)
-    lapsed.lost(['e0'], 11.0)
-    lapsed.listed('e0')
-    assert lapsed.settle(99.0) == []
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
+    lapsed.record_missing(['e0'], 11.0)
+    lapsed.record_entry('e0')
+    assert lapsed.pop_expired(99.0) == []
 
 
 def test_one_that_has_said_that_it_leaves_is_gone(known, lapsed):
     known.put(endpoint('e1', leaving=True))
-    lapsed.regained(10.0, lost_s=4.0)
-    assert lapsed.lost(['e1'], 10.0) == ['e1']
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
+    assert lapsed.record_missing(['e1'], 10.0) == ['e1']
 
 
 def test_most_that_vanish_together_are_kept_for_a_moment(lapsed):
     """The store may have been away without a host's notice."""
-    assert lapsed.lost(['e0', 'e1', 'e2'], 10.0) == []
-    gone = lapsed.settle(10.0 + expiredentries.TOGETHER_S)
+    assert lapsed.record_missing(['e0', 'e1', 'e2'], 10.0) == []
+    gone = lapsed.pop_expired(10.0 + expiredentries.MASS_EXPIRY_GRACE_S)
     assert sorted(gone) == ['e0', 'e1', 'e2']
 
 
@@ -63,52 +63,52 @@
     All others dropped it when it left; kept here for two seconds more, it
     would be given requests that it no longer takes.
     """
-    lapsed.regained(10.0, lost_s=4.0)
-    assert lapsed.lost(['e0'], 10.0) == []
-    assert lapsed.asks_others()
-    assert lapsed.explained(listed=()) == ['e0']
-    assert not lapsed.asks_others()
-    assert lapsed.lost(['e1'], 10.5) == ['e1']
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
+    assert lapsed.record_missing(['e0'], 10.0) == []
+    assert lapsed.needs_peer_reports()
+    assert lapsed.resolve_outage(listed=()) == ['e0']
+    assert not lapsed.needs_peer_reports()
+    assert lapsed.record_missing(['e1'], 10.5) == ['e1']
 
 
 def test_outage_of_all_lets_entries_lapse(lapsed):
-    lapsed.regained(10.0, lost_s=4.0)
-    lapsed.lost(['e0'], 10.0)
-    lapsed.shared()
-    assert not lapsed.asks_others()
-    assert lapsed.settle(10.0 + expiredentries.LAPSE_S) == ['e0']
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
+    lapsed.record_missing(['e0'], 10.0)
+    lapsed.record_shared_outage()
+    assert not lapsed.needs_peer_reports()
+    assert lapsed.pop_expired(10.0 + expiredentries.ENTRY_GRACE_S) == ['e0']
 
 
 def test_nobody_is_asked_while_nothing_is_doubted(lapsed):
-    lapsed.regained(10.0, lost_s=4.0)
-    assert not lapsed.asks_others()
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
+    assert not lapsed.needs_peer_reports()
 
 
 def test_who_has_had_the_store_long_enough_shows_an_outage_of_one(lapsed):
-    lapsed.regained(10.0, lost_s=4.0)
-    settled = expiredentries.Reach(expiredentries.LAPSE_S + 0.1, 0.0)
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
+    settled = expiredentries.Reach(expiredentries.ENTRY_GRACE_S + 0.1, 0.0)
     shared = expiredentries.Reach(0.3, 0.0)
-    assert lapsed.alone([shared, None, settled], 10.1)
-    assert lapsed.alone([shared, shared], 10.1) is False
+    assert lapsed.is_local_outage([shared, None, settled], 10.1)
+    assert lapsed.is_local_outage([shared, shared], 10.1) is False
 
 
 def test_outage_stays_unexplained_until_all_asked_can_tell(lapsed):
-    lapsed.regained(10.0, lost_s=4.0)
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
     shared = expiredentries.Reach(0.3, 0.0)
     before_the_return = expiredentries.Reach(100.0, 0.2)
-    assert lapsed.alone([], 10.1) is None
-    assert lapsed.alone([shared, None], 10.1) is None
-    assert lapsed.alone([before_the_return], 10.1) is None
+    assert lapsed.is_local_outage([], 10.1) is None
+    assert lapsed.is_local_outage([shared, None], 10.1) is None
+    assert lapsed.is_local_outage([before_the_return], 10.1) is None
 
 
 def test_short_outage_of_one_is_shown_by_who_had_none(lapsed):
-    lapsed.regained(10.0, lost_s=9.5)
-    assert lapsed.alone([expiredentries.Reach(1.0, 0.0)], 10.1)
+    lapsed.record_store_regained(10.0, outage_began_s=9.5)
+    assert lapsed.is_local_outage([expiredentries.Reach(1.0, 0.0)], 10.1)
 
 
 def test_endpoint_that_another_host_still_lists_is_not_gone(lapsed):
-    lapsed.regained(10.0, lost_s=4.0)
-    lapsed.lost(['e0', 'e1'], 10.0)
-    assert lapsed.explained(listed={'e1'}) == ['e0']
-    assert lapsed.asks_others()
-    assert 'e1' in lapsed.doubted
+    lapsed.record_store_regained(10.0, outage_began_s=4.0)
+    lapsed.record_missing(['e0', 'e1'], 10.0)
+    assert lapsed.resolve_outage(listed={'e1'}) == ['e0']
+    assert lapsed.needs_peer_reports()
+    assert 'e1' in lapsed.grace_until_s
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -195,7 +195,7 @@
     refuse_calls(world, clock, node)
     advance_until(clock, lambda: node.follower.cut_off_s() > 5.0)
     node.members.position_heard = None
-    node.follower.lag.told.clear()
+    node.follower.lag.unseen.clear()
     world.store.remove('servers/p1')
     answer_calls(node)
     took_s = advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
@@ -214,14 +214,15 @@
     advance_until(
         clock,
         lambda: all(
-            n.follower.mirror.expired_entries.doubted for n in world.nodes
+            n.follower.mirror.expired_entries.grace_until_s
+            for n in world.nodes
         ),
     )
     advance_until(
         clock,
         lambda: (
             not any(
-                n.follower.mirror.expired_entries.unexplained
+                n.follower.mirror.expired_entries.outage_unresolved
                 for n in world.nodes
             )
         ),
@@ -271,7 +272,7 @@
     refuse_calls(world, clock, node)
     advance_until(clock, lambda: node.follower.cut_off_s() > 5.0)
     node.members.position_heard = None
-    node.follower.lag.told.clear()
+    node.follower.lag.unseen.clear()
     world.store.remove('servers/p1')
 
 
@@ -299,7 +300,9 @@
     node, *others = world.nodes
     leave_while_cut_off(world, clock, node)
     for each in others:
-        each.follower.regained_s = clock.now_s() - expiredentries.LAPSE_S - 0.5
+        each.follower.regained_s = (
+            clock.now_s() - expiredentries.ENTRY_GRACE_S - 0.5
+        )
     answer_calls(node)
     took_s = advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
     assert took_s < BOUND_S
@@ -319,8 +322,10 @@
     leave_while_cut_off(world, clock, node)
     monkeypatch.setattr(peerstate, 'fetch', unaware)
     answer_calls(node)
-    advance_until(clock, lambda: node.follower.mirror.expired_entries.doubted)
-    until_s = node.follower.regained_s + expiredentries.LAPSE_S - STEP_S
+    advance_until(
+        clock, lambda: node.follower.mirror.expired_entries.grace_until_s
+    )
+    until_s = node.follower.regained_s + expiredentries.ENTRY_GRACE_S - STEP_S
     while clock.now_s() < until_s:
         assert 'p1' in node.catalog.endpoints
         clock.advance(STEP_S)
--- a/tests/test_gateway_backoff.py
+++ b/tests/test_gateway_backoff.py
@@ -127,12 +127,12 @@
 
 def test_next_process_of_an_endpoint_is_not_left_alone(world):
     full = world.endpoint('p1')
-    full.born_ms = 1_786_000_000_000
+    full.started_ms = 1_786_000_000_000
     world.list(full)
     node = world.node()
     turn_away(world, full, '/safe/x')
     before = set(node.catalog.endpoints)
-    full.born_ms += 5000
+    full.started_ms += 5000
     world.list(full)
     gatewayworld.wait_for(
         lambda: set(node.catalog.endpoints) != before, 'the next run'
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -77,14 +77,14 @@
     assert run(world, 'key-new', path)[0].status == status
     own = node.follower.lag.own
     heard_s = node.clock.now_s() - 1.0
-    node.follower.lag.hear(
+    node.follower.lag.record_peer_position(
         'x', own._replace(revision=own.revision + 50), heard_s
     )
     head, _ = run(world, 'key-new', path)
     assert head.status == 503
     assert head.value(b'retry-after')
     assert run(world, 'key-small')[0].status == 200
-    node.follower.lag.told.clear()
+    node.follower.lag.unseen.clear()
     assert run(world, 'key-new', path)[0].status == status
 
 
@@ -481,6 +481,6 @@
     other = second.usage
     other.key = None
     other.reports = usage.Reports(other.kept)
-    other.ledger.told('front-9', 1, window, {'small': 99})
+    other.ledger.record_tally('front-9', 1, window, {'small': 99})
     assert not other._fix(window)
     assert other.reports.fixed[window] == fixed
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -112,12 +112,12 @@
 
 def test_word_of_a_former_process_says_nothing_of_the_next(world):
     leaver = world.endpoint('p1')
-    leaver.born_ms = 1_786_000_000_000
+    leaver.started_ms = 1_786_000_000_000
     world.list(leaver)
     node = world.node()
     say(world, leaver, '/safe/x')
     leaver.says_leaving = False
-    leaver.born_ms += 5000
+    leaver.started_ms += 5000
     world.list(leaver)
     gatewayworld.wait_for(lambda: node.catalog.usable('plain'), 'the next run')
     assert world.ask('/safe/x').status == 200
@@ -135,11 +135,11 @@
 
 def test_catalog_keeps_the_word_of_few_endpoints(monkeypatch):
     """The words of endpoints that are gone filled the memory."""
-    monkeypatch.setattr(catalog, 'MOST_NAMES', 3)
+    monkeypatch.setattr(catalog, 'MAX_NAMES', 3)
     known = catalog.Catalog()
     for number in range(9):
-        known.heard_leaving(f'p{number}')
-    assert len(known.said_leaving) == 3
+        known.mark_leaving(f'p{number}')
+    assert len(known.announced_leaving) == 3
 
 
 def test_placing_host_gives_no_prompt_to_who_said_so_elsewhere(world):
@@ -153,7 +153,7 @@
     )
     other = min(nodes, key=lambda each: each.placer.leading)
     gatewayworld.wait_for(lambda: other.placer.leader, 'its word')
-    other.catalog.heard_leaving('d1')
+    other.catalog.mark_leaving('d1')
     placed = []
     place = other.placer.place
 
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -118,13 +118,13 @@
         lambda: node.follower.failing_since_s is None, 'the return'
     )
     gatewayworld.wait_for(
-        lambda: 'p1' in node.follower.mirror.expired_entries.doubted,
+        lambda: 'p1' in node.follower.mirror.expired_entries.grace_until_s,
         'the doubt',
     )
     assert call(world, '/safe/x')[0].status == 200
     world.list(endpoint)
     gatewayworld.wait_for(
-        lambda: 'p1' not in node.follower.mirror.expired_entries.doubted,
+        lambda: 'p1' not in node.follower.mirror.expired_entries.grace_until_s,
         'the entry',
     )
     assert 'p1' in node.catalog.endpoints
@@ -256,10 +256,10 @@
 BORN_MS = 1_786_000_000_000
 
 
-def reborn(world, name, born_ms):
+def reborn(world, name, started_ms):
     """The entry of a process that has started again under its name."""
     endpoint = world.endpoints[name]
-    endpoint.born_ms = born_ms
+    endpoint.started_ms = started_ms
     world.list(endpoint)
 
 
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -784,7 +784,7 @@
     """
     reader = world.endpoint('p1', 'model', 'prefill')
     reader.work_s = 0.6
-    reader.born_ms = 1000
+    reader.started_ms = 1000
     world.list(reader)
     runner = world.endpoint('d1', 'model', 'decode')
     node = world.node()
@@ -801,7 +801,7 @@
     client = gatewayworld.Client(node)
     client.request('POST', '/chat/1', 'r1', b'text', **PROMPT)
     gatewayworld.wait_for(lambda: reader.arrivals, 'the prompt')
-    reader.born_ms = 2000
+    reader.started_ms = 2000
     world.list(reader)
     head, _ = client.answer()
     assert head.status == 200
--- a/tests/test_keyupdates.py
+++ b/tests/test_keyupdates.py
@@ -245,7 +245,7 @@
         placing_codec.KeyUpdates('x', own, after, (gone,), regained_s=0.1)
     )
     assert 'p1' in node.catalog.endpoints
-    assert 'p1' in node.follower.mirror.expired_entries.doubted
+    assert 'p1' in node.follower.mirror.expired_entries.grace_until_s
 
 
 def test_hosts_that_listen_tell_of_an_outage_of_one_alone(world, clock):
--- a/tests/test_migrationtarget.py
+++ b/tests/test_migrationtarget.py
@@ -22,7 +22,7 @@
     run = types.SimpleNamespace(
         stream_at=here, job=types.SimpleNamespace(pool='p')
     )
-    return migrationtarget.choose({'j': run}, pools, 'j', 0.0)
+    return migrationtarget.choose_target({'j': run}, pools, 'j', 0.0)
 
 
 HERE = engine('e0', 'decode', 0)
@@ -41,4 +41,4 @@
 
 
 def test_a_job_that_has_ended_needs_no_place():
-    assert migrationtarget.choose({}, {}, 'j', 0.0) == ''
+    assert migrationtarget.choose_target({}, {}, 'j', 0.0) == ''
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -12,7 +12,7 @@
 def share(sender, receiver, now_s):
     for fingerprint, entry in sender.newest(100, now_s):
         cleared = not entry.blames
-        blames = list(entry.void if cleared else entry.blames)
+        blames = list(entry.cleared_blames if cleared else entry.blames)
         receiver.merge(
             fingerprint, entry.pool, entry.rank, cleared, blames, now_s
         )
@@ -53,7 +53,7 @@
     nodes[1].blame('e2', 'p', [(one, 0)], 1.0)
     share(nodes[0], nodes[2], 2.0)
     assert nodes[2].verdict(one, 2.0) == quarantine.SUSPECT
-    assert not nodes[2].turn(one, 2.0, 2.0)
+    assert not nodes[2].is_trial_due(one, 2.0, 2.0)
     share(nodes[1], nodes[2], 2.5)
     assert nodes[2].verdict(one, 2.5) == quarantine.CONVICTED
     assert nodes[2].verdict(mate, 2.5) == quarantine.CLEAR
@@ -65,11 +65,11 @@
     judge.blame('e1', 'p', [(late, 200), (early, 0)], 0.0)
     now_s = SETTLE_S + 1
     for each in (early, late):
-        judge.waits(each, now_s)
-    assert judge.turn(early, 0.0, now_s)
-    assert not judge.turn(late, 0.0, now_s)
-    judge.ran_whole(early, now_s)
-    assert judge.turn(late, 0.0, now_s)
+        judge.record_waiting(each, now_s)
+    assert judge.is_trial_due(early, 0.0, now_s)
+    assert not judge.is_trial_due(late, 0.0, now_s)
+    judge.record_success(early, now_s)
+    assert judge.is_trial_due(late, 0.0, now_s)
 
 
 def test_a_suspect_keeps_away_while_another_runs():
@@ -78,11 +78,11 @@
     early, late = names('early', 'late')
     judge = quarantine.Quarantine()
     judge.blame('e1', 'p', [(late, 200), (early, 0)], 0.0)
-    judge.runs(late, 20.0)
-    assert not judge.turn(early, 10.0, 21.0)
-    judge.ran_whole(late, 22.0)
-    assert judge.turn(early, 10.0, 22.0)
-    assert not judge.turn(early, 21.0, 22.0)
+    judge.record_running(late, 20.0)
+    assert not judge.is_trial_due(early, 10.0, 21.0)
+    judge.record_success(late, 22.0)
+    assert judge.is_trial_due(early, 10.0, 22.0)
+    assert not judge.is_trial_due(early, 21.0, 22.0)
 
 
 def test_the_run_that_died_keeps_nobody_waiting():
@@ -92,10 +92,10 @@
     early, late = names('early', 'late')
     judge = quarantine.Quarantine()
     judge.blame('e1', 'p', [(late, 200), (early, 0)], 0.0)
-    judge.runs(late, 0.8)
-    assert judge.turn(early, 0.0, SETTLE_S)
-    judge.runs(late, SETTLE_S)
-    assert not judge.turn(early, 0.0, SETTLE_S)
+    judge.record_running(late, 0.8)
+    assert judge.is_trial_due(early, 0.0, SETTLE_S)
+    judge.record_running(late, SETTLE_S)
+    assert not judge.is_trial_due(early, 0.0, SETTLE_S)
 
 
 def test_a_cleared_request_is_not_convicted_by_the_next_crash():
@@ -106,7 +106,7 @@
     first, second = quarantine.Quarantine(), quarantine.Quarantine()
     first.blame('e1', 'p', [(one, 0)], 0.0)
     share(first, second, 1.0)
-    first.ran_whole(one, 10.0)
+    first.record_success(one, 10.0)
     first.blame('e2', 'p', [(one, 0)], 50.0)
     share(second, first, 51.0)
     assert first.verdict(one, 52.0) == quarantine.SUSPECT
@@ -119,7 +119,7 @@
     first, second = quarantine.Quarantine(), quarantine.Quarantine()
     first.blame('e1', 'p', [(one, 0)], 0.0)
     share(first, second, 1.0)
-    first.ran_whole(one, 10.0)
+    first.record_success(one, 10.0)
     share(first, second, 11.0)
     share(second, first, 12.0)
     assert first.verdict(one, 12.0) == quarantine.CLEAR
@@ -131,10 +131,10 @@
     early, late = names('early', 'late')
     judge = quarantine.Quarantine()
     judge.blame('e1', 'p', [(late, 200), (early, 0)], 0.0)
-    judge.waits(early, 1.0)
-    assert not judge.turn(late, 0.0, SETTLE_S + 1)
+    judge.record_waiting(early, 1.0)
+    assert not judge.is_trial_due(late, 0.0, SETTLE_S + 1)
     forgotten_s = 1.0 + judge.settings.waiting_s
-    assert judge.turn(late, 0.0, forgotten_s + 0.1)
+    assert judge.is_trial_due(late, 0.0, forgotten_s + 0.1)
 
 
 def test_suspects_and_convicts_are_forgotten():
@@ -144,14 +144,14 @@
     judge.blame('e2', 'p', [(two, 0)], 10.0)
     judge.tick(judge.settings.suspect_s + 11.0)
     assert judge.verdict(one, 400.0) == quarantine.CLEAR
-    judge.seen(two, 1000.0)
+    judge.record_sighting(two, 1000.0)
     late_s = 1000.0 + judge.settings.convicted_s
     assert judge.verdict(two, late_s - 1) == quarantine.CONVICTED
     assert judge.verdict(two, late_s + 1) == quarantine.CLEAR
 
 
 def test_memory_is_bounded():
-    settings = quarantine.QuarantineSettings(most_entries=10)
+    settings = quarantine.QuarantineSettings(max_entries=10)
     judge = quarantine.Quarantine(settings)
     batch = [(each, 0) for each in names(*(f'r{n}' for n in range(100)))]
     judge.blame('e1', 'p', batch, 0.0)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -52,7 +52,7 @@
                 assert record is self.running[key]
             case records.Replay(kept):
                 assert kept == self.ran[key]
-            case records.Tell(outcome):
+            case records.Resolved(outcome):
                 assert isinstance(outcome, outcomes.Unknown)
 
     @stateful.precondition(lambda self: self.running)
@@ -67,7 +67,7 @@
     @stateful.rule(data=strategies.data())
     def lose(self, data):
         key = data.draw(strategies.sampled_from(sorted(self.running)))
-        self.table.settle(self.running.pop(key), records.INTERRUPTED)
+        self.table.settle(self.running.pop(key), records.HOME_STOPPED)
 
     @stateful.rule()
     def hand_over(self):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -9,17 +9,17 @@
 
 
 def test_callers_that_know_of_no_other_host_are_served():
-    assert COURSE.takes(now_s=100.1, deadline_s=115.1)
-    assert COURSE.takes(now_s=102.4, deadline_s=117.4)
+    assert COURSE.accepts(now_s=100.1, deadline_s=115.1)
+    assert COURSE.accepts(now_s=102.4, deadline_s=117.4)
 
 
 def test_request_that_is_over_in_time_is_taken_until_the_listener_closes():
-    assert COURSE.takes(now_s=105.9, deadline_s=106.9)
+    assert COURSE.accepts(now_s=105.9, deadline_s=106.9)
 
 
 def test_request_that_may_outlast_its_host_is_refused():
-    assert not COURSE.takes(now_s=102.6, deadline_s=117.6)
-    assert not COURSE.takes(now_s=105.9, deadline_s=107.9)
+    assert not COURSE.accepts(now_s=102.6, deadline_s=117.6)
+    assert not COURSE.accepts(now_s=105.9, deadline_s=107.9)
 
 
 @given(
@@ -32,7 +32,9 @@
     grace_s, ttl_s, after_s, wait_s
 ):
     course = shutdown.Shutdown(0.0, grace_s, ttl_s)
-    if after_s >= course.refuses_s and course.takes(after_s, after_s + wait_s):
+    if after_s >= course.refuses_from_s and course.accepts(
+        after_s, after_s + wait_s
+    ):
         assert after_s + wait_s < course.ends_s
 
 
@@ -40,7 +42,7 @@
 def test_steps_of_a_stop_come_in_their_order(grace_s, ttl_s):
     """With a short grace time the listener was closed too late."""
     course = shutdown.Shutdown(0.0, grace_s, ttl_s)
-    assert course.refuses_s <= course.closes_s < course.ends_s
+    assert course.refuses_from_s <= course.closes_s < course.ends_s
     assert course.ends_s < course.exits_s < grace_s
 
 
@@ -56,4 +58,4 @@
     """With a short grace time requests were taken until the process ended."""
     course = shutdown.Shutdown(0.0, grace_s, ttl_s)
     now_s = course.ends_s + late_s
-    assert not course.takes(now_s, now_s + wait_s)
+    assert not course.accepts(now_s, now_s + wait_s)
--- a/tests/test_staleentries.py
+++ b/tests/test_staleentries.py
@@ -25,68 +25,70 @@
 
 @pytest.fixture
 def old(known):
-    return staleentries.OldEntries(known)
+    return staleentries.StaleEntries(known)
 
 
 def is_old(old, after_s=0.0, written=COPIED):
-    return old.is_old('e', written, NOW_S + after_s)
+    return old.is_stale('e', written, NOW_S + after_s)
 
 
 def test_entry_as_it_is_known_is_used(known, old):
     known.put(endpoint())
-    old.copied(endpoint(), COPIED, NOW_S)
+    old.record_restored(endpoint(), COPIED, NOW_S)
     assert not is_old(old)
 
 
 def test_leave_is_never_taken_back_by_a_copy(known, old):
     known.put(endpoint(leaving=True))
-    old.copied(endpoint(), COPIED, NOW_S)
+    old.record_restored(endpoint(), COPIED, NOW_S)
     assert is_old(old, after_s=3600.0)
     assert not is_old(old, written=WRITTEN_SINCE)
-    assert not old.old
+    assert not old.entries
 
 
 def test_leave_that_only_the_copy_has_is_believed(known, old):
     known.put(endpoint())
-    old.copied(endpoint(leaving=True), COPIED, NOW_S)
+    old.record_restored(endpoint(leaving=True), COPIED, NOW_S)
     assert not is_old(old)
 
 
 def test_stage_of_a_copy_is_believed_after_a_time(known, old):
     known.put(endpoint(stage=catalog.Stage.DECODE))
-    old.copied(endpoint(), COPIED, NOW_S)
+    old.record_restored(endpoint(), COPIED, NOW_S)
     assert is_old(old)
-    assert not old.outlasted(NOW_S)
-    assert old.outlasted(NOW_S + staleentries.WRITTEN_S) == ['e']
-    assert not is_old(old, staleentries.WRITTEN_S)
+    assert not old.expired_names(NOW_S)
+    assert old.expired_names(NOW_S + staleentries.REWRITE_TIMEOUT_S) == ['e']
+    assert not is_old(old, staleentries.REWRITE_TIMEOUT_S)
 
 
 def test_endpoint_that_was_gone_comes_back_when_it_is_still_listed(old):
-    old.gone('e', NOW_S - 1.0)
-    old.copied(endpoint(), COPIED, NOW_S)
+    old.record_removal('e', NOW_S - 1.0)
+    old.record_restored(endpoint(), COPIED, NOW_S)
     assert is_old(old)
-    assert not is_old(old, staleentries.GONE_S)
+    assert not is_old(old, staleentries.UNRENEWED_ENTRY_TTL_S)
 
 
 def test_endpoint_gone_long_ago_is_not_remembered(old):
-    old.gone('e', NOW_S - staleentries.REMEMBERED_S - 1.0)
-    old.copied(endpoint(), COPIED, NOW_S)
+    old.record_removal('e', NOW_S - staleentries.REMOVAL_RETENTION_S - 1.0)
+    old.record_restored(endpoint(), COPIED, NOW_S)
     assert not is_old(old)
 
 
 def test_second_restore_judges_anew(known, old):
     known.put(endpoint(leaving=True))
-    old.copied(endpoint(), COPIED, NOW_S)
-    old.copied(endpoint(leaving=True), position.Position(3, 20), NOW_S)
+    old.record_restored(endpoint(), COPIED, NOW_S)
+    old.record_restored(
+        endpoint(leaving=True), position.Position(3, 20), NOW_S
+    )
     assert not is_old(old, written=position.Position(3, 20))
 
 
 def test_what_is_passed_over_can_be_told(known, old):
     known.put(endpoint(leaving=True))
-    old.gone('f', NOW_S)
-    old.copied(endpoint(), COPIED, NOW_S)
-    old.copied(endpoint(id='f'), COPIED, NOW_S)
-    other = staleentries.OldEntries(catalog.Catalog())
-    for each in old.told(NOW_S + 1.0):
-        other.learn(each, NOW_S + 1.0)
-    assert other.old == old.old
+    old.record_removal('f', NOW_S)
+    old.record_restored(endpoint(), COPIED, NOW_S)
+    old.record_restored(endpoint(id='f'), COPIED, NOW_S)
+    other = staleentries.StaleEntries(catalog.Catalog())
+    for each in old.export(NOW_S + 1.0):
+        other.merge_peer_entry(each, NOW_S + 1.0)
+    assert other.entries == old.entries
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -99,7 +99,9 @@
     advance_until(clock, lambda: known_leaving(world, 'p1'))
     restore(world, clock, copy)
     arrived = len(world.endpoints['p1'].arrivals)
-    for _ in range(int(2 * staleentries.GONE_S / test_follower.STEP_S)):
+    for _ in range(
+        int(2 * staleentries.UNRENEWED_ENTRY_TTL_S / test_follower.STEP_S)
+    ):
         clock.advance(test_follower.STEP_S)
         gevent.sleep(0.001)
         assert known_leaving(world, 'p1')
@@ -110,7 +112,9 @@
     advance_until(
         clock,
         lambda: (
-            not any(n.follower.mirror.stale_entries.old for n in world.nodes)
+            not any(
+                n.follower.mirror.stale_entries.entries for n in world.nodes
+            )
         ),
     )
     assert known_leaving(world, 'p1')
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -21,9 +21,9 @@
 
 def test_tally_tells_the_windows_until_they_are_long_over():
     tally = usage.Tally(WINDOW_S, KEPT)
-    tally.begun('a', 101.0)
-    tally.begun('a', 104.0)
-    tally.begun('b', 106.0)
+    tally.record_start('a', 101.0)
+    tally.record_start('a', 104.0)
+    tally.record_start('b', 106.0)
     assert tally.recent(106.0) == {20: {'a': 2}, 21: {'b': 1}}
     assert tally.recent(119.0) == {20: {'a': 2}, 21: {'b': 1}}
     assert tally.recent(120.0) == {21: {'b': 1}}
@@ -36,16 +36,18 @@
     sent = []
     for _ in range(data.draw(strategies.integers(0, 30))):
         who = data.draw(strategies.sampled_from(sorted(tallies)))
-        tallies[who].begun(data.draw(strategies.sampled_from('ab')), 101.0)
+        tallies[who].record_start(
+            data.draw(strategies.sampled_from('ab')), 101.0
+        )
         sent.append((who, tallies[who].recent(101.0)))
     arriving = data.draw(strategies.permutations(sent + sent[::2]))
     ledger = usage.Ledger(KEPT)
     for (host, incarnation), windows in arriving:
         for window, begun in windows.items():
-            ledger.told(host, incarnation, window, begun)
+            ledger.record_tally(host, incarnation, window, begun)
     for who, tally in tallies.items():
         for window, begun in tally.recent(104.0).items():
-            ledger.told(*who, window, begun)
+            ledger.record_tally(*who, window, begun)
     total = {}
     for tally in tallies.values():
         for name, count in tally.windows.get(20, {}).items():
@@ -55,7 +57,7 @@
 
 def test_counts_follow_a_clock_that_is_set_right():
     tally = usage.Tally(WINDOW_S, KEPT)
-    tally.begun('a', 101.0 + 2400.0)
+    tally.record_start('a', 101.0 + 2400.0)
     tally.shift(-2400.0)
     assert tally.recent(102.0) == {20: {'a': 1}}
 
@@ -69,7 +71,7 @@
         data = placing_codec.encode(message)
         assert len(data) <= 1400
         for window, counts in placing_codec.decode(data).windows.items():
-            ledger.told('h', 1, window, counts)
+            ledger.record_tally('h', 1, window, counts)
     assert ledger.counts(20) == begun
     assert ledger.by_process(21) == {('h', 1): {21: {'a': 1}}}
     assert list(usage.split({}, 40)) == [{}]
@@ -77,8 +79,8 @@
 
 def test_two_processes_of_one_host_are_both_counted():
     ledger = usage.Ledger(KEPT)
-    ledger.told('h', 1, 20, {'a': 5})
-    ledger.told('h', 2, 20, {'a': 3})
+    ledger.record_tally('h', 1, 20, {'a': 5})
+    ledger.record_tally('h', 2, 20, {'a': 3})
     assert ledger.counts(20) == {'a': 8}
 
 
@@ -108,43 +110,45 @@
 
 
 def test_step_of_a_clock_changes_nothing_that_is_running():
-    wall = walltime.WallTime(1.7e9, 50.0)
+    wall = walltime.AdjustedClock(1.7e9, 50.0)
     assert wall.at(60.0) == 1.7e9 + 10.0
 
 
 def test_host_that_started_with_a_clock_that_was_off_hears_the_time():
-    fleet = walltime.FleetTime(walltime.WallTime(1000.0, 0.0))
+    fleet = walltime.MedianClock(walltime.AdjustedClock(1000.0, 0.0))
     for host in ('a', 'b'):
-        assert fleet.told(host, 1010.0, 10.0) is None
-    assert fleet.told('c', 1010.0 + 2400.0, 10.0) == pytest.approx(1010.0)
+        assert fleet.record_peer_time(host, 1010.0, 10.0) is None
+    assert fleet.record_peer_time('c', 1010.0 + 2400.0, 10.0) == pytest.approx(
+        1010.0
+    )
 
 
 def test_host_that_asks_goes_by_the_others_if_it_is_the_one_that_is_off():
-    own = walltime.WallTime(1000.0 - 2400.0, 0.0)
-    fleet = walltime.FleetTime(own)
+    own = walltime.AdjustedClock(1000.0 - 2400.0, 0.0)
+    fleet = walltime.MedianClock(own)
     for host in ('a', 'b', 'c', 'd'):
-        fleet.told(host, 1010.0, 10.0)
+        fleet.record_peer_time(host, 1010.0, 10.0)
     assert own.at(10.0) == pytest.approx(1010.0)
-    assert fleet.told('a', 1010.0, 10.0) is None
+    assert fleet.record_peer_time('a', 1010.0, 10.0) is None
 
 
 def test_words_that_waited_while_a_host_stood_still_move_nobody():
     """They tell the time at which they were sent, some seconds ago."""
-    own = walltime.WallTime(1000.0, 0.0)
-    fleet = walltime.FleetTime(own)
+    own = walltime.AdjustedClock(1000.0, 0.0)
+    fleet = walltime.MedianClock(own)
     hosts = [f'h{number}' for number in range(8)]
     for host in hosts:
-        assert fleet.told(host, 1010.0, 10.0) is None
+        assert fleet.record_peer_time(host, 1010.0, 10.0) is None
     for sent_s in (1011.0, 1013.0, 1016.0):
         for host in hosts:
-            assert fleet.told(host, sent_s, 16.0) is None
+            assert fleet.record_peer_time(host, sent_s, 16.0) is None
     assert own.at(16.0) == pytest.approx(1016.0)
 
 
 def test_clocks_of_a_quarter_of_the_hosts_move_nobody():
-    own = walltime.WallTime(1000.0, 0.0)
-    fleet = walltime.FleetTime(own)
+    own = walltime.AdjustedClock(1000.0, 0.0)
+    fleet = walltime.MedianClock(own)
     for number in range(12):
         off_s = 2400.0 if number % 4 == 0 else 0.0
-        fleet.told(f'h{number}', 1010.0 + off_s, 10.0)
+        fleet.record_peer_time(f'h{number}', 1010.0 + off_s, 10.0)
     assert own.at(10.0) == pytest.approx(1010.0)
--- a/tests/unguardednode.py
+++ b/tests/unguardednode.py
@@ -9,5 +9,5 @@
 
 if __name__ == '__main__':
     monkey.patch_all()
-    shutdown.Shutdown.takes = lambda self, now_s, deadline_s: True
+    shutdown.Shutdown.accepts = lambda self, now_s, deadline_s: True
     sys.exit(links.main(sys.argv[1:]))
--- a/tests/unheedingnode.py
+++ b/tests/unheedingnode.py
@@ -10,6 +10,7 @@
 
 if __name__ == '__main__':
     monkey.patch_all()
-    catalog.Catalog.heard_leaving = lambda self, endpoint_id: False
-    backoffs.Backoffs.asked = lambda self, endpoint_id, for_s, now_s: None
+    catalog.Catalog.mark_leaving = lambda self, endpoint_id: False
+    asked = backoffs.Backoffs
+    asked.record_backoff = lambda self, endpoint_id, for_s, now_s: None
     sys.exit(links.main(sys.argv[1:]))
