--- a/magnoliadyke/core/claims.py
+++ b/magnoliadyke/core/claims.py
@@ -1,4 +1,4 @@
-"""Batched claims, in the store, of keys that callers made up themselves."""
+"""Batched claims, in the store, of keys that callers chose themselves."""
 
 import dataclasses
 import hashlib
@@ -17,19 +17,19 @@
     'claim_digest',
 ]
 
-# 64 bits: should two keys ever share a digest, the second is sent to the
-# owner of the first and gets no answer there; it does not run twice.
+# 64 bits: if two keys share a digest, requests for the second are sent to the
+# home of the first and get no answer there; no request runs twice.
 DIGEST_DIGITS = 16
 MINUTE_S = 60
 BUCKET_DIGITS = 4
 
 
 class ClaimSettings(typing.NamedTuple):
-    """Bounds of the claims.
+    """Limits of the claims.
 
-    :param buckets: values in the store that the claims are spread over
+    :param buckets: number of values in the store that hold the claims
     :param keep_s: how long a claim is kept, in seconds
-    :param bucket_bytes: longest value of a bucket, in bytes
+    :param bucket_bytes: maximum size of a bucket's value, in bytes
     :param cached_entries: a bucket with more entries is read again for each
         batch instead of being kept in memory
     """
@@ -44,9 +44,10 @@
 
 
 class Entry(typing.NamedTuple):
-    """A claim as a bucket holds it.
+    """A claim as stored in a bucket.
 
-    :param minute: when it was made, in minutes since the epoch
+    :param owner: ``HOST.INCARNATION`` of the node that holds the key
+    :param minute: when the claim was made, in minutes since the epoch
     """
 
     owner: str
@@ -54,7 +55,7 @@
 
 
 def encode(entries):
-    """Return a bucket's value: digests by owner and minute, end to end.
+    """Return a bucket's value: by owner and minute, the joined digests.
 
     :param entries: :class:`Entry` by digest
     """
@@ -70,7 +71,7 @@
 
 
 def decode(value):
-    """Return what :func:`encode` wrote.
+    """Return the entries that :func:`encode` wrote, by digest.
 
     :param value: text, or None when the bucket is absent
     """
@@ -84,9 +85,9 @@
 
 
 class Claim(typing.NamedTuple):
-    """A wish to be the one home of a foreign key.
+    """A node's request to become the home of a foreign key.
 
-    :param digest: of customer and key
+    :param digest: :func:`claim_digest` of customer and key
     :param owner: ``HOST.INCARNATION`` of the claiming node
     """
 
@@ -95,13 +96,13 @@
 
     @property
     def mark(self):
-        """Return the text that stands for the claim in the store."""
+        """Return the text that represents the claim in the store."""
         return self.owner
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """Read a bucket, then report :meth:`ClaimTable.was_read`."""
+    """Read a bucket, then call :meth:`ClaimTable.record_read`."""
 
     bucket: str
 
@@ -110,7 +111,8 @@
 class Write:
     """Compare-and-swap a bucket, then report the outcome.
 
-    :param if_revision: revision that must be there, 0 for none
+    :param if_revision: revision that the bucket must have, 0 if it must be
+        absent
     """
 
     bucket: str
@@ -120,16 +122,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Won:
-    """The claimer is the home of the key."""
+    """The claiming node is the home of the key."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """Another node is the home, or this one since an earlier claim.
+    """The key was claimed before, by another node or by this one.
 
-    :param owner: ``HOST.INCARNATION`` that holds the key
+    :param owner: ``HOST.INCARNATION`` of the node that holds the key
     """
 
     claim: Claim
@@ -138,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The claim could not be settled and is not in force for certain.
+    """The claim failed: no request may run under it.
 
     :param reason: ``claims_unavailable`` or ``claims_full``
     """
@@ -148,17 +150,23 @@
 
 
 def claim_digest(customer, key):
-    """Return the digest of a customer's foreign key."""
+    """Return the digest of a customer's foreign key, in hex."""
     text = f'{customer}\0{key}'.encode()
     return hashlib.sha256(text).hexdigest()[:DIGEST_DIGITS]
 
 
 @dataclasses.dataclass(slots=True)
 class Bucket:
-    """What this node knows of one value in the store.
-
-    ``written`` are the claims of a write under way. ``doubtful`` are claims
-    whose write had no answer: they may stand in the store already.
+    """State of one bucket on this node.
+
+    :ivar revision: revision of ``entries``
+    :ivar entries: cached :class:`Entry` by digest
+    :ivar known: whether ``entries`` were read from the store
+    :ivar busy: whether a call for the bucket is in flight or put off
+    :ivar waiting: claims for the next call, by digest
+    :ivar written: claims of the write in flight, by digest
+    :ivar doubtful: claims whose write got no answer, by digest; the store
+        may hold them
     """
 
     name: str
@@ -172,11 +180,11 @@
 
 
 class ClaimTable:
-    """Settle many claims with few calls to the store.
+    """Settles many claims with few calls to the store.
 
-    Claims gather until :meth:`flush`. One call at a time is under way for
-    each bucket; claims that come meanwhile share the next one. Every method
-    returns a list of actions.
+    Claims are batched until :meth:`flush`. At most one call per bucket is in
+    flight; claims that are added meanwhile share the next one. Methods that
+    change the state return a list of actions.
 
     :param owner: ``HOST.INCARNATION`` of this node
     :param settings: :class:`ClaimSettings`
@@ -199,9 +207,10 @@
         return self.buckets.setdefault(name, Bucket(name))
 
     def add(self, digest):
-        """Ask for a claim, to be made with the next flush.
+        """Add a claim to the next flush.
 
         :param digest: :func:`claim_digest` of the key
+        :return: actions: :class:`Lost` if the cached bucket shows an owner
         """
         claim = Claim(digest, self.owner)
         bucket = self.bucket_of(digest)
@@ -213,7 +222,7 @@
         return []
 
     def flush(self, wall_s):
-        """Start the calls for the claims that have gathered.
+        """Return the store calls for the claims added since the last flush.
 
         :param wall_s: seconds since the epoch
         """
@@ -224,7 +233,7 @@
         return actions
 
     def advance(self, bucket, wall_s):
-        """Start the next call of a bucket, when one is due."""
+        """Return the next store call of a bucket if claims wait for one."""
         if bucket.busy or not bucket.waiting:
             return []
         bucket.busy = True
@@ -233,7 +242,7 @@
         return self.write(bucket, wall_s)
 
     def write(self, bucket, wall_s):
-        """Settle the waiting claims that are known, write the others."""
+        """Settle the claims whose keys have an owner, and write the others."""
         actions = self.settle(bucket)
         if not bucket.waiting:
             bucket.busy = False
@@ -248,7 +257,7 @@
         return [*actions, Write(bucket.name, value, bucket.revision)]
 
     def fresh_entries(self, bucket, wall_s):
-        """Return the entries that have not outlived their time."""
+        """Return the entries that have not expired."""
         oldest = (wall_s - self.settings.keep_s) // MINUTE_S
         return {
             digest: entry
@@ -257,9 +266,9 @@
         }
 
     def settle(self, bucket):
-        """Answer the waiting claims whose keys have an owner already.
+        """Settle the waiting claims whose keys already have an owner.
 
-        An entry of our own that a lost answer left in doubt is a win: no
+        An entry of this node whose write got no answer counts as won: no
         request has run under it yet.
         """
         actions = []
@@ -276,24 +285,24 @@
         return actions
 
     def refuse(self, bucket, reason):
-        """Give up on the waiting claims."""
+        """Refuse all waiting claims of a bucket."""
         actions = [Refused(claim, reason) for claim in bucket.waiting.values()]
         bucket.waiting = {}
         bucket.busy = False
         return actions
 
     def record_read(self, name, value, revision, wall_s):
-        """Report what a bucket holds.
+        """Process the value that a read of a bucket returned.
 
         :param value: text, or None when the bucket is absent
-        :param revision: its revision, 0 when absent
+        :param revision: the bucket's revision, 0 when absent
         """
         bucket = self.buckets[name]
         self.learn(bucket, value, revision)
         return self.write(bucket, wall_s)
 
     def record_written(self, name, revision, wall_s):
-        """Report that a write took effect."""
+        """Settle the claims of a write that succeeded."""
         bucket = self.buckets[name]
         actions = []
         for digest, claim in bucket.written.items():
@@ -310,7 +319,11 @@
         return actions + self.advance(bucket, wall_s)
 
     def record_conflict(self, name, value, revision, wall_s):
-        """Report that another node wrote first, and what it wrote."""
+        """Retry after a write failed because another node wrote first.
+
+        :param value: the bucket's present value
+        :param revision: the bucket's present revision
+        """
         bucket = self.buckets[name]
         bucket.waiting = {**bucket.written, **bucket.waiting}
         bucket.written = {}
@@ -318,9 +331,9 @@
         return self.write(bucket, wall_s)
 
     def record_postponed(self, name):
-        """Report that a call was not made, and will be tried again.
+        """Return the claims of a call that was put off to the waiting ones.
 
-        Claims that come until then share the call.
+        Claims that are added before :meth:`retry_call` share the call.
         """
         bucket = self.buckets[name]
         bucket.waiting = {**bucket.written, **bucket.waiting}
@@ -328,18 +341,18 @@
         return []
 
     def retry_call(self, name, wall_s):
-        """Start a postponed call."""
+        """Return the actions of a call that was put off."""
         bucket = self.buckets[name]
         if not bucket.known:
             return [Read(name)]
         return self.write(bucket, wall_s)
 
     def record_failure(self, name, maybe_applied):
-        """Report that the store did not answer.
+        """Refuse the claims of a call that the store did not answer.
 
-        The claims are refused: nothing runs under them. A write that may
-        have taken effect is remembered, so that the next try of the same
-        key on this node finds its own claim and may run.
+        No request runs under them. Claims of a write that may have taken
+        effect are kept in ``doubtful``, so that the next attempt for the
+        same key on this node recognises its own entry and may run.
 
         :param maybe_applied: whether the write may have taken effect
         """
@@ -352,7 +365,7 @@
         return self.refuse(bucket, 'claims_unavailable')
 
     def learn(self, bucket, value, revision):
-        """Take over what the store holds."""
+        """Replace the cached entries of a bucket by the store's value."""
         bucket.entries = decode(value)
         bucket.revision = revision
         bucket.known = True
--- a/magnoliadyke/core/crashhistory.py
+++ b/magnoliadyke/core/crashhistory.py
@@ -1,10 +1,10 @@
-"""Requests after which endpoints die.
+"""Crash counts by request, to find requests that crash endpoints.
 
-A request may crash each endpoint that begins to run it, and its caller
-sends it again, to any host.  Unchecked it takes down one endpoint after the
-other, with all that runs there.  A crash breaks off everything that an
-endpoint runs, so one says little of a request; but only the one at fault is
-there at several crashes in a row.
+A request may crash each endpoint that begins to run it, while its caller
+resends it to any host.  Unchecked it crashes one endpoint after the other,
+with all requests that run there.  A crash fails every request of its
+endpoint, so a single crash shows little about one of them; but only the
+request at fault is present at several crashes in a row.
 """
 
 import dataclasses
@@ -12,23 +12,25 @@
 
 __all__ = ['CrashHistory']
 
-#: Endpoints at which a request broke off before it is taken for the cause.
-#: Two happen to others by bad luck: a request that is sent on from one
-#: endpoint that dies to another that dies as well.
+#: Crashed endpoints after which a request counts as the cause.  Two also
+#: happen to an innocent request that is retried on another endpoint, if that
+#: one crashes as well.
 MAX_CRASHES = 3
-#: How long a request is remembered after its last try, in seconds; callers
-#: try again within seconds, and an endpoint is back after some.
+#: How long a request is kept after its last attempt, in seconds.  Callers
+#: retry, and crashed endpoints restart, within a few seconds.
 RETENTION_S = 120.0
-#: Requests remembered: all that dozens of endpoints run when they crash.
+#: Maximum number of requests kept: all that run on dozens of endpoints.
 MAX_REQUESTS = 4096
 
 
 @dataclasses.dataclass(slots=True)
 class _RequestCrashes:
-    """What is known of one request.
+    """The crashes of one request.
 
-    :ivar endpoints: processes at which it broke off
-    :ivar served_s: when it was answered whole, minus infinity if never
+    :ivar endpoints: ids of the endpoint processes at which it failed
+    :ivar seen_s: when it last failed or was last refused
+    :ivar succeeded_s: when it was last answered completely, minus infinity
+        if never
     """
 
     endpoints: set[str]
@@ -37,7 +39,7 @@
 
 
 class CrashHistory:
-    """At which endpoints requests broke off, by digest of the request."""
+    """The endpoints at which requests failed, by digest of the request."""
 
     def __init__(self) -> None:
         self.requests: dict[bytes, _RequestCrashes] = {}
@@ -48,15 +50,16 @@
     def record_crash(
         self, request: bytes, endpoints: Iterable[str], now_s: float
     ) -> bool:
-        """A request broke off at these endpoints.
+        """Record that a request failed at endpoints without an answer.
 
-        :param endpoints: ids of their processes; another start has another
-        :returns: whether that was news
+        :param endpoints: ids of the endpoint processes; a restarted one has
+            another id
+        :returns: whether one of them had not been recorded
         """
         entry = self.requests.pop(request, None)
         if entry is None or self._is_expired(entry, now_s):
             entry = _RequestCrashes(set(), now_s)
-        # The last one seen is the last one dropped.
+        # Inserted anew at the end: requests are dropped from the front.
         self.requests[request] = entry
         entry.seen_s = now_s
         known = len(entry.endpoints)
@@ -65,13 +68,13 @@
         return len(entry.endpoints) > known
 
     def record_success(self, request: bytes, now_s: float) -> None:
-        """A request was answered whole: it crashes nothing."""
+        """Record that a request was answered completely."""
         entry = self.requests.get(request)
         if entry is not None:
             entry.succeeded_s = now_s
 
     def barred_s(self, request: bytes, now_s: float) -> float:
-        """How long a request is not to be run, in seconds; 0 if it may."""
+        """Return how long to refuse a request, in seconds; 0 if it may run."""
         entry = self.requests.get(request)
         if entry is None or len(entry.endpoints) < MAX_CRASHES:
             return 0.0
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -1,21 +1,24 @@
-"""Requests that crash the engines which run them.
-
-A crash blames every request in the engine's batch; at most one of them did
-it. The blamed become suspects, known by fingerprint (customer and content,
-since the caller resends under a new key) and spread to all nodes by digest.
-
-* A suspect runs alone among suspects, last in line, most suspicious first:
-  one whose run had only begun when the engine died.
-* A suspect that is blamed for a second crash is convicted and rejected. As
-  no other suspect was in that batch, the verdict is not bad luck.
-* A suspect that runs to its end is cleared. A conviction explains its
-  crashes, which clears everybody else who was blamed for them.
-
-So a request takes down at most two engines: once unknown, once alone. That
-needs the word of the first crash to be everywhere before the resend is. The
-shell sends it to all peers before it answers anybody; should a peer miss it,
-one that has heard of either crash makes the request wait as a suspect for
-``settle_s``, and by then knows of both.
+"""Quarantine of requests that crash the engines which run them.
+
+A crash is attributed to every request in the engine's batch, though at most
+one of them caused it. They become suspects, identified by a fingerprint of
+customer and content (a caller may resend under a new key); gossip digests
+carry them to all nodes.
+
+* A suspect runs in a batch without other suspects, and after other jobs. The
+  most suspicious runs first: the one that had produced the fewest tokens
+  when its engine died.
+* A suspect that is blamed for a second crash is convicted and rejected. No
+  other suspect was in that batch, so it was not there by chance.
+* A suspect that completes is cleared. A conviction accounts for the crashes
+  of the convicted request, which clears all others blamed for them.
+
+So a request crashes at most two engines: once while unknown, once as the
+only suspect. That requires every node to have the report of the first crash
+before the request is resent. A node sends the report to all peers before it
+answers any caller. A peer that misses one of the two reports but has the
+other makes the request wait as a suspect for ``settle_s``, and has both by
+then.
 """
 
 import hashlib
@@ -45,15 +48,16 @@
 
 
 class QuarantineSettings(NamedTuple):
-    """Constants of quarantine.
-
-    :param settle_s: by then all nodes have heard of a crash
-    :param same_crash_s: word of a crash of one endpoint within this time
-        of another is of the same crash
-    :param suspect_s: a suspect that isn't seen again is forgotten
-    :param convicted_s: so is a convict; each resend starts it anew
-    :param waiting_s: how long word that a suspect waits to run is good
-    :param most_entries: entries kept
+    """Limits of the quarantine, all times in seconds.
+
+    :param settle_s: time after which all nodes have the report of a crash
+    :param same_crash_s: reports of crashes of one endpoint less than this
+        apart are of the same crash
+    :param suspect_s: a suspect that is not seen for this long is dropped
+    :param convicted_s: the same for a convicted request; each resend starts
+        the time anew
+    :param waiting_s: how long a report that a suspect waits or runs is valid
+    :param max_entries: maximum number of entries kept
     """
 
     settle_s: float = 5.0
@@ -68,21 +72,26 @@
 
 
 class Blame(NamedTuple):
-    """One crash that a request was part of."""
+    """A crash during which a request ran on the engine.
+
+    :param crash: checksum of the endpoint's name
+    :param at_s: time of the crash, in this node's monotonic seconds
+    """
 
     crash: int
     at_s: float
 
 
 class Entry:
-    """What is known of one fingerprint.
-
-    :ivar blames: crashes that it may have caused
-    :ivar void: crashes that it did not cause, as is known by now; kept, as
-        peers that have not heard go on telling of them
-    :ivar rank: output tokens it had when the engine died, at most 255; the
-        fewer, the more suspicious
-    :ivar pool: checksum of its pool's name
+    """Crash attribution of one fingerprint.
+
+    :ivar blames: crashes that the request may have caused
+    :ivar cleared_blames: crashes that it is known not to have caused; kept
+        because peers without that knowledge still report them
+    :ivar rank: output tokens that it had when the engine died, at most 255;
+        fewer is more suspicious
+    :ivar pool: checksum of the name of its pool
+    :ivar seen_s: when it was last received or last blamed
     :ivar waiting_s: when it was last known to wait on some node
     :ivar running_s: when it was last known to run on some node
     """
@@ -107,13 +116,13 @@
         self.running_s = float('-inf')
 
     def verdict(self):
-        """Judge by the crashes that it is blamed for."""
+        """Return the verdict: clear, suspect or convicted."""
         if len(self.blames) >= CRASHES_TO_CONVICT:
             return CONVICTED
         return SUSPECT if self.blames else CLEAR
 
     def clear(self, now_s):
-        """It did not cause the crash that it was blamed for."""
+        """Mark the crashes it is blamed for as not caused by it."""
         self.cleared_blames = [*self.cleared_blames, *self.blames][
             -MAX_CLEARED_BLAMES:
         ]
@@ -122,27 +131,32 @@
 
 
 def fingerprint_of(text):
-    """Six bytes that stand for a request's customer and content."""
+    """Return a six-byte digest of a request's customer and content."""
     digest = hashlib.blake2b(text.encode(), digest_size=FINGERPRINT_BYTES)
     return digest.digest()
 
 
 def name_checksum(name):
-    """Four bytes that stand for a name in digests."""
+    """Return the CRC-32 that represents a name in gossip digests."""
     return zlib.crc32(name.encode())
 
 
 class Quarantine:
-    """Suspects and convicts, as far as this node knows."""
+    """Suspected and convicted requests known to this node.
+
+    :ivar entries: :class:`Entry` by fingerprint
+    """
 
     def __init__(self, settings=DEFAULT_SETTINGS):
         self.settings = settings
         self.entries = {}
 
     def blame(self, endpoint, pool, batch, now_s):
-        """An engine crashed.
+        """Record a crash of an engine against the requests in its batch.
 
-        :param batch: (fingerprint, output tokens so far) of what ran on it
+        :param endpoint: name of the engine
+        :param pool: name of its pool
+        :param batch: (fingerprint, output tokens so far) of each request
         """
         crash = name_checksum(endpoint)
         for fingerprint, tokens in batch:
@@ -153,35 +167,35 @@
         self._trim()
 
     def verdict(self, fingerprint, now_s):
-        """Judge a request by its fingerprint: clear, suspect, convicted."""
+        """Return the verdict of a request: clear, suspect or convicted."""
         entry = self.entries.get(fingerprint)
         if entry is None or self._is_expired(entry, now_s):
             return CLEAR
         return entry.verdict()
 
     def record_sighting(self, fingerprint, now_s):
-        """A known request came again: remember it for longer."""
+        """Extend the retention of a known request that was sent again."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
             entry.seen_s = now_s
 
     def record_success(self, fingerprint, now_s):
-        """It ran to its end and the engine lives."""
+        """Clear a suspect that completed without a crash of its engine."""
         entry = self.entries.get(fingerprint)
         if entry is not None and entry.verdict() == SUSPECT:
             entry.clear(now_s)
 
     def is_trial_due(self, fingerprint, since_s, now_s):
-        """Whether it is this suspect's turn to run.
+        """Return whether a suspect may run on the trial engine now.
 
-        All nodes order the suspects of a pool alike, so that two of them
-        don't meet on the trial engine, where a crash would convict both. It
-        waits until all have heard that it does, lets go those before it in
-        the order, and keeps away while another runs. Only what is known to
-        wait or run of late counts: a suspect whose caller has gone away must
-        not keep the others waiting.
+        All nodes order the suspects of a pool alike, so that no two of them
+        run on the trial engine together, where a crash would convict both. A
+        suspect waits until all nodes know that it waits, until those before
+        it in the order have run, and while another one runs. Only suspects
+        reported as waiting or running within ``waiting_s`` count: one whose
+        caller has gone away must not block the others.
 
-        :param since_s: when this node took it in
+        :param since_s: when this node queued the suspect
         """
         entry = self.entries[fingerprint]
         settled_s = since_s + self.settings.settle_s
@@ -201,26 +215,29 @@
         return True
 
     def _earliest_s(self, entry):
-        """When a suspect may run; before, its run was the one that died."""
+        """Return the earliest time of a suspect's trial.
+
+        A report of it running before that is of the run that crashed.
+        """
         return entry.blames[-1].at_s + self.settings.settle_s
 
     def record_waiting(self, fingerprint, now_s):
-        """A suspect waits on some node."""
+        """Record that a suspect waits to run on some node."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
             entry.waiting_s = max(entry.waiting_s, now_s)
 
     def record_running(self, fingerprint, now_s):
-        """A suspect runs on some node."""
+        """Record that a suspect runs on some node."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
             entry.running_s = max(entry.running_s, now_s)
 
     def merge(self, fingerprint, pool, rank, cleared, blames, now_s):
-        """Take a peer's word.
+        """Merge a peer's report of one fingerprint.
 
-        :param cleared: it did not cause these crashes
-        :param blames: of :class:`Blame`, in this node's time
+        :param cleared: whether the request did not cause these crashes
+        :param blames: list of :class:`Blame`, in this node's time
         """
         entry = self._entry(fingerprint, rank, pool, now_s)
         for blame in blames:
@@ -232,13 +249,15 @@
         self._trim()
 
     def newest(self, count, now_s, held=()):
-        """(fingerprint, entry) for the digest, what matters most first.
+        """Return (fingerprint, entry) pairs to send, the most important first.
 
-        A digest has room for some. If those of a big batch took it, no node
-        would hear that a suspect ran whole, and all would wait for it.
+        A digest holds a limited number. If the suspects of a large batch
+        filled it, no peer would learn that one of them completed, and all
+        would wait for it.
 
-        :param held: fingerprints of this node's jobs; no other node knows
-            how they are
+        :param count: maximum number of pairs
+        :param held: fingerprints of this node's jobs, whose state only this
+            node can report
         """
         known = [
             item
@@ -250,7 +269,7 @@
         return known[:count]
 
     def tick(self, now_s):
-        """Drop what has been forgotten."""
+        """Remove the expired entries."""
         for fingerprint, entry in list(self.entries.items()):
             if self._is_expired(entry, now_s):
                 del self.entries[fingerprint]
@@ -277,7 +296,7 @@
         entry.seen_s = max(entry.seen_s, blame.at_s)
 
     def _merge_cleared(self, entry, blame, now_s):
-        """A peer knows that this crash was none of its doing."""
+        """Record a peer's report that a request did not cause a crash."""
         if entry.verdict() == CONVICTED or self._contains(
             blame, entry.cleared_blames
         ):
@@ -290,7 +309,7 @@
             ]
 
     def _clear_bystanders(self, now_s):
-        """Clear whoever was blamed for what a convict did."""
+        """Clear the suspects blamed for a crash that a convicted one caused."""
         attributed = [
             blame
             for entry in self.entries.values()
@@ -309,7 +328,7 @@
         return any(self._is_same_crash(blame, known) for known in others)
 
     def _is_same_crash(self, one, other):
-        """Whether two nodes tell of the same crash."""
+        """Return whether two reports are of the same crash."""
         apart_s = abs(one.at_s - other.at_s)
         limit_s = self.settings.same_crash_s
         return one.crash == other.crash and apart_s < limit_s
@@ -330,14 +349,14 @@
 
 
 def _importance_order(item):
-    """Convicts first, then suspects, the newest and likeliest first."""
+    """Sort key: convicted before suspect before clear, then recent first."""
     fingerprint, entry = item
     group = (CONVICTED, SUSPECT, CLEAR).index(entry.verdict())
     return group, -entry.seen_s, entry.rank, fingerprint
 
 
 def _send_order(item, held, fresh_s):
-    """Convicts, this node's own, those cleared of late, and the rest."""
+    """Sort key: convicted, held by this node, recently cleared, the rest."""
     fingerprint, entry = item
     verdict = entry.verdict()
     cleared = verdict == CLEAR and entry.seen_s >= fresh_s
--- a/magnoliadyke/core/records.py
+++ b/magnoliadyke/core/records.py
@@ -1,4 +1,4 @@
-"""What a home remembers of the requests whose keys belong to it."""
+"""Idempotency records that the home node of a request key keeps."""
 
 import base64
 import collections
@@ -49,12 +49,12 @@
 
 
 class Answer(typing.NamedTuple):
-    """A whole answer as it is kept for a resent key.
+    """A complete answer, kept to be replayed when its key is sent again.
 
     :param kind: ``model`` (body: compressed events) or ``service``
     :param status: HTTP status
-    :param content_type: of a service's answer
-    :param body: bytes
+    :param content_type: content type of a service's answer
+    :param body: the answer's body, in bytes
     :param prompt_tokens: prompt length in tokens
     :param output_tokens: answer length in tokens
     """
@@ -69,13 +69,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """One key: ``running``, ``away``, ``answered`` or ``settled``.
+    """The record of one key.
 
-    :param digest: of the customer's request; same key, same digest
+    :param digest: digest of the customer's request; a key is accepted again
+        only with the same digest
     :param expires_s: monotonic seconds until which the key must be kept
-    :param run: the shell's running request, while there is one
-    :param outcome: what a resend is told in state ``settled``
-    :param home: where it runs in state ``away``
+    :param state: ``running``, ``away``, ``answered`` or ``settled``
+    :param run: the caller's handle of the running request, None if it does
+        not run
+    :param answer: the answer to replay in state ``answered``
+    :param outcome: the outcome returned to a resend in state ``settled``
+    :param home: name of the home where the request runs in state ``away``
+    :param size_bytes: memory charged for the answer, in bytes
     """
 
     key: str
@@ -92,21 +97,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class New:
-    """The key is new: run it, then end the record."""
+    """The key is new: the caller runs the request, then ends the record."""
 
     record: Record
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attach:
-    """The key is running: follow that run."""
+    """The key's request is running: the caller follows that run."""
 
     record: Record
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Away:
-    """The key still runs at the home that is handing its records over.
+    """The request still runs at the home that handed this record over.
 
     :param home: ``HOST.INCARNATION``
     """
@@ -116,26 +121,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replay:
-    """The key was answered: give the same answer."""
+    """The key was answered: the caller replays the same answer."""
 
     answer: Answer
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resolved:
-    """Tell the caller this outcome; nothing runs."""
+    """The key's outcome is already decided; nothing runs."""
 
     outcome: typing.Any
 
 
 class RecordSettings(typing.NamedTuple):
-    """Bounds of the table.
+    """Memory and retention limits of a :class:`RecordTable`.
 
-    :param answer_bytes: room for answers, in bytes
+    :param answer_bytes: memory for answers, in bytes
     :param answer_keep_s: how long an answer is kept, in seconds
-    :param accept_s: how long after its issue a ticket may bring new keys,
-        in seconds; a key is remembered at least that long
-    :param max_keys: most keys remembered
+    :param accept_s: how long after its issue new keys of a ticket are
+        accepted, in seconds; a record is kept at least that long
+    :param max_keys: maximum number of records
     """
 
     answer_bytes: int = 64 << 20
@@ -148,14 +153,18 @@
 
 
 class RecordTable:
-    """Remember keys so that none runs twice.
+    """Records of keys, so that no request runs twice.
 
-    A key that isn't here is new only while its ticket is young: a record
-    outlives the time in which its ticket may bring new keys. When memory
-    runs out, the oldest tickets are given up together (``floor_s``) and
-    their keys get ``Unknown``, never a second run.
+    A key without a record is new only while its ticket still accepts new
+    keys, since a record is kept at least that long. When the table is full,
+    it drops the records of the oldest tickets and raises ``floor_s`` to the
+    issue time of the newest of them: keys of tickets up to ``floor_s`` get
+    ``Unknown``, never a second run.
 
     :param settings: :class:`RecordSettings`
+    :ivar records: :class:`Record` by key
+    :ivar expiry: heap of (expiry in monotonic seconds, key)
+    :ivar answered: when each kept answer was complete, by key, oldest first
     """
 
     def __init__(self, settings=DEFAULTS):
@@ -167,7 +176,7 @@
         self.floor_s = NO_FLOOR
 
     def open(self, key, customer, digest, issued_s, now_s, floor_s=NO_FLOOR):
-        """Look a request's key up, and enter it when it is new.
+        """Look up the key of a request, and add a record if the key is new.
 
         :param key: idempotency key
         :param customer: name of the customer that sent it
@@ -175,10 +184,10 @@
         :param issued_s: issue time of the key's ticket on this node's
             clock; ``now_s`` for a key that was claimed just now
         :param now_s: monotonic seconds
-        :param floor_s: issue time up to which another home had forgotten
-            keys before this table took its records over
-        :return: :class:`New`, :class:`Attach`, :class:`Replay` or
-            :class:`Tell`
+        :param floor_s: ``floor_s`` of the home whose records this table took
+            over; it had dropped keys issued up to that time
+        :return: :class:`New`, :class:`Attach`, :class:`Away`,
+            :class:`Replay` or :class:`Resolved`
         """
         record = self.records.get(key)
         if record is not None:
@@ -192,9 +201,10 @@
         return New(record)
 
     def find(self, key, customer):
-        """Look a key up without entering it, to read an answer again.
+        """Look up a key without adding a record, to read an answer again.
 
-        :return: as :meth:`open`; :class:`Tell` ``Unknown`` when not here
+        :return: as :meth:`open`; :class:`Resolved` with ``Unknown`` if the
+            key has no record
         """
         record = self.records.get(key)
         if record is None:
@@ -202,7 +212,7 @@
         return self.resolve_known(record, customer, record.digest)
 
     def resolve_known(self, record, customer, digest):
-        """Judge a key that is known."""
+        """Return what to do with a request whose key has a record."""
         if record.customer != customer:
             return Resolved(KEY_OF_ANOTHER_CUSTOMER)
         if record.digest != digest:
@@ -218,21 +228,21 @@
                 return Resolved(record.outcome)
 
     def is_too_old(self, issued_s, now_s):
-        """Tell whether a ticket may no longer bring new keys."""
+        """Return whether new keys of a ticket are no longer accepted."""
         return now_s - issued_s >= self.settings.accept_s
 
     def expiry_of(self, issued_s):
-        """Return until when a key has to be remembered."""
+        """Return until when the record of a key must be kept."""
         return issued_s + self.settings.accept_s
 
     def insert(self, record):
-        """Enter a record."""
+        """Add a record to the table."""
         self.records[record.key] = record
         heapq.heappush(self.expiry, (record.expires_s, record.key))
         self.bytes_used += record.size_bytes
 
     def finish(self, record, answer, now_s):
-        """Keep the whole answer of a record.
+        """Store the complete answer of a record.
 
         :param answer: :class:`Answer`
         """
@@ -245,27 +255,27 @@
         self.evict(now_s)
 
     def settle(self, record, outcome):
-        """End a record with an outcome that every resend gets, too.
+        """End a record with an outcome that every resend gets as well.
 
-        A key that was told ``NotRun`` stays so: an earlier copy of the
-        request may still be under way on a slow connection, and would
-        otherwise run after the caller has been told that it did not.
+        The outcome ``NotRun`` is final too: an earlier copy of the request
+        may still be in flight on a slow connection, and would otherwise run
+        after the caller was told that it had not run.
         """
         record.state = 'settled'
         record.run = None
         record.outcome = outcome
 
     def forget(self, record):
-        """Drop a record whose key no caller can send again."""
+        """Remove a record whose key no caller can send again."""
         self.records.pop(record.key, None)
 
     def evict(self, now_s):
-        """Drop what is over the bounds of time, bytes and number."""
+        """Evict answers and records beyond the limits of the settings."""
         self.evict_answers(now_s)
         self.evict_keys(now_s)
 
     def evict_answers(self, now_s):
-        """Turn the oldest answers into tombstones."""
+        """Replace expired answers, or the oldest if full, by tombstones."""
         oldest_s = now_s - self.settings.answer_keep_s
         while self.answered:
             key, finished_s = next(iter(self.answered.items()))
@@ -276,7 +286,7 @@
             self.drop_answer(key)
 
     def drop_answer(self, key):
-        """Leave a tombstone in place of an answer."""
+        """Replace a record's answer by a tombstone."""
         record = self.records.get(key)
         if record is None or record.state != 'answered':
             return
@@ -286,7 +296,10 @@
         self.settle(record, ANSWER_GONE)
 
     def evict_keys(self, now_s):
-        """Forget keys whose tickets can't bring new ones any more."""
+        """Remove expired records, and raise ``floor_s`` accordingly.
+
+        If there are more than ``max_keys``, also the oldest unexpired ones.
+        """
         kept = []
         while self.expiry:
             expires_s, key = self.expiry[0]
@@ -308,7 +321,7 @@
             heapq.heappush(self.expiry, entry)
 
     def needed_until_s(self, record, now_s):
-        """Return until when a record past its expiry is kept all the same."""
+        """Return until when a record is kept beyond its expiry."""
         if record.state in ('running', 'away'):
             return now_s + self.settings.accept_s
         finished_s = self.answered.get(record.key)
@@ -317,13 +330,13 @@
         return finished_s + self.settings.answer_keep_s
 
     def remove(self, record):
-        """Remove a record with all it holds."""
+        """Remove a record and its answer."""
         self.answered.pop(record.key, None)
         self.bytes_used -= record.size_bytes
         del self.records[record.key]
 
     def running(self):
-        """Return the records that still run."""
+        """Return the records whose requests still run."""
         return [
             record
             for record in self.records.values()
@@ -331,21 +344,21 @@
         ]
 
     def export(self, now_s, home=''):
-        """Yield each record as a line of JSON for a successor.
+        """Yield each record as a line of JSON, for the host that takes over.
 
         :param now_s: monotonic seconds
         :param home: ``HOST.INCARNATION`` where requests that run here can
-            still be followed; ``''`` when they will have no answer, and a
-            resend of their keys is told ``Unknown``
+            still be followed; ``''`` if they will have no answer, so that a
+            resend of their keys gets ``Unknown``
         :return: iterator of bytes
         """
         for record in list(self.records.values()):
             yield export_record(record, now_s, home)
 
     def import_line(self, line, now_s):
-        """Take over a record of a host that is leaving.
+        """Add a record of a host that is leaving.
 
-        :param line: bytes as :meth:`export` made them
+        :param line: one line of :meth:`export`, in bytes
         """
         record = import_record(line, now_s)
         known = self.records.get(record.key)
@@ -360,7 +373,10 @@
 
 
 class ExportedRecord(typing.TypedDict):
-    """A record on its way to a successor; times are relative."""
+    """A record as sent to the host that takes over.
+
+    Times are relative, as the monotonic clocks of two hosts differ.
+    """
 
     key: str
     customer: str
@@ -372,7 +388,7 @@
 
 
 def export_record(record, now_s, home):
-    """Return one record as a line of JSON (bytes)."""
+    """Return a record as a line of JSON, in bytes."""
     outcome = record.outcome
     if record.state == 'running':
         outcome = HOME_STOPPED
@@ -403,7 +419,7 @@
 
 
 def import_record(line, now_s):
-    """Return the record that :func:`export_record` wrote."""
+    """Return the record that :func:`export_record` encoded."""
     document = json.loads(line)
     record = Record(
         document['key'],
@@ -424,7 +440,10 @@
 
 
 def import_outcome(fields):
-    """Read an exported outcome; one of a newer release is unknown here."""
+    """Return an exported outcome.
+
+    A kind that this release does not have gives :data:`ANSWER_GONE`.
+    """
     kinds = {
         kind.__name__: kind
         for kind in (outcomes.NotRun, outcomes.Unknown, outcomes.Rejected)
--- a/magnoliadyke/core/suspects.py
+++ b/magnoliadyke/core/suspects.py
@@ -1,19 +1,20 @@
-"""Suspects of a crash on one node: who is blamed, who waits, who is next."""
+"""Queue of the requests on one node that are suspected of a crash."""
 
 from magnoliadyke.core import quarantine
 from magnoliadyke.core import routing
 
 __all__ = ['SuspectQueue']
 
-#: How long a suspect whose turn it is waits for its engine to run dry.
+#: How long a suspect that may run waits for its engine to become idle.
 TRIAL_WAIT_S = 5.0
 NEVER_S = float('-inf')
 
 
 class SuspectQueue:
-    """Keeps suspects apart from all other jobs of the node.
+    """Keeps suspected requests apart from all other jobs of the node.
 
     :param judge: :class:`magnoliadyke.core.quarantine.Quarantine`
+    :ivar last_crash_s: time of the last recorded crash, by endpoint name
     """
 
     def __init__(self, judge):
@@ -21,7 +22,7 @@
         self.last_crash_s = {}
 
     def record_engine_crash(self, endpoint, runs, now_s):
-        """Blame what ran on an endpoint, once for each crash."""
+        """Blame the requests that ran on an endpoint, once for each crash."""
         last_s = self.last_crash_s.get(endpoint.name, NEVER_S)
         if now_s - last_s < self.quarantine.settings.same_crash_s:
             return
@@ -35,26 +36,29 @@
         self.quarantine.blame(endpoint.name, pool, batch, now_s)
 
     def record_blame(self, run, endpoint, now_s):
-        """A job's own failure tells that it was there."""
+        """Blame a job whose own failure shows that it ran on the endpoint."""
         if run.job.fingerprint:
             batch = [(run.fingerprint, run.tokens)]
             pool = endpoint.info.pool
             self.quarantine.blame(endpoint.name, pool, batch, now_s)
 
     def verdict(self, run, now_s):
-        """Judge a run; one without a fingerprint is clear."""
+        """Return the verdict of a run; one without a fingerprint is clear."""
         if not run.job.fingerprint:
             return quarantine.CLEAR
         return self.quarantine.verdict(run.fingerprint, now_s)
 
     def add(self, run, pool, now_s):
-        """Queue a suspect until an endpoint can be given to it alone."""
+        """Queue a suspect until it may run on the trial engine."""
         self.quarantine.record_waiting(run.fingerprint, now_s)
         run.queued_s = now_s
         pool.suspects.append(run)
 
     def pop_decided(self, pool, now_s):
-        """Take out those that are suspects no longer: (job, verdict)."""
+        """Remove and return the runs that are suspects no longer.
+
+        :return: list of (run, verdict); clear or convicted
+        """
         decided = []
         for run in list(pool.suspects):
             verdict = self.verdict(run, now_s)
@@ -66,7 +70,7 @@
         return decided
 
     def next_suspect(self, pool, runs, now_s):
-        """The suspect that should run now, on ``pool.trial``, or None.
+        """Return the suspect to run now on ``pool.trial``, or None.
 
         :param runs: the node's jobs by id
         """
@@ -90,15 +94,19 @@
         return None
 
     def record_trial_start(self, run, pool, now_s):
-        """A suspect runs now, and nothing else of this node beside it."""
+        """Move a suspect from the queue to the trial engine.
+
+        Until it ends, no other job of this node runs there.
+        """
         pool.suspects.remove(run)
         pool.trial.alone = run.job.id
         self.quarantine.record_running(run.fingerprint, now_s)
 
     def _choose_trial(self, pool):
-        """Keep one engine for suspects, the same on every node.
+        """Reserve one engine for suspects, the same on every node.
 
-        Only while this node has suspects: one engine of five is much.
+        Only while this node has suspects: in a pool of five engines it is a
+        fifth of the capacity.
         """
         chosen = self._trial_of(pool) if pool.suspects else None
         if pool.trial is not None and pool.trial is not chosen:
