--- a/magnoliadyke/core/__init__.py
+++ b/magnoliadyke/core/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions without input or output: events in, typed actions out."""
+"""Decision logic without I/O: takes events, returns typed actions."""
 
 __all__ = []
--- a/magnoliadyke/core/backoffs.py
+++ b/magnoliadyke/core/backoffs.py
@@ -1,4 +1,4 @@
-"""Endpoints that asked this host to back off."""
+"""Backoffs that endpoints asked this host for."""
 
 from collections.abc import Iterable
 import math
@@ -7,14 +7,14 @@
 
 __all__ = ['Backoffs']
 
-#: Backoffs that are remembered before those that are over are looked for.
+#: Number of backoffs kept from which a new one first removes those that ended.
 MAX_BACKOFFS = 1024
 
 
 class Backoffs:
-    """Until when endpoints want nothing from this host.
+    """Until when endpoints accept no requests from this host.
 
-    :ivar until_s: by endpoint
+    :ivar until_s: end of the backoff in monotonic seconds, by endpoint id
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,9 @@
     def record_backoff(
         self, endpoint_id: str, for_s: float, now_s: float
     ) -> None:
-        """An endpoint has turned a request away and told when to return.
+        """Record that an endpoint rejected a request and asked to back off.
+
+        A later end that is already recorded stays.
 
         :param for_s: how long to back off, in seconds
         """
@@ -33,19 +35,22 @@
         self.until_s[endpoint_id] = until_s
 
     def remaining_s(self, endpoint_id: str, now_s: float) -> float:
-        """How much longer an endpoint wants nothing, in seconds."""
+        """Return the rest of an endpoint's backoff in seconds, 0 if none."""
         return max(0.0, self.until_s.get(endpoint_id, now_s) - now_s)
 
     def available(
         self, endpoints: Iterable[catalog.Endpoint], now_s: float
     ) -> list[catalog.Endpoint]:
-        """Endpoints that may be asked."""
+        """Return the endpoints without a backoff."""
         return [e for e in endpoints if not self.remaining_s(e.id, now_s)]
 
     def shortest_remaining_s(
         self, endpoints: Iterable[catalog.Endpoint], now_s: float
     ) -> float:
-        """How long none of them may be asked; 0 if one may, or none is."""
+        """Return when the first of some endpoints is available, in seconds.
+
+        0 if one is available now, or if there are no endpoints.
+        """
         shortest_s = math.inf
         for endpoint in endpoints:
             remaining_s = self.remaining_s(endpoint.id, now_s)
@@ -55,11 +60,11 @@
         return shortest_s if shortest_s < math.inf else 0.0
 
     def active(self, now_s: float) -> list[str]:
-        """Ids of the endpoints that want nothing."""
+        """Return the ids of the endpoints with a backoff."""
         return [e for e, until_s in self.until_s.items() if until_s > now_s]
 
     def forget(self, now_s: float) -> None:
-        """Drop the backoffs that are over."""
+        """Remove the backoffs that have ended."""
         for endpoint_id, until_s in list(self.until_s.items()):
             if until_s <= now_s:
                 del self.until_s[endpoint_id]
--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -1,4 +1,4 @@
-"""Which endpoint of a plain service gets the next request."""
+"""Load balancing of requests to the endpoints of a plain service."""
 
 import dataclasses
 from typing import Any
@@ -7,24 +7,33 @@
 
 __all__ = ['Balancer']
 
-#: Weight of a new answer time in the mean; half of a change after 6 answers.
+#: Weight of a new response time in the moving average: half of a change shows
+#: after 6 responses.
 TIME_WEIGHT = 0.1
-#: Weight of a new answer in the share of failures.
+#: Weight of a new result in the moving average of failures.
 FAILURE_WEIGHT = 0.1
-#: Answer time before anything was measured, in seconds.
+#: Assumed response time of an endpoint without responses yet, in seconds.
 PRIOR_S = 0.02
-#: An endpoint outside the own failure domain has to be this much better.
+#: Cost factor of endpoints outside this host's failure domain.
 REMOTE_FACTOR = 1.25
-#: How much a failure costs a caller, in answer times.
+#: Cost of a failure, in response times.
 FAILURE_COST = 8.0
-#: An endpoint that could not be reached rests this long, doubled in a row.
+#: Cooldown of an endpoint after two failures to reach it in a row, in seconds;
+#: it doubles with each further one.
 COOLDOWN_S = 0.5
 MAX_COOLDOWN_S = 4.0
 
 
 @dataclasses.dataclass(slots=True)
 class EndpointStats:
-    """What a host has seen of an endpoint."""
+    """Statistics of one endpoint.
+
+    :ivar outstanding: requests in flight
+    :ivar answer_s: moving average of the response time, in seconds
+    :ivar failure_rate: moving average of failures, 0 to 1
+    :ivar unreachable: attempts without a response, in a row
+    :ivar cooldown_until_s: when its cooldown ends, in monotonic seconds
+    """
 
     outstanding: int = 0
     answer_s: float = PRIOR_S
@@ -34,13 +43,15 @@
 
 
 class Balancer:
-    """Picks endpoints by what they cost a caller.
+    """Picks endpoints by expected cost to the caller.
 
-    No health probes: real requests tell of slow and failing endpoints
-    sooner, and probes may lie either way.
+    There are no health probes: requests show slow and failing endpoints
+    sooner, and a probe may succeed where requests fail or the other way
+    round.
 
-    :param failure_domain: of this host
+    :param failure_domain: failure domain of this host
     :param rng: source of randomness
+    :ivar stats_by_id: :class:`EndpointStats` by endpoint id
     """
 
     def __init__(self, failure_domain: str, rng: Any) -> None:
@@ -54,10 +65,12 @@
         avoid: set[str],
         now_s: float,
     ) -> catalog.Endpoint | None:
-        """The endpoint that is expected to serve a caller best.
+        """Return the endpoint with the lowest expected cost, or None.
 
-        Endpoints that rest are used only when there is no other one: a
-        refusal would be certain, a send only likely to fail.
+        Endpoints in cooldown are used only if there is no other: a request
+        sent to them is likely to fail, but a refusal fails for certain.
+
+        :param avoid: ids of endpoints not to use
         """
         usable = [e for e in endpoints if e.id not in avoid]
         ready = [e for e in usable if self._cooldown_until_s(e) <= now_s]
@@ -83,15 +96,16 @@
         return self.stats_by_id.setdefault(endpoint_id, EndpointStats())
 
     def record_sent(self, endpoint_id: str) -> None:
-        """A request is on its way."""
+        """Record that a request is sent to an endpoint."""
         self._stats(endpoint_id).outstanding += 1
 
     def record_answer(
         self, endpoint_id: str, took_s: float, failed: bool
     ) -> None:
-        """An answer came.
+        """Record a response of an endpoint.
 
-        :param failed: it was the endpoint's own failure
+        :param took_s: response time, in seconds
+        :param failed: whether it reports a failure of the endpoint itself
         """
         stats = self._stats(endpoint_id)
         stats.outstanding -= 1
@@ -100,11 +114,14 @@
         self._update_failure_rate(stats, failed)
 
     def record_cancel(self, endpoint_id: str) -> None:
-        """The caller left before the answer; nothing is learned."""
+        """Record that the caller left before the response.
+
+        Only the requests in flight change: it shows nothing of the endpoint.
+        """
         self._stats(endpoint_id).outstanding -= 1
 
     def record_failure(self, endpoint_id: str, now_s: float) -> None:
-        """The endpoint did not answer, or could not be reached."""
+        """Record that an endpoint did not respond or was unreachable."""
         stats = self._stats(endpoint_id)
         stats.outstanding -= 1
         stats.unreachable += 1
@@ -114,7 +131,12 @@
             stats.cooldown_until_s = now_s + min(cooldown_s, MAX_COOLDOWN_S)
 
     def forget(self, listed: set[str]) -> None:
-        """Drop what is known of endpoints that are gone."""
+        """Drop the statistics of endpoints that are no longer listed.
+
+        Those with requests in flight are kept.
+
+        :param listed: ids of the listed endpoints
+        """
         for endpoint_id in [e for e in self.stats_by_id if e not in listed]:
             if self.stats_by_id[endpoint_id].outstanding <= 0:
                 del self.stats_by_id[endpoint_id]
--- a/magnoliadyke/core/budget.py
+++ b/magnoliadyke/core/budget.py
@@ -1,10 +1,10 @@
-"""The calls that a node may make to the store, by kind.
+"""Rate limit of a node's calls to the store, by kind of call.
 
-The store serves the whole fleet at rates that grow more slowly than the
-fleet.  Each node therefore has a token bucket, of which the less urgent
-kinds leave a reserve; failures are followed by growing, jittered pauses;
-and when the store comes back, postponable calls are spread out, since all
-nodes notice its return at the same moment.
+The store's capacity grows more slowly than the fleet.  Each node therefore
+has a token bucket, in which less urgent kinds of calls leave a reserve.
+Failures are followed by growing pauses with jitter.  When the store comes
+back, calls that can wait are spread out, since all nodes notice its return at
+the same moment.
 """
 
 import collections
@@ -23,7 +23,7 @@
 
 
 class CallKind(enum.IntEnum):
-    """Kinds of calls, the most urgent first."""
+    """Kinds of calls to the store, the most urgent first."""
 
     LEASE = 0
     TABLE_WRITE = 1
@@ -34,13 +34,17 @@
 
 
 class BudgetSettings(NamedTuple):
-    """Rates of one node.
-
-    :param fleet_rate_s: calls a second that all nodes together may make.
-    :param rate_s: most calls a second of one node.
-    :param reserve_share: share of the burst that each step down in urgency
-        leaves untouched.
-    :param spread_s: time over which postponable calls return.
+    """Limits of one node's calls.
+
+    :param fleet_rate_s: maximum calls per second of all nodes together
+    :param rate_s: maximum calls per second of one node
+    :param burst: capacity of the token bucket, in calls
+    :param reserve_share: share of ``burst`` that each step down in urgency
+        has to leave in the bucket
+    :param backoff_s: base of the exponential backoff, in seconds
+    :param max_backoff_s: longest backoff, in seconds
+    :param spread_s: time over which calls that can wait are spread after the
+        store came back, in seconds
     """
 
     fleet_rate_s: float = 400.0
@@ -54,20 +58,27 @@
 
 @dataclasses.dataclass(frozen=True)
 class Granted:
-    """Make the call now, then report ``succeeded`` or ``failed``."""
+    """The call may be made now.
+
+    Its result is reported by :meth:`StoreBudget.succeeded`,
+    :meth:`~StoreBudget.failed` or :meth:`~StoreBudget.throttled`.
+    """
 
 
 @dataclasses.dataclass(frozen=True)
 class Later:
-    """Ask again after so many seconds."""
+    """The call may not be made yet.
+
+    :param after_s: when to ask again, in seconds from now
+    """
 
     after_s: float
 
 
 class StoreBudget:
-    """One node's budget.
+    """One node's budget of calls to the store.
 
-    :param rng: source of randomness.
+    :param rng: source of randomness
     """
 
     def __init__(
@@ -85,16 +96,16 @@
 
     @property
     def rate_s(self) -> float:
-        """Calls a second at present."""
+        """Present limit, in calls per second."""
         return self._rate_s * self._share
 
     def set_nodes(self, nodes: int) -> None:
-        """Split the fleet's rate among the live nodes."""
+        """Split the fleet's rate evenly among the live nodes."""
         share_s = self.settings.fleet_rate_s / max(1, nodes)
         self._rate_s = min(self.settings.rate_s, share_s)
 
     def ask(self, kind: CallKind, now_s: float) -> Granted | Later:
-        """Whether a call may be made now."""
+        """Return whether a call may be made now, and count it if so."""
         self._refill(now_s)
         wait_s = self._not_before_s.get(kind, 0.0) - now_s
         if wait_s > 0:
@@ -113,7 +124,7 @@
         self._refilled_s = now_s
 
     def succeeded(self, kind: CallKind, now_s: float) -> None:
-        """The store answered."""
+        """Record that the store answered a call."""
         if self.failures:
             self._spread_resumption(kind, now_s)
         self.failures = 0
@@ -121,7 +132,11 @@
         self._not_before_s.pop(kind, None)
 
     def _spread_resumption(self, kind: CallKind, now_s: float) -> None:
-        """Spread what piled up; a herd would bring the store down again."""
+        """Delay other kinds of calls that can wait by random times.
+
+        If all nodes made their pending calls at once, the store would
+        fail again.
+        """
         for other in CallKind:
             if other is not kind and other >= CallKind.CLAIMS:
                 delay_s = self.rng.random() * self.settings.spread_s
@@ -130,14 +145,17 @@
                 self._not_before_s.pop(other, None)
 
     def failed(self, kind: CallKind, now_s: float) -> None:
-        """No answer, or an error: pause, longer each time, with jitter."""
+        """Record a call without an answer or with an error.
+
+        Calls of its kind back off exponentially, with jitter.
+        """
         self.failures += 1
         ceiling_s = min(
             self.settings.max_backoff_s,
             self.settings.backoff_s * 2 ** min(self.failures, 16),
         )
         if kind is CallKind.LEASE:
-            # A lease that is not renewed lapses: it never waits for long.
+            # A lease expires unless it is renewed in time: wait only briefly.
             ceiling_s = min(ceiling_s, 4 * self.settings.backoff_s)
         pause_s = ceiling_s * (0.5 + 0.5 * self.rng.random())
         self._not_before_s[kind] = now_s + pause_s
@@ -145,7 +163,13 @@
     def throttled(
         self, kind: CallKind, now_s: float, retry_after_s: float = 0.0
     ) -> None:
-        """The store refused for its rate: halve ours, regain it slowly."""
+        """Record that the store refused a call because of its rate limit.
+
+        Halves this node's rate, which each later success raises a little.
+
+        :param retry_after_s: shortest pause that the store asked for, in
+            seconds
+        """
         self._share = max(0.05, self._share / 2)
         self.failed(kind, now_s)
         least_s = now_s + retry_after_s
--- a/magnoliadyke/core/catalog.py
+++ b/magnoliadyke/core/catalog.py
@@ -86,7 +86,7 @@
         self.generation = 0
 
     def configure(self, configuration: routes.Configuration) -> bool:
-        """Apply a configuration unless it is older than the present one.
+        """Apply a configuration if it is newer than the present one.
 
         A stale read, or a store restored from a backup, would otherwise
         bring back routes that were removed.
--- a/magnoliadyke/core/expiredentries.py
+++ b/magnoliadyke/core/expiredentries.py
@@ -126,7 +126,7 @@
         return until_s
 
     def record_entry(self, endpoint_id: str) -> None:
-        """End the grace period of an endpoint whose entry is back or replaced."""
+        """End an endpoint's grace period: its entry is back or replaced."""
         self.grace_until_s.pop(endpoint_id, None)
 
     def needs_peer_reports(self) -> bool:
@@ -156,7 +156,10 @@
         return False if can_tell and all(can_tell) else None
 
     def record_shared_outage(self) -> None:
-        """Record that other hosts had the outage, so entries may have expired."""
+        """Record that other hosts had the outage too.
+
+        Entries may have expired because of it, so grace periods stay.
+        """
         self.outage_unresolved = False
 
     def resolve_outage(self, listed: Container[str]) -> list[str]:
--- a/magnoliadyke/core/migrationtarget.py
+++ b/magnoliadyke/core/migrationtarget.py
@@ -1,4 +1,4 @@
-"""Where a stream goes on when its engine is to change its role."""
+"""Choice of the engine that a stream migrates to on a role change."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -14,13 +14,15 @@
     job_id: str,
     now_s: float,
 ) -> str:
-    """Return the engine that decodes least, '' if no other takes work.
+    """Return the name of the engine with the smallest decode load.
 
-    Credits are not asked for: a stream that waited for them would stand
-    still, which is what moving it is to prevent.
+    Engines with the decode role come first; ``''`` if no other engine takes
+    work. Credits are not required: a stream that waited for credits would
+    pause, which the migration is meant to avoid.
 
-    :param runs: job id to :class:`magnoliadyke.core.runs.Run`
-    :param pools: pool name to :class:`magnoliadyke.core.pools.PoolQueue`
+    :param runs: :class:`magnoliadyke.core.runs.Run` by job id
+    :param pools: :class:`magnoliadyke.core.pools.PoolQueue` by pool name
+    :param job_id: id of the job whose stream migrates
     """
     run = runs.get(job_id)
     if run is None or run.stream_at is None:
--- a/magnoliadyke/core/outcomes.py
+++ b/magnoliadyke/core/outcomes.py
@@ -1,4 +1,4 @@
-"""What may become of a request, as tagged dataclasses."""
+"""Possible outcomes of a request, as tagged dataclasses."""
 
 import dataclasses
 import json
@@ -16,7 +16,7 @@
     'to_http',
 ]
 
-# Reasons of NotRun that lie with the customer's own row: HTTP 429, not 503.
+# Reasons of NotRun caused by the customer's own limits: HTTP 429, not 503.
 LIMIT_REASONS = frozenset(
     {'concurrency_limit', 'request_rate_limit', 'token_rate_limit'}
 )
@@ -29,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """The request ran and this is the whole answer.
+    """The request ran to completion.
 
     :param key: idempotency key
-    :param text: the whole answer
-    :param finish_reason: the endpoint's word, such as ``stop``
+    :param text: the complete answer
+    :param finish_reason: why the endpoint ended the answer, such as ``stop``
     :param prompt_tokens: prompt length in tokens
     :param output_tokens: answer length in tokens
     """
@@ -47,11 +47,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request did not run, for certain.
+    """The request certainly did not run.
 
-    :param reason: short machine-readable word
+    :param reason: short machine-readable code
     :param remedy: what the caller can do
-    :param retry_after_s: when to come back, in seconds
+    :param retry_after_s: when to retry, in seconds
     """
 
     reason: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run; nobody can say."""
+    """Whether the request ran is unknown."""
 
     reason: str
     remedy: str
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The request can't be accepted as it is; a resend won't help.
+    """The request is invalid as it is; a resend would be rejected too.
 
     :param status: HTTP status, 400 to 499
     """
@@ -83,7 +83,7 @@
 
 
 class HttpAnswer(typing.NamedTuple):
-    """An outcome as HTTP."""
+    """An outcome as an HTTP response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -91,7 +91,7 @@
 
 
 def to_http(outcome):
-    """Map an outcome to HTTP: the only place where this is decided.
+    """Map an outcome to an HTTP response; no other code decides this.
 
     :param outcome: one of the tagged outcomes
     :return: :class:`HttpAnswer` with a JSON body
@@ -142,7 +142,7 @@
         remedy,
         retry_after_s,
     )
-    # The header carries whole seconds only; the body has the exact figure.
+    # The header holds whole seconds only; the body has the exact value.
     seconds = str(max(1, math.ceil(retry_after_s)))
     return answer._replace(headers=(('Retry-After', seconds),))
 
--- a/magnoliadyke/core/retries.py
+++ b/magnoliadyke/core/retries.py
@@ -1,23 +1,26 @@
-"""Budget of second attempts, for each customer.
+"""Retry budgets of the customers on one node.
 
 Every request adds its customer's ``retry_share`` to the budget and every
-second attempt takes one off.  Retries can't grow faster than the load: when
-endpoints fail one after another, a node that retried without end would
-multiply the load exactly when there is least to serve it.
+retry takes one.  So retries stay a fixed share of the load: while endpoints
+fail one after another, unlimited retries would multiply the load just when
+the least capacity is left.
 """
 
 __all__ = ['RetryBudgets']
 
-#: Attempts of one job, the first included.
+#: Maximum attempts of one job, the first included.
 MAX_ATTEMPTS = 3
-#: Most retries that a quiet time can save up.
+#: Maximum retries that a customer can save up.
 MAX_SAVED_RETRIES = 20.0
-#: What a customer begins with, so that its first failures are retried.
+#: Initial budget of a customer, so that its first failures are retried.
 INITIAL_RETRIES = 2.0
 
 
 class RetryBudgets:
-    """Budgets of all customers on this node."""
+    """Retry budgets of all customers on this node.
+
+    :ivar saved: retries left, by customer
+    """
 
     def __init__(self):
         self.saved = {}
@@ -25,16 +28,19 @@
         self.retries = 0
 
     def deposit(self, customer, retry_share):
-        """Account a first attempt."""
+        """Record a first attempt, which adds to the budget.
+
+        :param retry_share: retries that each request allows
+        """
         self.requests += 1
         saved = self.saved.get(customer, INITIAL_RETRIES)
         self.saved[customer] = min(MAX_SAVED_RETRIES, saved + retry_share)
 
     def withdraw(self, customer, attempts):
-        """Ask for one more attempt of a job.
+        """Take one retry from a customer's budget, if it may have one.
 
         :param attempts: attempts that the job has had
-        :returns: whether it may go on
+        :returns: whether the job may be retried
         """
         saved = self.saved.get(customer, INITIAL_RETRIES)
         if saved < 1.0 or attempts >= MAX_ATTEMPTS:
--- a/magnoliadyke/core/retrybudget.py
+++ b/magnoliadyke/core/retrybudget.py
@@ -1,24 +1,28 @@
-"""How many repeats a host may send to a service."""
+"""Limit of the retries that a host may send to a service."""
 
 import collections
 
 __all__ = ['Budgets', 'RetryBudget']
 
-#: Slices into which the window is cut; the budget errs by at most one.
+#: Slices of the sliding window; its length is exact to one slice.
 SLICES = 10
-#: Share of the allowance that is spent: hosts differ for a moment in how
-#: many they think there are, and requests are counted where they arrive.
+#: Share of the allowance that hosts use: for a moment hosts may disagree on
+#: the number of hosts, and each counts only the requests that it received.
 USABLE_SHARE = 0.7
 
 
 class RetryBudget:
-    """Repeats within a sliding window, as a share of the fleet's allowance.
+    """One host's share of the fleet's retries within a sliding window.
 
-    All hosts together may repeat ``ratio`` of the requests and ``extra``
-    besides.  The ratio is applied to the host's own requests, the extra is
-    split evenly, so the shares add up to the allowance without any message.
+    All hosts together may retry the share ``ratio`` of the requests, plus
+    ``extra`` retries.  Each host applies the ratio to the requests that it
+    received and takes an even part of ``extra``, so the shares add up to the
+    allowance without coordination.
 
-    :param window_s: span over which repeats count
+    :param ratio: retries allowed per request
+    :param extra: further retries per window, for all hosts together
+    :param window_s: length of the window, in seconds
+    :ivar hosts: number of live hosts
     """
 
     def __init__(self, ratio: float, extra: float, window_s: float) -> None:
@@ -30,19 +34,19 @@
         self.retries: collections.deque[tuple[int, int]] = collections.deque()
 
     def record_request(self, now_s: float) -> None:
-        """A caller's request for the service has arrived."""
+        """Count a caller's request for the service."""
         self._count(self.requests, now_s)
 
     def has_left(self, now_s: float) -> bool:
-        """Whether a repeat could be sent now."""
+        """Return whether a retry could be sent now."""
         allowed = self.ratio * self._sum(self.requests, now_s)
         allowed = (allowed + self.extra / self.hosts) * USABLE_SHARE
         return self._sum(self.retries, now_s) + 1 <= allowed
 
     def try_acquire(self, now_s: float) -> bool:
-        """Spend one repeat, if one is left.
+        """Count one retry, if one is left.
 
-        :returns: whether the repeat may be sent
+        :returns: whether the retry may be sent
         """
         if not self.has_left(now_s):
             return False
@@ -68,7 +72,7 @@
 
 
 class Budgets(dict):
-    """Retry budgets by service, made when first asked for.
+    """Retry budgets by service, created on first access.
 
     See :class:`RetryBudget` for the parameters.
     """
@@ -88,7 +92,7 @@
         return budget
 
     def set_hosts(self, hosts: int) -> None:
-        """Split the allowance among the live hosts."""
+        """Split the allowance evenly among the live hosts."""
         self.hosts = hosts
         for budget in self.values():
             budget.hosts = hosts
--- a/magnoliadyke/core/routes.py
+++ b/magnoliadyke/core/routes.py
@@ -16,10 +16,10 @@
 
 
 class Kind(enum.Enum):
-    """What may be done with a request more than once.
+    """Whether requests of a route may run more than once.
 
-    SAFE may run again; UNSAFE runs at most once; a STREAM runs at most once
-    unless its route says that it may be resumed.
+    SAFE requests may; UNSAFE ones run at most once; STREAM ones run at most
+    once unless their route is resumable.
     """
 
     SAFE = 'safe'
@@ -28,22 +28,28 @@
 
 
 class Target(NamedTuple):
-    """A service that takes part of a route's requests."""
+    """A service that gets a share of a route's requests.
+
+    :param weight: its share, relative to the other targets of the route
+    """
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Where requests of a host name and path prefix go, and how.
+    """Targets and limits of the requests for a host name and path prefix.
 
-    :param timeout_s: longest time that a caller is kept waiting
-    :param objective_s: time within which an answer has its full worth
-    :param pause_s: longest pause between events of a stream in time
+    :param host: host name in the request
+    :param timeout_s: longest time until a caller gets a response, in seconds
+    :param objective_s: target time of a response, in seconds
+    :param pause_s: longest pause between two events of a stream that still
+        counts as on time, in seconds
     :param priority: 0 is the most urgent
-    :param max_attempts: most endpoints that may run one request
-    :param carries_prompt: requests tell of their prompt
-    :param public: requests need no key of a workspace
+    :param max_attempts: maximum number of endpoints that may run one request
+    :param carries_prompt: whether requests describe their prompt
+    :param resumable: whether a stream may be run again to resume it
+    :param public: whether requests need no key of a workspace
     """
 
     name: str
@@ -62,19 +68,22 @@
 
     @property
     def repeatable(self) -> bool:
-        """A run may follow one whose end is not known."""
+        """Whether a request may run again if its last result is unknown."""
         return self.kind is Kind.SAFE or self.resumable
 
 
 class EngineTraits(NamedTuple):
-    """What the engines of a model service have in common.
-
-    :param slots: requests run at once
-    :param cache_tokens: tokens of memory for running and cached prompts
-    :param bytes_per_token: KV cache moved for each token
-    :param link_bits_s: bandwidth of an engine's transfers
-    :param handle_s: how long a prefilled prompt waits to be fetched
-    :param stage_change_s: how long a change of stage takes an engine away
+    """Properties shared by the engines of a model service.
+
+    :param slots: maximum number of requests that an engine runs at once
+    :param cache_tokens: KV cache of an engine for running and cached prompts,
+        in tokens
+    :param bytes_per_token: KV cache transferred per token, in bytes
+    :param link_bits_s: bandwidth of an engine's transfers, in bits per second
+    :param handle_s: how long an engine keeps a prefilled prompt until it is
+        fetched, in seconds
+    :param stage_change_s: how long an engine is unavailable during a change
+        of stage, in seconds
     """
 
     slots: int
@@ -86,11 +95,12 @@
 
 
 class Service(NamedTuple):
-    """A group of endpoints that serve the same.
+    """A group of interchangeable endpoints.
 
-    :param max_connections: to one endpoint, from all hosts together
-    :param engine: None for a plain service
-    :param scaling: how many of its endpoints may be ordered, a
+    :param max_connections: maximum number of connections to one endpoint,
+        from all hosts together
+    :param engine: properties of its engines, None for a plain service
+    :param scaling: limits of the number of endpoints that may be ordered, a
         :class:`magnoliadyke.core.fleetplan.Limits`; None if none may
     """
 
@@ -102,7 +112,14 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take."""
+    """Limits of a caller's requests.
+
+    :param header_bytes: maximum size of a request's head
+    :param body_bytes: maximum size of a request's body
+    :param header_s: longest time to send a request's head, in seconds
+    :param idle_s: longest wait for the next request on a connection, and
+        longest time to send a request's body, in seconds
+    """
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -113,8 +130,9 @@
 class Configuration:
     """One version of the routes, services and limits.
 
-    :param version: grows with each configuration, by uneven steps
-    :param workspaces: who may use the routes that are not public, a
+    :param version: increases with each configuration, by one or more
+    :param workspaces: the workspaces that may use routes that are not public,
+        a
         :class:`magnoliadyke.core.workspaces.Workspaces`; None where routes
         need no key
     """
@@ -137,10 +155,11 @@
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of the longest prefix that begins the path.
+        """Return the route with the longest matching prefix, or None.
 
-        Prefixes end with a slash, so only these positions are looked up:
-        the cost follows the depth of the path, not the number of routes.
+        Prefixes end with a slash, so only the parts of the path up to a
+        slash are looked up: the cost depends on the depth of the path, not
+        on the number of routes.
         """
         prefixes = self._by_host.get(host)
         if prefixes is None:
--- a/magnoliadyke/core/shutdown.py
+++ b/magnoliadyke/core/shutdown.py
@@ -1,30 +1,30 @@
-"""Which requests a host that was told to stop still takes."""
+"""Phases of a host's shutdown, and which requests it still accepts."""
 
 from typing import NamedTuple
 
 __all__ = ['Shutdown']
 
-#: How long others may need to hear that this host leaves, in seconds.
+#: Time until all hosts are notified that this host leaves, in seconds.
 LEAVE_ANNOUNCEMENT_S = 0.5
-#: The listener is closed this long before the platform ends the process, in
+#: The listener closes this long before the platform kills the process, in
 #: seconds.
 CLOSE_BEFORE_S = 2.0
-#: Time kept for the last steps of a stop, in seconds.
+#: Time reserved for the last steps of a shutdown, in seconds.
 EXIT_BEFORE_S = 0.7
-#: Time kept for the way of a last answer, in seconds.
+#: Time reserved for the last response to reach its caller, in seconds.
 ANSWER_TRANSIT_S = 0.1
-#: Time for the last answers and the ends of their connections, in seconds.
+#: Time to send the last responses and close their connections, in seconds.
 LAST_ANSWERS_S = 0.3
-#: Time for all else that a process has to end, in seconds.
+#: Time to stop all other components of the process, in seconds.
 STOP_S = 0.2
 
 
 class Shutdown(NamedTuple):
-    """The course of a stop.
+    """Schedule of a shutdown, in monotonic seconds.
 
     :param begun_s: when this host was told to stop
-    :param grace_s: time between that and the end of its process
-    :param directory_ttl_s: how long callers may keep an answer of the
+    :param grace_s: time from then until the platform kills the process
+    :param directory_ttl_s: how long callers may cache a response of the
         directory
     """
 
@@ -34,7 +34,10 @@
 
     @property
     def refuses_from_s(self) -> float:
-        """From then on callers can know of other hosts."""
+        """When requests begin to be refused.
+
+        From then on callers have a directory response without this host.
+        """
         announced_s = (
             self.begun_s + self.directory_ttl_s + LEAVE_ANNOUNCEMENT_S
         )
@@ -47,21 +50,21 @@
 
     @property
     def ends_s(self) -> float:
-        """When requests that are still under way are given up."""
+        """When requests that are still in flight are aborted."""
         return self.begun_s + self.grace_s - EXIT_BEFORE_S
 
     @property
     def exits_s(self) -> float:
-        """When nothing is waited for any longer."""
+        """When the process exits, whatever is still open."""
         return self.ends_s + LAST_ANSWERS_S
 
     def accepts(self, now_s: float, deadline_s: float) -> bool:
-        """Whether a request that has just come is served.
+        """Return whether to serve a request that has just arrived.
 
-        One that may outlast this host is better off elsewhere: refused, it
-        runs there from its beginning.
+        One that may not complete before this host ends is refused, so that
+        its caller can have another host run it from the start.
 
-        :param deadline_s: when its caller gives up
+        :param deadline_s: when its caller gives up, in monotonic seconds
         """
         if now_s < self.refuses_from_s:
             return True
--- a/magnoliadyke/core/staleentries.py
+++ b/magnoliadyke/core/staleentries.py
@@ -107,7 +107,7 @@
             return now_s + UNRENEWED_ENTRY_TTL_S
         if known == endpoint or endpoint.leaving:
             return None
-        # An announced leave is final, so the entry stays ignored without limit.
+        # An announced leave is final: the entry is ignored without limit.
         return float('inf') if known.leaving else now_s + REWRITE_TIMEOUT_S
 
     def is_stale(
--- a/magnoliadyke/core/tickets.py
+++ b/magnoliadyke/core/tickets.py
@@ -1,4 +1,4 @@
-"""Session tickets: which node incarnation is the home of a request key."""
+"""Session tickets, which bind request keys to a home node."""
 
 import hashlib
 import hmac
@@ -18,12 +18,15 @@
 
 
 class Key(typing.NamedTuple):
-    """A request key that was made from a ticket.
+    """A request key derived from a ticket.
 
-    :param home: ``HOST.INCARNATION``, the only one that may run the key
+    :param text: the whole key
+    :param ticket: the ticket that it was derived from
+    :param home: ``HOST.INCARNATION`` of the only node that may run the key
     :param issued_s: when the ticket was issued, in monotonic seconds of
         its home
-    :param mac: proof that the home issued the ticket
+    :param counter: number of the ticket among those of its home
+    :param mac: message authentication code of the ticket, in hex
     """
 
     text: str
@@ -42,11 +45,11 @@
 
 
 def parse_key(text):
-    """Read a key that was made from a ticket.
+    """Parse a key derived from a ticket.
 
     :param text: an idempotency key
     :return: :class:`Key`, or None for a foreign key (one that a caller
-        made up without a ticket)
+        chose without a ticket)
     """
     if len(text) > MAX_KEY_LENGTH:
         return None
@@ -68,10 +71,10 @@
 
 
 class TicketIssuer:
-    """Issue and check the tickets of one home.
+    """Issues and verifies the tickets of one home.
 
-    The last part of a ticket is a keyed digest of the rest, so that the
-    home remembers no ticket and yet no caller can invent one.
+    A ticket ends with an HMAC of the rest, so that the home verifies tickets
+    without storing them and no caller can forge one.
 
     :param host: host name of the home
     :param incarnation: incarnation number of the home
@@ -93,13 +96,16 @@
         return f'{self.home}.{serial}-{self.mac(serial)}'
 
     def mac(self, serial):
-        """Return the proof for a serial."""
+        """Return the truncated HMAC of a serial, in hex.
+
+        :param serial: ``ISSUED-COUNTER`` of a ticket
+        """
         text = f'{self.home}.{serial}'.encode()
         digest = hmac.new(self.secret, text, hashlib.sha256)
         return digest.hexdigest()[:MAC_DIGITS]
 
     def accepts(self, key):
-        """Tell whether this home issued the ticket of ``key``.
+        """Return whether this home issued the ticket of ``key``.
 
         :param key: :class:`Key`
         """
--- a/magnoliadyke/core/usage.py
+++ b/magnoliadyke/core/usage.py
@@ -1,10 +1,10 @@
-"""What workspaces have used, in windows of the time of day.
+"""Usage counts of workspaces, in windows of the time of day.
 
-Each host counts the requests that began to run and tells the one that
-reports, again and again and as totals: a message that is lost, late or
-doubled changes nothing.  What a window has is fixed once, in the store,
-before it is reported; so a successor repeats a report and never makes a
-second one.
+Each host counts the requests that began to run and repeatedly sends its
+totals to the leader, which reports them: a message that is lost, late or
+duplicated changes nothing.  The report of a window is written to the store
+once, before it is sent; so the next leader repeats that report and never
+makes a different one.
 """
 
 import collections
@@ -24,20 +24,26 @@
     'window_of',
 ]
 
-#: Windows that are kept beyond those whose reports may still be in time: the
-#: present one, and one that has just ended.
+#: Windows kept beyond those whose reports are not overdue: the present one and
+#: one that has just ended.
 SPARE_WINDOWS = 2
 
 
 def window_of(wall_s: float, length_s: float) -> int:
-    """Number of the window that a moment lies in."""
+    """Return the number of the window that contains a time of day.
+
+    :param wall_s: seconds since the epoch
+    :param length_s: length of a window, in seconds
+    """
     return math.floor(wall_s / length_s)
 
 
 def kept_windows(length_s: float, due_s: float) -> int:
-    """How many windows there is still something to be done about.
+    """Return how many windows to keep.
 
-    :param due_s: from the end of a window to when its report is due
+    :param length_s: length of a window, in seconds
+    :param due_s: time from the end of a window until its report is due, in
+        seconds
     """
     return math.ceil(due_s / length_s) + SPARE_WINDOWS
 
@@ -45,9 +51,11 @@
 def split(
     windows: dict[int, dict[str, int]], max_counts: int
 ) -> Iterator[dict[int, dict[str, int]]]:
-    """Parts of what is to be told, with so many counts at most.
+    """Split counts into parts of at most ``max_counts`` counts.
+
+    Yields at least one part, which is empty if there are no counts.
 
-    At least one part, also if there is nothing to tell.
+    :param windows: request counts by window and workspace
     """
     part: dict[int, dict[str, int]] = {}
     size = 0
@@ -62,10 +70,10 @@
 
 
 class Tally:
-    """What one process has counted.
+    """Request counts of one process.
 
-    :param length_s: of a window
-    :param kept: windows that are told
+    :param length_s: length of a window, in seconds
+    :param kept: number of windows that are kept and sent
     """
 
     def __init__(self, length_s: float, kept: int) -> None:
@@ -74,20 +82,23 @@
         self.windows: dict[int, collections.Counter[str]] = {}
 
     def record_start(self, workspace: str, wall_s: float) -> None:
-        """A request of a workspace began to run."""
+        """Count a request of a workspace that began to run."""
         window = window_of(wall_s, self.length_s)
         counts = self.windows.setdefault(window, collections.Counter())
         counts[workspace] += 1
 
     def shift(self, by_s: float) -> None:
-        """The time of day was off by so much when requests were counted."""
+        """Move the counts to other windows after a correction of the clock.
+
+        :param by_s: the correction in seconds, positive if it was behind
+        """
         by = round(by_s / self.length_s)
         self.windows = {
             window + by: counts for window, counts in self.windows.items()
         }
 
     def recent(self, wall_s: float) -> dict[int, dict[str, int]]:
-        """What is to be told of the present window and those before it."""
+        """Drop expired windows and return the counts of the others."""
         present = window_of(wall_s, self.length_s)
         for window in list(self.windows):
             if window <= present - self.kept:
@@ -98,9 +109,9 @@
 
 
 class Ledger:
-    """What all hosts have told, at the host that reports.
+    """Request counts of all processes, as received by the leader.
 
-    :param kept: windows of which counts are kept
+    :param kept: number of windows that are kept
     """
 
     def __init__(self, kept: int) -> None:
@@ -110,7 +121,7 @@
     def record_tally(
         self, host: str, incarnation: int, window: int, begun: dict[str, int]
     ) -> None:
-        """Take the totals of one process in one window."""
+        """Merge the totals of one process in one window."""
         of_window = self.windows.setdefault(window, {})
         known = of_window.setdefault((host, incarnation), {})
         for workspace, count in begun.items():
@@ -121,9 +132,9 @@
     def by_process(
         self, since: int
     ) -> dict[tuple[str, int], dict[int, dict[str, int]]]:
-        """What is known of each process, by window.
+        """Return the counts of each process, by window.
 
-        :param since: first window that matters
+        :param since: first window to return
         """
         found: dict[tuple[str, int], dict[int, dict[str, int]]] = {}
         for window, of_window in self.windows.items():
@@ -133,7 +144,7 @@
         return found
 
     def counts(self, window: int) -> dict[str, int]:
-        """All requests that began in a window, by workspace."""
+        """Return the requests that began in a window, by workspace."""
         total: collections.Counter[str] = collections.Counter()
         for begun in self.windows.get(window, {}).values():
             total.update(begun)
@@ -141,17 +152,18 @@
 
 
 class Report(NamedTuple):
-    """What is reported of a window, for good."""
+    """The final counts of a window, by workspace."""
 
     window: int
     counts: dict[str, int]
 
 
 class Reports:
-    """The reports that are fixed, the latest of them as the store has them.
+    """The latest final reports, as stored.
 
-    :param kept: how many a successor may have to repeat
-    :ivar fixed: by window
+    :param kept: number of reports kept, which the next leader may have to
+        send again
+    :ivar fixed: final reports by window
     """
 
     def __init__(self, kept: int, reports: Iterable[Report] = ()) -> None:
@@ -160,16 +172,16 @@
 
     @property
     def last(self) -> int | None:
-        """The latest window that has been fixed."""
+        """The latest window with a final report, None if there is none."""
         return max(self.fixed, default=None)
 
     def merge(self, other: 'Reports') -> None:
-        """Take reports that were read; one that is known stays as it is."""
+        """Add reports read from the store; those already known stay."""
         self.fixed = other.fixed | self.fixed
         self._trim()
 
     def fix(self, report: Report) -> 'Reports':
-        """The reports with one more."""
+        """Return a copy with a report added, unless its window has one."""
         made = Reports(self.kept, self.fixed.values())
         made.fixed.setdefault(report.window, report)
         made._trim()
@@ -180,14 +192,14 @@
             del self.fixed[window]
 
     def dump(self) -> bytes:
-        """Write them as the store keeps them."""
+        """Return the reports as JSON for the store."""
         fields = [[w, self.fixed[w].counts] for w in sorted(self.fixed)]
         return json.dumps(fields, separators=(',', ':')).encode()
 
     def parse(self, value: bytes) -> 'Reports':
-        """Read reports as the store keeps them.
+        """Return the reports that :meth:`dump` encoded.
 
-        :raises ValueError, TypeError: they are not in this form
+        :raises ValueError, TypeError: the value is not in that form
         """
         return Reports(
             self.kept,
--- a/magnoliadyke/core/walltime.py
+++ b/magnoliadyke/core/walltime.py
@@ -1,48 +1,53 @@
-"""The time of day, though clocks of some machines are set forth and back.
+"""Time of day that does not depend on steps of a machine's wall clock.
 
-A host takes the time of day once and goes on by its steady clock, so a step
-of its clock changes nothing.  What remains is a process that started while
-its machine's clock was off: the hosts' median tells it.
+A host reads its wall clock once and then advances by its monotonic clock, so
+a later step of the wall clock has no effect.  A process that started while
+the wall clock was wrong is corrected to the median of all hosts.
 """
 
 import statistics
 
 __all__ = ['MedianClock', 'AdjustedClock']
 
-#: A host that differs from the median by more is told the time, in seconds.
+#: Largest tolerated difference from the median, in seconds; a host beyond it
+#: is sent the corrected time.
 MAX_OFFSET_S = 0.15
-#: How long a host's word counts for the median, in seconds.
+#: How long a host's time sample counts for the median, in seconds.
 SAMPLE_RETENTION_S = 10.0
 
 
 class AdjustedClock:
-    """The time of day as one host has it.
+    """The time of day on one host.
 
     :param wall_s: seconds since the epoch, by the machine's clock
-    :param now_s: steady seconds at the same moment, by a clock that goes on
-        while the machine is suspended
+    :param now_s: monotonic seconds at the same moment, by a clock that
+        advances while the machine is suspended
     """
 
     def __init__(self, wall_s: float, now_s: float) -> None:
         self.offset_s = wall_s - now_s
 
     def at(self, now_s: float) -> float:
-        """Seconds since the epoch at a steady moment."""
+        """Return the seconds since the epoch at a monotonic time."""
         return now_s + self.offset_s
 
     def set(self, wall_s: float, now_s: float) -> None:
-        """Take the time that most hosts have."""
+        """Set the time of day.
+
+        :param wall_s: seconds since the epoch at ``now_s``
+        :param now_s: monotonic seconds
+        """
         self.offset_s = wall_s - now_s
 
 
 class MedianClock:
-    """The median of what the hosts take for the time of day.
+    """The median of the hosts' times of day.
 
-    A word that was long on its way, or waited while this host stood still,
-    looks like that of a clock that is behind.  Of a host's words the one that
-    was quickest counts, for some seconds.
+    A sample that was delayed in the network, or while this host was
+    suspended, looks like one of a clock that is behind.  So of each host's
+    samples the one furthest ahead counts, for ``SAMPLE_RETENTION_S``.
 
-    :param own: of the host that asks the others
+    :param own: clock of the host that collects the samples
     """
 
     def __init__(self, own: AdjustedClock) -> None:
@@ -52,9 +57,10 @@
     def record_peer_time(
         self, host: str, wall_s: float, now_s: float
     ) -> float | None:
-        """A host has told its time.
+        """Record a host's time, and correct this host's if it is off.
 
-        :returns: the time to tell it, if it is off
+        :returns: the corrected time to send to that host, None if its time
+            is within the tolerance
         """
         sample = (wall_s - self.own.at(now_s), now_s)
         known = self._samples.get(host)
@@ -64,8 +70,8 @@
         ahead_s = sample[0]
         median_s = self._median_s(now_s)
         if abs(median_s) > MAX_OFFSET_S:
-            # Of all hosts this one differs: the others' words stay as they
-            # are, seen from the new time.
+            # This host is off: correct it, and express the samples relative
+            # to the new time.
             self.own.set(self.own.at(now_s) + median_s, now_s)
             self._samples = {
                 each: (ahead - median_s, at_s)
