--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -9,11 +9,11 @@
 
 #: Weight of a new response time in the moving average: half of a change shows
 #: after 6 responses.
-TIME_WEIGHT = 0.1
+RESPONSE_WEIGHT = 0.1
 #: Weight of a new result in the moving average of failures.
 FAILURE_WEIGHT = 0.1
 #: Assumed response time of an endpoint without responses yet, in seconds.
-PRIOR_S = 0.02
+INITIAL_RESPONSE_S = 0.02
 #: Cost factor of endpoints outside this host's failure domain.
 REMOTE_FACTOR = 1.25
 #: Cost of a failure, in response times.
@@ -36,7 +36,7 @@
     """
 
     outstanding: int = 0
-    answer_s: float = PRIOR_S
+    response_s: float = INITIAL_RESPONSE_S
     failure_rate: float = 0.0
     unreachable: int = 0
     cooldown_until_s: float = 0.0
@@ -86,7 +86,7 @@
     def _cost(self, endpoint: catalog.Endpoint) -> float:
         stats = self.stats_by_id.get(endpoint.id) or EndpointStats()
         waiting = stats.outstanding / max(1, endpoint.slots)
-        cost = stats.answer_s * (1 + waiting)
+        cost = stats.response_s * (1 + waiting)
         cost *= 1 + FAILURE_COST * stats.failure_rate
         if endpoint.failure_domain != self.failure_domain:
             cost *= REMOTE_FACTOR
@@ -110,7 +110,7 @@
         stats = self._stats(endpoint_id)
         stats.outstanding -= 1
         stats.unreachable = 0
-        stats.answer_s += TIME_WEIGHT * (took_s - stats.answer_s)
+        stats.response_s += RESPONSE_WEIGHT * (took_s - stats.response_s)
         self._update_failure_rate(stats, failed)
 
     def record_cancel(self, endpoint_id: str) -> None:
--- a/magnoliadyke/core/budget.py
+++ b/magnoliadyke/core/budget.py
@@ -111,9 +111,9 @@
         if wait_s > 0:
             return Later(wait_s)
         reserve = kind * self.settings.reserve_share * self.settings.burst
-        short = 1 + reserve - self._tokens
-        if short > 0:
-            return Later(max(short / self.rate_s, 0.01))
+        missing_tokens = 1 + reserve - self._tokens
+        if missing_tokens > 0:
+            return Later(max(missing_tokens / self.rate_s, 0.01))
         self._tokens -= 1
         self.calls[kind] += 1
         return Granted()
--- a/magnoliadyke/core/exchange.py
+++ b/magnoliadyke/core/exchange.py
@@ -142,7 +142,9 @@
                 self.quarantine.record_running(run.fingerprint, now_s)
         return tuple(
             digests.suspect_news(item, now_s)
-            for item in self.quarantine.newest(SUSPECTS_TOLD, now_s, held)
+            for item in self.quarantine.entries_to_send(
+                SUSPECTS_TOLD, now_s, held
+            )
         )
 
     def _customer_news(self, now_s):
--- a/magnoliadyke/core/expiredentries.py
+++ b/magnoliadyke/core/expiredentries.py
@@ -11,7 +11,7 @@
 
 from magnoliadyke.core import catalog
 
-__all__ = ['ExpiredEntries', 'Reach']
+__all__ = ['ExpiredEntries', 'StoreContact']
 
 #: Grace period after a store outage, in seconds: a running endpoint has
 #: written its expired entry again by then, and is used until then.
@@ -26,7 +26,7 @@
 MASS_EXPIRY_SHARE = 0.5
 
 
-class Reach(NamedTuple):
+class StoreContact(NamedTuple):
     """Another host's report of its contact with the store.
 
     :param for_s: how long it has had the store without an outage, in seconds
@@ -134,7 +134,7 @@
         return self.outage_unresolved and bool(self.grace_until_s)
 
     def is_local_outage(
-        self, reports: Iterable[Reach | None], now_s: float
+        self, reports: Iterable[StoreContact | None], now_s: float
     ) -> bool | None:
         """Return whether the last outage affected only this host.
 
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -201,16 +201,16 @@
         settled_s = since_s + self.settings.settle_s
         if now_s < max(settled_s, self._earliest_s(entry)):
             return False
-        fresh_s = now_s - self.settings.waiting_s
+        recent_since_s = now_s - self.settings.waiting_s
         for other, known in self.entries.items():
             if other == fingerprint or known.pool != entry.pool:
                 continue
             if known.verdict() != SUSPECT:
                 continue
             before = (known.rank, other) < (entry.rank, fingerprint)
-            if known.running_s >= max(fresh_s, self._earliest_s(known)):
+            if known.running_s >= max(recent_since_s, self._earliest_s(known)):
                 return False
-            if before and known.waiting_s >= fresh_s:
+            if before and known.waiting_s >= recent_since_s:
                 return False
         return True
 
@@ -248,7 +248,7 @@
         self._clear_bystanders(now_s)
         self._trim()
 
-    def newest(self, count, now_s, held=()):
+    def entries_to_send(self, count, now_s, held=()):
         """Return (fingerprint, entry) pairs to send, the most important first.
 
         A digest holds a limited number. If the suspects of a large batch
@@ -264,8 +264,8 @@
             for item in self.entries.items()
             if not self._is_expired(item[1], now_s)
         ]
-        fresh_s = now_s - self.settings.waiting_s
-        known.sort(key=lambda item: _send_order(item, held, fresh_s))
+        recent_since_s = now_s - self.settings.waiting_s
+        known.sort(key=lambda item: _send_order(item, held, recent_since_s))
         return known[:count]
 
     def tick(self, now_s):
@@ -355,10 +355,10 @@
     return group, -entry.seen_s, entry.rank, fingerprint
 
 
-def _send_order(item, held, fresh_s):
+def _send_order(item, held, recent_since_s):
     """Sort key: convicted, held by this node, recently cleared, the rest."""
     fingerprint, entry = item
     verdict = entry.verdict()
-    cleared = verdict == CLEAR and entry.seen_s >= fresh_s
+    cleared = verdict == CLEAR and entry.seen_s >= recent_since_s
     group = (verdict == CONVICTED, fingerprint in held, cleared, True)
     return group.index(True), _importance_order(item)
--- a/magnoliadyke/core/records.py
+++ b/magnoliadyke/core/records.py
@@ -13,7 +13,7 @@
     'NO_FLOOR',
     'Answer',
     'Attach',
-    'Away',
+    'RunningElsewhere',
     'New',
     'Record',
     'RecordSettings',
@@ -110,7 +110,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Away:
+class RunningElsewhere:
     """The request still runs at the home that handed this record over.
 
     :param home: ``HOST.INCARNATION``
@@ -221,7 +221,7 @@
             case 'running':
                 return Attach(record)
             case 'away':
-                return Away(record.home)
+                return RunningElsewhere(record.home)
             case 'answered':
                 return Replay(record.answer)
             case _:
--- a/magnoliadyke/core/revisionlag.py
+++ b/magnoliadyke/core/revisionlag.py
@@ -50,14 +50,14 @@
 
     def __init__(self, allowed_s: float) -> None:
         self.allowed_s = allowed_s
-        self.own = position.START
+        self.own_position = position.START
         self.unseen: collections.deque[_PeerPosition] = collections.deque()
         self.polled_s = float('-inf')
 
     def record_own_position(self, upto: position.Position) -> None:
         """Record that this host has read the store's keys up to a position."""
-        self.own = max(self.own, upto)
-        while self.unseen and self.unseen[0].position <= self.own:
+        self.own_position = max(self.own_position, upto)
+        while self.unseen and self.unseen[0].position <= self.own_position:
             self.unseen.popleft()
 
     def record_poll(self, at_s: float) -> None:
@@ -71,7 +71,7 @@
         self, host: str, upto: position.Position, now_s: float
     ) -> None:
         """Record the position up to which another host has read the keys."""
-        newest = self.unseen[-1].position if self.unseen else self.own
+        newest = self.unseen[-1].position if self.unseen else self.own_position
         if upto > newest and len(self.unseen) < MAX_POSITIONS:
             self.unseen.append(_PeerPosition(host, upto, now_s))
 
--- a/magnoliadyke/core/walltime.py
+++ b/magnoliadyke/core/walltime.py
@@ -50,8 +50,8 @@
     :param own: clock of the host that collects the samples
     """
 
-    def __init__(self, own: AdjustedClock) -> None:
-        self.own = own
+    def __init__(self, own_clock: AdjustedClock) -> None:
+        self.own_clock = own_clock
         self._samples: dict[str, tuple[float, float]] = {}
 
     def record_peer_time(
@@ -62,7 +62,7 @@
         :returns: the corrected time to send to that host, None if its time
             is within the tolerance
         """
-        sample = (wall_s - self.own.at(now_s), now_s)
+        sample = (wall_s - self.own_clock.at(now_s), now_s)
         known = self._samples.get(host)
         if known is not None and now_s - known[1] <= SAMPLE_RETENTION_S:
             sample = max(sample, known)
@@ -72,7 +72,7 @@
         if abs(median_s) > MAX_OFFSET_S:
             # This host is off: correct it, and express the samples relative
             # to the new time.
-            self.own.set(self.own.at(now_s) + median_s, now_s)
+            self.own_clock.set(self.own_clock.at(now_s) + median_s, now_s)
             self._samples = {
                 each: (ahead - median_s, at_s)
                 for each, (ahead, at_s) in self._samples.items()
@@ -81,7 +81,7 @@
             median_s = 0.0
         if abs(ahead_s - median_s) <= MAX_OFFSET_S:
             return None
-        return self.own.at(now_s) + median_s
+        return self.own_clock.at(now_s) + median_s
 
     def _median_s(self, now_s: float) -> float:
         self._samples = {
--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -66,7 +66,7 @@
         """Have the store read anew, or else ask other hosts."""
         LOG.warning_event(
             'behind',
-            position=self.follower.lag.own,
+            position=self.follower.lag.own_position,
             told=behind.position,
             by=behind.host,
             for_s=round(behind.for_s, 3),
@@ -75,11 +75,13 @@
             self.follower.behind.set()
             self.follower.clock.sleep(self.follower.bound_s * READ_SHARE)
         source = 'store'
-        if self.follower.lag.own < behind.position:
+        if self.follower.lag.own_position < behind.position:
             told = self.take_from_others(behind.host)
             source = 'host' if told else 'nobody'
         self.caught_up[source] += 1
-        LOG.event('caught_up', source=source, position=self.follower.lag.own)
+        LOG.event(
+            'caught_up', source=source, position=self.follower.lag.own_position
+        )
         if source == 'nobody':
             self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
 
@@ -91,11 +93,14 @@
     def take_from_others(self, host: str) -> bool:
         """Take what another host has seen; False if none can tell."""
         for address in self._asked(host):
-            state = peerstate.fetch(address, self.follower.lag.own)
-            if state is None or state.position <= self.follower.lag.own:
+            state = peerstate.fetch(address, self.follower.lag.own_position)
+            if (
+                state is None
+                or state.position <= self.follower.lag.own_position
+            ):
                 continue
             items = {item.key: item for item in state.items}
-            if state.position.era == self.follower.lag.own.era:
+            if state.position.era == self.follower.lag.own_position.era:
                 items = self.follower.mirror.items | items
             if not state.positions.keys() <= items.keys():
                 LOG.warning_event('state_incomplete', told_by=address)
@@ -112,10 +117,10 @@
     def _introduce(self) -> None:
         """Learn which entries of a restored store others do not go by."""
         for address in self._asked(''):
-            state = peerstate.fetch(address, self.follower.lag.own)
+            state = peerstate.fetch(address, self.follower.lag.own_position)
             if (
                 state is None
-                or state.position.era != self.follower.lag.own.era
+                or state.position.era != self.follower.lag.own_position.era
             ):
                 continue
             self.follower.mirror.learn_passed_over(state.passed_over)
@@ -130,10 +135,10 @@
         can't tell yet; it asks until one can, while entries are doubted.
         """
         known = self.follower.mirror.expired_entries
-        told: list[expiredentries.Reach | None] = []
+        told: list[expiredentries.StoreContact | None] = []
         alone = None
         for address in self._asked(''):
-            state = peerstate.fetch(address, self.follower.lag.own)
+            state = peerstate.fetch(address, self.follower.lag.own_position)
             told.append(state and state.reach)
             alone = known.is_local_outage(told, self.follower.clock.now_s())
             if alone:
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -190,22 +190,25 @@
                 for key, item in self.mirror.items.items()
                 if key not in self.untold
             },
-            self.lag.own,
+            self.lag.own_position,
             self._reach(now_s),
             self.mirror.expired_entries.since_regained_s(now_s),
             self.mirror.stale_entries.export(now_s),
         )
 
-    def _reach(self, now_s: float) -> expiredentries.Reach | None:
+    def _reach(self, now_s: float) -> expiredentries.StoreContact | None:
         """Word of the store, its own or that of a host that watches."""
-        if self.failing_since_s is not None or self.lag.own == position.START:
+        if (
+            self.failing_since_s is not None
+            or self.lag.own_position == position.START
+        ):
             return None
         since_s = self.regained_s
         age_s = 0.0
         if self.listening:
             since_s = max(since_s, self.mirror.expired_entries.regained_s)
             age_s = now_s - self.updated_s
-        return expiredentries.Reach(
+        return expiredentries.StoreContact(
             min(now_s - since_s, MAX_IN_REACH_S), age_s
         )
 
@@ -238,7 +241,7 @@
         if listening is not self.listening:
             self.listening = listening
             by = 'other hosts' if listening else 'its own watch'
-            LOG.event('follows', by=by, position=self.lag.own)
+            LOG.event('follows', by=by, position=self.lag.own_position)
         return self._listen() if self.listening else self._watch()
 
     def _may_listen(self) -> bool:
@@ -267,11 +270,11 @@
     def _read_missed(self) -> bool:
         """Read the changes that nobody has told, without waiting for more."""
         self.missed = False
-        base = self.lag.own
+        base = self.lag.own_position
         match self.store.watch('', base, 0.0):
             case store.Changes(changes, upto):
                 self._answered()
-                if base == self.lag.own:
+                if base == self.lag.own_position:
                     self.mirror.change(changes)
                     self._seen(upto)
                 return True
@@ -289,11 +292,11 @@
         wait_s = self.watch_s
         if self.mirror.expired_entries.grace_until_s:
             wait_s = min(wait_s, DOUBT_WATCH_S)
-        base = self.lag.own
+        base = self.lag.own_position
         match self._watch_unless_behind(base, wait_s):
             case store.Changes(changes, upto):
                 self._answered()
-                if base == self.lag.own:
+                if base == self.lag.own_position:
                     self.mirror.change(changes)
                     self._seen(upto)
                     self._relay(base, changes)
@@ -341,7 +344,7 @@
         An answer of the store that was under way while another host told of
         later changes would take them back.
         """
-        own = self.lag.own
+        own = self.lag.own_position
         if at < own:
             return
         if own != position.START and at.era > own.era:
@@ -355,7 +358,7 @@
     def _seen(self, upto: position.Position) -> None:
         self.lag.record_own_position(upto)
         if self.others is not None:
-            self.others.tell_position(self.lag.own)
+            self.others.tell_position(self.lag.own_position)
 
     # Other hosts.
 
@@ -375,7 +378,7 @@
 
         One that has not noticed a restore yet tells nothing that holds.
         """
-        if told.position.era < self.lag.own.era:
+        if told.position.era < self.lag.own_position.era:
             return
         now_s = self.clock.now_s()
         self.updated_s = now_s
@@ -384,13 +387,15 @@
         self.mirror.expired_entries.record_peer_regained(
             told.regained_s, now_s
         )
-        if told.position <= self.lag.own:
+        if told.position <= self.lag.own_position:
             return
-        if told.base > self.lag.own or not told.complete:
+        if told.base > self.lag.own_position or not told.complete:
             self.missed = True
             return
         self.mirror.change(
-            tuple(c for c in told.changes if c.position > self.lag.own)
+            tuple(
+                c for c in told.changes if c.position > self.lag.own_position
+            )
         )
         self._seen(told.position)
 
@@ -412,7 +417,7 @@
             keyupdates.split(
                 self.host,
                 base,
-                self.lag.own,
+                self.lag.own_position,
                 told,
                 regained_s,
                 self.others.room(),
@@ -424,7 +429,7 @@
         if self.listening or self.failing_since_s is not None:
             return
         if self.clock.now_s() - self.relayed_s >= self.bound_s * RELAY_SHARE:
-            self._relay(self.lag.own)
+            self._relay(self.lag.own_position)
 
     def _relay_all(self) -> None:
         while True:
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -284,7 +284,7 @@
             self.terms.append(term)
 
     def _era(self) -> int:
-        return 0 if self.contact is None else self.contact.lag.own.era
+        return 0 if self.contact is None else self.contact.lag.own_position.era
 
     # Word of other hosts.
 
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -53,7 +53,7 @@
     items: tuple[store.Item, ...]
     positions: dict[str, position.Position]
     position: position.Position
-    reach: expiredentries.Reach | None
+    reach: expiredentries.StoreContact | None
     regained_s: float | None
     passed_over: tuple[staleentries.StaleEntry, ...] = ()
 
@@ -165,7 +165,7 @@
         raise errors.ProtocolError('a state without its era')
     reach = None
     if reply.in_reach_ms is not None and reply.word_age_ms is not None:
-        reach = expiredentries.Reach(
+        reach = expiredentries.StoreContact(
             reply.in_reach_ms / 1000, reply.word_age_ms / 1000
         )
     return PeerState(
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -226,7 +226,7 @@
         match found:
             case records.New(record):
                 return self.admit(request, record)
-            case records.Away(home):
+            case records.RunningElsewhere(home):
                 return self.follow_away(request, key, home)
             case _:
                 return self.known(found, key)
@@ -522,7 +522,7 @@
         if key is None:
             return self.find_foreign(request, offset)
         found = self.records.find(request.key, request.customer)
-        if isinstance(found, records.Away):
+        if isinstance(found, records.RunningElsewhere):
             return self.find_elsewhere(request, found.home, offset)
         known = request.key in self.records.records
         if known or self.lives_here(key.home):
@@ -535,7 +535,7 @@
         key = FOREIGN + digest
         if key in self.records.records:
             found = self.records.find(key, request.customer)
-            if isinstance(found, records.Away):
+            if isinstance(found, records.RunningElsewhere):
                 return self.find_elsewhere(request, found.home, offset)
             return self.known(found, key)
         owner = self.claiming.owner_of(digest)
--- a/tests/test_expiredentries.py
+++ b/tests/test_expiredentries.py
@@ -86,16 +86,18 @@
 
 def test_who_has_had_the_store_long_enough_shows_an_outage_of_one(lapsed):
     lapsed.record_store_regained(10.0, outage_began_s=4.0)
-    settled = expiredentries.Reach(expiredentries.ENTRY_GRACE_S + 0.1, 0.0)
-    shared = expiredentries.Reach(0.3, 0.0)
+    settled = expiredentries.StoreContact(
+        expiredentries.ENTRY_GRACE_S + 0.1, 0.0
+    )
+    shared = expiredentries.StoreContact(0.3, 0.0)
     assert lapsed.is_local_outage([shared, None, settled], 10.1)
     assert lapsed.is_local_outage([shared, shared], 10.1) is False
 
 
 def test_outage_stays_unexplained_until_all_asked_can_tell(lapsed):
     lapsed.record_store_regained(10.0, outage_began_s=4.0)
-    shared = expiredentries.Reach(0.3, 0.0)
-    before_the_return = expiredentries.Reach(100.0, 0.2)
+    shared = expiredentries.StoreContact(0.3, 0.0)
+    before_the_return = expiredentries.StoreContact(100.0, 0.2)
     assert lapsed.is_local_outage([], 10.1) is None
     assert lapsed.is_local_outage([shared, None], 10.1) is None
     assert lapsed.is_local_outage([before_the_return], 10.1) is None
@@ -103,7 +105,9 @@
 
 def test_short_outage_of_one_is_shown_by_who_had_none(lapsed):
     lapsed.record_store_regained(10.0, outage_began_s=9.5)
-    assert lapsed.is_local_outage([expiredentries.Reach(1.0, 0.0)], 10.1)
+    assert lapsed.is_local_outage(
+        [expiredentries.StoreContact(1.0, 0.0)], 10.1
+    )
 
 
 def test_endpoint_that_another_host_still_lists_is_not_gone(lapsed):
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -56,7 +56,7 @@
 
 def later(node, revisions):
     """A position that this host has not seen yet, in the present era."""
-    own = node.follower.lag.own
+    own = node.follower.lag.own_position
     return own._replace(revision=own.revision + revisions)
 
 
@@ -70,7 +70,9 @@
 
     node.store.watch = watch
     world.store.put('magnoliadyke/other', b'{}')
-    advance_until(clock, lambda: held and node.follower.lag.own == held[-1])
+    advance_until(
+        clock, lambda: held and node.follower.lag.own_position == held[-1]
+    )
     gevent.sleep(SETTLE_S)
 
 
@@ -181,7 +183,7 @@
     node.store.list_prefix = lambda prefix: late
     assert node.follower._read_all()
     assert 'p1' not in node.catalog.endpoints
-    assert node.follower.lag.own > late.position
+    assert node.follower.lag.own_position > late.position
 
 
 def test_outage_of_one_host_alone_keeps_no_endpoint(world, clock):
@@ -315,7 +317,7 @@
 
     def unaware(address, known):
         listed = dict.fromkeys(('servers/p1', 'servers/p2'), known)
-        reach = expiredentries.Reach(100.0, 0.0)
+        reach = expiredentries.StoreContact(100.0, 0.0)
         return peerstate.PeerState((), listed, known, reach, None)
 
     node = world.nodes[0]
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -75,7 +75,7 @@
     """The key or the route may be of a configuration that it has not read."""
     node = world.node()
     assert run(world, 'key-new', path)[0].status == status
-    own = node.follower.lag.own
+    own = node.follower.lag.own_position
     heard_s = node.clock.now_s() - 1.0
     node.follower.lag.record_peer_position(
         'x', own._replace(revision=own.revision + 50), heard_s
--- a/tests/test_keyupdates.py
+++ b/tests/test_keyupdates.py
@@ -115,7 +115,8 @@
         took_s = advance_until(
             clock,
             lambda: all(
-                n.follower.lag.own.revision >= newest for n in world.nodes
+                n.follower.lag.own_position.revision >= newest
+                for n in world.nodes
             ),
         )
         for node in world.nodes:
@@ -196,7 +197,7 @@
 def test_old_updates_take_nothing_back(world, clock):
     """A teller was frozen, and tells what it had seen before."""
     node = listening(world)[0]
-    before = node.follower.lag.own
+    before = node.follower.lag.own_position
     entry = world.store.items['servers/p1']
     written = before._replace(revision=entry.revision)
     old = store.Item(entry.key, entry.value, written)
@@ -214,7 +215,7 @@
     """Two hosts tell different parts, and what came between them is lost."""
     node = listening(world)[0]
     world.store.remove('servers/p1')
-    own = node.follower.lag.own
+    own = node.follower.lag.own_position
     gone = store.Removed(
         'servers/p2', own._replace(revision=world.store.revision + 5)
     )
@@ -238,7 +239,7 @@
     write theirs again, and have nobody to send requests to.
     """
     node = listening(world)[0]
-    own = node.follower.lag.own
+    own = node.follower.lag.own_position
     after = test_follower.later(node, 1)
     gone = store.Removed('servers/p1', after)
     node.follower.take_updates(
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -187,7 +187,7 @@
 
     @property
     def position(self):
-        return self.follower.lag.own
+        return self.follower.lag.own_position
 
 
 picks = strategies.integers(0, HOSTS - 1)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -10,7 +10,7 @@
 
 
 def share(sender, receiver, now_s):
-    for fingerprint, entry in sender.newest(100, now_s):
+    for fingerprint, entry in sender.entries_to_send(100, now_s):
         cleared = not entry.blames
         blames = list(entry.cleared_blames if cleared else entry.blames)
         receiver.merge(
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -56,7 +56,7 @@
 
 
 def in_era(world, era):
-    return all(n.follower.lag.own.era == era for n in world.nodes)
+    return all(n.follower.lag.own_position.era == era for n in world.nodes)
 
 
 def write_on(world, count=20):
@@ -85,7 +85,9 @@
     seen = world.store.revision
     advance_until(
         clock,
-        lambda: all(n.follower.lag.own.revision == seen for n in world.nodes),
+        lambda: all(
+            n.follower.lag.own_position.revision == seen for n in world.nodes
+        ),
     )
     world.store.restore(copy)
     leave(world, 'p1')
@@ -187,7 +189,7 @@
     others = [n for n in world.nodes if n is not old]
     advance_until(
         clock,
-        lambda: all(n.follower.lag.own.era == 2 for n in others),
+        lambda: all(n.follower.lag.own_position.era == 2 for n in others),
     )
     gone = store.Removed('servers/p1', lost)
     told = placing_codec.KeyUpdates(old.own.host, lost, lost, (gone,))
@@ -198,9 +200,10 @@
         assert node.follower.updated_s == updated_s
         node.follower.heard(old.own.host, lost)
         state = peerstate.fetch(
-            f'{old.own.address}:{old.own.gossip_port}', node.follower.lag.own
+            f'{old.own.address}:{old.own.gossip_port}',
+            node.follower.lag.own_position,
         )
-        assert state.position < node.follower.lag.own
+        assert state.position < node.follower.lag.own_position
         node.members.peers = lambda first: [
             f'{old.own.address}:{old.own.gossip_port}'
         ]
@@ -374,7 +377,7 @@
     advance_until(
         clock,
         lambda: all(
-            n.follower.lag.own.revision == world.store.revision
+            n.follower.lag.own_position.revision == world.store.revision
             for n in world.nodes
         ),
     )
