--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -29,7 +29,7 @@
     """Statistics of one endpoint.
 
     :ivar outstanding: requests in flight
-    :ivar answer_s: moving average of the response time, in seconds
+    :ivar response_s: moving average of the response time, in seconds
     :ivar failure_rate: moving average of failures, 0 to 1
     :ivar unreachable: attempts without a response, in a row
     :ivar cooldown_until_s: when its cooldown ends, in monotonic seconds
--- a/magnoliadyke/core/records.py
+++ b/magnoliadyke/core/records.py
@@ -186,7 +186,7 @@
         :param now_s: monotonic seconds
         :param floor_s: ``floor_s`` of the home whose records this table took
             over; it had dropped keys issued up to that time
-        :return: :class:`New`, :class:`Attach`, :class:`Away`,
+        :return: :class:`New`, :class:`Attach`, :class:`RunningElsewhere`,
             :class:`Replay` or :class:`Resolved`
         """
         record = self.records.get(key)
--- a/magnoliadyke/core/revisionlag.py
+++ b/magnoliadyke/core/revisionlag.py
@@ -42,7 +42,7 @@
 
     :param allowed_s: longest time that the store may take to report a change,
         in seconds
-    :ivar own: position up to which this host has read the store
+    :ivar own_position: position up to which this host has read the store
     :ivar unseen: positions of other hosts that this one has not reached, in
         ascending order
     :ivar polled_s: when the store is next asked for changes
--- a/magnoliadyke/core/staleentries.py
+++ b/magnoliadyke/core/staleentries.py
@@ -47,7 +47,7 @@
     """An entry that this host ignores.
 
     :param written: position of the entry in the store
-    :param until_s: when it is used after all
+    :param until_s: when the entry is no longer ignored
     :param gone: whether the endpoint had been removed
     """
 
--- a/magnoliadyke/core/usage.py
+++ b/magnoliadyke/core/usage.py
@@ -109,7 +109,7 @@
 
 
 class Ledger:
-    """Request counts of all processes, as received by the leader.
+    """Request counts received from all processes.
 
     :param kept: number of windows that are kept
     """
--- a/magnoliadyke/core/walltime.py
+++ b/magnoliadyke/core/walltime.py
@@ -47,7 +47,7 @@
     suspended, looks like one of a clock that is behind.  So of each host's
     samples the one furthest ahead counts, for ``SAMPLE_RETENTION_S``.
 
-    :param own: clock of the host that collects the samples
+    :param own_clock: clock of the host that collects the samples
     """
 
     def __init__(self, own_clock: AdjustedClock) -> None:
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -97,7 +97,7 @@
     them where the store does not answer.
 
     :param host: name of this host
-    :param mirror: takes the keys, as of ``lag.own``
+    :param mirror: takes the keys, as of ``lag.own_position``
     :param bound_s: shortest time in which a change has to be in force
     :ivar others: the other hosts, None for one that is alone
     :ivar always_watches: whether this host watches though others would tell it
