--- a/magnoliadyke/core/shutdown.py
+++ b/magnoliadyke/core/shutdown.py
@@ -36,7 +36,8 @@
     def refuses_from_s(self) -> float:
         """When requests begin to be refused.
 
-        From then on callers have a directory response without this host.
+        By then the directory responses that callers cached before the
+        shutdown have expired, unless the listener closes first.
         """
         announced_s = (
             self.begun_s + self.directory_ttl_s + LEAVE_ANNOUNCEMENT_S
