--- a/magnoliadyke/core/attempts.py
+++ b/magnoliadyke/core/attempts.py
@@ -1,8 +1,4 @@
-"""Put the event stream of an answer together, attempt by attempt.
-
-Engines put first in each event which output tokens it holds, so that this
-module reads a few bytes of each event and passes the rest on unparsed.
-"""
+"""Assembly of an answer's event stream from one or more attempts."""
 
 import json
 import re
@@ -10,7 +6,7 @@
 __all__ = [
     'DONE',
     'Assembly',
-    'Pace',
+    'SilenceTimeout',
     'attempt_id',
     'events_from',
     'read_usage',
@@ -22,18 +18,20 @@
 OFFSET_START = b'data: {"offset":'
 OFFSET_LENGTH = len(OFFSET_START)
 END_FIELD = b',"end":'
-#: The usual next event: one token. Others are read by the long way.
-DUE = OFFSET_START + b'%d' + END_FIELD + b'%d,'
+#: Start of the usual next event, which holds one token. Only such events
+#: take the fast path of :meth:`Assembly.feed_next_event`.
+NEXT_EVENT_START = OFFSET_START + b'%d' + END_FIELD + b'%d,'
 UNFINISHED = b'"finish_reason":null'
 TEXT = re.compile(rb'"text":\s*("(?:[^"\\]|\\.)*")')
-# Room for one event; an engine that never ends one must not fill memory.
+# An engine that never ends an event must not exhaust memory.
 MAX_EVENT_BYTES = 1 << 20
 
 
 def attempt_id(key, number):
-    """Return the id under which an engine knows one attempt.
+    """Return the id of one attempt at an engine.
 
-    It follows from the key, so that another node can find the stream.
+    It is derived from the request key, so that another node can resume the
+    stream.
 
     :param key: short digest of the request key
     :param number: 1 for the first attempt
@@ -42,11 +40,14 @@
 
 
 class Assembly:
-    """The answer so far, from however many attempts it took.
+    """The answer so far, assembled from the events of all attempts.
 
-    Only the current attempt adds to it, only at the present offset, and
-    only a finish mark at that offset completes it.
+    Only events of the current attempt that start at the present offset are
+    accepted, and only a final event at that offset completes the answer.
+    Each event begins with its token offsets, so only its first bytes are
+    parsed and the rest is passed on as it is.
 
+    :ivar attempt: id of the current attempt
     :ivar offset: output tokens accepted
     :ivar finished: the final event, or None
     :ivar gap: whether tokens are missing; the attempt has to be resumed
@@ -56,50 +57,51 @@
     def __init__(self, offset=0):
         self.attempt = None
         self.offset = offset
-        self.due = DUE % (offset, offset + 1)
+        self.next_event_start = NEXT_EVENT_START % (offset, offset + 1)
         self.finished = None
         self.gap = False
         self.error = None
-        self.rest = b''
+        self.unparsed = b''
 
     def begin(self, attempt):
-        """Take events of ``attempt`` from now on, and of no other.
+        """Accept events of ``attempt`` from now on, and of no other.
 
-        :param attempt: attempt id, also after a resume on a new connection
+        :param attempt: attempt id; the same after a resume on a new
+            connection
         """
         self.attempt = attempt
-        self.rest = b''
+        self.unparsed = b''
         self.gap = False
         self.error = None
 
     def feed(self, attempt, data):
-        """Read what an attempt has sent.
+        """Process bytes that an engine has sent for an attempt.
 
-        :param attempt: id of the attempt whose connection this came from
+        :param attempt: id of the attempt whose connection sent the bytes
         :param data: bytes of an event stream, cut anywhere
-        :return: whole events to pass on, as bytes, ``b''`` if none
+        :return: complete events to pass on, as bytes, ``b''`` if none
         """
-        # A connection that was given up may still deliver: its bytes would
-        # double or cross the text of the attempt that replaced it.
+        # A dropped connection may still deliver bytes, which would repeat
+        # or interleave with the text of the attempt that replaced it.
         if attempt != self.attempt or self.finished is not None:
             return b''
-        if self.feed_one(attempt, data):
+        if self.feed_next_event(attempt, data):
             return data
-        return self.feed_slowly(data)
+        return self.feed_chunk(data)
 
-    def feed_one(self, attempt, data):
-        """Take ``data`` if it is exactly the one event that is due.
+    def feed_next_event(self, attempt, data):
+        """Accept ``data`` if it is exactly the expected one-token event.
 
-        This runs for each token, hence no more is parsed than this.
+        Runs for each token, so it parses no more than this check needs.
 
-        :return: whether it was taken; nothing has happened if not
+        :return: whether it was accepted; if not, nothing has changed
         """
         if (
-            not data.startswith(self.due)
+            not data.startswith(self.next_event_start)
             or data.find(EVENT_END) != len(data) - 2
             or UNFINISHED not in data
             or attempt != self.attempt
-            or self.rest
+            or self.unparsed
             or self.finished is not None
         ):
             return False
@@ -107,13 +109,16 @@
         return True
 
     def advance(self, offset):
-        """Go on at an offset."""
+        """Set the offset at which the next event is accepted."""
         self.offset = offset
-        self.due = DUE % (offset, offset + 1)
+        self.next_event_start = NEXT_EVENT_START % (offset, offset + 1)
+
+    def feed_chunk(self, data):
+        """Split buffered bytes and ``data`` into events and apply each.
 
-    def feed_slowly(self, data):
-        """Cut ``data`` into events and take them one by one."""
-        data = self.rest + data
+        :return: accepted events, as bytes
+        """
+        data = self.unparsed + data
         accepted = []
         start = 0
         while not self.gap and self.finished is None:
@@ -122,17 +127,17 @@
                 break
             event = data[start : end + 2]
             start = end + 2
-            if self.take(event):
+            if self.apply_event(event):
                 accepted.append(event)
-        self.rest = data[start:]
-        if len(self.rest) > MAX_EVENT_BYTES:
+        self.unparsed = data[start:]
+        if len(self.unparsed) > MAX_EVENT_BYTES:
             self.error = {'code': 'event_too_long'}
         return b''.join(accepted)
 
-    def take(self, event):
-        """Judge one whole event; return whether it is passed on."""
+    def apply_event(self, event):
+        """Apply one complete event; return whether to pass it on."""
         if not event.startswith(OFFSET_START):
-            self.read_other(event)
+            self.record_error(event)
             return False
         offset = int(event[OFFSET_LENGTH : event.index(b',', OFFSET_LENGTH)])
         if offset > self.offset:
@@ -146,8 +151,8 @@
             self.finished = event
         return True
 
-    def read_other(self, event):
-        """Note an error event; comments and the end mark say nothing."""
+    def record_error(self, event):
+        """Record an error event; ignore comments and the end mark."""
         if event.startswith(b'event: error'):
             _, _, event = event.partition(b'\n')
         if event.startswith(b'data: {"error"'):
@@ -155,11 +160,11 @@
 
 
 def end_of(event):
-    """Return the offset behind an event's tokens, 0 if it doesn't tell.
+    """Return the offset after an event's tokens, 0 without an ``end`` field.
 
-    How many tokens an event holds is the engine's word alone: text can be
-    cut into tokens in any way, and a count that was off by one would drop
-    the next event as one that had been seen.
+    The number of tokens is taken from the engine only: text can be split
+    into tokens in several ways, and with a count one too high the next
+    event would be dropped as a repetition.
     """
     after = event.index(b',', OFFSET_LENGTH)
     start = after + len(END_FIELD)
@@ -169,13 +174,13 @@
 
 
 def read_usage(final_event):
-    """Return the usage figures (tokens) of a final event as a dict."""
+    """Return the ``usage`` field of a final event, token counts by name."""
     document = json.loads(final_event[len(b'data: ') :])
     return document.get('usage') or {}
 
 
 def text_of(events):
-    """Return the text of a run of events."""
+    """Return the concatenated text of consecutive events."""
     pieces = TEXT.findall(events)
     return ''.join(json.loads(b'[' + b','.join(pieces) + b']'))
 
@@ -183,59 +188,70 @@
 def events_from(events, offset):
     """Return the part of ``events`` that starts at an output offset.
 
-    A reader that stopped inside an event gets all: its :class:`Assembly`
-    drops what it has.
+    If no event starts at the offset, all are returned: the receiver's
+    :class:`Assembly` drops those that it has already.
 
-    :param events: whole events in order
-    :param offset: output tokens the reader has already
+    :param events: complete events in order, as bytes
+    :param offset: output tokens that the receiver has already
     """
     mark = events.find(OFFSET_START + b'%d,' % offset)
     return events[mark:] if mark > 0 else events
 
 
-class Pace:
-    """Predict when a stream should have spoken again.
+class SilenceTimeout:
+    """Adaptive timeout for a stream on which no bytes arrive.
 
-    An engine sends a comment after each idle second, so a connection with
-    nothing at all for clearly longer has lost its other end. A stream whose
-    tokens came fast is doubted sooner.
+    An engine sends a comment after each idle second, so a connection that
+    stays silent for clearly longer has lost its peer. The faster the tokens
+    of a stream have arrived, the shorter is its timeout.
 
-    :param shortest_s: least silence that is doubted, in seconds
-    :param longest_s: silence that is always doubted, in seconds
+    :param min_silence_s: least timeout
+    :param max_silence_s: greatest timeout, also before any estimate
     """
 
-    TOKENS_MISSED = 20
-    WEIGHT = 0.2
+    MAX_MISSED_TOKENS = 20
+    SMOOTHING = 0.2
 
-    def __init__(self, shortest_s=1.5, longest_s=2.5):
-        self.shortest_s = shortest_s
-        self.longest_s = longest_s
-        self.gap_s = None
-        self.seen_s = 0.0
-        self.seen_tokens = 0
+    def __init__(self, min_silence_s=1.5, max_silence_s=2.5):
+        self.min_silence_s = min_silence_s
+        self.max_silence_s = max_silence_s
+        self.token_interval_s = None
+        self.observed_s = 0.0
+        self.observed_tokens = 0
 
     def observe(self, tokens, now_s):
-        """Note how far the stream is; called now and then, not per token.
+        """Update the estimated time between tokens.
+
+        Called at intervals, not for each token.
 
         :param tokens: output tokens so far
         """
-        new = tokens - self.seen_tokens
-        if new > 0 and self.seen_tokens:
-            gap_s = (now_s - self.seen_s) / new
-            old_s = gap_s if self.gap_s is None else self.gap_s
-            self.gap_s = old_s + self.WEIGHT * (gap_s - old_s)
+        new = tokens - self.observed_tokens
+        if new > 0 and self.observed_tokens:
+            token_interval_s = (now_s - self.observed_s) / new
+            old_s = (
+                token_interval_s
+                if self.token_interval_s is None
+                else self.token_interval_s
+            )
+            self.token_interval_s = old_s + self.SMOOTHING * (
+                token_interval_s - old_s
+            )
         if new > 0:
-            self.seen_tokens = tokens
-            self.seen_s = now_s
+            self.observed_tokens = tokens
+            self.observed_s = now_s
 
     def silence_limit_s(self, suspect=False):
-        """Return the silence after which the connection is doubted.
+        """Return the silence in seconds after which a connection is suspect.
 
-        :param suspect: a sibling connection to the same address went silent
+        :param suspect: whether another connection to the same address has
+            exceeded its timeout, which halves this one
         """
-        if self.gap_s is None:
-            limit_s = self.longest_s
+        if self.token_interval_s is None:
+            limit_s = self.max_silence_s
         else:
-            predicted_s = self.gap_s * self.TOKENS_MISSED
-            limit_s = min(max(predicted_s, self.shortest_s), self.longest_s)
+            predicted_s = self.token_interval_s * self.MAX_MISSED_TOKENS
+            limit_s = min(
+                max(predicted_s, self.min_silence_s), self.max_silence_s
+            )
         return limit_s / 2 if suspect else limit_s
--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -1,4 +1,4 @@
-"""Which endpoint of a plain service gets the next request."""
+"""Load balancing of requests to the endpoints of a plain service."""
 
 import dataclasses
 from typing import Any
@@ -7,46 +7,57 @@
 
 __all__ = ['Balancer']
 
-#: Weight of a new answer time in the mean; half of a change after 6 answers.
-TIME_WEIGHT = 0.1
-#: Weight of a new answer in the share of failures.
+#: Weight of a new response time in the moving average: half of a change shows
+#: after 6 responses.
+RESPONSE_WEIGHT = 0.1
+#: Weight of a new result in the moving average of failures.
 FAILURE_WEIGHT = 0.1
-#: Answer time before anything was measured, in seconds.
-PRIOR_S = 0.02
-#: An endpoint outside the own failure domain has to be this much better.
+#: Assumed response time of an endpoint without responses yet, in seconds.
+INITIAL_RESPONSE_S = 0.02
+#: Cost factor of endpoints outside this host's failure domain.
 REMOTE_FACTOR = 1.25
-#: How much a failure costs a caller, in answer times.
+#: Cost of a failure, in response times.
 FAILURE_COST = 8.0
-#: An endpoint that could not be reached rests this long, doubled in a row.
-REST_S = 0.5
-MAX_REST_S = 4.0
+#: Cooldown of an endpoint after two failures to reach it in a row, in seconds;
+#: it doubles with each further one.
+COOLDOWN_S = 0.5
+MAX_COOLDOWN_S = 4.0
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
-    """What a host has seen of an endpoint."""
+class EndpointStats:
+    """Statistics of one endpoint.
+
+    :ivar outstanding: requests in flight
+    :ivar response_s: moving average of the response time, in seconds
+    :ivar failure_rate: moving average of failures, 0 to 1
+    :ivar unreachable: attempts without a response, in a row
+    :ivar cooldown_until_s: when its cooldown ends, in monotonic seconds
+    """
 
     outstanding: int = 0
-    answer_s: float = PRIOR_S
-    failures: float = 0.0
+    response_s: float = INITIAL_RESPONSE_S
+    failure_rate: float = 0.0
     unreachable: int = 0
-    rest_until_s: float = 0.0
+    cooldown_until_s: float = 0.0
 
 
 class Balancer:
-    """Picks endpoints by what they cost a caller.
+    """Picks endpoints by expected cost to the caller.
 
-    No health probes: real requests tell of slow and failing endpoints
-    sooner, and probes may lie either way.
+    There are no health probes: requests show slow and failing endpoints
+    sooner, and a probe may succeed where requests fail or the other way
+    round.
 
-    :param failure_domain: of this host
+    :param failure_domain: failure domain of this host
     :param rng: source of randomness
+    :ivar stats_by_id: :class:`EndpointStats` by endpoint id
     """
 
     def __init__(self, failure_domain: str, rng: Any) -> None:
         self.failure_domain = failure_domain
         self.rng = rng
-        self.standings: dict[str, Standing] = {}
+        self.stats_by_id: dict[str, EndpointStats] = {}
 
     def choose(
         self,
@@ -54,69 +65,82 @@
         avoid: set[str],
         now_s: float,
     ) -> catalog.Endpoint | None:
-        """The endpoint that is expected to serve a caller best.
+        """Return the endpoint with the lowest expected cost, or None.
+
+        Endpoints in cooldown are used only if there is no other: a request
+        sent to them is likely to fail, but a refusal fails for certain.
 
-        Endpoints that rest are used only when there is no other one: a
-        refusal would be certain, a send only likely to fail.
+        :param avoid: ids of endpoints not to use
         """
         usable = [e for e in endpoints if e.id not in avoid]
-        awake = [e for e in usable if self._rests_until_s(e) <= now_s]
-        candidates = awake or usable
+        ready = [e for e in usable if self._cooldown_until_s(e) <= now_s]
+        candidates = ready or usable
         if not candidates:
             return None
         return min(candidates, key=self._cost)
 
-    def _rests_until_s(self, endpoint: catalog.Endpoint) -> float:
-        standing = self.standings.get(endpoint.id)
-        return standing.rest_until_s if standing is not None else 0.0
+    def _cooldown_until_s(self, endpoint: catalog.Endpoint) -> float:
+        stats = self.stats_by_id.get(endpoint.id)
+        return stats.cooldown_until_s if stats is not None else 0.0
 
     def _cost(self, endpoint: catalog.Endpoint) -> float:
-        standing = self.standings.get(endpoint.id) or Standing()
-        waiting = standing.outstanding / max(1, endpoint.slots)
-        cost = standing.answer_s * (1 + waiting)
-        cost *= 1 + FAILURE_COST * standing.failures
+        stats = self.stats_by_id.get(endpoint.id) or EndpointStats()
+        waiting = stats.outstanding / max(1, endpoint.slots)
+        cost = stats.response_s * (1 + waiting)
+        cost *= 1 + FAILURE_COST * stats.failure_rate
         if endpoint.failure_domain != self.failure_domain:
             cost *= REMOTE_FACTOR
         return cost * (1 + 0.05 * self.rng.random())
 
-    def _standing(self, endpoint_id: str) -> Standing:
-        return self.standings.setdefault(endpoint_id, Standing())
+    def _stats(self, endpoint_id: str) -> EndpointStats:
+        return self.stats_by_id.setdefault(endpoint_id, EndpointStats())
+
+    def record_sent(self, endpoint_id: str) -> None:
+        """Record that a request is sent to an endpoint."""
+        self._stats(endpoint_id).outstanding += 1
+
+    def record_answer(
+        self, endpoint_id: str, took_s: float, failed: bool
+    ) -> None:
+        """Record a response of an endpoint.
 
-    def sent(self, endpoint_id: str) -> None:
-        """A request is on its way."""
-        self._standing(endpoint_id).outstanding += 1
+        :param took_s: response time, in seconds
+        :param failed: whether it reports a failure of the endpoint itself
+        """
+        stats = self._stats(endpoint_id)
+        stats.outstanding -= 1
+        stats.unreachable = 0
+        stats.response_s += RESPONSE_WEIGHT * (took_s - stats.response_s)
+        self._update_failure_rate(stats, failed)
 
-    def answered(self, endpoint_id: str, took_s: float, failed: bool) -> None:
-        """An answer came.
+    def record_cancel(self, endpoint_id: str) -> None:
+        """Record that the caller left before the response.
 
-        :param failed: it was the endpoint's own failure
+        Only the requests in flight change: it shows nothing of the endpoint.
         """
-        standing = self._standing(endpoint_id)
-        standing.outstanding -= 1
-        standing.unreachable = 0
-        standing.answer_s += TIME_WEIGHT * (took_s - standing.answer_s)
-        self._note(standing, failed)
-
-    def left(self, endpoint_id: str) -> None:
-        """The caller left before the answer; nothing is learned."""
-        self._standing(endpoint_id).outstanding -= 1
-
-    def lost(self, endpoint_id: str, now_s: float) -> None:
-        """The endpoint did not answer, or could not be reached."""
-        standing = self._standing(endpoint_id)
-        standing.outstanding -= 1
-        standing.unreachable += 1
-        self._note(standing, True)
-        if standing.unreachable >= 2:
-            rest_s = REST_S * 2 ** min(standing.unreachable - 2, 3)
-            standing.rest_until_s = now_s + min(rest_s, MAX_REST_S)
+        self._stats(endpoint_id).outstanding -= 1
+
+    def record_failure(self, endpoint_id: str, now_s: float) -> None:
+        """Record that an endpoint did not respond or was unreachable."""
+        stats = self._stats(endpoint_id)
+        stats.outstanding -= 1
+        stats.unreachable += 1
+        self._update_failure_rate(stats, True)
+        if stats.unreachable >= 2:
+            cooldown_s = COOLDOWN_S * 2 ** min(stats.unreachable - 2, 3)
+            stats.cooldown_until_s = now_s + min(cooldown_s, MAX_COOLDOWN_S)
 
     def forget(self, listed: set[str]) -> None:
-        """Drop what is known of endpoints that are gone."""
-        for endpoint_id in [e for e in self.standings if e not in listed]:
-            if self.standings[endpoint_id].outstanding <= 0:
-                del self.standings[endpoint_id]
+        """Drop the statistics of endpoints that are no longer listed.
+
+        Those with requests in flight are kept.
+
+        :param listed: ids of the listed endpoints
+        """
+        for endpoint_id in [e for e in self.stats_by_id if e not in listed]:
+            if self.stats_by_id[endpoint_id].outstanding <= 0:
+                del self.stats_by_id[endpoint_id]
 
-    def _note(self, standing: Standing, failed: bool) -> None:
+    def _update_failure_rate(self, stats: EndpointStats, failed: bool) -> None:
         target = 1.0 if failed else 0.0
-        standing.failures += FAILURE_WEIGHT * (target - standing.failures)
+        stats.failure_rate += FAILURE_WEIGHT * (target - stats.failure_rate)
--- a/magnoliadyke/core/deferral.py
+++ b/magnoliadyke/core/deferral.py
@@ -1,10 +1,4 @@
-"""Prompts that wait for parts which an engine is reading now.
-
-Several prompts of one subject come within the time in which the first of them
-is read.  Read by another engine in the meantime, the parts that they share
-take its time for nothing; fetched, they are there in a few hundredths of a
-second.
-"""
+"""Defers prompts while another engine prefills a prefix that they share."""
 
 import heapq
 
@@ -13,82 +7,98 @@
 
 __all__ = ['Deferral']
 
-#: Tokens that another engine is reading for which a prompt waits: fewer take
-#: hardly longer to read again than to fetch.
-LEAST_TOKENS = 1000
-#: Part of the time to read them again that it waits at most.
-SHARE = 0.5
-#: Times that a prompt waits so: what was to be read may fail to come.
-MOST_TIMES = 2
+#: Minimum of shared tokens for which a prompt is deferred: with fewer, a
+#: second prefill takes hardly longer than the fetch.
+MIN_SHARED_TOKENS = 1000
+#: Longest deferral as a share of the time to prefill the shared tokens again.
+MAX_WAIT_SHARE = 0.5
+#: Number of times that a prompt may be deferred: the prefill that it waits
+#: for may fail.
+MAX_DEFERRALS = 2
 
 
 class Deferral:
-    """Jobs that are in no queue until parts of their prompt are read.
+    """Jobs that are held out of their queue until a shared prefix is ready.
+
+    Several prompts with a shared prefix often arrive during the prefill of
+    the first of them.  A second engine that prefills the same prefix wastes
+    its time, while a fetch of the prefilled prefix takes a few hundredths of
+    a second.
 
-    :ivar moments: when parts should have been read, and whose; a heap
-    :ivar jobs: the jobs that wait, and the queue that each goes back to
+    :ivar resume_heap: expected end of the prefill and the waiting job
+    :ivar jobs: the deferred jobs, and the queue that each returns to, by job
     """
 
     def __init__(self, pool: enginepool.EnginePool) -> None:
         self.pool = pool
-        self.moments: list[tuple[float, int]] = []
+        self.resume_heap: list[tuple[float, int]] = []
         self.jobs: dict[int, tuple[promptjobs.Job, promptjobs.JobQueue]] = {}
 
     def __contains__(self, job_id: int) -> bool:
         return job_id in self.jobs
 
-    def put(
+    def try_defer(
         self,
         job: promptjobs.Job,
         option: enginepool.Option,
         queue: promptjobs.JobQueue,
         now_s: float,
     ) -> bool:
-        """Have a job wait if it gains by it; returns whether it waits.
+        """Defer a job if it is expected to be served clearly sooner for it.
+
+        The end of the awaited prefill is an estimate: jobs that were
+        deferred for as long as a second prefill takes would be late too
+        often.
 
-        Waits only who is served clearly sooner for it: what a prompt waits
-        for is a forecast, and one that waited as long as it would have read
-        came late too often.
+        :param option: the placement that the job would get now
+        :param queue: the queue that the job returns to
+        :returns: whether the job is deferred
         """
-        kept_tokens = self.pool.caches.kept(job.parts).most_tokens
-        again = option.tokens - (job.tokens - kept_tokens)
-        if again < LEAST_TOKENS or job.deferred >= MOST_TIMES:
+        cached_tokens = self.pool.caches.cached_prefixes(job.parts).max_tokens
+        repeated_tokens = option.tokens - (job.tokens - cached_tokens)
+        if (
+            repeated_tokens < MIN_SHARED_TOKENS
+            or job.deferred >= MAX_DEFERRALS
+        ):
             return False
-        coming_s = self.pool.coming_s(job.parts, kept_tokens, now_s)
-        if coming_s is None or coming_s <= now_s:
+        prefilled_s = self.pool.prefilled_at_s(job.parts, cached_tokens, now_s)
+        if prefilled_s is None or prefilled_s <= now_s:
             return False
-        begins_s = option.ready_s - option.read_s
-        if coming_s > begins_s + self.pool.saved_s(again) * SHARE:
+        begins_s = option.ready_s - option.prefill_s
+        if (
+            prefilled_s
+            > begins_s + self.pool.prefill_s(repeated_tokens) * MAX_WAIT_SHARE
+        ):
             return False
         job.deferred += 1
-        self.hold(job, queue, coming_s)
+        self.hold(job, queue, prefilled_s)
         return True
 
     def hold(
         self, job: promptjobs.Job, queue: promptjobs.JobQueue, until_s: float
     ) -> None:
-        """Keep a job out of its queue until a moment."""
-        heapq.heappush(self.moments, (until_s, job.id))
+        """Keep a job out of its queue until the given moment."""
+        heapq.heappush(self.resume_heap, (until_s, job.id))
         self.jobs[job.id] = (job, queue)
 
     def resume(self, now_s: float) -> None:
-        """Queue those again whose parts should have been read by now."""
-        while self.moments and self.moments[0][0] <= now_s:
-            _, job_id = heapq.heappop(self.moments)
+        """Return the jobs to their queues whose deferral has ended."""
+        while self.resume_heap and self.resume_heap[0][0] <= now_s:
+            _, job_id = heapq.heappop(self.resume_heap)
             job, queue = self.jobs.pop(job_id, (None, None))
             if job is not None:
                 queue.put(job)
 
     def resumes_s(self) -> float | None:
-        """When :meth:`resume` has something to do next."""
-        return self.moments[0][0] if self.moments else None
+        """Return when the next deferral ends, None if no job is deferred."""
+        return self.resume_heap[0][0] if self.resume_heap else None
 
-    def take(self, job_id: int) -> None:
-        """A job waits no longer."""
+    def pop(self, job_id: int) -> None:
+        """Remove a job from the deferred jobs, if it is one."""
         self.jobs.pop(job_id, None)
 
-    def take_all(self) -> list[promptjobs.Job]:
-        """No job waits any longer; returns those that did."""
+    def pop_all(self) -> list[promptjobs.Job]:
+        """Remove and return all deferred jobs."""
         waiting = [job for job, _ in self.jobs.values()]
         self.jobs.clear()
         return waiting
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -1,13 +1,4 @@
-"""What a node tells its peers about its work, in a few hundred bytes.
-
-The size depends neither on the endpoints nor on the customers: each digest
-carries the customers whose figures moved most since they were last told and
-goes round the rest. All figures are totals or levels, so a lost digest is
-made good by the next.
-
-A digest has at most :data:`MOST_BYTES` bytes: 8 for the head, 4 pools of
-28, 16 customers of 14, and suspects in 240.
-"""
+"""Gossip digests: load and suspect requests of a node in a bounded size."""
 
 import struct
 from typing import NamedTuple
@@ -15,17 +6,17 @@
 from magnoliadyke.core import quarantine
 
 __all__ = [
-    'MOST_BYTES',
-    'MOST_CUSTOMERS',
-    'MOST_POOLS',
-    'CustomerNews',
+    'MAX_BYTES',
+    'MAX_CUSTOMERS',
+    'MAX_POOLS',
+    'CustomerUsage',
     'Digest',
-    'PoolNews',
-    'SuspectNews',
+    'PoolDemand',
+    'SuspectReport',
     'blames_of',
     'served_ms',
     'served_since_s',
-    'suspect_news',
+    'suspect_report',
 ]
 
 VERSION = 1
@@ -35,38 +26,45 @@
 SUSPECT = struct.Struct('!6sIBBBB')
 BLAME = struct.Struct('!IH')
 
-MOST_POOLS = 4
-MOST_CUSTOMERS = 16
-SUSPECT_BYTES = 240
-MOST_BYTES = (
+MAX_POOLS = 4
+MAX_CUSTOMERS = 16
+MAX_SUSPECTS_BYTES = 240
+MAX_BYTES = (
     HEAD.size
-    + MOST_POOLS * POOL.size
-    + MOST_CUSTOMERS * CUSTOMER.size
-    + SUSPECT_BYTES
+    + MAX_POOLS * POOL.size
+    + MAX_CUSTOMERS * CUSTOMER.size
+    + MAX_SUSPECTS_BYTES
 )
 
 CLEARED_BIT = 0x80
 COUNT_BITS = 0x0F
 AGE_UNIT_S = 0.1
-MOST_COUNT = 0xFFFF
-MOST_BLAMES = 2
-LONG_AGO = 0xFF
+MAX_UINT16 = 0xFFFF
+#: Crashes in the report of a cleared request; the latest are sent.
+MAX_BLAMES = 2
+#: Encodes every age from AGE_UNBOUNDED * AGE_UNIT_S up; decoded as infinity.
+AGE_UNBOUNDED = 0xFF
 SERVED_MODULUS = 1 << 32
 SERVED_UNIT_S = 0.001
 
 
-class PoolNews(NamedTuple):
+class PoolDemand(NamedTuple):
     """A node's demand on one pool.
 
     :param pool: checksum of the pool's name
-    :param asked_s_per_s: engine-seconds that arrive a second
-    :param prefill_s_per_s: those of prefill, as far as fair sharing will
-        serve them
-    :param queued_prefill_s: engine-seconds that wait
+    :param arriving_s_per_s: engine-seconds of work that arrive per second
+    :param prefill_s_per_s: engine-seconds of prefill that arrive per second
+        and that fair sharing admits
+    :param decode_s_per_s: the same for decode
+    :param queued_prefill_s: engine-seconds of prefill that wait in the queue
+        and that fair sharing admits
+    :param queued_decode_s: the same for decode
+    :param queued: jobs in the queue
+    :param running: jobs dispatched and not finished
     """
 
     pool: int
-    asked_s_per_s: float
+    arriving_s_per_s: float
     prefill_s_per_s: float
     decode_s_per_s: float
     queued_prefill_s: float
@@ -75,13 +73,13 @@
     running: int
 
 
-class CustomerNews(NamedTuple):
-    """What a node served a customer in one pool.
+class CustomerUsage(NamedTuple):
+    """A customer's usage of one pool through one node.
 
     :param customer: checksum of 'customer/pool'
     :param served_ms: engine-milliseconds served, modulo 2**32
-    :param tokens_s: tokens a second that the customer asks of the node
-    :param wanted: its requests there, running and waiting
+    :param tokens_s: tokens per second that the customer requests of the node
+    :param wanted: its running and waiting requests at the node
     """
 
     customer: int
@@ -90,14 +88,20 @@
     wanted: int
 
 
-class SuspectNews(NamedTuple):
+class SuspectReport(NamedTuple):
     """A request that may crash engines.
 
-    :param fingerprint: six bytes
-    :param waiting_age_s: since it was last known to wait on some node, as
-        the sender heard; word of it travels on from node to node
-    :param running_age_s: likewise, to run
-    :param blames: (checksum of the endpoint, age in seconds) of its crashes
+    :param fingerprint: digest of the request, six bytes
+    :param pool: checksum of the pool's name
+    :param rank: output tokens before the crash, capped; a request with fewer
+        is more suspect
+    :param cleared: whether the crashes in ``blames`` are known not to be
+        caused by the request
+    :param waiting_age_s: time since the request was last known to wait on
+        any node; nodes forward the reports of other nodes
+    :param running_age_s: time since it was last known to run on any node
+    :param blames: crashes attributed to the request, each as (checksum of
+        the endpoint, age in seconds)
     """
 
     fingerprint: bytes
@@ -109,14 +113,22 @@
     blames: tuple
 
     def size(self):
-        """Bytes that the news takes in a digest."""
+        """Encoded size of the report in bytes."""
         return SUSPECT.size + len(self.blames) * BLAME.size
 
 
 class Digest(NamedTuple):
-    """All of one node's news.
+    """Demand, customer usage and suspect requests of one node.
+
+    The size depends neither on the number of endpoints nor on that of
+    customers: a digest carries the customers whose figures have changed most
+    since they were last sent, and the others in turn.  All figures are totals
+    or levels, so the next digest makes up for a lost one.
 
-    :param epoch: changes when the node starts anew, and its totals with it
+    A digest takes at most :data:`MAX_BYTES` bytes: 8 for the header, 4 pools
+    of 28 bytes, 16 customers of 14 bytes, and 240 bytes for suspects.
+
+    :param epoch: changes at a restart of the node, which resets its totals
     """
 
     epoch: int
@@ -125,137 +137,160 @@
     suspects: tuple = ()
 
     def to_bytes(self):
-        """Encode, within :data:`MOST_BYTES`."""
-        pools = self.pools[:MOST_POOLS]
-        customers = self.customers[:MOST_CUSTOMERS]
-        suspects = _fitting(self.suspects)
+        """Encode in at most :data:`MAX_BYTES` bytes.
+
+        Entries beyond the limits are left out.
+        """
+        pools = self.pools[:MAX_POOLS]
+        customers = self.customers[:MAX_CUSTOMERS]
+        suspects = _fitting_suspects(self.suspects)
         parts = [
             HEAD.pack(
                 VERSION, len(pools), len(customers), len(suspects), self.epoch
             )
         ]
-        parts.extend(POOL.pack(*_capped(news)) for news in pools)
-        for news in customers:
-            wanted = min(news.wanted, MOST_COUNT)
-            parts.append(CUSTOMER.pack(*news[:3], wanted))
-        for news in suspects:
-            parts.append(_suspect_bytes(news))
+        parts.extend(
+            POOL.pack(*_with_capped_counts(report)) for report in pools
+        )
+        for report in customers:
+            wanted = min(report.wanted, MAX_UINT16)
+            parts.append(CUSTOMER.pack(*report[:3], wanted))
+        for report in suspects:
+            parts.append(_encode_suspect(report))
         return b''.join(parts)
 
     @classmethod
     def from_bytes(cls, data):
-        """Decode; what a later version adds behind is left alone.
+        """Decode; fields that a later version appends are ignored.
 
-        :raises ValueError: the bytes are no digest
+        :raises ValueError: the bytes end before the digest does
         """
         try:
             return cls._decode(data)
         except struct.error as error:
             raise ValueError(
-                f'digest of {len(data)} bytes is cut short ({error}); '
-                'see that all nodes run compatible versions'
+                f'gossip digest of {len(data)} bytes is truncated ({error}); '
+                'check that all nodes run compatible versions'
             ) from error
 
     @classmethod
     def _decode(cls, data):
         _, pools, customers, suspects, epoch = HEAD.unpack_from(data)
-        at = HEAD.size
-        pool_news = []
+        offset = HEAD.size
+        pool_demands = []
         for _ in range(pools):
-            pool_news.append(PoolNews(*POOL.unpack_from(data, at)))
-            at += POOL.size
-        customer_news = []
+            pool_demands.append(PoolDemand(*POOL.unpack_from(data, offset)))
+            offset += POOL.size
+        customer_usages = []
         for _ in range(customers):
-            customer_news.append(CustomerNews(*CUSTOMER.unpack_from(data, at)))
-            at += CUSTOMER.size
-        suspect_news = []
+            customer_usages.append(
+                CustomerUsage(*CUSTOMER.unpack_from(data, offset))
+            )
+            offset += CUSTOMER.size
+        suspect_reports = []
         for _ in range(suspects):
-            news = _read_suspect(data, at)
-            suspect_news.append(news)
-            at += news.size()
+            report = _decode_suspect(data, offset)
+            suspect_reports.append(report)
+            offset += report.size()
         return cls(
-            epoch, tuple(pool_news), tuple(customer_news), tuple(suspect_news)
+            epoch,
+            tuple(pool_demands),
+            tuple(customer_usages),
+            tuple(suspect_reports),
         )
 
 
 def served_ms(served_s):
-    """A running total as it travels."""
+    """Encode a running total of engine-seconds, modulo 2**32 ms."""
     return round(served_s / SERVED_UNIT_S) % SERVED_MODULUS
 
 
 def served_since_s(before_ms, after_ms):
-    """Engine-seconds between two totals; corrections may be negative."""
+    """Engine-seconds between two totals.
+
+    The result is negative if the total was corrected downwards.
+    """
     passed = (after_ms - before_ms) % SERVED_MODULUS
     if passed >= SERVED_MODULUS // 2:
         passed -= SERVED_MODULUS
     return passed * SERVED_UNIT_S
 
 
-def _capped(news):
-    queued = min(news.queued, MOST_COUNT)
-    return (*news[:6], queued, min(news.running, MOST_COUNT))
+def _with_capped_counts(report):
+    queued = min(report.queued, MAX_UINT16)
+    return (*report[:6], queued, min(report.running, MAX_UINT16))
 
 
-def _fitting(suspects):
+def _fitting_suspects(suspects):
     fitting = []
-    left = SUSPECT_BYTES
-    for news in suspects:
-        left -= news.size()
+    left = MAX_SUSPECTS_BYTES
+    for report in suspects:
+        left -= report.size()
         if left < 0:
             break
-        fitting.append(news)
+        fitting.append(report)
     return fitting
 
 
-def _suspect_bytes(news):
-    flags = len(news.blames)
-    flags |= CLEARED_BIT if news.cleared else 0
-    fields = (news.fingerprint, news.pool, news.rank, flags)
-    ages = (_age(news.waiting_age_s), _age(news.running_age_s))
+def _encode_suspect(report):
+    flags = len(report.blames)
+    flags |= CLEARED_BIT if report.cleared else 0
+    fields = (report.fingerprint, report.pool, report.rank, flags)
+    ages = (
+        _encode_age(report.waiting_age_s),
+        _encode_age(report.running_age_s),
+    )
     parts = [SUSPECT.pack(*fields, *ages)]
-    for crash, age_s in news.blames:
-        age = min(max(0, round(age_s / AGE_UNIT_S)), MOST_COUNT)
+    for crash, age_s in report.blames:
+        age = min(max(0, round(age_s / AGE_UNIT_S)), MAX_UINT16)
         parts.append(BLAME.pack(crash, age))
     return b''.join(parts)
 
 
-def _age(age_s):
-    if age_s >= LONG_AGO * AGE_UNIT_S:
-        return LONG_AGO
+def _encode_age(age_s):
+    if age_s >= AGE_UNBOUNDED * AGE_UNIT_S:
+        return AGE_UNBOUNDED
     return max(0, round(age_s / AGE_UNIT_S))
 
 
-def _age_s(age):
-    return float('inf') if age == LONG_AGO else age * AGE_UNIT_S
+def _decode_age_s(age):
+    return float('inf') if age == AGE_UNBOUNDED else age * AGE_UNIT_S
 
 
-def _read_suspect(data, at):
-    fields = SUSPECT.unpack_from(data, at)
+def _decode_suspect(data, offset):
+    fields = SUSPECT.unpack_from(data, offset)
     fingerprint, pool, rank, flags, waiting, running = fields
-    at += SUSPECT.size
+    offset += SUSPECT.size
     blames = []
     for _ in range(flags & COUNT_BITS):
-        crash, age = BLAME.unpack_from(data, at)
+        crash, age = BLAME.unpack_from(data, offset)
         blames.append((crash, age * AGE_UNIT_S))
-        at += BLAME.size
-    return SuspectNews(
+        offset += BLAME.size
+    return SuspectReport(
         fingerprint,
         pool,
         rank,
         bool(flags & CLEARED_BIT),
-        _age_s(waiting),
-        _age_s(running),
+        _decode_age_s(waiting),
+        _decode_age_s(running),
         tuple(blames),
     )
 
 
-def suspect_news(item, now_s):
-    """News of a (fingerprint, entry) of the quarantine."""
+def suspect_report(item, now_s):
+    """Build the report of a quarantine entry.
+
+    :param item: (fingerprint, entry)
+    """
     fingerprint, entry = item
     cleared = not entry.blames
-    told = entry.void[-MOST_BLAMES:] if cleared else entry.blames
-    blames = tuple((blame.crash, now_s - blame.at_s) for blame in told)
-    return SuspectNews(
+    blames_to_send = (
+        entry.cleared_blames[-MAX_BLAMES:] if cleared else entry.blames
+    )
+    blames = tuple(
+        (blame.crash, now_s - blame.at_s) for blame in blames_to_send
+    )
+    return SuspectReport(
         fingerprint,
         entry.pool,
         entry.rank,
@@ -266,8 +301,9 @@
     )
 
 
-def blames_of(news, now_s):
-    """Blames in this node's time."""
+def blames_of(report, now_s):
+    """The crashes of a report, with times of this node's clock."""
     return [
-        quarantine.Blame(crash, now_s - age_s) for crash, age_s in news.blames
+        quarantine.Blame(crash, now_s - age_s)
+        for crash, age_s in report.blames
     ]
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -1,4 +1,4 @@
-"""The engines of a model service: who has room, and what a way costs."""
+"""Engines of a model service: free capacity and the cost of each placement."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -6,99 +6,112 @@
 import itertools
 from typing import NamedTuple
 
-from magnoliadyke.core import answerers
 from magnoliadyke.core import capacity
 from magnoliadyke.core import catalog
+from magnoliadyke.core import decodeengines
 from magnoliadyke.core import enginemodel
+from magnoliadyke.core import prefillcost
 from magnoliadyke.core import promptcache
-from magnoliadyke.core import readingcost
 from magnoliadyke.core import routes
 
 __all__ = ['EnginePool', 'Option', 'PoolSettings']
 
 
 class PoolSettings(NamedTuple):
-    """Constants of the pool.
-
-    :param ahead_s: an engine gets its next prompt this long before it is
-        expected to be free, and the measured latency beside reading: the
-        way there is part of that, and on narrow links most of it
-    :param most_ahead: prompts at one engine, for when the forecast is off
+    """Parameters of the pool.
+
+    :param ahead_s: an engine is sent its next prompt this long, plus its
+        measured fixed latency, before it is expected to complete the last
+        one; that latency includes the network time to the engine, which is
+        most of it on narrow links
+    :param max_ahead: limit of prompts sent to one engine and not yet
+        prefilled, in case the estimates are wrong
     :param fetch_gain: a cached part is fetched from another engine if that
-        takes less than this share of the time to read it again
-    :param candidates: engines that are compared for one prompt, beside
-        those that keep part of it, the same number of each stage; more gain
-        little and cost time
+        takes at most this share of the time to prefill it again
+    :param candidates: engines that are compared for one prompt, divided
+        evenly among the stages, besides those that cache part of it; more
+        gain little and cost time
     """
 
     ahead_s: float = 0.005
-    most_ahead: int = 8
+    max_ahead: int = 8
     fetch_gain: float = 0.6
     candidates: int = 12
 
 
-#: What a transfer takes before its first byte, in seconds.
+#: Time until a transfer between engines sends its first byte, in seconds.
 TRANSFER_SETUP_S = 0.0007
-#: Transfers between failure domains take twice as long.
+#: Factor by which transfers between failure domains take longer.
 REMOTE_FACTOR = 2.0
-#: What a prompt that was read elsewhere takes of the engine that answers it
-#: beside the transfer, in seconds: a step for its first token, in which it
-#: takes over no other.
+#: Time of a decode engine that a transferred prompt takes besides the
+#: transfer, in seconds: one step for its first token, in which the engine
+#: receives no other prompt.
 FIRST_STEP_S = 0.005
-#: Part of the memory that cached parts may fill; running requests use the
-#: rest.
+#: Share of KV cache memory that cached parts may fill; running requests use
+#: the remainder.
 CACHE_SHARE = 0.9
-#: An engine that failed a send rests this long, doubled each time in a row.
-REST_S = 0.5
-MAX_REST_S = 4.0
-#: An engine that has served somebody within this time is not down.
-SERVED_S = 0.4
-#: Nothing is fetched for this long from an engine whose transfers hang.
-DISTRUST_S = 3.0
-#: Two lapses of an engine's read prompts within this time make it rest for
-#: this long, in seconds: it reads for nothing.
-LAPSED_AGAIN_S = 1.0
-LAPSED_REST_S = 2.0
-#: An engine that reads nothing is told of again after this time, in seconds,
-#: while prompts wait there: the word of it may have been lost.
-SILENT_AGAIN_S = 0.5
-#: Measured prompts after which the figures are no guess any more.
-ENOUGH_PROMPTS = 40
-#: Prompt length at which the speeds of two engines are compared.
+#: Cooldown of an engine after a failed job, in seconds; it doubles with each
+#: consecutive failure up to the maximum.
+COOLDOWN_S = 0.5
+MAX_COOLDOWN_S = 4.0
+#: An engine that has served a request within this time, in seconds, is not
+#: taken for down when it fails another.
+RECENT_SUCCESS_S = 0.4
+#: No cached parts are fetched for this long, in seconds, from an engine whose
+#: transfers hang.
+FETCH_SUSPENSION_S = 3.0
+#: A prefill engine whose prompts are rejected twice within this window, in
+#: seconds, is placed in a cooldown, as its prefills are wasted.
+REJECTION_WINDOW_S = 1.0
+REJECTION_COOLDOWN_S = 2.0
+#: A stalled engine is reported again after this time, in seconds, while
+#: prompts are queued there: the first report may have been lost.
+STALL_REPORT_INTERVAL_S = 0.5
+#: Measured prompts from which on the cost coefficients count as learned.
+MIN_PROMPTS = 40
+#: Prompt length at which the speeds of two engines are compared, in tokens.
 TYPICAL_TOKENS = 4000
-#: How long a computed capacity is used, in seconds: a job more or less.
-CAPACITY_S = 0.01
-#: Holders of a part that are considered for fetching it.
-SOURCES = 3
+#: Age up to which a computed capacity is reused, in seconds; it is off by
+#: about one job at most.
+CAPACITY_MAX_AGE_S = 0.01
+#: Engines that are considered as the source of cached parts.
+MAX_SOURCES = 3
 
 
 @dataclasses.dataclass(slots=True)
 class Option:
-    """One way to serve a prompt.
-
-    :ivar source: address of an engine that keeps more of it
-    :ivar tokens: to be read
-    :ivar ready_s: moment at which it is read, and moved if it has to be
-    :ivar moved_s: moment at which the runner's link is free of it
+    """One placement of a prompt, with its expected times.
+
+    :ivar source: engine to fetch cached parts from, if any
+    :ivar tokens: tokens to prefill
+    :ivar fetch_s: time to fetch the cached parts
+    :ivar prefill_s: time to fetch and prefill
+    :ivar ready_s: moment at which the prompt is prefilled, and its KV cache
+        is at the decode engine
+    :ivar transferred_s: moment at which the decode engine's link is free
+        again
+    :ivar cost_s: engine time that the prompt takes, with its transfer
     """
 
-    reader: enginemodel.EngineModel
-    runner: enginemodel.EngineModel
+    prefill_engine: enginemodel.EngineModel
+    decode_engine: enginemodel.EngineModel
     source: enginemodel.EngineModel | None
     tokens: int
     fetch_s: float
-    read_s: float
+    prefill_s: float
     ready_s: float
-    moved_s: float
+    transferred_s: float
     cost_s: float
 
 
 class EnginePool:
-    """The engines, what they were given and what they keep.
+    """The engines, the prompts sent to them, and their estimated caches.
 
-    :ivar open: engines that may be given a prompt to read now, by stage;
-        first the one that has been waiting longest
-    :ivar beside: engines read beside their long answers, as no other can
+    :ivar costs: cost model of prefill, by the engine's stage
+    :ivar open: engines that may be sent a prompt now, by stage; the one that
+        has been open longest is first
+    :ivar allow_interference: decode engines prefill prompts even while they
+        generate long answers, as no other engine can
     """
 
     def __init__(
@@ -109,39 +122,42 @@
         self.traits = traits
         self.settings = settings or PoolSettings()
         self.engines: dict[str, enginemodel.EngineModel] = {}
-        self.answerers = answerers.Answerers(self.engines)
-        reading = readingcost.FittedCost()
-        self.costs: dict[catalog.Stage, readingcost.ReadingCost] = {
-            catalog.Stage.NONE: reading,
-            catalog.Stage.PREFILL: reading,
-            catalog.Stage.DECODE: readingcost.AnsweringCost(reading),
+        self.decode_engines = decodeengines.DecodeEngines(self.engines)
+        prefill_cost = prefillcost.FittedCost()
+        self.costs: dict[catalog.Stage, prefillcost.PrefillCost] = {
+            catalog.Stage.NONE: prefill_cost,
+            catalog.Stage.PREFILL: prefill_cost,
+            catalog.Stage.DECODE: prefillcost.DecodeStagePrefillCost(
+                prefill_cost
+            ),
         }
         self.caches = promptcache.CacheIndex()
         self.open: dict[catalog.Stage, dict[str, None]] = {
             stage: {} for stage in catalog.Stage
         }
-        self.beside = False
-        self._opens: list[tuple[float, str]] = []
+        self.allow_interference = False
+        self._opening_heap: list[tuple[float, str]] = []
         self._capacity = capacity.Capacity(())
         self._capacity_s = float('-inf')
 
-    # Which engines there are.
+    # Membership and cooldowns.
 
     def set_engines(self, endpoints: list[catalog.Endpoint]) -> None:
-        """Take the engines that may be given work.
+        """Replace the list of engines that requests may be placed on.
 
-        One that left keeps nothing: it would come back without its memory.
+        The cache of a removed engine is taken for lost: an engine that
+        returns has been restarted.
         """
         listed = {each.id: each for each in endpoints}
-        for gone in [e for e in self.engines if e not in listed]:
-            del self.engines[gone]
+        for removed_id in [e for e in self.engines if e not in listed]:
+            del self.engines[removed_id]
             for engine in self.engines.values():
-                engine.turned_away.pop(gone, None)
-            self.caches.drop(gone)
-            self._close(gone)
+                engine.rejected_at_s.pop(removed_id, None)
+            self.caches.drop(removed_id)
+            self._close(removed_id)
         for endpoint in endpoints:
             self._set_engine(endpoint)
-        self.answerers.listed()
+        self.decode_engines.refresh()
         self._capacity_s = float('-inf')
 
     def _set_engine(self, endpoint: catalog.Endpoint) -> None:
@@ -157,320 +173,359 @@
         changed = model.endpoint.stage is not endpoint.stage
         model.endpoint = endpoint
         if changed:
-            model.forget_pace()
+            model.reset_pace()
             model.cost = self.costs[endpoint.stage]
-            model.rest_until_s = float('-inf')
+            model.cooldown_until_s = float('-inf')
             self._close(endpoint.id)
-            if self._may_read(model):
+            if self._can_prefill(model):
                 self.open[endpoint.stage][endpoint.id] = None
 
-    def rest(self, engine_id: str, until_s: float) -> None:
-        """Give an engine no work for a time."""
+    def cool_down(self, engine_id: str, until_s: float) -> None:
+        """Place no work on an engine until the given moment."""
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.rest_until_s = until_s
+            engine.cooldown_until_s = until_s
             self._close(engine_id)
-            heapq.heappush(self._opens, (until_s, engine_id))
+            heapq.heappush(self._opening_heap, (until_s, engine_id))
             self._capacity_s = float('-inf')
 
-    def failed(self, engine_id: str, job: int, now_s: float) -> None:
-        """An engine refused a job, did not answer, or was out of reach.
+    def record_failure(self, engine_id: str, job: int, now_s: float) -> None:
+        """Record that an engine refused a job, timed out or was unreachable.
 
-        One that has just served others rests no time: what failed was this
-        job, and each engine that rests without need is missed by many.
+        The engine gets a cooldown, unless it has just served other requests:
+        then the fault is taken for the job's, as an unneeded cooldown costs
+        capacity.
         """
         self.caches.abandon(job)
         engine = self.engines.get(engine_id)
         if engine is None:
             return
         engine.forget(job, now_s)
-        if now_s - engine.served_s < SERVED_S:
-            self._note_room(engine, now_s)
+        if now_s - engine.last_success_s < RECENT_SUCCESS_S:
+            self._update_open(engine, now_s)
             return
-        if now_s - engine.silent_s < SILENT_AGAIN_S:
-            # It was found to read nothing, and all its prompts are given up
-            # at once.  That is one failure: counted each, one engine that
-            # was busy for a moment would be left idle for seconds.
+        if now_s - engine.last_stalled_s < STALL_REPORT_INTERVAL_S:
+            # The engine was found stalled, and all its prompts fail at once.
+            # They count as one failure: counted singly, an engine that was
+            # busy for a moment would get a cooldown of seconds.
             return
         engine.failures += 1
-        rest_s = REST_S * 2 ** min(engine.failures - 1, 3)
-        self.rest(engine_id, now_s + min(rest_s, MAX_REST_S))
+        cooldown_s = COOLDOWN_S * 2 ** min(engine.failures - 1, 3)
+        self.cool_down(engine_id, now_s + min(cooldown_s, MAX_COOLDOWN_S))
 
-    def find_silent(self, now_s: float) -> list[str]:
-        """Engines that read nothing of what they were given; they rest."""
-        silent = []
+    def find_stalled(self, now_s: float) -> list[str]:
+        """Put engines whose prefill makes no progress in a cooldown.
+
+        :returns: ids of these engines
+        """
+        stalled = []
         for engine_id, engine in self.engines.items():
-            if now_s - engine.silent_s < SILENT_AGAIN_S:
+            if now_s - engine.last_stalled_s < STALL_REPORT_INTERVAL_S:
                 continue
             if engine.endpoint.stage is catalog.Stage.DECODE:
-                # Its answers show whether it lives, event by event.
+                # The events of its answers show whether it works.
                 continue
-            if engine.is_silent(now_s):
-                engine.silent_s = now_s
+            if engine.is_stalled(now_s):
+                engine.last_stalled_s = now_s
                 engine.failures += 1
-                self.rest(engine_id, now_s + REST_S)
-                silent.append(engine_id)
-        return silent
+                self.cool_down(engine_id, now_s + COOLDOWN_S)
+                stalled.append(engine_id)
+        return stalled
 
-    def distrust(self, engine_id: str, now_s: float) -> None:
-        """Fetching from an engine took far too long; read for a while."""
+    def suspend_fetch(self, engine_id: str, now_s: float) -> None:
+        """Fetch no cached parts from an engine for a while.
+
+        Called when a fetch from it hangs; the parts are prefilled instead.
+        """
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.no_fetch_until_s = now_s + DISTRUST_S
-
-    def lapsed(self, reader_id: str, runner_id: str, now_s: float) -> None:
-        """An engine turned away a request whose prompt another had read.
-
-        Either it is full or changing, or what was read is gone; both say
-        the same.  An engine that turns away the prompts of two readers is
-        at fault itself; a reader whose prompts are turned away by two
-        engines, or by one that takes those of others, reads for nothing.
-        Where one turns away all that one reads it may be either: the engine
-        that answers rests first.  Taken for the readers' fault, one engine
-        that is down would make all of them rest, and nobody be served.
+            engine.no_fetch_until_s = now_s + FETCH_SUSPENSION_S
+
+    def record_rejection(
+        self, prefill_engine_id: str, decode_engine_id: str, now_s: float
+    ) -> None:
+        """Record that a decode engine rejected a prefilled request.
+
+        Either the decode engine is full or changes its stage, or the KV
+        cache of the prompt is lost at the prefill engine; the rejection is
+        the same for both.  A decode engine that rejects the prompts of two
+        prefill engines is at fault itself.  A prefill engine is at fault if
+        its prompts are rejected by two decode engines, or by one that
+        accepts the prompts of others.  Where one decode engine rejects all
+        prompts of one prefill engine, either may be at fault, and the decode
+        engine gets the first cooldown: otherwise one decode engine that is
+        down would put all prefill engines in a cooldown, and no request
+        would be served.
         """
-        reader = self.engines.get(reader_id)
-        runner = self.engines.get(runner_id)
-        if reader is None or runner is None:
+        prefill_engine = self.engines.get(prefill_engine_id)
+        decode_engine = self.engines.get(decode_engine_id)
+        if prefill_engine is None or decode_engine is None:
             return
-        since_s = now_s - LAPSED_AGAIN_S
-        last_runner, before_s = reader.lapsed_at
-        reader.lapsed_at = (runner_id, now_s)
-        runner.turned_away[reader_id] = now_s
-        of_late = [s for s in runner.turned_away.values() if s > since_s]
-        if len(of_late) > 1:
-            self.rest(runner_id, now_s + REST_S)
+        since_s = now_s - REJECTION_WINDOW_S
+        last_decode_engine_id, before_s = prefill_engine.last_rejected
+        prefill_engine.last_rejected = (decode_engine_id, now_s)
+        decode_engine.rejected_at_s[prefill_engine_id] = now_s
+        recent = [
+            s for s in decode_engine.rejected_at_s.values() if s > since_s
+        ]
+        if len(recent) > 1:
+            self.cool_down(decode_engine_id, now_s + COOLDOWN_S)
         elif before_s <= since_s:
             return
         elif (
-            last_runner != runner_id
-            or runner.took_s > since_s
-            or runner.rest_until_s > since_s
+            last_decode_engine_id != decode_engine_id
+            or decode_engine.last_accepted_s > since_s
+            or decode_engine.cooldown_until_s > since_s
         ):
-            self.rest(reader_id, now_s + LAPSED_REST_S)
+            self.cool_down(prefill_engine_id, now_s + REJECTION_COOLDOWN_S)
         else:
-            self.rest(runner_id, now_s + REST_S)
+            self.cool_down(decode_engine_id, now_s + COOLDOWN_S)
 
-    # Who has room.
+    # Open engines.
 
     def refresh(self, now_s: float) -> None:
-        """Note the engines that have got room by now."""
-        while self._opens and self._opens[0][0] <= now_s:
-            _, engine_id = heapq.heappop(self._opens)
+        """Mark the engines as open that can be sent a prompt by now."""
+        while self._opening_heap and self._opening_heap[0][0] <= now_s:
+            _, engine_id = heapq.heappop(self._opening_heap)
             engine = self.engines.get(engine_id)
             if engine is not None:
                 for lost in engine.expire(now_s):
                     self.caches.abandon(lost)
-                self._note_room(engine, now_s)
+                self._update_open(engine, now_s)
 
     def opens_s(self) -> float | None:
-        """When an engine is expected to get room without further word."""
-        return self._opens[0][0] if self._opens else None
+        """Return when the next engine is expected to become open.
+
+        :returns: a moment in seconds, or None if no opening is scheduled
+        """
+        return self._opening_heap[0][0] if self._opening_heap else None
 
     def has_open(self) -> bool:
-        """Whether any engine may be given a prompt to read."""
+        """Whether any engine may be sent a prompt to prefill."""
         return any(self.open.values())
 
     def _close(self, engine_id: str) -> None:
         for of_stage in self.open.values():
             of_stage.pop(engine_id, None)
 
-    def _note_room(
+    def _update_open(
         self, engine: enginemodel.EngineModel, now_s: float
     ) -> None:
         engine_id = engine.endpoint.id
-        if engine.rest_until_s > now_s or not self._may_read(engine):
+        if engine.cooldown_until_s > now_s or not self._can_prefill(engine):
             self._close(engine_id)
             return
         of_stage = self.open[engine.endpoint.stage]
-        if not engine.readings:
+        if not engine.pending_prefills:
             of_stage[engine_id] = None
             return
-        ahead_s = self.settings.ahead_s + engine.latency_beside_s
+        ahead_s = self.settings.ahead_s + engine.overlapped_latency_s
         opens_s = engine.free_s(now_s) - ahead_s
-        full = len(engine.readings) >= self._most_ahead(engine)
+        full = len(engine.pending_prefills) >= self._max_ahead(engine)
         if opens_s <= now_s and not full:
             of_stage[engine_id] = None
             return
         of_stage.pop(engine_id, None)
         if full:
             opens_s = max(opens_s, now_s + enginemodel.LOST_S)
-        heapq.heappush(self._opens, (opens_s, engine_id))
+        heapq.heappush(self._opening_heap, (opens_s, engine_id))
 
-    def _most_ahead(self, engine: enginemodel.EngineModel) -> int:
-        """A prompt takes a slot, also while it waits for the one before.
+    def _max_ahead(self, engine: enginemodel.EngineModel) -> int:
+        """Return how many prompts an engine may have at a time.
 
-        An engine that failed is tried with one: were it still down, all
-        that it was given would be late.
+        A prompt holds a slot also while it is queued at the engine.  An
+        engine that failed is tried with a single prompt: if it is still
+        down, all prompts sent to it are late.
         """
         if engine.failures:
             return 1
-        return min(self.settings.most_ahead, max(1, engine.endpoint.slots - 1))
+        return min(self.settings.max_ahead, max(1, engine.endpoint.slots - 1))
 
-    # What becomes of prompts.
+    # Prompts and answers in flight.
 
-    def take(
+    def assign(
         self,
         job: int,
         parts: tuple[promptcache.PromptPart, ...],
         option: Option,
         now_s: float,
     ) -> None:
-        """Give a prompt to the engines of an option."""
-        reader, runner = option.reader, option.runner
+        """Account for a prompt that is sent to the engines of an option."""
+        prefill_engine, decode_engine = (
+            option.prefill_engine,
+            option.decode_engine,
+        )
         tokens = promptcache.total_tokens(parts)
-        reader.give(job, option.tokens, option.fetch_s, now_s, tokens)
-        self.caches.expect(reader.endpoint.id, job, parts)
-        if runner is not reader:
-            self.caches.expect(runner.endpoint.id, job, parts)
-            runner.transfer_until_s = option.moved_s
-            runner.expect_run(option.ready_s, now_s)
-        self.answerers.given(runner, now_s)
-        self._note_room(reader, now_s)
+        prefill_engine.assign(
+            job, option.tokens, option.fetch_s, now_s, tokens
+        )
+        self.caches.expect(prefill_engine.endpoint.id, job, parts)
+        if decode_engine is not prefill_engine:
+            self.caches.expect(decode_engine.endpoint.id, job, parts)
+            decode_engine.transfer_until_s = option.transferred_s
+            decode_engine.expect_run(option.ready_s, now_s)
+        self.decode_engines.record_assignment(decode_engine, now_s)
+        self._update_open(prefill_engine, now_s)
 
     def adopt(
         self, job: int, engine_id: str, tokens: int, now_s: float
     ) -> None:
-        """An engine is at work on a prompt that somebody else gave it."""
+        """Account for a prompt that the previous leader sent to an engine."""
         engine = self.engines[engine_id]
-        engine.give(job, tokens, 0.0, now_s, seen=False)
-        self._note_room(engine, now_s)
+        engine.assign(job, tokens, 0.0, now_s, sent_now=False)
+        self._update_open(engine, now_s)
 
-    def has_read(self, job: int, engine_id: str, now_s: float) -> None:
-        """An engine has read a prompt."""
-        self.caches.arrived(job)
+    def record_prefill_done(
+        self, job: int, engine_id: str, now_s: float
+    ) -> None:
+        """Record that an engine has completed the prefill of a prompt."""
+        self.caches.record_prefill_done(job)
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.read(job, now_s)
-            self.answerers.served(engine_id, now_s)
-            self._note_room(engine, now_s)
+            engine.record_prefill_done(job, now_s)
+            self.decode_engines.record_success(engine_id, now_s)
+            self._update_open(engine, now_s)
 
     def forget(self, job: int, engine_id: str, now_s: float) -> None:
-        """An engine will not read a prompt after all."""
+        """Stop accounting for a prompt that an engine will not prefill."""
         self.caches.abandon(job)
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.forget(job, now_s)
-            self._note_room(engine, now_s)
+            self._update_open(engine, now_s)
 
     def begin_run(self, job: int, engine_id: str, now_s: float) -> None:
-        """An engine gives a long answer, and may not read beside it."""
+        """Record that an engine starts a long answer."""
         engine = self.engines[engine_id]
         engine.runs.add(job)
-        self._note_room(engine, now_s)
+        self._update_open(engine, now_s)
 
     def end_run(self, job: int, engine_id: str, now_s: float) -> None:
-        """A long answer has ended, or goes on elsewhere."""
+        """Record that a long answer has ended or continues elsewhere."""
         engine = self.engines.get(engine_id)
         if engine is not None:
             engine.runs.discard(job)
-            self._note_room(engine, now_s)
+            self._update_open(engine, now_s)
+
+    # Cost estimates and choice of engines.
 
-    # What it costs.
+    def learned_costs(self) -> prefillcost.CostCoefficients | None:
+        """Return the learned cost coefficients.
 
-    def learned(self) -> readingcost.Figures | None:
-        """What prompts were found to take; None while it is a guess."""
-        reading = self.costs[catalog.Stage.PREFILL]
-        answering = self.costs[catalog.Stage.DECODE]
-        if reading.count < ENOUGH_PROMPTS:
+        :returns: None until :data:`MIN_PROMPTS` prompts have been measured
+        """
+        prefill_cost = self.costs[catalog.Stage.PREFILL]
+        decode_stage = self.costs[catalog.Stage.DECODE]
+        if prefill_cost.count < MIN_PROMPTS:
             return None
-        return readingcost.Figures(*reading.figures, answering.factor.median_s)
+        return prefillcost.CostCoefficients(
+            *prefill_cost.coefficients, decode_stage.factor.median_s
+        )
 
-    def begin_with(self, figures: readingcost.Figures) -> None:
-        """Take what another place has found; measurements go on."""
-        *reading, factor = figures
-        self.costs[catalog.Stage.PREFILL].guess(*reading)
+    def restore_costs(
+        self, coefficients: prefillcost.CostCoefficients
+    ) -> None:
+        """Start from the coefficients that another host has learned."""
+        *prefill_cost, factor = coefficients
+        self.costs[catalog.Stage.PREFILL].set_coefficients(*prefill_cost)
         self.costs[catalog.Stage.DECODE].factor.median_s = factor
 
-    def need_s(self, kept: promptcache.Kept, tokens: int) -> float:
-        """Reading time of a prompt where most of it is kept."""
+    def need_s(self, cached: promptcache.CachedPrefixes, tokens: int) -> float:
+        """Return the prefill time at the engine that caches most of a prompt.
+
+        :param tokens: length of the whole prompt
+        """
         cost = self.costs[catalog.Stage.PREFILL]
-        most = kept.most_tokens
-        return cost.seconds(readingcost.PromptSize(tokens - most, most))
+        most = cached.max_tokens
+        return cost.seconds(prefillcost.PromptSize(tokens - most, most))
 
-    def saved_s(self, tokens: int) -> float:
-        """Reading time of so many tokens at an engine that only reads."""
+    def prefill_s(self, tokens: int) -> float:
+        """Return the time of a prefill engine for this many tokens."""
         cost = self.costs[catalog.Stage.PREFILL]
-        return cost.seconds(readingcost.PromptSize(tokens))
+        return cost.seconds(prefillcost.PromptSize(tokens))
 
     def capacity(self, now_s: float) -> capacity.Capacity:
-        """Reading power of the engines that may read."""
-        if now_s - self._capacity_s >= CAPACITY_S:
+        """Return the prefill capacity of all engines that may prefill."""
+        if now_s - self._capacity_s >= CAPACITY_MAX_AGE_S:
             self._capacity_s = now_s
-            self._look_for_readers(now_s)
+            self._update_interference(now_s)
             self._capacity = capacity.Capacity(
-                (engine.free_s(now_s) - now_s, 1 / self.relative(engine))
+                (engine.free_s(now_s) - now_s, 1 / self.relative_cost(engine))
                 for engine in self.engines.values()
-                if engine.rest_until_s <= now_s and self._may_read(engine)
+                if engine.cooldown_until_s <= now_s
+                and self._can_prefill(engine)
             )
         return self._capacity
 
-    def reading_beside(self, now_s: float) -> tuple[float, int]:
-        """What engines that answer can read.
+    def decode_stage_capacity(self, now_s: float) -> tuple[float, int]:
+        """Return the prefill capacity of the decode engines.
 
-        :returns: engines' worth of reading, and the number of those that
-            give long answers and read nothing
+        :returns: their capacity in units of one prefill engine, and the
+            number of decode engines that generate long answers
         """
-        answering = [
+        decode_stage = [
             engine
             for engine in self.engines.values()
             if engine.endpoint.stage is catalog.Stage.DECODE
         ]
-        power = sum(
-            1 / self.relative(engine)
-            for engine in answering
-            if engine.rest_until_s <= now_s and self._may_read(engine)
+        speed = sum(
+            1 / self.relative_cost(engine)
+            for engine in decode_stage
+            if engine.cooldown_until_s <= now_s and self._can_prefill(engine)
         )
-        return power, sum(1 for each in answering if each.long_runs)
+        return speed, sum(1 for each in decode_stage if each.long_runs)
 
-    def _look_for_readers(self, now_s: float) -> None:
-        """Have engines read beside long answers while no other one can.
+    def _update_interference(self, now_s: float) -> None:
+        """Allow prefill on engines with long answers while no other can.
 
-        The engines that read have left, are down or are changing, and each
-        of the others gives a long answer nearly always: prompts were refused
-        to the last one by engines that had time for many of them.  Answers
-        beside which prompts are read take longer, but a refused caller has
-        nothing.
+        When all prefill engines have left, are down or change their stage,
+        nearly every decode engine generates a long answer at any time.  If
+        these did not prefill, all prompts would be refused although the
+        engines have time for many of them.  Prefill slows down the long
+        answers on the same engine, which is better than refused requests.
         """
-        beside = not any(
-            engine.rest_until_s <= now_s and may_read(engine)
+        none_can_prefill = not any(
+            engine.cooldown_until_s <= now_s and can_prefill(engine)
             for engine in self.engines.values()
         )
-        if beside is self.beside:
+        if none_can_prefill is self.allow_interference:
             return
-        self.beside = beside
+        self.allow_interference = none_can_prefill
         for engine in self.engines.values():
             if engine.long_runs:
-                self._note_room(engine, now_s)
+                self._update_open(engine, now_s)
 
-    def _may_read(self, engine: enginemodel.EngineModel) -> bool:
-        return self.beside or may_read(engine)
+    def _can_prefill(self, engine: enginemodel.EngineModel) -> bool:
+        return self.allow_interference or can_prefill(engine)
 
-    def relative(self, engine: enginemodel.EngineModel) -> float:
-        """How much longer an engine reads than one of the reading stage."""
+    def relative_cost(self, engine: enginemodel.EngineModel) -> float:
+        """Return an engine's prefill time relative to a prefill engine's."""
         cost = self.costs[catalog.Stage.PREFILL]
-        reference_s = cost.seconds(readingcost.PromptSize(TYPICAL_TOKENS))
+        reference_s = cost.seconds(prefillcost.PromptSize(TYPICAL_TOKENS))
         return max(0.2, engine.expected_s(TYPICAL_TOKENS) / reference_s)
 
-    def best(
+    def best_option(
         self,
         parts: tuple[promptcache.PromptPart, ...],
         avoid: tuple[str, ...],
         now_s: float,
     ) -> Option | None:
-        """The best way among the engines that have room."""
-        kept = self.caches.kept(parts)
-        runner = self.answerers.for_read(avoid, now_s)
+        """Return the cheapest placement among the open engines, if any.
+
+        :param avoid: ids of engines that may not prefill the prompt
+        """
+        cached = self.caches.cached_prefixes(parts)
+        decode_engine = self.decode_engines.for_prefilled(avoid, now_s)
         best: Option | None = None
-        for engine_id in self._candidates(kept, avoid):
-            reader = self.engines[engine_id]
-            target = runner
-            if reader.endpoint.stage is catalog.Stage.DECODE:
-                target = reader
+        for engine_id in self._candidates(cached, avoid):
+            prefill_engine = self.engines[engine_id]
+            target = decode_engine
+            if prefill_engine.endpoint.stage is catalog.Stage.DECODE:
+                target = prefill_engine
             if target is None:
                 continue
-            option = self._option(kept, parts, reader, target, now_s)
-            if not answerers.has_slot(target, option.ready_s, now_s):
+            option = self._option(cached, parts, prefill_engine, target, now_s)
+            if not decodeengines.has_slot(target, option.ready_s, now_s):
                 continue
             if best is None or (
                 option.ready_s + option.cost_s < best.ready_s + best.cost_s
@@ -478,42 +533,44 @@
                 best = option
         return best
 
-    def coming_s(
+    def prefilled_at_s(
         self,
         parts: tuple[promptcache.PromptPart, ...],
         tokens: int,
         now_s: float,
     ) -> float | None:
-        """When an engine will have read so much of a prompt; None if none is.
+        """Return when an engine will have prefilled the start of a prompt.
 
-        :param tokens: of the first parts, to be kept there
+        :param tokens: length of the prefix that the engine has to cache
+        :returns: the earliest moment, or None if no engine has the prefix or
+            is prefilling it
         """
-        kept = self.caches.kept(parts)
+        cached = self.caches.cached_prefixes(parts)
         moments = []
-        for engine_id in kept.holders(SOURCES):
-            if kept.tokens(engine_id) < tokens:
+        for engine_id in cached.holders(MAX_SOURCES):
+            if cached.tokens(engine_id) < tokens:
                 continue
             engine = self.engines[engine_id]
             if self.caches.ready_tokens(engine_id, parts) >= tokens:
                 moments.append(now_s)
                 continue
-            reading_s = [
-                engine.readings[job].until_s
-                for job in self.caches.awaited(engine_id, parts)
-                if job in engine.readings
+            completions_s = [
+                engine.pending_prefills[job].until_s
+                for job in self.caches.pending_jobs(engine_id, parts)
+                if job in engine.pending_prefills
             ]
-            if reading_s:
-                moments.append(max(reading_s) + engine.latency_s)
+            if completions_s:
+                moments.append(max(completions_s) + engine.latency_s)
         return min(moments, default=None)
 
     def _candidates(
-        self, kept: promptcache.Kept, avoid: tuple[str, ...]
+        self, cached: promptcache.CachedPrefixes, avoid: tuple[str, ...]
     ) -> Iterable[str]:
-        """Engines to compare for a prompt.
+        """Return the ids of the open engines to compare for a prompt.
 
-        Some of each stage: where the first ones were taken whatever their
-        stage, a dozen that could not take the prompt hid all others, and
-        callers were refused by a fleet that idled.
+        The candidates come from each stage.  Chosen regardless of stage, a
+        dozen engines that can't take the prompt could hide all others, and
+        requests would be refused while engines are idle.
         """
         found: dict[str, None] = {}
         stages = [of_stage for of_stage in self.open.values() if of_stage]
@@ -522,78 +579,85 @@
             usable = (each for each in of_stage if each not in avoid)
             found.update(dict.fromkeys(itertools.islice(usable, most)))
             if len(of_stage) > most:
-                for holder in kept.holders(SOURCES):
+                for holder in cached.holders(MAX_SOURCES):
                     if holder in of_stage and holder not in avoid:
                         found[holder] = None
         return found
 
     def _option(
         self,
-        kept: promptcache.Kept,
+        cached: promptcache.CachedPrefixes,
         parts: tuple[promptcache.PromptPart, ...],
-        reader: enginemodel.EngineModel,
-        runner: enginemodel.EngineModel,
+        prefill_engine: enginemodel.EngineModel,
+        decode_engine: enginemodel.EngineModel,
         now_s: float,
     ) -> Option:
         tokens = promptcache.total_tokens(parts)
-        missing = tokens - kept.tokens(reader.endpoint.id)
+        missing = tokens - cached.tokens(prefill_engine.endpoint.id)
         source, missing, fetch_s = self._source(
-            kept, parts, reader, missing, now_s
+            cached, parts, prefill_engine, missing, now_s
+        )
+        prefill_s = (
+            prefill_engine.expected_s(missing, tokens - missing) + fetch_s
         )
-        read_s = reader.expected_s(missing, tokens - missing) + fetch_s
         ready_s = (
-            reader.free_s(now_s)
+            prefill_engine.free_s(now_s)
             + enginemodel.HOP_S
-            + read_s
-            + reader.latency_s
+            + prefill_s
+            + prefill_engine.latency_s
         )
-        cost_s = read_s
-        moved_s = ready_s
-        if runner is not reader:
-            move_s = self._transfer_s(reader, runner, tokens)
-            moved_s = max(ready_s, runner.transfer_until_s) + move_s
-            # What an engine takes beside the transfer keeps no prompt off
-            # its link: added up, it would soon put every prompt into the
-            # next minute.
-            delay_s = self.answerers.delay_s(runner)
-            ready_s = moved_s + delay_s
-            cost_s += move_s + delay_s
+        cost_s = prefill_s
+        transferred_s = ready_s
+        if decode_engine is not prefill_engine:
+            transfer_s = self._transfer_s(
+                prefill_engine, decode_engine, tokens
+            )
+            transferred_s = (
+                max(ready_s, decode_engine.transfer_until_s) + transfer_s
+            )
+            # The delay after a transfer does not occupy the engine's link.
+            # Included in transferred_s it would add up from prompt to
+            # prompt, and soon every prompt would be expected a minute late.
+            delay_s = self.decode_engines.delay_s(decode_engine)
+            ready_s = transferred_s + delay_s
+            cost_s += transfer_s + delay_s
         return Option(
-            reader,
-            runner,
+            prefill_engine,
+            decode_engine,
             source,
             missing,
             fetch_s,
-            read_s,
+            prefill_s,
             ready_s,
-            moved_s,
+            transferred_s,
             cost_s,
         )
 
     def _source(
         self,
-        kept: promptcache.Kept,
+        cached: promptcache.CachedPrefixes,
         parts: tuple[promptcache.PromptPart, ...],
-        reader: enginemodel.EngineModel,
+        prefill_engine: enginemodel.EngineModel,
         missing: int,
         now_s: float,
     ) -> tuple[enginemodel.EngineModel | None, int, float]:
-        """Another engine to fetch cached parts from, if that is quicker.
+        """Choose an engine to fetch cached parts from, if that is quicker.
 
-        :returns: the engine or None, tokens left to read, time to fetch
+        :param missing: tokens of the prompt that the prefill engine lacks
+        :returns: the engine or None, tokens left to prefill, time to fetch
         """
-        has = promptcache.total_tokens(parts) - missing
-        if kept.most_tokens <= has:
+        cached_tokens = promptcache.total_tokens(parts) - missing
+        if cached.max_tokens <= cached_tokens:
             return None, missing, 0.0
-        for holder in kept.holders(SOURCES):
+        for holder in cached.holders(MAX_SOURCES):
             source = self.engines.get(holder)
-            if source is None or source is reader:
+            if source is None or source is prefill_engine:
                 continue
-            gained = self.caches.ready_tokens(holder, parts) - has
+            gained = self.caches.ready_tokens(holder, parts) - cached_tokens
             if gained <= 0 or source.no_fetch_until_s > now_s:
                 continue
-            saved_s = reader.expected_s(gained, has)
-            fetch_s = self._transfer_s(source, reader, gained)
+            saved_s = prefill_engine.expected_s(gained, cached_tokens)
+            fetch_s = self._transfer_s(source, prefill_engine, gained)
             if fetch_s <= saved_s * self.settings.fetch_gain:
                 return source, missing - gained, fetch_s
         return None, missing, 0.0
@@ -606,31 +670,33 @@
     ) -> float:
         bits = tokens * self.traits.bytes_per_token * 8
         seconds = TRANSFER_SETUP_S + bits / (self.traits.link_bits_s or 1e9)
-        here = source.endpoint.failure_domain
-        if here != target.endpoint.failure_domain:
+        source_domain = source.endpoint.failure_domain
+        if source_domain != target.endpoint.failure_domain:
             return seconds * REMOTE_FACTOR
         return seconds
 
-    def taking_over_s(self, tokens: int) -> float:
-        """Time that an engine needs to take over what another has read.
+    def handoff_s(self, tokens: int) -> float:
+        """Return the time of a decode engine to receive a prefilled prompt.
 
-        Any other engine is as likely to have read it, so most transfers
-        come from another failure domain.
+        The prompt is equally likely to come from each engine, so most
+        transfers come from another failure domain.
         """
         domains = {
             engine.endpoint.failure_domain for engine in self.engines.values()
         }
-        remote = 1 - 1 / max(1, len(domains))
+        remote_share = 1 - 1 / max(1, len(domains))
         bits = tokens * self.traits.bytes_per_token * 8
         seconds = TRANSFER_SETUP_S + bits / (self.traits.link_bits_s or 1e9)
-        return seconds * (1 + (REMOTE_FACTOR - 1) * remote) + FIRST_STEP_S
+        return (
+            seconds * (1 + (REMOTE_FACTOR - 1) * remote_share) + FIRST_STEP_S
+        )
 
 
-def may_read(engine: enginemodel.EngineModel) -> bool:
-    """Whether an engine may be given prompts while others can read too.
+def can_prefill(engine: enginemodel.EngineModel) -> bool:
+    """Whether an engine may prefill prompts while other engines can too.
 
-    Not beside long answers: each step of these would wait for a piece of
-    the prompt.
+    A decode engine with long answers may not: each of their decode steps
+    would wait for a chunk of the prompt.
     """
     return not (
         engine.endpoint.stage is catalog.Stage.DECODE and engine.long_runs
--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -1,31 +1,35 @@
-"""Forecast demand from noisy samples: a line, and a rhythm if there is one."""
+"""Forecast demand by a weighted linear fit and a detected seasonal period."""
 
 import collections
 import math
 import operator
 from typing import NamedTuple
 
-__all__ = ['Band', 'Forecast', 'Rhythm', 'Series']
+__all__ = ['Forecast', 'ForecastErrors', 'SeasonalForecast', 'Series']
 
+#: Samples are averaged over bins of this length before the period search.
 BIN_S = 4.0
-MOST_BINS = 240
-SHORTEST_BINS = 15
-LONGEST_BINS = 150
+MAX_BINS = 240
+MIN_PERIOD_BINS = 15
+MAX_PERIOD_BINS = 150
+#: The period is searched again after this many new bins.
 SEARCH_BINS = 4
+#: Bins that each smoothed value is averaged over.
 SMOOTHED_BINS = 3
-LEAST_CORRELATION = 0.45
-#: Standard errors by which a correlation has to stand out.
+MIN_CORRELATION = 0.45
+#: Standard errors by which an autocorrelation has to exceed zero.
 SIGNIFICANCE = 3.0
-#: A correlation this high makes the rhythm the whole forecast.
-FULL_CORRELATION = 0.6
-MOST_CYCLES = 4
+#: From this autocorrelation on the seasonal forecast has weight 1.
+FULL_WEIGHT_CORRELATION = 0.6
+#: Past cycles that are averaged.
+MAX_CYCLES = 4
 
 
 class Forecast(NamedTuple):
-    """Demand ahead, in engine-seconds a second.
+    """A linear demand forecast, in engine-seconds per second.
 
-    :param level: now
-    :param slope: change per second
+    :param level: estimated present demand
+    :param slope: change of the demand per second
     :param error: standard error of the level
     :param noise: standard deviation of a sample
     """
@@ -36,19 +40,23 @@
     noise: float
 
     def at(self, ahead_s, trend_s):
-        """Mean demand `ahead_s` from now; the trend fades with `trend_s`."""
-        reach_s = trend_s * (1.0 - math.exp(-ahead_s / trend_s))
-        return max(0.0, self.level + self.slope * reach_s)
+        """Return the mean demand `ahead_s` from now.
+
+        :param trend_s: time constant with which the slope decays
+        """
+        effective_s = trend_s * (1.0 - math.exp(-ahead_s / trend_s))
+        return max(0.0, self.level + self.slope * effective_s)
 
 
 class Series:
-    """A line through recent samples, weighted by their age.
+    """A linear fit of recent samples, weighted by age.
 
-    :param overlap: samples that share what they measure, as each is a mean
-        over a while: their noise is no smaller than that of one in so many
+    Sums are kept relative to the time of the newest sample, so that adding
+    a sample takes constant time.
 
-    Sums are kept relative to the newest sample, so that a sample costs the
-    same however many came before it.
+    :param memory_s: time constant with which the weight of samples decays
+    :param overlap: number of consecutive samples that are means over
+        overlapping times; the fit treats them as one independent sample
     """
 
     def __init__(self, memory_s, overlap=1.0):
@@ -64,32 +72,36 @@
         self._value2 = 0.0
 
     def add(self, value, now_s):
-        """Take a sample."""
+        """Add a sample taken at `now_s`."""
         if self.at_s is not None:
-            self._age(now_s - self.at_s)
+            self._decay(now_s - self.at_s)
         self.at_s = now_s
         self._weight += 1.0
         self._squares += 1.0
         self._value += value
         self._value2 += value * value
 
-    def _age(self, passed_s):
-        keep = math.exp(-passed_s / self.memory_s)
-        # Times are negative: a sample's time is minus its age.
-        self._time2 += passed_s * (passed_s * self._weight - 2 * self._time)
-        self._time -= passed_s * self._weight
-        self._cross -= passed_s * self._value
+    def _decay(self, elapsed_s):
+        keep = math.exp(-elapsed_s / self.memory_s)
+        # The time of a sample is its negative age.
+        self._time2 += elapsed_s * (elapsed_s * self._weight - 2 * self._time)
+        self._time -= elapsed_s * self._weight
+        self._cross -= elapsed_s * self._value
         for name in ('_time', '_time2', '_value', '_value2', '_cross'):
             setattr(self, name, keep * getattr(self, name))
         self._weight *= keep
         self._squares *= keep * keep
 
     def mean(self):
-        """The weighted mean of the samples."""
+        """Return the weighted mean of the samples, 0 without any."""
         return self._value / self._weight if self._weight else 0.0
 
     def forecast(self):
-        """Fit the line; a slope within its own error counts for little."""
+        """Fit the line.
+
+        The slope is shrunk by the share of its square that its own squared
+        standard error makes up, to zero if that is all of it.
+        """
         if not self._weight:
             return Forecast(0.0, 0.0, 0.0, 0.0)
         mean = self._value / self._weight
@@ -111,55 +123,60 @@
         return Forecast(max(0.0, level), slope, math.sqrt(error2), noise)
 
 
-class Rhythm:
-    """Finds a period in two series and tells what came at this phase.
+class SeasonalForecast:
+    """Forecasts two series from past cycles of a period that it detects.
 
-    Token mixes swing with shifts and batch runs, often in even periods. A
-    line through the last seconds lags behind such a swing; what came a
-    period ago does not.
+    Token mixes swing with shifts and batch runs, often at a constant period.
+    A line through the last seconds lags behind such a swing; the values of
+    one period ago do not.
 
-    :ivar period_s: the period found, None without one
-    :ivar weight: how far to trust it, 0 to 1
+    :ivar period_s: detected period, None without one
+    :ivar weight: confidence in the period, from 0 to 1
     """
 
     def __init__(self):
         self.period_s = None
         self.weight = 0.0
-        self._bins = collections.deque(maxlen=MOST_BINS)
+        self._bins = collections.deque(maxlen=MAX_BINS)
         self._open = []
         self._bin_end_s = None
         self._smoothed = ()
         self._lag = None
 
     def add(self, first, second, now_s):
-        """Take a sample of both series."""
+        """Add a sample of both series taken at `now_s`."""
         if self._bin_end_s is None:
             self._bin_end_s = now_s + BIN_S
         if now_s >= self._bin_end_s and self._open:
             self._close_bin()
             self._bin_end_s += BIN_S
             if now_s > self._bin_end_s:
-                # Samples are missing: phases before the gap are lost.
+                # Samples are missing for longer than a bin, so the phase of
+                # the bins before the gap is unknown.
                 self._bins.clear()
                 self._lag = self.period_s = None
                 self._bin_end_s = now_s + BIN_S
         self._open.append((first, second))
 
-    def ahead(self, ahead_s):
-        """Mean of both series at this phase in past cycles, or None."""
+    def expected_at(self, ahead_s):
+        """Return the mean of both series at a phase in past cycles.
+
+        :param ahead_s: time from now to the phase
+        :returns: a pair, or None while no period or no past cycle is known
+        """
         if self._lag is None:
             return None
-        place = len(self._bins) - 1 + round(ahead_s / BIN_S)
+        bin_index = len(self._bins) - 1 + round(ahead_s / BIN_S)
         sums = [0.0, 0.0]
         count = 0
-        while count < MOST_CYCLES:
-            place -= self._lag
-            if place < 0:
+        while count < MAX_CYCLES:
+            bin_index -= self._lag
+            if bin_index < 0:
                 break
-            if place >= len(self._smoothed):
+            if bin_index >= len(self._smoothed):
                 continue
             for index in (0, 1):
-                sums[index] += self._smoothed[place][index]
+                sums[index] += self._smoothed[bin_index][index]
             count += 1
         if not count:
             return None
@@ -177,53 +194,63 @@
             self._search()
 
     def _search(self):
-        """Find the lag at which the series resemble themselves most."""
+        """Set the period to the shortest lag of high autocorrelation."""
         columns = [
             _centred(column) for column in zip(*self._smoothed, strict=True)
         ]
         count = len(self._smoothed)
-        longest = min(LONGEST_BINS, 2 * count // 3)
-        found = {
+        longest = min(MAX_PERIOD_BINS, 2 * count // 3)
+        correlations = {
             lag: _correlation(columns, lag)
-            for lag in range(SHORTEST_BINS // 2, longest)
+            for lag in range(MIN_PERIOD_BINS // 2, longest)
         }
         self._lag = self.period_s = None
         self.weight = 0.0
-        # Any slow change resembles itself a little later; only what became
-        # unlike itself and then like itself again is a cycle.
-        unlike = [lag for lag, value in found.items() if value <= 0]
-        if not unlike:
+        # Any slow change correlates with itself at short lags.  Only a
+        # correlation that falls to zero and rises again is a cycle.
+        negative_lags = [
+            lag for lag, value in correlations.items() if value <= 0
+        ]
+        if not negative_lags:
             return
-        later = {lag: found[lag] for lag in found if lag > unlike[0]}
-        # A multiple of the period is as good a lag; the shortest counts.
-        enough = 0.9 * max(later.values(), default=0.0)
+        candidates = {
+            lag: correlations[lag]
+            for lag in correlations
+            if lag > negative_lags[0]
+        }
+        # Multiples of the period correlate as well; the shortest lag is the
+        # period.
+        min_peak = 0.9 * max(candidates.values(), default=0.0)
         peaks = [
             lag
-            for lag, value in later.items()
-            if value >= enough
-            and lag >= SHORTEST_BINS
-            and value >= found[lag - 1]
-            and value >= found.get(lag + 1, 1.0)
+            for lag, value in candidates.items()
+            if value >= min_peak
+            and lag >= MIN_PERIOD_BINS
+            and value >= correlations[lag - 1]
+            and value >= correlations.get(lag + 1, 1.0)
         ]
         for lag in peaks:
             overlap = (count - lag) / SMOOTHED_BINS
-            needed = max(LEAST_CORRELATION, SIGNIFICANCE / math.sqrt(overlap))
-            if found[lag] >= needed:
+            needed = max(MIN_CORRELATION, SIGNIFICANCE / math.sqrt(overlap))
+            if correlations[lag] >= needed:
                 self._lag = lag
                 self.period_s = lag * BIN_S
-                self.weight = min(1.0, found[lag] / FULL_CORRELATION)
+                self.weight = min(
+                    1.0, correlations[lag] / FULL_WEIGHT_CORRELATION
+                )
                 return
 
 
 def _smooth(bins):
-    """Means over a bin and its neighbours."""
+    """Return the means over each bin and its two neighbours."""
     bins = list(bins)
     smoothed = []
-    for place in range(len(bins)):
-        near = bins[max(0, place - 1) : place + 2]
+    for bin_index in range(len(bins)):
+        neighbours = bins[max(0, bin_index - 1) : bin_index + 2]
         smoothed.append(
             tuple(
-                sum(column) / len(near) for column in zip(*near, strict=True)
+                sum(column) / len(neighbours)
+                for column in zip(*neighbours, strict=True)
             )
         )
     return smoothed
@@ -245,10 +272,10 @@
     return cross / math.sqrt(old * new)
 
 
-class Band:
-    """How wrong forecasts have been, by how far they looked ahead.
+class ForecastErrors:
+    """Standard errors of past forecasts, by lead time.
 
-    :param memory_s: time constant with which errors are forgotten
+    :param memory_s: time constant with which the weight of errors decays
     """
 
     def __init__(self, memory_s):
@@ -256,47 +283,53 @@
         self._due = collections.deque()
         self._squares = {}
 
-    def expect(self, lead_s, due_s, values):
-        """Note a forecast of several series for `due_s`.
+    def record_forecast(self, lead_s, due_s, values):
+        """Record a forecast, to be compared with the demand at `due_s`.
+
+        Forecasts of one lead time have to be recorded in order of `due_s`.
 
-        Forecasts of one lead have to come in the order of their times.
+        :param lead_s: time from the forecast to `due_s`
+        :param values: forecast value of each series
         """
         self._due.append((due_s, lead_s, values))
 
     def observe(self, values, now_s):
-        """Compare what has come with what was expected by now."""
+        """Update the errors by the recorded forecasts that are due.
+
+        :param values: present value of each series
+        """
         left = collections.deque()
         for due_s, lead_s, expected in self._due:
             if due_s > now_s:
                 left.append((due_s, lead_s, expected))
                 continue
             pairs = zip(values, expected, strict=True)
-            squares = [(value - told) ** 2 for value, told in pairs]
-            self._learn(lead_s, squares, now_s)
+            squares = [(value - predicted) ** 2 for value, predicted in pairs]
+            self._update_error(lead_s, squares, now_s)
         self._due = left
 
-    def _learn(self, lead_s, squares, now_s):
-        known = self._squares.get(lead_s)
-        if known is None:
+    def _update_error(self, lead_s, squares, now_s):
+        previous = self._squares.get(lead_s)
+        if previous is None:
             self._squares[lead_s] = now_s, squares
             return
-        keep = math.exp((known[0] - now_s) / self.memory_s)
+        keep = math.exp((previous[0] - now_s) / self.memory_s)
         mixed = [
             keep * old + (1 - keep) * new
-            for old, new in zip(known[1], squares, strict=True)
+            for old, new in zip(previous[1], squares, strict=True)
         ]
         self._squares[lead_s] = now_s, mixed
 
-    def errors(self, ahead_s, least):
-        """Standard errors so far ahead, from the nearest leads.
+    def errors(self, ahead_s, min_errors):
+        """Return the standard errors at the lead time nearest to `ahead_s`.
 
-        :param least: errors that are certain, by series
+        :param min_errors: lower bounds of the errors, by series
         """
         if not self._squares:
-            return least
+            return min_errors
         lead_s = min(self._squares, key=lambda each: abs(each - ahead_s))
         squares = self._squares[lead_s][1]
         return tuple(
             max(floor, math.sqrt(square))
-            for floor, square in zip(least, squares, strict=True)
+            for floor, square in zip(min_errors, squares, strict=True)
         )
--- a/magnoliadyke/core/limits.py
+++ b/magnoliadyke/core/limits.py
@@ -1,35 +1,10 @@
-"""A customer's limits, split between the nodes by demand.
-
-No node asks another before it admits a request.  Each takes a share of the
-fleet's limit::
-
-    limit * (BASE / nodes + (1 - BASE) * heard / nodes * own / demand)
-
-where ``heard`` counts this node and the peers whose digest is fresh, ``own``
-is this node's demand and ``demand`` that of all the heard.  The base lets a
-node serve a customer that has just come to it.  The shares of a group that
-hears only itself add up to its part of the limit, so a partition by itself
-overshoots nothing.
-
-Worst overshoot, for nodes that agree on how many they are:
-
-* rates: one second's burst, and one request a node, since a request is
-  admitted whole while its bucket isn't empty;
-* concurrency: one request for each node whose share is less than one, as
-  no node is kept from serving a customer at all;
-* while a peer's digests are lost one way, its share counts twice for at
-  most the time until its last digest is stale.
-
-When a group takes the others for dead and has dropped them from its number
-of nodes (:meth:`Shares.set_nodes` waits before it follows a fall), each of
-`k` groups grants the whole limit: `k` times the limit at the worst.
-"""
+"""Fleet-wide limits of customers, split between the nodes by demand."""
 
 import math
 from typing import NamedTuple
 
 __all__ = [
-    'BASE',
+    'BASE_SHARE',
     'Bucket',
     'Exceeded',
     'Limits',
@@ -38,21 +13,21 @@
     'Shares',
 ]
 
-#: Part of a limit that is split evenly, whatever the demand.
-BASE = 0.25
-#: Least retry-after that an exceeded limit tells, in seconds.
-LEAST_RETRY_S = 0.05
+#: Share of a limit that is split evenly between the nodes.
+BASE_SHARE = 0.25
+#: Least retry-after of a request that exceeds a limit.
+MIN_RETRY_S = 0.05
 
 
 class LimitSettings(NamedTuple):
     """Constants of the split.
 
-    :param fresh_s: how long a peer's digest counts
-    :param settle_s: a rise of the own demand counts from then on, when the
-        peers have heard of it
-    :param node_hold_s: how long dead nodes keep their share
-    :param burst_s: seconds of its rate that a bucket holds
-    :param rate_memory_s: time constant of measured demand
+    :param fresh_s: age up to which a peer's digest counts
+    :param settle_s: delay after which a rise of this node's demand counts;
+        by then the peers have received it
+    :param node_hold_s: how long the share of vanished nodes is kept
+    :param burst_s: capacity of a token bucket, in seconds of its rate
+    :param rate_memory_s: time constant of the moving average of demand
     """
 
     fresh_s: float = 15.0
@@ -66,14 +41,17 @@
 
 
 class Exceeded(NamedTuple):
-    """A limit that a request would break."""
+    """The limit that a request would exceed, and when to retry it."""
 
     reason: str
     retry_after_s: float
 
 
 class Rate:
-    """Exponentially weighted rate of something, per second."""
+    """Exponentially weighted moving rate per second.
+
+    :param memory_s: time constant
+    """
 
     __slots__ = ('at_s', 'memory_s', 'per_s')
 
@@ -83,11 +61,11 @@
         self.per_s = 0.0
 
     def add(self, amount, now_s):
-        """Account an amount that came now."""
+        """Add an amount that arrived now."""
         self.per_s = self.now(now_s) + amount / self.memory_s
 
     def now(self, now_s):
-        """Return the rate per second, faded to this moment."""
+        """Return the rate per second, decayed to this time."""
         passed_s = now_s - self.at_s
         if passed_s > 0:
             self.per_s *= math.exp(-passed_s / self.memory_s)
@@ -96,7 +74,10 @@
 
 
 class Bucket:
-    """Token bucket that admits whole requests while it isn't empty."""
+    """Token bucket whose level a request may take below 0.
+
+    A request of any size is admitted while the level is above 0.
+    """
 
     __slots__ = ('at_s', 'level')
 
@@ -105,29 +86,59 @@
         self.at_s = now_s
 
     def refill(self, rate_s, burst, now_s):
-        """Fill up what has come in since the last refill.
+        """Add the tokens for the time since the last refill.
 
-        :param rate_s: tokens a second
-        :param burst: tokens that the bucket holds
+        :param rate_s: tokens per second
+        :param burst: capacity of the bucket in tokens
         """
         passed_s = max(0.0, now_s - self.at_s)
         self.level = min(burst, self.level + rate_s * passed_s)
         self.at_s = now_s
 
     def wait_s(self, rate_s):
-        """Seconds until the bucket isn't empty."""
+        """Seconds until the level is above 0.
+
+        :param rate_s: tokens per second
+        """
         if self.level > 0:
             return 0.0
         return (1e-9 - self.level) / max(rate_s, 1e-9)
 
 
 class _Peer(NamedTuple):
-    heard_s: float
+    received_s: float
     demands: dict
 
 
 class Shares:
-    """This node's part of fleet-wide limits, from peers' demand."""
+    """This node's share of fleet-wide limits.
+
+    No node asks another before it admits a request. Each node takes this
+    share of the limit::
+
+        BASE_SHARE / nodes
+        + (1 - BASE_SHARE) * reporting / nodes * own / total
+
+    where ``reporting`` counts this node and the peers with a fresh digest,
+    ``own`` is this node's demand and ``total`` the demand of all reporting
+    nodes. The base share lets a node serve a customer whose first requests
+    have just arrived there. The shares of nodes that receive digests from
+    one another only add up to their part of the limit, so a partition by
+    itself causes no overshoot.
+
+    Worst overshoot, for nodes that agree on the number of nodes:
+
+    * rates: the burst of one second, and one request for each node, since a
+      request is admitted whole while its bucket is not empty;
+    * concurrency: one request for each node whose share is less than one,
+      as each node may serve at least one request of a customer;
+    * while a peer's digests are lost in one direction, its share counts
+      twice until its last digest is stale.
+
+    When each of `k` partitioned groups has dropped the nodes of the others
+    from its number of nodes, each grants the whole limit: `k` times the
+    limit at worst. :meth:`set_nodes` delays this.
+    """
 
     def __init__(self, settings=DEFAULT_SETTINGS):
         self.settings = settings
@@ -135,14 +146,14 @@
         self.lower_nodes = 1
         self.lower_since_s = 0.0
         self.peers = {}
-        self.own = {}
+        self.sent_demands = {}
 
     def set_nodes(self, count, now_s):
-        """Follow a rise at once, and a fall after a while.
+        """Set the number of live nodes; a fall takes effect later.
 
-        Nodes that vanish may be on the far side of a partition, serving on.
-        Their share is kept for them for ``node_hold_s``; by then they are
-        dead, or the partition outlasts what can be bridged.
+        Nodes that vanish may be serving on the other side of a partition,
+        so their share is kept for ``node_hold_s``. After that they count as
+        dead, also if a partition lasts longer.
         """
         if count >= self.nodes:
             self.nodes = self.lower_nodes = max(1, count)
@@ -151,17 +162,21 @@
             self.lower_since_s = now_s
 
     def tick(self, now_s):
-        """Follow nodes that stay away, and forget silent peers."""
+        """Apply a lasting fall of the node count; drop stale digests."""
         held_s = now_s - self.lower_since_s
         if self.lower_nodes < self.nodes:
             if held_s >= self.settings.node_hold_s:
                 self.nodes = self.lower_nodes
         for host, peer in list(self.peers.items()):
-            if now_s - peer.heard_s > self.settings.fresh_s:
+            if now_s - peer.received_s > self.settings.fresh_s:
                 del self.peers[host]
 
-    def hear(self, host, demands, now_s):
-        """Take a peer's demand by key; keys left out keep their figure."""
+    def record_peer_demand(self, host, demands, now_s):
+        """Merge a peer's demand by key.
+
+        :param demands: changed demands; 0 removes a key, and keys that are
+            left out keep their last value
+        """
         known = self.peers.get(host)
         merged = known.demands if known else {}
         for key, demand in demands.items():
@@ -171,49 +186,55 @@
                 merged.pop(key, None)
         self.peers[host] = _Peer(now_s, merged)
 
-    def tell(self, key, demand, now_s):
-        """The peers are being told this own demand."""
-        told = self.own.setdefault(key, [])
-        told.append((now_s, demand))
+    def record_sent_demand(self, key, demand, now_s):
+        """Record a demand of this node that is being sent to the peers."""
+        sent = self.sent_demands.setdefault(key, [])
+        sent.append((now_s, demand))
         due_s = now_s - self.settings.settle_s
-        while len(told) > 1 and told[1][0] <= due_s:
-            told.pop(0)
+        while len(sent) > 1 and sent[1][0] <= due_s:
+            sent.pop(0)
 
-    def settled(self, key, demand, now_s):
-        """Own demand as the peers know it.
+    def settled_demand(self, key, demand, now_s):
+        """This node's demand as far as the peers have received it.
 
-        A fall counts at once, a rise only ``settle_s`` after it was told.
-        Would a rise count at once, all nodes that see a customer's burst
-        begin would each take the whole limit until they had heard of one
-        another.
+        A fall counts at once, a rise only ``settle_s`` after it was sent.
+        If a rise counted at once, all nodes at which a customer's burst
+        begins would each take the whole limit until they had received one
+        another's demand.
         """
-        told = self.own.get(key)
+        sent = self.sent_demands.get(key)
         due_s = now_s - self.settings.settle_s
-        if not told or told[0][0] > due_s:
+        if not sent or sent[0][0] > due_s:
             return 0.0
-        known = [(at_s, value) for at_s, value in told if at_s > due_s]
-        last = told[len(told) - len(known) - 1][1]
+        known = [(at_s, value) for at_s, value in sent if at_s > due_s]
+        last = sent[len(sent) - len(known) - 1][1]
         return min(demand, last, *[value for _, value in known])
 
     def fraction(self, key, demand, now_s):
-        """This node's part of the limit, 0 to 1."""
+        """This node's share of the limit, 0 to 1.
+
+        :param demand: this node's present demand, in any unit that is the
+            same on all nodes
+        """
         if self.nodes == 1:
             return 1.0
-        own = self.settled(key, demand, now_s)
-        demands = [peer.demands.get(key, 0.0) for peer in self._fresh(now_s)]
-        heard = min(1 + len(demands), self.nodes)
+        own = self.settled_demand(key, demand, now_s)
+        demands = [
+            peer.demands.get(key, 0.0) for peer in self._fresh_peers(now_s)
+        ]
+        reporting = min(1 + len(demands), self.nodes)
         total = own + sum(demands)
         part = own / total if total > 0 else 1.0 / (1 + len(demands))
-        split = (1.0 - BASE) * heard / self.nodes * part
-        return BASE / self.nodes + split
+        split = (1.0 - BASE_SHARE) * reporting / self.nodes * part
+        return BASE_SHARE / self.nodes + split
 
-    def _fresh(self, now_s):
+    def _fresh_peers(self, now_s):
         oldest_s = now_s - self.settings.fresh_s
-        return [p for p in self.peers.values() if p.heard_s >= oldest_s]
+        return [p for p in self.peers.values() if p.received_s >= oldest_s]
 
 
 class _Usage:
-    """What one customer uses here."""
+    """Requests, rates and token buckets of one customer on this node."""
 
     __slots__ = ('requests', 'running', 'token_rate', 'tokens', 'waiting')
 
@@ -228,7 +249,7 @@
 class Limits:
     """Limits of all customers on this node.
 
-    :param shares: how fleet-wide limits are split
+    :param shares: :class:`Shares`
     """
 
     def __init__(self, shares, settings=DEFAULT_SETTINGS):
@@ -238,14 +259,14 @@
         self.usages = {}
 
     def set_rows(self, rows):
-        """Take the customers' rows of a new table.
+        """Apply the customers' rows of a new table revision.
 
         :param rows: customer to :class:`magnoliadyke.core.schema.CustomerRow`
         """
         self.rows = rows
 
     def usage(self, customer, now_s=0.0):
-        """Return what a customer uses here, made when missing."""
+        """Return a customer's usage on this node, created if missing."""
         usage = self.usages.get(customer)
         if usage is None:
             usage = _Usage(self.settings, now_s)
@@ -253,10 +274,12 @@
         return usage
 
     def admit(self, customer, tokens, now_s):
-        """Account a new request.
+        """Take a new request from the customer's token buckets.
+
+        A refused request leaves the buckets unchanged, but counts as demand.
 
-        :param tokens: prompt and expected output
-        :returns: None, or :class:`Exceeded` and nothing is accounted
+        :param tokens: estimated tokens of prompt and output
+        :returns: None, or :class:`Exceeded` if the request is refused
         """
         usage = self.usage(customer, now_s)
         usage.token_rate.add(tokens, now_s)
@@ -265,13 +288,13 @@
             return None
         demand = usage.token_rate.now(now_s)
         fraction = self.shares.fraction((customer, 'rate'), demand, now_s)
-        exceeded = self._over(usage, row, fraction, now_s)
+        exceeded = self._exceeded_rate(usage, row, fraction, now_s)
         if exceeded is None:
             usage.requests.level -= 1.0 if row.requests_s else 0.0
             usage.tokens.level -= tokens if row.tokens_s else 0.0
         return exceeded
 
-    def _over(self, usage, row, fraction, now_s):
+    def _exceeded_rate(self, usage, row, fraction, now_s):
         buckets = (
             ('request_rate_limit', usage.requests, row.requests_s),
             ('token_rate_limit', usage.tokens, row.tokens_s),
@@ -284,17 +307,20 @@
             bucket.refill(rate_s, burst, now_s)
             wait_s = bucket.wait_s(rate_s)
             if wait_s > 0:
-                return Exceeded(reason, max(wait_s, LEAST_RETRY_S))
+                return Exceeded(reason, max(wait_s, MIN_RETRY_S))
         return None
 
-    def correct(self, customer, tokens):
-        """Account what a job used beyond the estimate, or give back."""
+    def correct_tokens(self, customer, tokens):
+        """Correct the token bucket for a job's estimate.
+
+        :param tokens: tokens used beyond the estimate; negative to refund
+        """
         row = self.rows.get(customer)
         if row is not None and row.tokens_s:
             self.usage(customer).tokens.level -= tokens
 
     def concurrency(self, customer, now_s):
-        """Requests of the customer that this node may run at once."""
+        """Most requests of the customer that this node may run at once."""
         row = self.rows.get(customer)
         if row is None:
             return math.inf
@@ -307,7 +333,7 @@
         return max(1, int(row.concurrency * fraction + 1e-9))
 
     def may_start(self, customer, now_s):
-        """Whether a job of the customer may go to an endpoint now."""
+        """Whether the concurrency limit permits one more dispatch."""
         row = self.rows.get(customer)
         if row is None:
             return True
@@ -316,11 +342,16 @@
             return True
         return running < self.concurrency(customer, now_s)
 
-    def tell(self, customer, now_s):
-        """What peers are told now: tokens a second, and jobs wanted."""
+    def export_demand(self, customer, now_s):
+        """Return a customer's demand for the digest and record it as sent.
+
+        :returns: tokens per second, and jobs that are running or queued
+        """
         usage = self.usage(customer, now_s)
         rate = usage.token_rate.now(now_s)
         wanted = max(0, usage.running + usage.waiting)
-        self.shares.tell((customer, 'rate'), rate, now_s)
-        self.shares.tell((customer, 'concurrency'), wanted, now_s)
+        self.shares.record_sent_demand((customer, 'rate'), rate, now_s)
+        self.shares.record_sent_demand(
+            (customer, 'concurrency'), wanted, now_s
+        )
         return rate, wanted
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -1,14 +1,4 @@
-"""Who is alive: gossip with indirect probes, suspicion and incarnations.
-
-The protocol is SWIM with the local health of Lifeguard.  Each period a node
-probes one peer; a peer that does not answer is asked for through helpers in
-several failure domains, then suspected, and declared dead unless it refutes
-in time.  News rides on probes and answers; the bytes of a datagram and the
-datagrams of a period are bounded, whatever the size of the fleet.
-
-An incarnation belongs to a process and is given at its start; a later
-process of the host has a higher one.  ``refutations`` counts within it.
-"""
+"""SWIM group membership with Lifeguard's local health score."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -21,7 +11,7 @@
 
 __all__ = [
     'Ack',
-    'DigestHeard',
+    'DigestReceived',
     'Member',
     'MembersView',
     'Membership',
@@ -38,23 +28,32 @@
 DEAD = 'dead'
 LEFT = 'left'
 _STATE_RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3}
-MAX_HEALTH = 4
-#: Independent suspicions that shorten the wait to its least.
-CONFIRMATIONS = 2
-#: Each update is sent this often for each doubling of the fleet.
+#: Maximum of the local health score; 0 is healthy.
+MAX_HEALTH_SCORE = 4
+#: Confirmations by other hosts that reduce the suspicion timeout to its
+#: minimum.
+MAX_CONFIRMATIONS = 2
+#: Each update is sent this many times per doubling of the fleet size.
 RETRANSMIT_FACTOR = 3
 
 
 class MembershipSettings(NamedTuple):
-    """Times and bounds of the protocol.
-
-    :param suspicion_s: least time between suspicion and death.
-    :param helpers: peers asked to probe in one's stead.
-    :param updates: members told of in a datagram.
-    :param sightings: hosts vouched for in a datagram.
-    :param pause_s: a gap between ticks that counts as a pause.
-    :param knock_s: time between probes of a host believed gone.
-    :param survey: most peers probed at once by a survey.
+    """Intervals and limits of the protocol.
+
+    :param period_s: time between two probes.
+    :param ping_timeout_s: time without an answer after which indirect
+        probes are requested, at a health score of 0.
+    :param suspicion_s: minimum time from suspecting a host to declaring it
+        dead.
+    :param helpers: maximum number of peers that are asked for an indirect
+        probe.
+    :param updates: maximum number of members in a datagram.
+    :param sightings: maximum number of sightings in a datagram.
+    :param pause_threshold_s: a longer gap between two ticks means that the
+        process was paused.
+    :param unreachable_probe_interval_s: time between two probes of hosts
+        that are dead, have left or have never answered.
+    :param survey: maximum number of peers that a survey probes.
     """
 
     period_s: float = 0.5
@@ -63,16 +62,20 @@
     helpers: int = 3
     updates: int = 4
     sightings: int = 8
-    pause_s: float = 1.5
-    knock_s: float = 1.0
+    pause_threshold_s: float = 1.5
+    unreachable_probe_interval_s: float = 1.0
     survey: int = 64
 
 
 class Member(NamedTuple):
-    """A host as others see it.
-
-    :param spare: free share of the host, 0 to 1.
-    :param successor: host that took over the records of one that left.
+    """Gossip state of a host.
+
+    :param incarnation: identifies a process of the host; a process that
+        starts later has a higher one.
+    :param refutations: suspicions that this process has refuted; orders its
+        updates within the incarnation.
+    :param spare: share of the host's capacity that is free, 0 to 1.
+    :param successor: host that took over the records of a host that left.
     """
 
     host: str
@@ -91,10 +94,11 @@
 
 
 class Ping(NamedTuple):
-    """Are you there?
+    """A probe.
 
-    :param source: the sender, first-hand.
-    :param target: host meant; another process at its address keeps still.
+    :param source: state of the sender.
+    :param target: probed host; a process of another host that now has the
+        address does not answer.
     """
 
     sequence: int
@@ -106,7 +110,7 @@
 
 
 class PingRequest(NamedTuple):
-    """Probe the target for me and pass its answer on."""
+    """A request to probe the target and to forward its answer."""
 
     sequence: int
     source: Member
@@ -119,7 +123,10 @@
 
 
 class Ack(NamedTuple):
-    """Here I am; ``source`` is the probed host, also through a helper."""
+    """The answer to a probe.
+
+    :param source: state of the probed host, also in a forwarded answer.
+    """
 
     sequence: int
     source: Member
@@ -134,7 +141,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Send:
-    """Send a datagram.
+    """A datagram to send.
 
     :param address: numeric address and port.
     """
@@ -144,8 +151,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class DigestHeard:
-    """A peer's digest, as it set it."""
+class DigestReceived:
+    """A peer's digest, as encoded by that peer."""
 
     host: str
     digest: bytes
@@ -153,32 +160,32 @@
 
 @dataclasses.dataclass(frozen=True)
 class Paused:
-    """The process stood still; leases are to be dropped before acting."""
+    """The process was paused: leases must be dropped before it acts."""
 
     for_s: float
 
 
 @dataclasses.dataclass(frozen=True)
 class Superseded:
-    """A newer process runs for this host; this one is to stop."""
+    """A newer process of this host is running: this one must stop."""
 
     incarnation: int
 
 
-Action = Send | DigestHeard | Paused | Superseded
+Action = Send | DigestReceived | Paused | Superseded
 
 
 class MembersView(NamedTuple):
-    """The members, oneself among them.
+    """The members, including this host.
 
-    :param lost_domains: failure domains of which no host answers.
+    :param lost_domains: failure domains without an alive host.
     """
 
     members: Mapping[str, Member]
     lost_domains: frozenset[str] = frozenset()
 
     def alive(self) -> list[Member]:
-        """Members that are thought to be alive, oneself among them."""
+        """The members in state alive, including this host."""
         return [m for m in self.members.values() if m.state == ALIVE]
 
 
@@ -187,7 +194,7 @@
     target: str
     sequence: int
     sent_s: float
-    asked_helpers: bool = False
+    asked_indirectly: bool = False
 
 
 class _Relay(NamedTuple):
@@ -203,12 +210,19 @@
 
 
 class Membership:
-    """The protocol of one node.
+    """Protocol state of one node.
+
+    Each period the node probes one peer.  If the peer does not answer, peers
+    in several failure domains are asked to probe it.  If they get no answer
+    either, it is suspected, and declared dead unless it refutes the
+    suspicion in time.  Updates are piggybacked on probes and answers.  The
+    bytes of a datagram and the datagrams of a period are bounded, whatever
+    the size of the fleet.
 
-    :param self_member: oneself, with the incarnation of this process.
+    :param self_member: this host, with the incarnation of this process.
     :param rng: source of randomness.
-    :param peers: hosts of the settings, to join by; state and revisions in
-        them are not believed.
+    :param peers: hosts of the settings, used as seeds; their states and
+        revisions are ignored.
     """
 
     def __init__(
@@ -225,7 +239,7 @@
         self.rng = rng
         self.digest = b''
         self.accepts = True
-        self.health = 0
+        self.health_score = 0
         self.members: dict[str, Member] = {}
         self.seeds = {p.host: p for p in peers if p.host != self_member.host}
         domains = {p.host: p.failure_domain for p in self.seeds.values()}
@@ -238,27 +252,28 @@
             now_s,
         )
         self._sequence = 0
-        self._order: list[str] = []
+        self._probe_order: list[str] = []
         self._probe: _Probe | None = None
         self._next_probe_s = now_s
-        self._next_knock_s = now_s
+        self._next_unreachable_probe_s = now_s
         self._last_tick_s = now_s
-        self._knocks: dict[int, float] = {}
-        self._late: dict[int, float] = {}
+        self._unscheduled_probes: dict[int, float] = {}
+        self._timed_out: dict[int, float] = {}
         self._received_s = now_s
         self._relays: dict[int, _Relay] = {}
         self._suspicions: dict[str, _Suspicion] = {}
-        self._news: dict[str, int] = {}
+        self._update_sends: dict[str, int] = {}
         self._hosts: list[str] = []
         self._view: MembersView | None = None
 
-    # What the rest of the node reads and tells.
+    # Interface to the rest of the node.
 
     def view(self) -> MembersView:
-        """The members now; the same object until one of them changes.
+        """The current members; the same object until one of them changes.
 
-        It is asked for at each tick and datagram. Rebuilt each time, it
-        took a node of a large fleet most of what membership costs.
+        The view is read at each tick and for each datagram.  Rebuilding it
+        each time would take most of the CPU time that membership uses in a
+        large fleet.
         """
         if self._view is None or self._view.members[self.own.host] != self.own:
             self._view = self._build_view()
@@ -277,68 +292,77 @@
         return MembersView(members, lost)
 
     def set_table(self, table_revision: int, staged_revision: int) -> None:
-        """Tell the others which table this node holds."""
-        self.freshness.hold(table_revision, staged_revision)
+        """Set the table revisions that gossip announces for this node."""
+        self.freshness.set_held_revisions(table_revision, staged_revision)
 
     def set_spare(self, spare: float) -> None:
-        """Tell the others how much room this node has.
+        """Set the free capacity that gossip announces for this node.
 
-        :param spare: 0 (none) to 1
+        :param spare: free share, 0 to 1
         """
         self.freshness.spare = spare
 
-    def decline(self) -> None:
-        """Take no new work from now on, whatever the evidence says."""
+    def stop_taking_work(self) -> None:
+        """Announce permanently that this node takes no new work."""
         self.accepts = False
 
     def survey(self, now_s: float) -> list[Action]:
-        """Probe many peers at once, to hear soon who holds which table.
+        """Probe many peers at once to learn which table each of them holds.
 
-        One probe a period would take a period for each host; an edit is
-        rare enough to pay for more.
+        With one probe a period this would take one period per host.  Edits
+        of the table are rare enough for the additional datagrams.
         """
-        peers = self._shuffled(self._others(ALIVE, SUSPECT))
+        peers = self._shuffled(self._peers_in_state(ALIVE, SUSPECT))
         sends: list[Action] = []
         for peer in peers[: self.settings.survey]:
             sends.append(self._ping(peer, now_s))
-            self._knocks[self._sequence] = now_s
+            self._unscheduled_probes[self._sequence] = now_s
         return sends
 
-    def hint(self, peer: Member) -> None:
-        """A host that the platform lists; it lags, so it is only knocked."""
+    def add_seed(self, peer: Member) -> None:
+        """Add a host of the platform's list to the hosts that are probed.
+
+        The list lags, so the host becomes a member only when it answers.
+        """
         if peer.host != self.own.host:
             self.seeds.setdefault(peer.host, peer)
 
     def leave(self, successor: str, now_s: float) -> list[Action]:
-        """Say farewell; the records go to the successor."""
+        """Announce to some peers that this host leaves.
+
+        :param successor: host that takes over the records.
+        """
         self.own = self.own._replace(state=LEFT, successor=successor)
-        peers = self._shuffled(self._others(ALIVE))
+        peers = self._shuffled(self._peers_in_state(ALIVE))
         chosen = peers[: 2 * self.settings.helpers]
         return [self._ping(peer, now_s) for peer in chosen]
 
-    # Time.
+    # Timers.
 
     def tick(self, now_s: float) -> list[Action]:
-        """To be called about every tenth of a second."""
+        """Handle due timers; to be called about every 0.1 s."""
         actions: list[Action] = []
         gap_s = now_s - self._last_tick_s
         self._last_tick_s = now_s
-        if gap_s > self.settings.pause_s:
-            actions.append(self._resume(gap_s, now_s))
+        if gap_s > self.settings.pause_threshold_s:
+            actions.append(self._handle_pause(gap_s, now_s))
         self.freshness.tick(now_s)
         self._refresh_own(now_s)
         actions += self._check_probe(now_s)
         if now_s >= self._next_probe_s:
             actions += self._start_probe(now_s)
-        if now_s >= self._next_knock_s:
-            actions += self._knock(now_s)
+        if now_s >= self._next_unreachable_probe_s:
+            actions += self._probe_unreachable(now_s)
         self._expire_suspicions(now_s)
-        self._forget_relays(now_s)
+        self._expire_probes(now_s)
         return actions
 
-    def _resume(self, gap_s: float, now_s: float) -> Paused:
-        """Doubt oneself first: probes and suspicions ran out unheard."""
-        self._doubt_self()
+    def _handle_pause(self, gap_s: float, now_s: float) -> Paused:
+        """Drop the probe and restart all suspicions after a pause.
+
+        Their timeouts passed while this process could not receive answers.
+        """
+        self._raise_health_score()
         self._probe = None
         for suspicion in self._suspicions.values():
             suspicion.since_s = now_s
@@ -369,14 +393,14 @@
         return [send]
 
     def _next_target(self) -> Member | None:
-        """Go round in a shuffled order, so that each has its turn."""
+        """The next peer to probe, round-robin in a shuffled order."""
         for _ in range(len(self.members) + 1):
-            if not self._order:
-                others = self._others(ALIVE, SUSPECT)
-                self._order = [m.host for m in self._shuffled(others)]
-                if not self._order:
+            if not self._probe_order:
+                others = self._peers_in_state(ALIVE, SUSPECT)
+                self._probe_order = [m.host for m in self._shuffled(others)]
+                if not self._probe_order:
                     return None
-            member = self.members.get(self._order.pop())
+            member = self.members.get(self._probe_order.pop())
             if member is not None and member.state in (ALIVE, SUSPECT):
                 return member
         return None
@@ -386,30 +410,31 @@
         if probe is None:
             return []
         waited_s = now_s - probe.sent_s
-        patience = 1 + self.health
-        if waited_s >= self.settings.period_s * patience:
+        health_multiplier = 1 + self.health_score
+        if waited_s >= self.settings.period_s * health_multiplier:
             self._probe = None
-            self._late[probe.sequence] = probe.sent_s
+            self._timed_out[probe.sequence] = probe.sent_s
             if self._received_s < probe.sent_s:
-                self._doubt_self()
+                self._raise_health_score()
             self._suspect(probe.target, self.own.host, now_s)
             return []
-        late = waited_s >= self.settings.ping_timeout_s * patience
-        if late and not probe.asked_helpers:
-            probe.asked_helpers = True
-            return self._ask_helpers(probe, now_s)
+        late = waited_s >= self.settings.ping_timeout_s * health_multiplier
+        if late and not probe.asked_indirectly:
+            probe.asked_indirectly = True
+            return self._send_ping_requests(probe, now_s)
         return []
 
-    def _doubt_self(self) -> None:
-        """Be more patient: it may be oneself who is slow or cut off.
+    def _raise_health_score(self) -> None:
+        """Lengthen all timeouts: this host may be slow or partitioned.
 
-        Signs are that nobody at all is heard, or that answers come after
-        their time.  While others are heard in time, a peer that is not has
-        failed, and patience would only delay the news of several failures.
+        The signs are that no datagram at all arrives, that answers arrive
+        after the timeout, or that others suspect this host.  While other
+        peers answer in time, a silent peer has failed, and longer timeouts
+        would only delay the detection of several failures.
         """
-        self.health = min(MAX_HEALTH, self.health + 1)
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
 
-    def _ask_helpers(self, probe: _Probe, now_s: float) -> list[Action]:
+    def _send_ping_requests(self, probe: _Probe, now_s: float) -> list[Action]:
         target = self.members.get(probe.target)
         if target is None:
             return []
@@ -422,72 +447,83 @@
                     target.host,
                     target.address,
                     target.peer_port,
-                    *self._riders(helper, now_s),
+                    *self._piggyback(helper, now_s),
                 ),
             )
             for helper in self._helpers(target)
         ]
 
     def _helpers(self, target: Member) -> list[Member]:
-        """Peers to probe in one's stead, first one of each failure domain.
+        """Peers that send indirect probes, first one per failure domain.
 
-        When a whole domain is cut off, helpers elsewhere say so at once;
-        helpers near the target alone could not tell.
+        When a whole domain is partitioned, helpers in other domains detect
+        it; helpers in the domain of the target would still reach it.
         """
-        others = [m for m in self._others(ALIVE) if m.host != target.host]
+        others = [
+            m for m in self._peers_in_state(ALIVE) if m.host != target.host
+        ]
         others = self._shuffled(others)
         domains: set[str] = set()
-        first = []
-        rest = []
+        first_of_domain = []
+        others_of_domain = []
         for member in others:
             if member.failure_domain in domains:
-                rest.append(member)
+                others_of_domain.append(member)
             else:
                 domains.add(member.failure_domain)
-                first.append(member)
-        return (first + rest)[: self.settings.helpers]
+                first_of_domain.append(member)
+        return (first_of_domain + others_of_domain)[: self.settings.helpers]
 
-    def _knock(self, now_s: float) -> list[Action]:
-        """Probe a host believed gone: after a partition someone must."""
-        self._next_knock_s = now_s + self.settings.knock_s
-        gone = [
+    def _probe_unreachable(self, now_s: float) -> list[Action]:
+        """Probe a random seed that is dead, has left or never answered.
+
+        Without these probes the two sides of a partition would not find
+        each other again after it has healed.
+        """
+        self._next_unreachable_probe_s = (
+            now_s + self.settings.unreachable_probe_interval_s
+        )
+        unreachable = [
             self.members.get(host, seed)
             for host, seed in self.seeds.items()
             if host not in self.members
             or self.members[host].state in (DEAD, LEFT)
         ]
-        if not gone:
+        if not unreachable:
             return []
-        send = self._ping(self.rng.choice(gone), now_s)
-        self._knocks[self._sequence] = now_s
+        send = self._ping(self.rng.choice(unreachable), now_s)
+        self._unscheduled_probes[self._sequence] = now_s
         return [send]
 
     def _expire_suspicions(self, now_s: float) -> None:
         for host, suspicion in list(self._suspicions.items()):
-            if now_s - suspicion.since_s >= self._suspicion_s(suspicion):
+            if now_s - suspicion.since_s >= self._suspicion_timeout_s(
+                suspicion
+            ):
                 del self._suspicions[host]
                 member = self.members[host]
                 if member.state == SUSPECT:
-                    self._store(member._replace(state=DEAD))
+                    self._set_and_announce(member._replace(state=DEAD))
 
-    def _suspicion_s(self, suspicion: _Suspicion) -> float:
-        """Three times the least wait when alone, less when others agree.
+    def _suspicion_timeout_s(self, suspicion: _Suspicion) -> float:
+        """Time from suspicion to death.
 
-        A slow node thinks that all the others are; nobody confirms, and its
-        own local health draws the wait out further.
+        Without a confirmation by other hosts it is three times the minimum.
+        A slow node suspects all others: nobody confirms it, and its own
+        health score lengthens the timeout further.
         """
-        least_s = self.settings.suspicion_s
-        confirmed = min(CONFIRMATIONS, len(suspicion.sources) - 1)
-        share = math.log(1 + confirmed) / math.log(1 + CONFIRMATIONS)
+        min_s = self.settings.suspicion_s
+        confirmed = min(MAX_CONFIRMATIONS, len(suspicion.sources) - 1)
+        share = math.log(1 + confirmed) / math.log(1 + MAX_CONFIRMATIONS)
         factor = 3 - 2 * share
-        return least_s * max(1.0, factor) * (1 + self.health / 4)
+        return min_s * max(1.0, factor) * (1 + self.health_score / 4)
 
-    def _forget_relays(self, now_s: float) -> None:
-        oldest_s = now_s - 2 * MAX_HEALTH * self.settings.period_s
+    def _expire_probes(self, now_s: float) -> None:
+        oldest_s = now_s - 2 * MAX_HEALTH_SCORE * self.settings.period_s
         self._relays = {
             s: r for s, r in self._relays.items() if r.sent_s > oldest_s
         }
-        for sent in (self._knocks, self._late):
+        for sent in (self._unscheduled_probes, self._timed_out):
             for sequence, sent_s in list(sent.items()):
                 if sent_s < oldest_s:
                     del sent[sequence]
@@ -495,22 +531,22 @@
     # Messages.
 
     def receive(self, message: Message, now_s: float) -> list[Action]:
-        """Take a datagram in."""
+        """Handle a received datagram."""
         self._received_s = now_s
         actions = self._merge_all((message.source, *message.updates), now_s)
-        self._note_sightings(message.sightings)
+        self._merge_sightings(message.sightings)
         if message.digest:
-            actions.append(DigestHeard(message.source.host, message.digest))
+            actions.append(DigestReceived(message.source.host, message.digest))
         match message:
             case Ping():
-                actions += self._answer(message, now_s)
+                actions += self._handle_ping(message, now_s)
             case PingRequest():
-                actions += self._relay(message, now_s)
+                actions += self._handle_ping_request(message, now_s)
             case Ack():
-                actions += self._take_ack(message, now_s)
+                actions += self._handle_ack(message, now_s)
         return actions
 
-    def _answer(self, ping: Ping, now_s: float) -> list[Action]:
+    def _handle_ping(self, ping: Ping, now_s: float) -> list[Action]:
         if ping.target != self.own.host:
             return []
         self._refresh_own(now_s)
@@ -519,11 +555,13 @@
             ping.sequence,
             self.own,
             source.host,
-            *self._riders(source, now_s),
+            *self._piggyback(source, now_s),
         )
         return [Send((source.address, source.peer_port), ack)]
 
-    def _relay(self, request: PingRequest, now_s: float) -> list[Action]:
+    def _handle_ping_request(
+        self, request: PingRequest, now_s: float
+    ) -> list[Action]:
         self._sequence += 1
         self._relays[self._sequence] = _Relay(
             request.source, request.sequence, now_s
@@ -533,22 +571,22 @@
             self._sequence,
             self.own,
             request.target,
-            *self._riders(known, now_s),
+            *self._piggyback(known, now_s),
         )
         return [Send((request.target_address, request.target_port), ping)]
 
-    def _take_ack(self, ack: Ack, now_s: float) -> list[Action]:
+    def _handle_ack(self, ack: Ack, now_s: float) -> list[Action]:
         relay = self._relays.pop(ack.sequence, None)
         if relay is not None:
-            passed_on = ack._replace(
+            forwarded = ack._replace(
                 sequence=relay.sequence, target=relay.requester.host
             )
             address = (relay.requester.address, relay.requester.peer_port)
-            return [Send(address, passed_on)]
-        sent_s = self._knocks.pop(ack.sequence, None)
-        late_s = self._late.pop(ack.sequence, None)
+            return [Send(address, forwarded)]
+        sent_s = self._unscheduled_probes.pop(ack.sequence, None)
+        late_s = self._timed_out.pop(ack.sequence, None)
         if late_s is not None:
-            self._doubt_self()
+            self._raise_health_score()
             sent_s = late_s
         probe = self._probe
         if probe is not None and probe.sequence == ack.sequence:
@@ -556,22 +594,25 @@
                 return []
             sent_s = probe.sent_s
             self._probe = None
-            self.health = max(0, self.health - 1)
+            self.health_score = max(0, self.health_score - 1)
         if sent_s is not None:
-            self._cleared(ack.source)
-            self.freshness.answered(sent_s, now_s, ack.sightings)
+            self._clear_own_suspicion(ack.source)
+            self.freshness.handle_probe_answer(sent_s, now_s, ack.sightings)
         return []
 
-    def _cleared(self, source: Member) -> None:
-        """It answered: own suspicion of it ends; it refutes the others'."""
+    def _clear_own_suspicion(self, source: Member) -> None:
+        """End a suspicion that only this node holds: the peer answered.
+
+        Suspicions by other hosts are refuted by the peer itself.
+        """
         member = self.members.get(source.host)
         if member is not None and member.state == SUSPECT:
             suspicion = self._suspicions.get(source.host)
             if suspicion is not None and suspicion.sources == {self.own.host}:
                 del self._suspicions[source.host]
-                self._put(member._replace(state=ALIVE))
+                self._set_member(member._replace(state=ALIVE))
 
-    # State.
+    # Member states.
 
     def _merge_all(
         self, members: Iterable[Member], now_s: float
@@ -581,41 +622,47 @@
         for member in members:
             source = source or member.host
             if member.host == self.own.host:
-                actions += self._hear_of_self(member)
+                actions += self._merge_self(member)
             else:
                 self._merge(member, source, now_s)
         return actions
 
-    def _hear_of_self(self, said: Member) -> list[Action]:
-        if said.incarnation > self.own.incarnation:
-            return [Superseded(said.incarnation)]
-        wrong = said.state in (SUSPECT, DEAD) and self.own.state == ALIVE
-        if wrong and said.incarnation == self.own.incarnation:
-            if said.refutations >= self.own.refutations:
-                self._doubt_self()
-                self._refute(said.refutations)
+    def _merge_self(self, received: Member) -> list[Action]:
+        if received.incarnation > self.own.incarnation:
+            return [Superseded(received.incarnation)]
+        is_accused = (
+            received.state in (SUSPECT, DEAD) and self.own.state == ALIVE
+        )
+        if is_accused and received.incarnation == self.own.incarnation:
+            if received.refutations >= self.own.refutations:
+                self._raise_health_score()
+                self._refute(received.refutations)
         return []
 
     def _refute(self, refutations: int) -> None:
         self.own = self.own._replace(refutations=refutations + 1)
-        self._news[self.own.host] = 0
+        self._update_sends[self.own.host] = 0
 
-    def _merge(self, said: Member, source: str, now_s: float) -> None:
-        known = self.members.get(said.host)
+    def _merge(self, received: Member, source: str, now_s: float) -> None:
+        known = self.members.get(received.host)
         if known is None:
-            if said.state != DEAD:
-                self._store(said)
-                if said.state == SUSPECT:
-                    self._suspicions[said.host] = _Suspicion(now_s, {source})
+            if received.state != DEAD:
+                self._set_and_announce(received)
+                if received.state == SUSPECT:
+                    self._suspicions[received.host] = _Suspicion(
+                        now_s, {source}
+                    )
             return
-        if _supersedes(said, known):
-            self._store(_with_revisions(said, known))
-            if said.state == SUSPECT:
-                self._suspicions[said.host] = _Suspicion(now_s, {source})
+        if _supersedes(received, known):
+            self._set_and_announce(_with_revisions(received, known))
+            if received.state == SUSPECT:
+                self._suspicions[received.host] = _Suspicion(now_s, {source})
             else:
-                self._suspicions.pop(said.host, None)
-        elif said.state == SUSPECT and _order(said) == _order(known):
-            suspicion = self._suspicions.get(said.host)
+                self._suspicions.pop(received.host, None)
+        elif received.state == SUSPECT and _version(received) == _version(
+            known
+        ):
+            suspicion = self._suspicions.get(received.host)
             if suspicion is not None:
                 suspicion.sources.add(source)
 
@@ -624,15 +671,15 @@
         if member is None or member.state not in (ALIVE, SUSPECT):
             return
         if member.state == ALIVE:
-            self._store(member._replace(state=SUSPECT))
+            self._set_and_announce(member._replace(state=SUSPECT))
         suspicion = self._suspicions.setdefault(host, _Suspicion(now_s, set()))
         suspicion.sources.add(source)
 
-    def _store(self, member: Member) -> None:
-        self._put(member)
-        self._news[member.host] = 0
+    def _set_and_announce(self, member: Member) -> None:
+        self._set_member(member)
+        self._update_sends[member.host] = 0
 
-    def _put(self, member: Member) -> None:
+    def _set_member(self, member: Member) -> None:
         known = self.members.get(member.host)
         if known is None:
             self._hosts.append(member.host)
@@ -640,8 +687,14 @@
             self.members[member.host] = member
             self._view = None
 
-    def _note_sightings(self, sightings: Iterable[freshness.Sighting]) -> None:
-        """Revisions only grow within an incarnation; order is no matter."""
+    def _merge_sightings(
+        self, sightings: Iterable[freshness.Sighting]
+    ) -> None:
+        """Merge table revisions, free capacity and readiness for work.
+
+        Revisions only grow within an incarnation, so sightings may arrive
+        in any order.
+        """
         for seen in sightings:
             known = self.members.get(seen.host)
             if known is None or known.incarnation != seen.incarnation:
@@ -654,30 +707,32 @@
                 spare=seen.spare,
                 takes_work=seen.takes_work,
             )
-            self._put(seen_now)
+            self._set_member(seen_now)
 
-    # Riders: what every datagram carries.
+    # Piggybacked updates, sightings and digest of each datagram.
 
     def _ping(self, peer: Member, now_s: float) -> Send:
         self._sequence += 1
         ping = Ping(
-            self._sequence, self.own, peer.host, *self._riders(peer, now_s)
+            self._sequence, self.own, peer.host, *self._piggyback(peer, now_s)
         )
         return Send((peer.address, peer.peer_port), ping)
 
-    def _riders(
+    def _piggyback(
         self, receiver: Member | None, now_s: float
     ) -> tuple[tuple[Member, ...], tuple[freshness.Sighting, ...], bytes]:
-        most = self.settings.sightings - 1
-        relayed = self.freshness.relayed(now_s, most, self.rng)
+        max_relayed = self.settings.sightings - 1
+        relayed = self.freshness.relayed_sightings(
+            now_s, max_relayed, self.rng
+        )
         sightings = (self._own_sighting(now_s), *relayed)
         return self._updates(receiver), sightings, self.digest
 
     def _updates(self, receiver: Member | None) -> tuple[Member, ...]:
-        """Members to tell of, the least told first.
+        """Members to send in a datagram, those sent least often first.
 
-        A receiver that is believed gone is told so above all; only it can
-        refute.
+        If the receiver is suspected or declared dead, its own state comes
+        first, since only the receiver can refute it.
         """
         chosen = []
         if receiver is not None:
@@ -685,19 +740,24 @@
             if known is not None and known.state in (SUSPECT, DEAD):
                 chosen.append(known)
         limit = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.members) + 2))
-        for host in sorted(self._news, key=self._news.__getitem__):
+        for host in sorted(
+            self._update_sends, key=self._update_sends.__getitem__
+        ):
             if len(chosen) >= self.settings.updates:
                 break
-            self._news[host] += 1
-            if self._news[host] > limit:
-                del self._news[host]
+            self._update_sends[host] += 1
+            if self._update_sends[host] > limit:
+                del self._update_sends[host]
             member = self.members.get(host)
             if member is not None and member not in chosen:
                 chosen.append(member)
-        return tuple(chosen + self._filler(chosen))
+        return tuple(chosen + self._random_update(chosen))
+
+    def _random_update(self, chosen: list[Member]) -> list[Member]:
+        """A random further member if there is space for one.
 
-    def _filler(self, chosen: list[Member]) -> list[Member]:
-        """One more member, told at random: a newcomer hears of all."""
+        A host that has just joined thus learns of all members in time.
+        """
         if len(chosen) >= min(self.settings.updates, len(self._hosts)):
             return []
         while True:
@@ -708,24 +768,24 @@
     def _shuffled(self, items: list[Any]) -> list[Any]:
         return sorted(items, key=lambda _: self.rng.random())
 
-    def _others(self, *states: str) -> list[Member]:
+    def _peers_in_state(self, *states: str) -> list[Member]:
         return [m for m in self.members.values() if m.state in states]
 
 
-def _order(member: Member) -> tuple[int, int]:
+def _version(member: Member) -> tuple[int, int]:
     return (member.incarnation, member.refutations)
 
 
-def _supersedes(said: Member, known: Member) -> bool:
-    if _order(said) != _order(known):
-        return _order(said) > _order(known)
-    return _STATE_RANK[said.state] > _STATE_RANK[known.state]
+def _supersedes(received: Member, known: Member) -> bool:
+    if _version(received) != _version(known):
+        return _version(received) > _version(known)
+    return _STATE_RANK[received.state] > _STATE_RANK[known.state]
 
 
-def _with_revisions(said: Member, known: Member) -> Member:
-    if said.incarnation != known.incarnation:
-        return said
-    return said._replace(
-        table_revision=max(said.table_revision, known.table_revision),
-        staged_revision=max(said.staged_revision, known.staged_revision),
+def _with_revisions(received: Member, known: Member) -> Member:
+    if received.incarnation != known.incarnation:
+        return received
+    return received._replace(
+        table_revision=max(received.table_revision, known.table_revision),
+        staged_revision=max(received.staged_revision, known.staged_revision),
     )
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -1,4 +1,4 @@
-"""The queue of one pool: who waits, for how much, and what is asked for."""
+"""Queue and demand of one pool, by customer and priority."""
 
 from magnoliadyke.core import admission
 from magnoliadyke.core import digests
@@ -8,43 +8,50 @@
 
 __all__ = ['PoolQueue']
 
-#: Time constant of the demand that is told.
+#: Time constant of the reported demand, in seconds.
 DEMAND_MEMORY_S = 2.0
-#: Time constant of what tells a flood from a few arrivals at once.
+#: Time constant of the demand by which the pool is shared, in seconds; long
+#: enough that a few simultaneous arrivals don't count as a flood.
 FLOOD_MEMORY_S = 10.0
-#: Customers that asked for less than this a second are forgotten.
-LEAST_DEMAND_S = 1e-6
-MIX_KEPT = 0.99
+#: Customers with a lower demand than this, in engine-seconds per second, are
+#: dropped.
+MIN_DEMAND = 1e-6
+#: Factor by which the weight of earlier prompts decays with each prompt.
+MIX_DECAY = 0.99
 
 
 class Arrivals:
-    """What one customer asks of the pool, in engine-seconds a second."""
+    """One customer's demand on the pool, in engine-seconds per second."""
 
-    __slots__ = ('decode', 'lasting', 'prefill')
+    __slots__ = ('decode', 'prefill', 'sustained')
 
     def __init__(self, now_s):
         self.prefill = limits.Rate(DEMAND_MEMORY_S, now_s)
         self.decode = limits.Rate(DEMAND_MEMORY_S, now_s)
-        self.lasting = limits.Rate(FLOOD_MEMORY_S, now_s)
+        self.sustained = limits.Rate(FLOOD_MEMORY_S, now_s)
 
     def add(self, prefill_s, decode_s, now_s):
-        """Account a job that came, in engine-seconds."""
+        """Add the work of a job that arrived, in engine-seconds."""
         self.prefill.add(prefill_s, now_s)
         self.decode.add(decode_s, now_s)
-        self.lasting.add(prefill_s + decode_s, now_s)
+        self.sustained.add(prefill_s + decode_s, now_s)
 
 
 class PoolQueue:
-    """Queue, demand and endpoints of one pool."""
+    """Queue, demand and endpoints of one pool.
 
-    def __init__(self, endpoints, patience):
+    :param endpoints: the pool's endpoints
+    :param settings: the admission settings
+    """
+
+    def __init__(self, endpoints, settings):
         self.name = endpoints.name
         self.endpoints = endpoints
-        self.number = quarantine.short(endpoints.name)
+        self.number = quarantine.name_checksum(endpoints.name)
         self.queue = fairness.FairQueue()
         self.arrivals = {}
         self.lateness = admission.ErrorQuantile(
-            1.0 - patience.late_share, patience.error_step_s
+            1.0 - settings.late_share, settings.error_step_s
         )
         self.refusals = admission.RefusalShares()
         self.waiting = {}
@@ -55,17 +62,18 @@
         self.fraction_due_s = float('-inf')
         self.mix = {}
 
-    def note_mix(self, priority, prefill_s):
-        """Remember what part of the prompts has which priority."""
+    def record_prompt_priority(self, priority, prefill_s):
+        """Add a prompt to the distribution of prefill work by priority."""
         for level in self.mix:
-            self.mix[level] *= MIX_KEPT
+            self.mix[level] *= MIX_DECAY
         self.mix[priority] = self.mix.get(priority, 0.0) + prefill_s
 
-    def mix_before(self, priority):
-        """Part of all prompts that an engine reads before this priority.
+    def priority_share(self, priority):
+        """Return the share of prefill work of this or a higher priority.
 
-        Other nodes' prompts are known as a sum only; they are taken to be
-        like our own.
+        Lower numbers are higher priorities.  For the prompts of other nodes
+        only the total is known; they are assumed to have the distribution of
+        this node's prompts.
         """
         total = sum(self.mix.values())
         if not total:
@@ -75,8 +83,11 @@
         )
         return before / total
 
-    def count(self, run, sign):
-        """Keep the sums of what waits, by customer and priority."""
+    def update_waiting(self, run, sign):
+        """Update the sums of queued work, by customer and priority.
+
+        :param sign: 1 when the run joins the queue, -1 when it leaves
+        """
         customer = self.waiting.setdefault(run.job.customer, {})
         sums = customer.setdefault(run.job.priority, [0, 0.0, 0.0])
         sums[0] += sign
@@ -86,12 +97,15 @@
             del customer[run.job.priority]
 
     def waiting_count(self, customer):
-        """Jobs of the customer that wait."""
+        """Return the number of queued jobs of the customer."""
         sums = self.waiting.get(customer, {})
         return sum(each[0] for each in sums.values())
 
-    def ahead(self, customer, priority):
-        """Engine-seconds that go before a new job of the customer."""
+    def waiting_ahead(self, customer, priority):
+        """Return the customer's queued work ahead of a new job.
+
+        :returns: prefill and decode engine-seconds
+        """
         prefill_s = decode_s = 0.0
         for level, sums in self.waiting.get(customer, {}).items():
             if level <= priority:
@@ -100,7 +114,10 @@
         return prefill_s, decode_s
 
     def backlog(self):
-        """Jobs and engine-seconds that wait, of all customers."""
+        """Return the queued work of all customers.
+
+        :returns: number of jobs, prefill and decode engine-seconds
+        """
         levels = [
             sums
             for customer in self.waiting.values()
@@ -112,61 +129,65 @@
             sum(sums[2] for sums in levels),
         )
 
-    def arrived(self, run, now_s):
-        """Account a new job's demand, whether or not it is taken."""
+    def record_arrival(self, run, now_s):
+        """Add a new job to the demand, whether or not it is admitted."""
         customer = run.job.customer
         if customer not in self.arrivals:
             self.arrivals[customer] = Arrivals(now_s)
         self.arrivals[customer].add(run.prefill_s, run.decode_s, now_s)
 
     def demand_s(self, now_s):
-        """Engine-seconds that arrive a second."""
+        """Return the demand in engine-seconds per second."""
         return sum(
             each.prefill.now(now_s) + each.decode.now(now_s)
             for each in self.arrivals.values()
         )
 
-    def fair_parts(self, capacity, now_s):
-        """What part of its demand each customer can be served at most.
+    def fair_shares(self, capacity, now_s):
+        """Return the largest share of its demand each customer may be served.
+
+        It is 1 while the total demand is within the capacity.  Beyond that
+        the capacity is shared by weight, and what some customers leave
+        unused goes to the others.
 
-        All of it, unless they ask for more than the capacity. Then it is
-        shared by weight, and what some don't use goes to the others.
+        :param capacity: engine-seconds per second
         """
         demands = {}
         for customer, each in list(self.arrivals.items()):
-            demands[customer] = each.lasting.now(now_s)
-            if demands[customer] < LEAST_DEMAND_S:
+            demands[customer] = each.sustained.now(now_s)
+            if demands[customer] < MIN_DEMAND:
                 del self.arrivals[customer], demands[customer]
         weights = {name: self.queue.weight(name) for name in demands}
-        parts = {}
-        left = capacity
-        left_weight = sum(weights.values())
+        shares = {}
+        remaining = capacity
+        remaining_weight = sum(weights.values())
         for name in sorted(demands, key=lambda n: demands[n] / weights[n]):
-            share = max(0.0, left) * weights[name] / left_weight
-            parts[name] = min(1.0, share / demands[name])
-            left -= parts[name] * demands[name]
-            left_weight -= weights[name]
-        return parts
-
-    def news(self, now_s):
-        """Its demand, for peers and for the planner of roles.
-
-        Capped at what fair sharing will serve: in a flood, the planner
-        would otherwise turn the pool to the work of the customer that
-        floods, most of which is refused, and starve the others of the role
-        that they need.
+            share = max(0.0, remaining) * weights[name] / remaining_weight
+            shares[name] = min(1.0, share / demands[name])
+            remaining -= shares[name] * demands[name]
+            remaining_weight -= weights[name]
+        return shares
+
+    def demand_report(self, now_s):
+        """Return the pool's demand, for peers and for the role planner.
+
+        Prefill and decode demand are capped at what fair sharing serves.
+        Otherwise, during a flood by one customer, the planner would change
+        engines to the role that this customer needs, although most of its
+        requests are refused, and leave the other customers short of the
+        role that they need.
         """
         capacity = len(self.endpoints.members) * self.fraction
-        parts = self.fair_parts(capacity, now_s)
+        shares = self.fair_shares(capacity, now_s)
         prefill = decode = prefill_s = decode_s = 0.0
-        for name, part in parts.items():
+        for name, part in shares.items():
             each = self.arrivals[name]
             prefill += part * each.prefill.now(now_s)
             decode += part * each.decode.now(now_s)
             for sums in self.waiting.get(name, {}).values():
                 prefill_s += part * sums[1]
                 decode_s += part * sums[2]
-        return digests.PoolNews(
+        return digests.PoolDemand(
             self.number,
             self.demand_s(now_s),
             prefill,
--- a/magnoliadyke/core/snapshot.py
+++ b/magnoliadyke/core/snapshot.py
@@ -1,26 +1,27 @@
-"""What a node's scheduler believes of endpoints and customers, to be shown."""
+"""Snapshot of a node's endpoints and customers, for display."""
 
 import collections
 from typing import NamedTuple
 
 from magnoliadyke.core import health
 
-__all__ = ['CustomerSeen', 'EndpointSeen', 'Snapshot', 'take']
+__all__ = ['CustomerSnapshot', 'EndpointSnapshot', 'Snapshot', 'take']
 
 EJECTED = 'ejected'
-ALONE = 'suspect'
+ON_TRIAL = 'suspect'
 
 
-class EndpointSeen(NamedTuple):
-    """An endpoint as one node sees it.
+class EndpointSnapshot(NamedTuple):
+    """One node's view of an endpoint.
 
     :param state: 'up', or why it gets no work: 'crashed', 'leaving',
         'left', 'changing', 'ejected' after failures, 'suspect' while it
-        runs one suspect request by itself
+        runs a suspect request without others
     :param role: 'prefill' or 'decode', empty for a plain service
-    :param running: streams by its last report; a service's own calls
-    :param own: jobs of this node that are there
-    :param report_age_s: age of its last report, None without one
+    :param running: streams in its last load report; without a report, this
+        node's jobs there
+    :param own: this node's jobs on the endpoint
+    :param report_age_s: age of its last load report, None without one
     """
 
     state: str
@@ -30,22 +31,22 @@
     report_age_s: float | None
 
 
-class CustomerSeen(NamedTuple):
-    """A customer's requests in this node."""
+class CustomerSnapshot(NamedTuple):
+    """Number of a customer's requests in this node, by state."""
 
     running: int
     queued: int
 
 
 class Snapshot(NamedTuple):
-    """All of it, by name."""
+    """Endpoints and customers of a node, by name."""
 
-    endpoints: dict[str, EndpointSeen]
-    customers: dict[str, CustomerSeen]
+    endpoints: dict[str, EndpointSnapshot]
+    customers: dict[str, CustomerSnapshot]
 
 
 def take(scheduler, now_s: float) -> Snapshot:
-    """Say what a scheduler believes.
+    """Return a snapshot of a scheduler's state.
 
     :param scheduler: the :class:`magnoliadyke.core.scheduler.Scheduler`
     :param now_s: monotonic seconds
@@ -62,7 +63,7 @@
     reported = endpoint.reported_at_s > float('-inf')
     own = len(endpoint.load.jobs)
     running = endpoint.reported_streams if reported else own
-    return EndpointSeen(
+    return EndpointSnapshot(
         state,
         endpoint.role,
         0 if state == health.CRASHED else running,
@@ -72,14 +73,18 @@
 
 
 def _state(endpoint, now_s):
-    words = endpoint.health
-    for word in (words.tabled, words.observed, words.reported):
-        if word in health.OUT_STATES:
-            return word
-    if now_s < words.ejected_until_s:
+    endpoint_health = endpoint.health
+    for state in (
+        endpoint_health.tabled,
+        endpoint_health.observed,
+        endpoint_health.reported,
+    ):
+        if state in health.OUT_STATES:
+            return state
+    if now_s < endpoint_health.ejected_until_s:
         return EJECTED
-    if endpoint.alone is not None:
-        return ALONE
+    if endpoint.exclusive_job_id is not None:
+        return ON_TRIAL
     return health.UP
 
 
@@ -90,6 +95,6 @@
         waits = run.dispatched_s is None
         (queued if waits else running)[run.job.customer] += 1
     return {
-        name: CustomerSeen(running[name], queued[name])
+        name: CustomerSnapshot(running[name], queued[name])
         for name in running.keys() | queued.keys()
     }
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -1,13 +1,13 @@
-"""How many engines read prompts, and how many answer.
+"""Plan how many engines of a service prefill and how many decode.
 
-The load that this answers: the mix of long prompts and long answers shifts
-within seconds, in waves of many seconds.  A change of stage takes an engine
-away for seconds and is paid for, so it has to pay within the time in which it
-can't be taken back, also for what is lost meanwhile.
+The mix of long prompts and long answers shifts within seconds, in waves of
+many seconds.  A change of stage makes an engine unavailable for seconds, so
+its gain has to exceed that loss within the time in which the change can't be
+reversed.
 
-The plan forecasts: it takes the last seconds' load for that of the next ones,
-and compares what part of it the engines would serve in each split that the
-changes allowed now can reach.
+The plan takes the load of the last seconds as the forecast for the next ones
+and compares the share of it that the engines would serve in each split
+within reach of the changes allowed now.
 """
 
 import collections
@@ -21,23 +21,26 @@
 class StagePlanSettings(NamedTuple):
     """Constants of the plan.
 
-    :param memory_s: the load of this long is taken for that of the next
-        seconds; longer than a swing, so that a lull between two of them
-        moves nothing
-    :param gain: part of the load that has to be served more
-    :param headroom: times the present load, with the power to spare, that
-        can be served from which on nothing is prepared any more
-    :param headroom_gain: factor by which a change that costs nothing now has
-        to raise that
-    :param pause_s: least time between two changes in opposite directions,
-        within which a change has to pay
-    :param most_changing: share of the engines that change at one time
-    :param reading_margin: reading power to spare, in square roots of what
-        is asked: what comes at random swings by so much, so few engines
-        need a larger part to spare than many
-    :param moving_share: part of their time in which engines can take over
-        what others have read before prompts wait for each other
-    :param slots_share: the same of the slots for long answers
+    :param memory_s: length of the window of past load that serves as the
+        forecast; longer than one swing of the load, so that a lull between
+        two swings causes no change
+    :param gain: smallest increase of the served share of the load that
+        justifies a change
+    :param headroom: multiple of the present load, prefill margin included,
+        from which on no spare capacity is prepared
+    :param headroom_gain: factor by which a change that reduces no service
+        now has to raise that multiple
+    :param pause_s: shortest time between two changes in opposite
+        directions, within which a change has to gain more than it costs
+    :param max_changing_share: share of the engines that may change at one
+        time
+    :param prefill_margin: spare prefill capacity, in square roots of the
+        prefill demand: random arrivals vary by that much, so few engines
+        need a larger spare share than many
+    :param transfer_share: utilization by KV cache transfers up to which
+        prompts don't queue for a decode engine
+    :param slots_share: utilization of the slots for long answers up to
+        which answers don't queue
     """
 
     memory_s: float = 6.0
@@ -45,55 +48,62 @@
     headroom: float = 1.2
     headroom_gain: float = 1.1
     pause_s: float = 12.0
-    most_changing: float = 0.2
-    reading_margin: float = 1.5
-    moving_share: float = 0.6
+    max_changing_share: float = 0.2
+    prefill_margin: float = 1.5
+    transfer_share: float = 0.6
     slots_share: float = 0.88
 
 
 class Load(NamedTuple):
-    """What is asked of the engines of a service.
-
-    :param reading: engines that reading the prompts would fill
-    :param moving: engines that taking over what others read would fill
-    :param slots: engines whose slots the long answers fill
-    :param beside: engines' worth of reading that those that answer can do
-    :param occupied: engines that give long answers, and read nothing beside
+    """The demand on the engines of a service, in engines.
+
+    :param prefilling: prefill engines that the prompts would keep busy
+    :param transferring: decode engines that the KV cache transfers from
+        prefill engines would keep busy
+    :param slots: decode engines whose slots the long answers fill
+    :param prefill_on_decode: prefill capacity of the decode engines, in
+        prefill engines
+    :param occupied: decode engines that run long answers and so do no
+        prefill
     """
 
-    reading: float
-    moving: float
+    prefilling: float
+    transferring: float
     slots: float
-    beside: float = 0.0
+    prefill_on_decode: float = 0.0
     occupied: int = 0
 
 
 class Fleet(NamedTuple):
-    """The engines of a service by what they do.
+    """Numbers of engines of a service, by stage.
 
-    :param reading: engines that read
-    :param answering: engines that answer
-    :param changing: engines that are changing already
-    :param to_answering: those of them that will answer
-    :param change_s: how long a change takes an engine away
+    :param prefilling: engines in the prefill stage
+    :param decoding: engines in the decode stage
+    :param changing: engines that are changing their stage
+    :param to_decode: those of the changing engines that change to decode
+    :param change_s: time for which a change makes an engine unavailable
     """
 
-    reading: int
-    answering: int
+    prefilling: int
+    decoding: int
     changing: int = 0
-    to_answering: int = 0
+    to_decode: int = 0
     change_s: float = 3.0
 
     @property
     def total(self) -> int:
-        """All engines."""
-        return self.reading + self.answering + self.changing
+        """The number of all engines."""
+        return self.prefilling + self.decoding + self.changing
 
 
 class Change(NamedTuple):
-    """Move engines; True to read prompts, False to answer."""
+    """Order to change the stage of some engines.
+
+    :param to_prefill: True to change to prefill, False to decode
+    :param count: number of engines
+    """
 
-    to_reading: bool
+    to_prefill: bool
     count: int = 1
 
 
@@ -101,7 +111,7 @@
 class _Sample:
     at_s: float
     load: Load
-    slots_asked: float
+    slots_demand: float
 
 
 class StagePlan:
@@ -113,73 +123,93 @@
         self.last: Change | None = None
         self.last_s = float('-inf')
 
-    def note(self, load: Load, fleet: Fleet, now_s: float) -> None:
-        """Take a measurement."""
-        # Only what is read is answered: with more readers there would be
-        # more answers, too.
-        read = self._read_ratio(load, fleet.reading, load.beside)
+    def record_load(self, load: Load, fleet: Fleet, now_s: float) -> None:
+        """Add a sample of the load.
+
+        :param fleet: engines at the time of the sample
+        """
+        # Only prompts that have been prefilled need a decode slot, so the
+        # slot demand is scaled up to the one with all prompts prefilled.
+        read = self._prefill_ratio(
+            load, fleet.prefilling, load.prefill_on_decode
+        )
         read = min(1.0, max(read, self.settings.gain))
-        slots_asked = load.slots / read
-        self.samples.append(_Sample(now_s, load, slots_asked))
+        slots_demand = load.slots / read
+        self.samples.append(_Sample(now_s, load, slots_demand))
         while now_s - self.samples[0].at_s > self.settings.memory_s:
             self.samples.popleft()
 
     def decide(self, fleet: Fleet, now_s: float) -> Change | None:
-        """Whether engines should change their stage now, and how many."""
-        change = self._wanted(fleet)
+        """Return the change of stage to make now, or None."""
+        change = self._choose_change(fleet)
         if change is None:
             return None
-        # Below the least number that answers nobody waits for a reversal:
-        # the only engine left would answer for all that the others read.
-        least = least_answering(fleet.total)
-        answering = fleet.answering + fleet.to_answering
-        short = answering < least and not change.to_reading
+        # Below the minimum of decode engines the pause before a reversal
+        # does not apply: a single decode engine would have to serve the
+        # prompts of all prefill engines.
+        minimum = min_decoding(fleet.total)
+        decoding = fleet.decoding + fleet.to_decode
+        short = decoding < minimum and not change.to_prefill
         if not short and self._is_reversal(change, now_s):
             return None
         self.last = change
         self.last_s = now_s
         return change
 
-    def _wanted(self, fleet: Fleet) -> Change | None:
-        if fleet.answering + fleet.to_answering < 1:
-            # Engines that answer also read, those that read can't answer.
-            # While none answers nothing is served, whatever the load: also
-            # where a single engine is left, or the others are changing.
-            return Change(False) if fleet.reading else None
-        least = least_answering(fleet.total)
-        answering = fleet.answering + fleet.to_answering
-        if answering < least and fleet.reading > answering:
-            # Also beside an engine that changes to reading: the only one
-            # left answers for all, and nobody does while it is down.
+    def _choose_change(self, fleet: Fleet) -> Change | None:
+        if fleet.decoding + fleet.to_decode < 1:
+            # Decode engines can prefill, but prefill engines can't decode.
+            # Without a decode engine no request is served, so an engine
+            # changes whatever the load, even if it is the only one left or
+            # all others are changing.
+            return Change(False) if fleet.prefilling else None
+        minimum = min_decoding(fleet.total)
+        decoding = fleet.decoding + fleet.to_decode
+        if decoding < minimum and fleet.prefilling > decoding:
+            # Applies even while another engine changes to prefill: with one
+            # decode engine no request is served while that engine is down.
             return Change(False)
-        most = max(1, int(fleet.total * self.settings.most_changing))
-        most -= fleet.changing
-        if most < 1:
+        maximum = max(1, int(fleet.total * self.settings.max_changing_share))
+        maximum -= fleet.changing
+        if maximum < 1:
             return None
-        return self._best(fleet, most, least)
+        return self._best_change(fleet, maximum, minimum)
+
+    def _best_change(
+        self, fleet: Fleet, maximum: int, minimum: int
+    ) -> Change | None:
+        """Return the change that serves the largest share of the load.
+
+        None if no change gains enough.
 
-    def _best(self, fleet: Fleet, most: int, least: int) -> Change | None:
-        """The change that serves the most, if it gains enough."""
+        :param maximum: largest number of engines to change
+        :param minimum: smallest number of decode engines to keep
+        """
         if not self.samples:
             return None
         best = None
         best_served = self._served_with(fleet, 0) + self.settings.gain
-        to_reading = min(most, fleet.answering - least)
-        to_answering = min(most, fleet.reading - 1)
-        for moved in _steps(-to_answering, to_reading):
+        to_prefill = min(maximum, fleet.decoding - minimum)
+        to_decode = min(maximum, fleet.prefilling - 1)
+        for moved in _steps(-to_decode, to_prefill):
             expected = self._served_with(fleet, moved)
             if expected > best_served:
                 best_served = expected
                 best = Change(moved > 0, abs(moved))
-        return best or self._prepare(fleet, to_answering, to_reading)
+        return best or self._prepare_for_burst(fleet, to_decode, to_prefill)
 
-    def _prepare(
-        self, fleet: Fleet, to_answering: int, to_reading: int
+    def _prepare_for_burst(
+        self, fleet: Fleet, to_decode: int, to_prefill: int
     ) -> Change | None:
-        """The change that leaves most room for a rush, while it costs nothing.
+        """Return the change that leaves the most headroom for a burst.
+
+        Only changes that reduce no service now are considered.  A burst is
+        over before a change made in response to it has gained its cost, so
+        capacity is moved in the lull before, when engines can be missed for
+        some seconds.
 
-        A rush is over before a change that it calls for has paid.  In the
-        calm before it engines are spared for some seconds.
+        :param to_decode: largest number of engines to change to decode
+        :param to_prefill: largest number of engines to change to prefill
         """
         served = self._served_with(fleet, 0)
         present = self._headroom(fleet, 0)
@@ -187,108 +217,119 @@
         if present >= enough:
             return None
         best = None
-        most = present * self.settings.headroom_gain
-        for moved in _steps(-to_answering, to_reading):
+        maximum = present * self.settings.headroom_gain
+        for moved in _steps(-to_decode, to_prefill):
             if self._served_with(fleet, moved) < served:
                 continue
             headroom = min(self._headroom(fleet, moved), enough)
-            if headroom > most:
-                most = headroom
+            if headroom > maximum:
+                maximum = headroom
                 best = Change(moved > 0, abs(moved))
         return best
 
     def _headroom(self, fleet: Fleet, moved: int) -> float:
-        """Times the load that could be served at the worst moment.
+        """Return the smallest ratio of capacity to demand in the samples.
 
-        Engines that answer don't count for what they read beside: in a rush
-        the answers keep them from it.
+        Prefill on decode engines is not counted, since in a burst the
+        answers take all their time.
+
+        :param moved: engines that change to prefill; negative, to decode
         """
-        reading, answering = self._split_after(fleet, moved)
-        alone = fleet._replace(answering=0)
+        prefilling, decoding = self._split_after(fleet, moved)
+        alone = fleet._replace(decoding=0)
         return min(
-            min(self._ratios(sample, alone, reading, answering))
+            min(self._ratios(sample, alone, prefilling, decoding))
             for sample in self.samples
         )
 
     def _served_with(self, fleet: Fleet, moved: int) -> float:
-        """Part of the load that is served until a change may be reversed.
+        """Return the share of the load served until a reversal is allowed.
 
-        :param moved: engines that would come to read; below 0, to answer
+        :param moved: engines that change to prefill; negative, to decode
         """
-        away = self._served(
+        during_change = self._served(
             fleet,
-            fleet.reading + min(moved, 0),
-            fleet.answering - max(moved, 0),
+            fleet.prefilling + min(moved, 0),
+            fleet.decoding - max(moved, 0),
         )
         after = self._served(fleet, *self._split_after(fleet, moved))
         lost = min(1.0, fleet.change_s / self.settings.pause_s)
-        return lost * away + (1 - lost) * after
+        return lost * during_change + (1 - lost) * after
 
     def _split_after(self, fleet: Fleet, moved: int) -> tuple[int, int]:
-        """Engines that read and that answer once all changes are over."""
-        coming = fleet.changing - fleet.to_answering
+        """Return the prefill and decode engines after all changes."""
+        coming = fleet.changing - fleet.to_decode
         return (
-            fleet.reading + coming + moved,
-            fleet.answering + fleet.to_answering - moved,
+            fleet.prefilling + coming + moved,
+            fleet.decoding + fleet.to_decode - moved,
         )
 
-    def _served(self, fleet: Fleet, reading: int, answering: int) -> float:
-        """Part of the load that is served by a split, over the samples.
+    def _served(self, fleet: Fleet, prefilling: int, decoding: int) -> float:
+        """Return the mean share of the load that a split serves.
 
-        Taken moment by moment: prompts and answers have their peaks at
-        different times, and engines enough for both never happen at once.
+        The share is computed for each sample, not for the mean load: prompts
+        and answers peak at different times, and a split that suits the sum
+        of both peaks would be planned for a load that never occurs.
         """
         shares = [
-            min(1.0, *self._ratios(sample, fleet, reading, answering))
+            min(1.0, *self._ratios(sample, fleet, prefilling, decoding))
             for sample in self.samples
         ]
         return sum(shares) / len(shares)
 
     def _ratios(
-        self, sample: _Sample, fleet: Fleet, reading: int, answering: int
+        self, sample: _Sample, fleet: Fleet, prefilling: int, decoding: int
     ) -> tuple[float, float, float]:
-        """What could be read, taken over and answered, over what is asked."""
+        """Return capacity over demand for prefill, transfers and slots."""
         load = sample.load
-        free = max(0, fleet.answering - load.occupied)
-        left = max(0, answering - load.occupied)
-        beside = load.beside * left / free if free else 0.0
+        free = max(0, fleet.decoding - load.occupied)
+        left = max(0, decoding - load.occupied)
+        prefill_on_decode = (
+            load.prefill_on_decode * left / free if free else 0.0
+        )
         settings = self.settings
         return (
-            self._read_ratio(load, reading, beside),
-            _ratio(answering * settings.moving_share, load.moving),
-            _ratio(answering * settings.slots_share, sample.slots_asked),
+            self._prefill_ratio(load, prefilling, prefill_on_decode),
+            _ratio(decoding * settings.transfer_share, load.transferring),
+            _ratio(decoding * settings.slots_share, sample.slots_demand),
         )
 
-    def _read_ratio(self, load: Load, reading: int, beside: float) -> float:
-        margin = self.settings.reading_margin * math.sqrt(load.reading)
-        return _ratio(reading + beside, load.reading + margin)
+    def _prefill_ratio(
+        self, load: Load, prefilling: int, prefill_on_decode: float
+    ) -> float:
+        margin = self.settings.prefill_margin * math.sqrt(load.prefilling)
+        return _ratio(prefilling + prefill_on_decode, load.prefilling + margin)
 
     def _is_reversal(self, change: Change, now_s: float) -> bool:
-        if self.last is None or change.to_reading is self.last.to_reading:
+        if self.last is None or change.to_prefill is self.last.to_prefill:
             return False
         return now_s - self.last_s < self.settings.pause_s
 
 
-def least_answering(total: int) -> int:
-    """Engines that always answer.
+def min_decoding(total: int) -> int:
+    """Return the minimum number of decode engines of a service.
 
-    Two where there are enough: nobody could answer while the only one is
+    Two from four engines on: with one, no request is served while it is
     down.
+
+    :param total: number of all engines
     """
     return 2 if total >= 4 else 1
 
 
-def _ratio(power: float, asked: float) -> float:
-    return power / asked if asked > 0 else math.inf
+def _ratio(capacity: float, demand: float) -> float:
+    return capacity / demand if demand > 0 else math.inf
 
 
-def _steps(least: int, most: int) -> list[int]:
-    """Numbers of engines to compare, few in a large fleet.
+def _steps(minimum: int, maximum: int) -> list[int]:
+    """Return the candidate numbers of engines to move, without 0.
 
-    Each engine up to some, then in growing steps; the ends are among them.
+    Small numbers are all included, larger ones in steps that grow with the
+    number, so that a large fleet has few candidates.  Both bounds are
+    included.
     """
     found = []
-    for bound, sign in ((most, 1), (-least, -1)):
+    for bound, sign in ((maximum, 1), (-minimum, -1)):
         moved = 1
         while moved < bound:
             found.append(sign * moved)
--- a/magnoliadyke/core/walltime.py
+++ b/magnoliadyke/core/walltime.py
@@ -1,86 +1,94 @@
-"""The time of day, though clocks of some machines are set forth and back.
+"""Time of day that does not depend on steps of a machine's wall clock.
 
-A host takes the time of day once and goes on by its steady clock, so a step
-of its clock changes nothing.  What remains is a process that started while
-its machine's clock was off: the hosts' median tells it.
+A host reads its wall clock once and then advances by its monotonic clock, so
+a later step of the wall clock has no effect.  A process that started while
+the wall clock was wrong is corrected to the median of all hosts.
 """
 
 import statistics
 
-__all__ = ['FleetTime', 'WallTime']
+__all__ = ['MedianClock', 'AdjustedClock']
 
-#: A host that differs from the median by more is told the time, in seconds.
-MOST_OFF_S = 0.15
-#: How long a host's word counts for the median, in seconds.
-KEPT_S = 10.0
+#: Largest tolerated difference from the median, in seconds; a host beyond it
+#: is sent the corrected time.
+MAX_OFFSET_S = 0.15
+#: How long a host's time sample counts for the median, in seconds.
+SAMPLE_RETENTION_S = 10.0
 
 
-class WallTime:
-    """The time of day as one host has it.
+class AdjustedClock:
+    """The time of day on one host.
 
     :param wall_s: seconds since the epoch, by the machine's clock
-    :param now_s: steady seconds at the same moment, by a clock that goes on
-        while the machine is suspended
+    :param now_s: monotonic seconds at the same moment, by a clock that
+        advances while the machine is suspended
     """
 
     def __init__(self, wall_s: float, now_s: float) -> None:
         self.offset_s = wall_s - now_s
 
     def at(self, now_s: float) -> float:
-        """Seconds since the epoch at a steady moment."""
+        """Return the seconds since the epoch at a monotonic time."""
         return now_s + self.offset_s
 
     def set(self, wall_s: float, now_s: float) -> None:
-        """Take the time that most hosts have."""
+        """Set the time of day.
+
+        :param wall_s: seconds since the epoch at ``now_s``
+        :param now_s: monotonic seconds
+        """
         self.offset_s = wall_s - now_s
 
 
-class FleetTime:
-    """The median of what the hosts take for the time of day.
+class MedianClock:
+    """The median of the hosts' times of day.
 
-    A word that was long on its way, or waited while this host stood still,
-    looks like that of a clock that is behind.  Of a host's words the one that
-    was quickest counts, for some seconds.
+    A sample that was delayed in the network, or while this host was
+    suspended, looks like one of a clock that is behind.  So of each host's
+    samples the one furthest ahead counts, for ``SAMPLE_RETENTION_S``.
 
-    :param own: of the host that asks the others
+    :param own_clock: clock of the host that collects the samples
     """
 
-    def __init__(self, own: WallTime) -> None:
-        self.own = own
-        self._told: dict[str, tuple[float, float]] = {}
+    def __init__(self, own_clock: AdjustedClock) -> None:
+        self.own_clock = own_clock
+        self._samples: dict[str, tuple[float, float]] = {}
 
-    def told(self, host: str, wall_s: float, now_s: float) -> float | None:
-        """A host has told its time.
+    def record_peer_time(
+        self, host: str, wall_s: float, now_s: float
+    ) -> float | None:
+        """Record a host's time, and correct this host's if it is off.
 
-        :returns: the time to tell it, if it is off
+        :returns: the corrected time to send to that host, None if its time
+            is within the tolerance
         """
-        word = (wall_s - self.own.at(now_s), now_s)
-        known = self._told.get(host)
-        if known is not None and now_s - known[1] <= KEPT_S:
-            word = max(word, known)
-        self._told[host] = word
-        ahead_s = word[0]
+        sample = (wall_s - self.own_clock.at(now_s), now_s)
+        known = self._samples.get(host)
+        if known is not None and now_s - known[1] <= SAMPLE_RETENTION_S:
+            sample = max(sample, known)
+        self._samples[host] = sample
+        ahead_s = sample[0]
         median_s = self._median_s(now_s)
-        if abs(median_s) > MOST_OFF_S:
-            # Of all hosts this one differs: the others' words stay as they
-            # are, seen from the new time.
-            self.own.set(self.own.at(now_s) + median_s, now_s)
-            self._told = {
+        if abs(median_s) > MAX_OFFSET_S:
+            # This host is off: correct it, and express the samples relative
+            # to the new time.
+            self.own_clock.set(self.own_clock.at(now_s) + median_s, now_s)
+            self._samples = {
                 each: (ahead - median_s, at_s)
-                for each, (ahead, at_s) in self._told.items()
+                for each, (ahead, at_s) in self._samples.items()
             }
             ahead_s -= median_s
             median_s = 0.0
-        if abs(ahead_s - median_s) <= MOST_OFF_S:
+        if abs(ahead_s - median_s) <= MAX_OFFSET_S:
             return None
-        return self.own.at(now_s) + median_s
+        return self.own_clock.at(now_s) + median_s
 
     def _median_s(self, now_s: float) -> float:
-        self._told = {
-            host: word
-            for host, word in self._told.items()
-            if now_s - word[1] <= KEPT_S
+        self._samples = {
+            host: sample
+            for host, sample in self._samples.items()
+            if now_s - sample[1] <= SAMPLE_RETENTION_S
         }
         return statistics.median(
-            [0.0, *(ahead_s for ahead_s, _ in self._told.values())]
+            [0.0, *(ahead_s for ahead_s, _ in self._samples.values())]
         )
--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -3,7 +3,7 @@
 import collections
 import typing
 
-from magnoliadyke.core import lapses
+from magnoliadyke.core import expiredentries
 from magnoliadyke.core import revisionlag
 from magnoliadyke.gateway import peerstate
 from magnoliadyke import logs
@@ -57,7 +57,7 @@
             behind = follower.lag.behind(follower.clock.now_s(), in_reach)
             if behind is not None:
                 self._read_or_ask(behind)
-            if follower.mirror.lapses.asks_others():
+            if follower.mirror.expired_entries.needs_peer_reports():
                 self._explain_outage()
             if follower.clock.now_s() < self.introduced_s:
                 self._introduce()
@@ -66,7 +66,7 @@
         """Have the store read anew, or else ask other hosts."""
         LOG.warning_event(
             'behind',
-            position=self.follower.lag.own,
+            position=self.follower.lag.own_position,
             told=behind.position,
             by=behind.host,
             for_s=round(behind.for_s, 3),
@@ -75,11 +75,13 @@
             self.follower.behind.set()
             self.follower.clock.sleep(self.follower.bound_s * READ_SHARE)
         source = 'store'
-        if self.follower.lag.own < behind.position:
+        if self.follower.lag.own_position < behind.position:
             told = self.take_from_others(behind.host)
             source = 'host' if told else 'nobody'
         self.caught_up[source] += 1
-        LOG.event('caught_up', source=source, position=self.follower.lag.own)
+        LOG.event(
+            'caught_up', source=source, position=self.follower.lag.own_position
+        )
         if source == 'nobody':
             self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
 
@@ -91,17 +93,20 @@
     def take_from_others(self, host: str) -> bool:
         """Take what another host has seen; False if none can tell."""
         for address in self._asked(host):
-            state = peerstate.fetch(address, self.follower.lag.own)
-            if state is None or state.position <= self.follower.lag.own:
+            state = peerstate.fetch(address, self.follower.lag.own_position)
+            if (
+                state is None
+                or state.position <= self.follower.lag.own_position
+            ):
                 continue
             items = {item.key: item for item in state.items}
-            if state.position.era == self.follower.lag.own.era:
+            if state.position.era == self.follower.lag.own_position.era:
                 items = self.follower.mirror.items | items
             if not state.positions.keys() <= items.keys():
                 LOG.warning_event('state_incomplete', told_by=address)
                 continue
             items = {key: items[key] for key in state.positions}
-            self.follower.mirror.lapses.regained_with(
+            self.follower.mirror.expired_entries.record_peer_regained(
                 state.regained_s, self.follower.clock.now_s()
             )
             self.follower.take_all(items, state.position)
@@ -112,10 +117,10 @@
     def _introduce(self) -> None:
         """Learn which entries of a restored store others do not go by."""
         for address in self._asked(''):
-            state = peerstate.fetch(address, self.follower.lag.own)
+            state = peerstate.fetch(address, self.follower.lag.own_position)
             if (
                 state is None
-                or state.position.era != self.follower.lag.own.era
+                or state.position.era != self.follower.lag.own_position.era
             ):
                 continue
             self.follower.mirror.learn_passed_over(state.passed_over)
@@ -129,20 +134,20 @@
         Those that were cut off with this one, or that it has not met again,
         can't tell yet; it asks until one can, while entries are doubted.
         """
-        known = self.follower.mirror.lapses
-        told: list[lapses.Reach | None] = []
+        known = self.follower.mirror.expired_entries
+        told: list[expiredentries.StoreContact | None] = []
         alone = None
         for address in self._asked(''):
-            state = peerstate.fetch(address, self.follower.lag.own)
+            state = peerstate.fetch(address, self.follower.lag.own_position)
             told.append(state and state.reach)
-            alone = known.alone(told, self.follower.clock.now_s())
+            alone = known.is_local_outage(told, self.follower.clock.now_s())
             if alone:
                 listed = self.follower.mirror.listed_in(state.positions)
-                self.follower.mirror.drop_all(known.explained(listed))
+                self.follower.mirror.drop_all(known.resolve_outage(listed))
                 break
         if alone is False:
-            known.shared()
-        if known.unexplained:
+            known.record_shared_outage()
+        if known.outage_unresolved:
             self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
         else:
             LOG.event('outage_explained', alone=alone, asked=len(told))
