--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -9,7 +9,7 @@
 
 from magnoliadyke import app
 from magnoliadyke import clock as clocks
-from magnoliadyke.core import lapses
+from magnoliadyke.core import expiredentries
 from magnoliadyke.core import position
 from magnoliadyke.core import revisionlag
 from magnoliadyke.gateway import catchup
@@ -97,7 +97,7 @@
     them where the store does not answer.
 
     :param host: name of this host
-    :param mirror: takes the keys, as of ``lag.own``
+    :param mirror: takes the keys, as of ``lag.own_position``
     :param bound_s: shortest time in which a change has to be in force
     :ivar others: the other hosts, None for one that is alone
     :ivar always_watches: whether this host watches though others would tell it
@@ -190,22 +190,27 @@
                 for key, item in self.mirror.items.items()
                 if key not in self.untold
             },
-            self.lag.own,
+            self.lag.own_position,
             self._reach(now_s),
-            self.mirror.lapses.regained_ago_s(now_s),
-            self.mirror.old_entries.told(now_s),
+            self.mirror.expired_entries.since_regained_s(now_s),
+            self.mirror.stale_entries.export(now_s),
         )
 
-    def _reach(self, now_s: float) -> lapses.Reach | None:
+    def _reach(self, now_s: float) -> expiredentries.StoreContact | None:
         """Word of the store, its own or that of a host that watches."""
-        if self.failing_since_s is not None or self.lag.own == position.START:
+        if (
+            self.failing_since_s is not None
+            or self.lag.own_position == position.START
+        ):
             return None
         since_s = self.regained_s
         age_s = 0.0
         if self.listening:
-            since_s = max(since_s, self.mirror.lapses.regained_s)
+            since_s = max(since_s, self.mirror.expired_entries.regained_s)
             age_s = now_s - self.updated_s
-        return lapses.Reach(min(now_s - since_s, MAX_IN_REACH_S), age_s)
+        return expiredentries.StoreContact(
+            min(now_s - since_s, MAX_IN_REACH_S), age_s
+        )
 
     # The store.
 
@@ -236,7 +241,7 @@
         if listening is not self.listening:
             self.listening = listening
             by = 'other hosts' if listening else 'its own watch'
-            LOG.event('follows', by=by, position=self.lag.own)
+            LOG.event('follows', by=by, position=self.lag.own_position)
         return self._listen() if self.listening else self._watch()
 
     def _may_listen(self) -> bool:
@@ -265,11 +270,11 @@
     def _read_missed(self) -> bool:
         """Read the changes that nobody has told, without waiting for more."""
         self.missed = False
-        base = self.lag.own
+        base = self.lag.own_position
         match self.store.watch('', base, 0.0):
             case store.Changes(changes, upto):
                 self._answered()
-                if base == self.lag.own:
+                if base == self.lag.own_position:
                     self.mirror.change(changes)
                     self._seen(upto)
                 return True
@@ -281,17 +286,17 @@
 
     def _watch(self) -> bool:
         """Take the next changes; False where all has to be read anew."""
-        self.lag.asks(self.clock.now_s() + GATHER_S)
+        self.lag.record_poll(self.clock.now_s() + GATHER_S)
         self.clock.sleep(GATHER_S)
         self.mirror.settle()
         wait_s = self.watch_s
-        if self.mirror.lapses.doubted:
+        if self.mirror.expired_entries.grace_until_s:
             wait_s = min(wait_s, DOUBT_WATCH_S)
-        base = self.lag.own
+        base = self.lag.own_position
         match self._watch_unless_behind(base, wait_s):
             case store.Changes(changes, upto):
                 self._answered()
-                if base == self.lag.own:
+                if base == self.lag.own_position:
                     self.mirror.change(changes)
                     self._seen(upto)
                     self._relay(base, changes)
@@ -339,7 +344,7 @@
         An answer of the store that was under way while another host told of
         later changes would take them back.
         """
-        own = self.lag.own
+        own = self.lag.own_position
         if at < own:
             return
         if own != position.START and at.era > own.era:
@@ -351,9 +356,9 @@
         self._seen(at)
 
     def _seen(self, upto: position.Position) -> None:
-        self.lag.seen(upto)
+        self.lag.record_own_position(upto)
         if self.others is not None:
-            self.others.tell_position(self.lag.own)
+            self.others.tell_position(self.lag.own_position)
 
     # Other hosts.
 
@@ -366,27 +371,31 @@
         at_s = self.clock.now_s()
         if self.listening:
             at_s += GATHER_S
-        self.lag.hear(host, upto, at_s)
+        self.lag.record_peer_position(host, upto, at_s)
 
     def take_updates(self, told: placing_codec.KeyUpdates) -> None:
         """A host that watches the store tells what it has seen.
 
         One that has not noticed a restore yet tells nothing that holds.
         """
-        if told.position.era < self.lag.own.era:
+        if told.position.era < self.lag.own_position.era:
             return
         now_s = self.clock.now_s()
         self.updated_s = now_s
         if not self.listening:
             return
-        self.mirror.lapses.regained_with(told.regained_s, now_s)
-        if told.position <= self.lag.own:
+        self.mirror.expired_entries.record_peer_regained(
+            told.regained_s, now_s
+        )
+        if told.position <= self.lag.own_position:
             return
-        if told.base > self.lag.own or not told.complete:
+        if told.base > self.lag.own_position or not told.complete:
             self.missed = True
             return
         self.mirror.change(
-            tuple(c for c in told.changes if c.position > self.lag.own)
+            tuple(
+                c for c in told.changes if c.position > self.lag.own_position
+            )
         )
         self._seen(told.position)
 
@@ -402,13 +411,13 @@
             return
         now_s = self.clock.now_s()
         self.relayed_s = now_s
-        regained_s = self.mirror.lapses.regained_ago_s(now_s)
+        regained_s = self.mirror.expired_entries.since_regained_s(now_s)
         told = tuple(each for each in changes if each.key not in self.untold)
         self.others.relay(
             keyupdates.split(
                 self.host,
                 base,
-                self.lag.own,
+                self.lag.own_position,
                 told,
                 regained_s,
                 self.others.room(),
@@ -420,7 +429,7 @@
         if self.listening or self.failing_since_s is not None:
             return
         if self.clock.now_s() - self.relayed_s >= self.bound_s * RELAY_SHARE:
-            self._relay(self.lag.own)
+            self._relay(self.lag.own_position)
 
     def _relay_all(self) -> None:
         while True:
@@ -439,7 +448,9 @@
         self.failures = 0
         if self.failing_since_s is not None:
             LOG.event('store_regained', after_s=now_s - self.failing_since_s)
-            self.mirror.lapses.regained(now_s, self.failing_since_s)
+            self.mirror.expired_entries.record_store_regained(
+                now_s, self.failing_since_s
+            )
             self.failing_since_s = None
             self.regained_s = now_s
 
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from magnoliadyke.core import freshness
-from magnoliadyke.core import hosthints
+from magnoliadyke.core import hostdiscovery
 from magnoliadyke.core import membership
 from magnoliadyke.core import notices
 from magnoliadyke import errors
@@ -92,10 +92,10 @@
 class Listed(typing.NamedTuple):
     """The platform's list of hosts was read.
 
-    :param hosts: a :class:`magnoliadyke.core.hosthints.HostList`
+    :param hosts: a :class:`magnoliadyke.core.hostdiscovery.HostList`
     """
 
-    hosts: hosthints.HostList
+    hosts: hostdiscovery.HostList
 
 
 class PromptsSent(typing.NamedTuple):
@@ -189,7 +189,7 @@
         self.incarnation = incarnation
         seeds = {each.name: seed(each) for each in settings.hosts}
         self.settled_hosts = frozenset(seeds)
-        self.listed = hosthints.HostList(-math.inf)
+        self.listed = hostdiscovery.HostList(-math.inf)
         own = seeds[host]._replace(incarnation=incarnation)
         self.membership = membership.Membership(
             own,
@@ -277,15 +277,17 @@
         names = {row.host for row in listed.hosts}
         for host in known.seeds.keys() - self.settled_hosts - names:
             del known.seeds[host]
-        for peer in hosthints.newcomers(listed, known.seeds, known.own):
+        for peer in hostdiscovery.hosts_to_probe(
+            listed, known.seeds, known.own
+        ):
             LOG.event('host_listed', member=peer.host, address=peer.address)
-            known.hint(peer)
+            known.add_seed(peer)
 
     def view(self):
         """Return the members as the rest of the node is to see them."""
         view = self.membership.view()
         own = self.membership.own.host
-        members = hosthints.without_leaving(view.members, self.listed, own)
+        members = hostdiscovery.without_leaving(view.members, self.listed, own)
         return view._replace(members=members)
 
     def hold_table(self, held, now_s):
@@ -308,7 +310,7 @@
         for member in self.members.last.alive():
             if member.host != own.host:
                 self.send_data((member.address, member.peer_port), data)
-        self.publish_uses(self.notices.take(notice, now_s))
+        self.publish_uses(self.notices.apply(notice, now_s))
 
     def tell_prompts(self, prompts):
         """Send word of prompts to all members of a small fleet.
@@ -375,7 +377,7 @@
             return
         match message:
             case gossip_codec.Notice(notice=notice):
-                self.publish_uses(self.notices.take(notice, now_s))
+                self.publish_uses(self.notices.apply(notice, now_s))
                 return
             case gossip_codec.Prompts(prompts=prompts):
                 self.prompts.publish(PromptsHeard(prompts))
@@ -390,7 +392,7 @@
             match action:
                 case membership.Send(address, message):
                     self.send(address, message)
-                case membership.DigestHeard(host, digest):
+                case membership.DigestReceived(host, digest):
                     self.digests.publish(PeerDigest(host, digest))
                 case membership.Paused(for_s):
                     LOG.warning_event('paused', for_s=for_s)
@@ -438,12 +440,14 @@
         )
         return Standing(
             at_s=now_s,
-            fresh=known.fresh(now_s),
+            fresh=known.is_fresh(now_s),
             takes_work=known.takes_work(now_s),
             quorate=self.quorate(),
-            wants_store=known.wants_store(now_s),
+            wants_store=known.is_store_read_due(now_s),
             unconfirmed=known.acts_on_staged(now_s),
-            newer_at=self.peer_address(known.behind() or self.ahead()),
+            newer_at=self.peer_address(
+                known.host_with_newer_table() or self.ahead()
+            ),
             newest=max(newest, known.staged_revision),
             acceptance=self.acceptance(now_s) if staged else None,
         )
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -130,7 +130,7 @@
 
 def ack(own, number, sequence):
     """An answer from one member, with as many updates as may ride."""
-    sightings = own.freshness.relayed(0.0, 7, own.rng)
+    sightings = own.freshness.relayed_sightings(0.0, 7, own.rng)
     updates = tuple(
         member((number + step) % 7 + 1) for step in range(own.settings.updates)
     )
@@ -168,7 +168,7 @@
         member(step % (size - 1) + 1),
         'host-0',
         (),
-        tuple(own.freshness.relayed(now_s, 7, own.rng)),
+        tuple(own.freshness.relayed_sightings(now_s, 7, own.rng)),
         b'x' * 300,
     )
     for action in own.receive(probe, now_s):
@@ -237,9 +237,9 @@
         arrived_s=now_s,
     )
     owner.submit(job, now_s)
-    owner.dispatched_prefill_done(job.id, now_s)
-    owner.first_token(job.id, now_s)
-    owner.finished(job.id, jobs.Finished(500, 50, 0), now_s)
+    owner.record_prefill_done(job.id, now_s)
+    owner.record_first_token(job.id, now_s)
+    owner.record_result(job.id, jobs.Finished(500, 50, 0), now_s)
 
 
 def probe_planner():
@@ -299,7 +299,7 @@
     key = f'host-1.1700000000000.{number // 100}-0123456789abcdef/{number}'
     digest = f'{number:032x}'
     opened = kept.open(key, 'customer-1', digest, 0.0, 0.0)
-    kept.settle(opened.record, records.INTERRUPTED)
+    kept.settle(opened.record, records.HOME_STOPPED)
 
 
 def customers_view(count):
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -3,8 +3,8 @@
 import re
 from typing import Any
 
+from magnoliadyke.core import autoscaler
 from magnoliadyke.core import catalog
-from magnoliadyke.core import fleetplan
 from magnoliadyke.core import routes
 from magnoliadyke.core import workspaces
 from magnoliadyke.platform import fields
@@ -125,7 +125,7 @@
     )
 
 
-def _scaling(found: Any) -> fleetplan.Limits | None:
+def _scaling(found: Any) -> autoscaler.ScalingLimits | None:
     if not found:
         return None
     if not isinstance(found, dict):
@@ -133,9 +133,9 @@
     prices = found.get('zone_prices') or {}
     if not isinstance(prices, dict):
         raise fields.BadField('zone_prices is no object')
-    return fleetplan.Limits(
-        least=fields.whole(found, 'min_replicas', 0),
-        most=fields.whole(found, 'max_replicas', 0),
+    return autoscaler.ScalingLimits(
+        min_endpoints=fields.whole(found, 'min_replicas', 0),
+        max_endpoints=fields.whole(found, 'max_replicas', 0),
         boot_s=fields.number(found, 'boot_s', 0, 0),
         reclaimable_price=fields.number(found, 'spot_price', 0, 1),
         prices={zone: fields.number(prices, zone, 0) for zone in prices},
@@ -184,18 +184,18 @@
     stage = fields.text(found, 'stage', '')
     if stage and stage not in STAGES:
         raise fields.BadField('stage is not known')
-    born_ms = fields.whole(found, 'born', 0, 0)
+    started_ms = fields.whole(found, 'born', 0, 0)
     return catalog.Endpoint(
         # What is known of a process is kept by this id: one that starts
         # again under its name is another, which knows and holds nothing.
-        id=f'{name}~{born_ms:x}' if born_ms else name,
+        id=f'{name}~{started_ms:x}' if started_ms else name,
         service=fields.text(found, 'service'),
         address=fields.address(found, 'address'),
         failure_domain=fields.text(found, 'zone'),
         slots=fields.whole(found, 'slots', 1),
         leaving=state != STATE_READY,
         stage=STAGES.get(stage, catalog.Stage.NONE),
-        published=name if born_ms else '',
-        born_ms=born_ms,
+        published=name if started_ms else '',
+        started_ms=started_ms,
         reclaimable=fields.flag(found, 'spot'),
     )
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -4,7 +4,7 @@
 import pytest
 
 from magnoliadyke import clock as clocks
-from magnoliadyke.core import lapses
+from magnoliadyke.core import expiredentries
 from magnoliadyke.core import position
 from magnoliadyke.gateway import peerstate
 from magnoliadyke.gateway import store
@@ -56,7 +56,7 @@
 
 def later(node, revisions):
     """A position that this host has not seen yet, in the present era."""
-    own = node.follower.lag.own
+    own = node.follower.lag.own_position
     return own._replace(revision=own.revision + revisions)
 
 
@@ -70,7 +70,9 @@
 
     node.store.watch = watch
     world.store.put('magnoliadyke/other', b'{}')
-    advance_until(clock, lambda: held and node.follower.lag.own == held[-1])
+    advance_until(
+        clock, lambda: held and node.follower.lag.own_position == held[-1]
+    )
     gevent.sleep(SETTLE_S)
 
 
@@ -181,7 +183,7 @@
     node.store.list_prefix = lambda prefix: late
     assert node.follower._read_all()
     assert 'p1' not in node.catalog.endpoints
-    assert node.follower.lag.own > late.position
+    assert node.follower.lag.own_position > late.position
 
 
 def test_outage_of_one_host_alone_keeps_no_endpoint(world, clock):
@@ -195,7 +197,7 @@
     refuse_calls(world, clock, node)
     advance_until(clock, lambda: node.follower.cut_off_s() > 5.0)
     node.members.position_heard = None
-    node.follower.lag.told.clear()
+    node.follower.lag.unseen.clear()
     world.store.remove('servers/p1')
     answer_calls(node)
     took_s = advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
@@ -213,12 +215,18 @@
         answer_calls(node)
     advance_until(
         clock,
-        lambda: all(n.follower.mirror.lapses.doubted for n in world.nodes),
+        lambda: all(
+            n.follower.mirror.expired_entries.grace_until_s
+            for n in world.nodes
+        ),
     )
     advance_until(
         clock,
         lambda: (
-            not any(n.follower.mirror.lapses.unexplained for n in world.nodes)
+            not any(
+                n.follower.mirror.expired_entries.outage_unresolved
+                for n in world.nodes
+            )
         ),
     )
     assert all('p1' in n.catalog.endpoints for n in world.nodes)
@@ -266,7 +274,7 @@
     refuse_calls(world, clock, node)
     advance_until(clock, lambda: node.follower.cut_off_s() > 5.0)
     node.members.position_heard = None
-    node.follower.lag.told.clear()
+    node.follower.lag.unseen.clear()
     world.store.remove('servers/p1')
 
 
@@ -294,7 +302,9 @@
     node, *others = world.nodes
     leave_while_cut_off(world, clock, node)
     for each in others:
-        each.follower.regained_s = clock.now_s() - lapses.LAPSE_S - 0.5
+        each.follower.regained_s = (
+            clock.now_s() - expiredentries.ENTRY_GRACE_S - 0.5
+        )
     answer_calls(node)
     took_s = advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
     assert took_s < BOUND_S
@@ -307,15 +317,17 @@
 
     def unaware(address, known):
         listed = dict.fromkeys(('servers/p1', 'servers/p2'), known)
-        reach = lapses.Reach(100.0, 0.0)
+        reach = expiredentries.StoreContact(100.0, 0.0)
         return peerstate.PeerState((), listed, known, reach, None)
 
     node = world.nodes[0]
     leave_while_cut_off(world, clock, node)
     monkeypatch.setattr(peerstate, 'fetch', unaware)
     answer_calls(node)
-    advance_until(clock, lambda: node.follower.mirror.lapses.doubted)
-    until_s = node.follower.regained_s + lapses.LAPSE_S - STEP_S
+    advance_until(
+        clock, lambda: node.follower.mirror.expired_entries.grace_until_s
+    )
+    until_s = node.follower.regained_s + expiredentries.ENTRY_GRACE_S - STEP_S
     while clock.now_s() < until_s:
         assert 'p1' in node.catalog.endpoints
         clock.advance(STEP_S)
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -35,7 +35,7 @@
 def press(node):
     """Ask for more reading than the engines that read can do."""
     pool = served(node)
-    pool.core.asked.add(50.0, node.clock.now_s())
+    pool.core.prefill_demand.add(50.0, node.clock.now_s())
     return pool.core
 
 
@@ -68,7 +68,7 @@
     engine = node.placer.served['model'].core.pool.engines[changed.name]
     # The engine has the order before the host has its answer.
     gatewayworld.wait_for(
-        lambda: engine.rest_until_s > node.clock.now_s(), 'the rest'
+        lambda: engine.cooldown_until_s > node.clock.now_s(), 'the rest'
     )
 
 
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -4,8 +4,8 @@
 import pytest
 
 from magnoliadyke import clock as clocks
-from magnoliadyke.core import oldentries
 from magnoliadyke.core import position
+from magnoliadyke.core import staleentries
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import members
 from magnoliadyke.gateway import peerstate
@@ -56,7 +56,7 @@
 
 
 def in_era(world, era):
-    return all(n.follower.lag.own.era == era for n in world.nodes)
+    return all(n.follower.lag.own_position.era == era for n in world.nodes)
 
 
 def write_on(world, count=20):
@@ -85,7 +85,9 @@
     seen = world.store.revision
     advance_until(
         clock,
-        lambda: all(n.follower.lag.own.revision == seen for n in world.nodes),
+        lambda: all(
+            n.follower.lag.own_position.revision == seen for n in world.nodes
+        ),
     )
     world.store.restore(copy)
     leave(world, 'p1')
@@ -99,7 +101,9 @@
     advance_until(clock, lambda: known_leaving(world, 'p1'))
     restore(world, clock, copy)
     arrived = len(world.endpoints['p1'].arrivals)
-    for _ in range(int(2 * oldentries.GONE_S / test_follower.STEP_S)):
+    for _ in range(
+        int(2 * staleentries.UNRENEWED_ENTRY_TTL_S / test_follower.STEP_S)
+    ):
         clock.advance(test_follower.STEP_S)
         gevent.sleep(0.001)
         assert known_leaving(world, 'p1')
@@ -110,7 +114,9 @@
     advance_until(
         clock,
         lambda: (
-            not any(n.follower.mirror.old_entries.old for n in world.nodes)
+            not any(
+                n.follower.mirror.stale_entries.entries for n in world.nodes
+            )
         ),
     )
     assert known_leaving(world, 'p1')
@@ -183,7 +189,7 @@
     others = [n for n in world.nodes if n is not old]
     advance_until(
         clock,
-        lambda: all(n.follower.lag.own.era == 2 for n in others),
+        lambda: all(n.follower.lag.own_position.era == 2 for n in others),
     )
     gone = store.Removed('servers/p1', lost)
     told = placing_codec.KeyUpdates(old.own.host, lost, lost, (gone,))
@@ -194,9 +200,10 @@
         assert node.follower.updated_s == updated_s
         node.follower.heard(old.own.host, lost)
         state = peerstate.fetch(
-            f'{old.own.address}:{old.own.gossip_port}', node.follower.lag.own
+            f'{old.own.address}:{old.own.gossip_port}',
+            node.follower.lag.own_position,
         )
-        assert state.position < node.follower.lag.own
+        assert state.position < node.follower.lag.own_position
         node.members.peers = lambda first: [
             f'{old.own.address}:{old.own.gossip_port}'
         ]
@@ -370,7 +377,7 @@
     advance_until(
         clock,
         lambda: all(
-            n.follower.lag.own.revision == world.store.revision
+            n.follower.lag.own_position.revision == world.store.revision
             for n in world.nodes
         ),
     )
