--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -13,7 +13,7 @@
 from magnoliadyke.gateway import follower
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import members
-from magnoliadyke.gateway import placing
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
@@ -51,7 +51,7 @@
         kept: store.Store,
         followed: follower.Follower,
         others: members.Members,
-        placer: placing.Placer,
+        placer: placementservice.Placer,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
--- a/magnoliadyke/gateway/suspects.py
+++ b/magnoliadyke/gateway/crashreports.py
@@ -6,7 +6,7 @@
 from magnoliadyke import clock as clocks
 from magnoliadyke.core import crashhistory
 from magnoliadyke.gateway import codec as codecs
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke import logs
 
 __all__ = ['Suspects']
@@ -32,7 +32,7 @@
     def __init__(
         self,
         clock: clocks.Clock,
-        tell: Callable[[placing_codec.Message], None],
+        tell: Callable[[placement_codec.Message], None],
     ) -> None:
         self.clock = clock
         self.tell = tell
@@ -55,9 +55,9 @@
             LOG.repeated('broken_request_untold', endpoint, told=self.told)
             return
         known = tuple(self.record.requests[fingerprint].endpoints)
-        self.tell(placing_codec.Broken(fingerprint, known))
+        self.tell(placement_codec.Broken(fingerprint, known))
 
-    def heard(self, message: placing_codec.Broken) -> None:
+    def heard(self, message: placement_codec.Broken) -> None:
         """Another host tells of a request that broke off there."""
         now_s = self.clock.now_s()
         fingerprint, endpoints = message
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -13,10 +13,10 @@
 from magnoliadyke.gateway import caller as callers
 from magnoliadyke.gateway import codec as codecs
 from magnoliadyke.gateway import connection
+from magnoliadyke.gateway import crashreports
 from magnoliadyke.gateway import http
 from magnoliadyke.gateway import outcomes
-from magnoliadyke.gateway import placing
-from magnoliadyke.gateway import suspects
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import upstream
 from magnoliadyke.gateway import usageduty
 from magnoliadyke.gateway import waitlimit
@@ -58,8 +58,8 @@
     upstream: upstream.Upstream
     balancer: balance.Balancer
     budgets: dict[str, retrybudget.RetryBudget]
-    placer: placing.Placer
-    suspects: suspects.Suspects
+    placer: placementservice.Placer
+    crashreports: crashreports.Suspects
     backoffs: backoffs.Backoffs
     rng: random.Random
     begun: usageduty.Begun
@@ -125,13 +125,13 @@
     def _run(self) -> outcomes.Outcome:
         try:
             with self.caller.watched():
-                barred_s = self.parts.suspects.barred_s(self.request)
+                barred_s = self.parts.crashreports.barred_s(self.request)
                 if barred_s:
                     refused = outcomes.Refused(CRASHES, barred_s)
                     return self._tell(refused)
                 outcome = self._serve()
                 if isinstance(outcome, outcomes.Answered):
-                    self.parts.suspects.served(self.request)
+                    self.parts.crashreports.served(self.request)
                 return self._tell(outcome)
         except callers.HostStops:
             return self._tell(self._give_up())
@@ -211,7 +211,7 @@
             return False
         if self.sends > self.route.max_attempts:
             return False
-        if self.parts.suspects.barred_s(self.request):
+        if self.parts.crashreports.barred_s(self.request):
             return False
         return self.left_s >= RETURN_S
 
@@ -232,7 +232,7 @@
     ) -> None:
         """A try that broke off may have crashed its endpoint."""
         if isinstance(result, outcomes.Lost) and result.broke_off:
-            self.parts.suspects.broke(self.request, endpoint)
+            self.parts.crashreports.broke(self.request, endpoint)
 
     def _facts(
         self, endpoint: catalog.Endpoint, head: http.Head
--- a/magnoliadyke/gateway/fleetduty.py
+++ b/magnoliadyke/gateway/fleetduty.py
@@ -11,7 +11,7 @@
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import operatorcalls
-from magnoliadyke.gateway import placing
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
@@ -45,7 +45,7 @@
     def __init__(
         self,
         leader: leadership.Leadership,
-        placer: placing.Placer,
+        placer: placementservice.Placer,
         known: catalog.Catalog,
         kept: store.Store,
         calls: operatorcalls.OperatorCalls | None,
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -16,7 +16,7 @@
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import keyupdates
 from magnoliadyke.gateway import peerstate
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
@@ -82,7 +82,7 @@
         """Most bytes of changes to tell each of those that don't, at once."""
 
     @abc.abstractmethod
-    def relay(self, told: list[placing_codec.KeyUpdates]) -> None:
+    def relay(self, told: list[placement_codec.KeyUpdates]) -> None:
         """Tell changes to those that don't; a host that watches does so."""
 
 
@@ -373,7 +373,7 @@
             at_s += GATHER_S
         self.lag.record_peer_position(host, upto, at_s)
 
-    def take_updates(self, told: placing_codec.KeyUpdates) -> None:
+    def take_updates(self, told: placement_codec.KeyUpdates) -> None:
         """A host that watches the store tells what it has seen.
 
         One that has not noticed a restore yet tells nothing that holds.
--- a/magnoliadyke/gateway/handover.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from magnoliadyke.core import promptjobs
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 
 __all__ = ['GivenJobs']
 
@@ -87,9 +87,9 @@
 
     def memories(
         self, now_s: float
-    ) -> dict[str, tuple[placing_codec.Memory, ...]]:
+    ) -> dict[str, tuple[placement_codec.Memory, ...]]:
         """What to tell a host that begins to place, by service."""
-        told: dict[str, list[placing_codec.Memory]] = {}
+        told: dict[str, list[placement_codec.Memory]] = {}
         recent = set()
         for at_s, service, job, engine in self.given:
             if at_s < now_s - GIVEN_S:
@@ -104,16 +104,18 @@
                 told.setdefault(opened.service, []).append(memory)
         return {service: tuple(found) for service, found in told.items()}
 
-    def memory(self, job: promptjobs.Job) -> placing_codec.Memory:
+    def memory(self, job: promptjobs.Job) -> placement_codec.Memory:
         """What the engine that reads a job's prompt has been given."""
         return self._memory(job.id, self.open[job.id].reader, job.parts)
 
-    def _memory(self, job_id: int, engine: str, parts) -> placing_codec.Memory:
+    def _memory(
+        self, job_id: int, engine: str, parts
+    ) -> placement_codec.Memory:
         opened = self.open.get(job_id)
         if opened is None:
-            return placing_codec.Memory(engine, parts)
+            return placement_codec.Memory(engine, parts)
         reads = opened.reading and engine == opened.reader
-        return placing_codec.Memory(
+        return placement_codec.Memory(
             engine,
             parts,
             job_id,
--- a/magnoliadyke/gateway/keyupdates.py
+++ b/magnoliadyke/gateway/keyupdates.py
@@ -4,7 +4,7 @@
 import itertools
 
 from magnoliadyke.core import position
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import store
 
 __all__ = ['split']
@@ -25,7 +25,7 @@
     changes: tuple[Change, ...],
     regained_s: float | None,
     room: float,
-) -> list[placing_codec.KeyUpdates]:
+) -> list[placement_codec.KeyUpdates]:
     """Tell changes in as few datagrams as they fit.
 
     Each begins where the one before it ends, so a host that misses one sees
@@ -38,13 +38,13 @@
     """
     if _size(changes) > room:
         return [
-            placing_codec.KeyUpdates(host, base, upto, (), False, regained_s)
+            placement_codec.KeyUpdates(host, base, upto, (), False, regained_s)
         ]
     told = []
     for group, complete in _groups(changes):
         until = group[-1].position
         told.append(
-            placing_codec.KeyUpdates(
+            placement_codec.KeyUpdates(
                 host, base, until, group, complete, regained_s
             )
         )
@@ -53,7 +53,7 @@
         told[-1] = told[-1]._replace(position=upto)
     elif upto > base or not told:
         told.append(
-            placing_codec.KeyUpdates(host, base, upto, (), True, regained_s)
+            placement_codec.KeyUpdates(host, base, upto, (), True, regained_s)
         )
     return told
 
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -18,8 +18,8 @@
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import members
 from magnoliadyke.gateway import operatorcalls
-from magnoliadyke.gateway import placing
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
@@ -112,11 +112,11 @@
         self,
         own: members.HostRecord,
         others: members.Members,
-        placer: placing.Placer,
+        placer: placementservice.Placer,
         kept: store.Store,
         min_lease_s: float,
         order_gap_s: float,
-        tell: Callable[[placing_codec.Leads], None],
+        tell: Callable[[placement_codec.Leads], None],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -288,7 +288,7 @@
 
     # Word of other hosts.
 
-    def heard(self, message: placing_codec.Leads) -> None:
+    def heard(self, message: placement_codec.Leads) -> None:
         """Another host leads, or gives way.
 
         A host that the store turns away would otherwise go on placing for
@@ -311,8 +311,8 @@
         self.placer.follow(message.address, told)
         LOG.event('leader', leader=self.holder, position=told)
 
-    def _word(self) -> placing_codec.Leads:
-        return placing_codec.Leads(
+    def _word(self) -> placement_codec.Leads:
+        return placement_codec.Leads(
             self.own.host,
             self.own.address,
             self.own.incarnation,
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -18,7 +18,7 @@
 from magnoliadyke import errors
 from magnoliadyke.gateway import follower
 from magnoliadyke.gateway import keymirror
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import store
 from magnoliadyke import gossip_codec
 from magnoliadyke import logs
@@ -133,7 +133,7 @@
             Callable[[str, position.Position], None] | None
         ) = None
         self.send_updates: (
-            Callable[[str, placing_codec.KeyUpdates], None] | None
+            Callable[[str, placement_codec.KeyUpdates], None] | None
         ) = None
 
     # Life cycle.
@@ -216,7 +216,7 @@
         told = max(1, len(self._told()))
         return self.link_bytes_s * RELAY_LINK_S / told
 
-    def relay(self, told: list[placing_codec.KeyUpdates]) -> None:
+    def relay(self, told: list[placement_codec.KeyUpdates]) -> None:
         """Tell the hosts of this failure domain that do not watch."""
         for record in self._told():
             for message in told:
--- a/magnoliadyke/gateway/figures.py
+++ b/magnoliadyke/gateway/metricscollector.py
@@ -11,10 +11,10 @@
 from magnoliadyke.gateway import fleetduty
 from magnoliadyke.gateway import follower
 from magnoliadyke.gateway import ingress
-from magnoliadyke.gateway import measures
 from magnoliadyke.gateway import members
+from magnoliadyke.gateway import metricsregistry
 from magnoliadyke.gateway import outcomes
-from magnoliadyke.gateway import placing
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import smallserver
 from magnoliadyke.gateway import store
 from magnoliadyke.gateway import upstream
@@ -37,7 +37,7 @@
     follower: follower.Follower
     ingress: ingress.Ingress
     members: members.Members
-    placer: placing.Placer
+    placer: placementservice.Placer
     store: store.Store
     upstream: upstream.Upstream
     usage: usageduty.UsageDuty
@@ -52,7 +52,7 @@
     def __init__(self, clock: clocks.Clock) -> None:
         self.clock = clock
         self.watched: Watched | None = None
-        self.measures = measures.Measures()
+        self.registry = metricsregistry.Measures()
         self.outcomes: collections.Counter[str] = collections.Counter()
 
     def record(
@@ -60,7 +60,7 @@
     ) -> None:
         """Count one request."""
         self.outcomes[type(outcome).__name__.lower()] += 1
-        self.measures.record(outcome, route, took_s)
+        self.registry.record(outcome, route, took_s)
 
     def answer(self, method: bytes, target: bytes) -> smallserver.Reply:
         """Answer a scraper."""
@@ -68,11 +68,11 @@
             return smallserver.Reply(404)
         self._gather()
         return smallserver.Reply(
-            200, self.measures.content_type, self.measures.text()
+            200, self.registry.content_type, self.registry.text()
         )
 
     def _gather(self) -> None:
-        told, parts = self.measures, self.watched
+        told, parts = self.registry, self.watched
         for by, count in parts.placer.counts.items():
             told.placed.labels(by).set(count)
         for call, count in parts.store.calls.items():
@@ -107,7 +107,7 @@
                 continue
             held = [each.stage for each in known.usable(service)]
             for stage in (catalog.Stage.PREFILL, catalog.Stage.DECODE):
-                gauge = self.measures.engines.labels(service, stage.value)
+                gauge = self.registry.engines.labels(service, stage.value)
                 gauge.set(held.count(stage))
 
     def log(self) -> None:
--- a/magnoliadyke/gateway/placing.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -26,8 +26,8 @@
 from magnoliadyke.core import prefillcost
 from magnoliadyke.core import promptjobs
 from magnoliadyke import errors
-from magnoliadyke.gateway import handover
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import inflightjobs
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import waitlimit
 from magnoliadyke import logs
 
@@ -135,15 +135,15 @@
             collections.OrderedDict()
         )
         self.counts: collections.Counter[str] = collections.Counter()
-        self.given = handover.GivenJobs()
+        self.given = inflightjobs.GivenJobs()
         self.listeners: dict[
-            type, Callable[[Any], placing_codec.Message | None]
+            type, Callable[[Any], placement_codec.Message | None]
         ] = {}
         self.reads: collections.defaultdict[str, set[waitlimit.WaitLimit]] = (
             collections.defaultdict(set)
         )
         self.learned: dict[str, prefillcost.CostCoefficients] = {}
-        self.tell: Callable[[placing_codec.Message], None] | None = None
+        self.tell: Callable[[placement_codec.Message], None] | None = None
         self.socket: socket.socket | None = None
         self.greenlets: list[gevent.Greenlet] = []
 
@@ -179,12 +179,12 @@
                 self.given.placed(service, job, decision, short, now_s)
                 if self._placed_alone(job.id) and not short:
                     memory = self.given.memory(job)
-                    recall = placing_codec.Recall(service, (memory,))
+                    recall = placement_codec.Recall(service, (memory,))
                     self.send(self.leader, recall)
             return decision
         except BaseException:
             # The caller has left: the place goes to somebody else.
-            self._report(service, job.id, placing_codec.Event.WITHDRAWN, '')
+            self._report(service, job.id, placement_codec.Event.WITHDRAWN, '')
             self.placed_by.pop(job.id, None)
             raise
         finally:
@@ -222,7 +222,7 @@
         for service, memories in self.given.memories(now_s).items():
             for start in range(0, len(memories), GIVEN_IN_DATAGRAM):
                 chunk = memories[start : start + GIVEN_IN_DATAGRAM]
-                self.send(leader, placing_codec.Recall(service, chunk))
+                self.send(leader, placement_codec.Recall(service, chunk))
 
     def lead(self) -> None:
         """This host places from now on."""
@@ -233,7 +233,7 @@
         self.leading = True
         self._hand_over(None, now_s)
         for service, memories in self.given.memories(now_s).items():
-            self._recall(placing_codec.Recall(service, memories))
+            self._recall(placement_codec.Recall(service, memories))
 
     def _hand_over(self, leader: str | None, now_s: float) -> None:
         """What becomes of this host's jobs is reported elsewhere from now on.
@@ -264,7 +264,7 @@
                 for engine in pool.core.find_stalled(now_s):
                     self._end_reads(engine)
                     if self.tell is not None:
-                        self.tell(placing_codec.Silent(engine))
+                        self.tell(placement_codec.Silent(engine))
 
     def _tell_learned(self) -> None:
         """Tell the other hosts what prompts take, while this one places."""
@@ -278,7 +278,7 @@
                     continue
                 self.learned[service] = figures
                 if self.tell is not None:
-                    self.tell(placing_codec.Learned(service, figures))
+                    self.tell(placement_codec.Learned(service, figures))
 
     def _end_reads(self, engine: str) -> None:
         """Nobody waits any longer for prompts that an engine should read."""
@@ -287,7 +287,7 @@
         for limit in waits:
             limit.end('the engine reads nothing')
 
-    def _recall(self, recall: placing_codec.Recall) -> None:
+    def _recall(self, recall: placement_codec.Recall) -> None:
         if not self._knows(recall.service):
             return
         core = self._pool(self.served, recall.service).core
@@ -337,7 +337,7 @@
         unanswered = 0
         while unanswered < ASKS:
             waiting.acknowledged.clear()
-            self.send(leader, placing_codec.Ask(service, self._aged(job)))
+            self.send(leader, placement_codec.Ask(service, self._aged(job)))
             if not waiting.acknowledged.wait(self.ask_timeout_s):
                 unanswered += 1
                 continue
@@ -374,12 +374,12 @@
     def has_read(self, service: str, job_id: int, endpoint: str) -> None:
         """An engine has read a job's prompt."""
         self.given.has_read(job_id)
-        self._report(service, job_id, placing_codec.Event.READ, endpoint)
+        self._report(service, job_id, placement_codec.Event.READ, endpoint)
 
     def failed(self, service: str, job_id: int, endpoint: str) -> None:
         """An engine failed a job."""
         self.given.has_read(job_id)
-        self._report(service, job_id, placing_codec.Event.FAILED, endpoint)
+        self._report(service, job_id, placement_codec.Event.FAILED, endpoint)
 
     @contextlib.contextmanager
     def reading(
@@ -399,7 +399,7 @@
         self, service: str, job_id: int, reader: str, runner: str
     ) -> None:
         """An engine turned away a request whose prompt another had read."""
-        lapsed = placing_codec.Event.LAPSED
+        lapsed = placement_codec.Event.LAPSED
         self._report(service, job_id, lapsed, reader, runner=runner)
 
     def moved(
@@ -412,7 +412,7 @@
         """
         self.after_reading_s.add(took_s)
         if job_id % MOVES_TOLD == 0:
-            moved = placing_codec.Event.MOVED
+            moved = placement_codec.Event.MOVED
             self._report(service, job_id, moved, endpoint, took_s)
 
     def ended(self, service: str, job_id: int, tell: bool) -> None:
@@ -422,19 +422,19 @@
         """
         self.given.ended(job_id)
         if tell:
-            self._report(service, job_id, placing_codec.Event.ENDED, '')
+            self._report(service, job_id, placement_codec.Event.ENDED, '')
         self.placed_by.pop(job_id, None)
 
     def _report(
         self,
         service: str,
         job_id: int,
-        what: placing_codec.Event,
+        what: placement_codec.Event,
         endpoint: str,
         took_s: float = 0.0,
         runner: str = '',
     ) -> None:
-        report = placing_codec.Report(
+        report = placement_codec.Report(
             service, job_id, what, endpoint, took_s, runner
         )
         leader = self.placed_by.get(job_id)
@@ -472,32 +472,32 @@
         while True:
             data, sender = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
             try:
-                message = placing_codec.decode(data)
+                message = placement_codec.decode(data)
             except errors.ProtocolError as error:
                 LOG.repeated('datagram_ignored', sender[0], reason=str(error))
                 continue
             self._receive(message, sender[0])
 
-    def _receive(self, message: placing_codec.Message, sender: str) -> None:
+    def _receive(self, message: placement_codec.Message, sender: str) -> None:
         match message:
-            case placing_codec.Ask(service, job):
+            case placement_codec.Ask(service, job):
                 self._take_ask(service, job, sender)
-            case placing_codec.Report(service=service):
+            case placement_codec.Report(service=service):
                 if self.leading and service in self.served:
                     pool = self._pool(self.served, service)
                     self._take_report(pool, message)
-            case placing_codec.Recall():
+            case placement_codec.Recall():
                 if self.leading:
                     self._recall(message)
-            case placing_codec.Silent(engine):
+            case placement_codec.Silent(engine):
                 self._end_reads(engine)
-            case placing_codec.Learned(service, figures):
+            case placement_codec.Learned(service, figures):
                 self._take_learned(service, figures)
-            case placing_codec.Waits(job):
+            case placement_codec.Waits(job):
                 waiting = self.waiting.get(job)
                 if waiting is not None:
                     waiting.acknowledged.set()
-            case placing_codec.Told(decision):
+            case placement_codec.Told(decision):
                 waiting = self.waiting.get(decision.job)
                 if waiting is not None:
                     waiting.acknowledged.set()
@@ -505,7 +505,7 @@
             case _:
                 self._pass_on(message, sender)
 
-    def _pass_on(self, message: placing_codec.Message, sender: str) -> None:
+    def _pass_on(self, message: placement_codec.Message, sender: str) -> None:
         listener = self.listeners.get(type(message))
         reply = listener(message) if listener is not None else None
         if reply is not None:
@@ -528,10 +528,10 @@
             return
         decided = self.decided.get(job.id)
         if decided is not None:
-            self.send(sender, placing_codec.Told(decided))
+            self.send(sender, placement_codec.Told(decided))
             return
         pool = self._pool(self.served, service)
-        waits = placing_codec.Waits(job.id)
+        waits = placement_codec.Waits(job.id)
         if pool.core.is_waiting(job.id):
             self.send(sender, waits)
             return
@@ -550,29 +550,31 @@
         known = configuration.services.get(service)
         return known is not None and known.engine is not None
 
-    def _take_report(self, pool: _Pool, report: placing_codec.Report) -> None:
+    def _take_report(
+        self, pool: _Pool, report: placement_codec.Report
+    ) -> None:
         now_s = self.clock.now_s()
         core = pool.core
         match report.event:
-            case placing_codec.Event.READ:
+            case placement_codec.Event.READ:
                 decisions = core.record_prefill_done(
                     report.job, report.endpoint, now_s
                 )
-            case placing_codec.Event.ENDED:
+            case placement_codec.Event.ENDED:
                 decisions = core.record_end(report.job, now_s)
-            case placing_codec.Event.FAILED:
+            case placement_codec.Event.FAILED:
                 decisions = core.record_failure(
                     report.job, report.endpoint, now_s
                 )
-            case placing_codec.Event.LAPSED:
+            case placement_codec.Event.LAPSED:
                 decisions = core.record_rejection(
                     report.job, report.endpoint, report.runner, now_s
                 )
-            case placing_codec.Event.MOVED:
+            case placement_codec.Event.MOVED:
                 decisions = core.record_kv_transfer(
                     report.endpoint, report.took_s, now_s
                 )
-            case placing_codec.Event.WITHDRAWN:
+            case placement_codec.Event.WITHDRAWN:
                 decisions = core.withdraw(report.job, now_s)
         self._publish(pool, decisions)
 
@@ -589,7 +591,7 @@
             self.decided[decision.job] = decision
             if len(self.decided) > REMEMBERED:
                 self.decided.popitem(last=False)
-            self.send(asker, placing_codec.Told(decision))
+            self.send(asker, placement_codec.Told(decision))
         self._arm(pool)
 
     def _arm(self, pool: _Pool) -> None:
@@ -610,9 +612,9 @@
 
         timer.start(fire)
 
-    def send(self, address: str, message: placing_codec.Message) -> None:
+    def send(self, address: str, message: placement_codec.Message) -> None:
         """Send a datagram; never waits, since the event loop sends too."""
-        data = placing_codec.encode(message)
+        data = placement_codec.encode(message)
         try:
             self.socket._sock.sendto(data, (address, self.port))
         except OSError as error:
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -11,8 +11,8 @@
 from magnoliadyke.gateway import exchange
 from magnoliadyke.gateway import http
 from magnoliadyke.gateway import outcomes
-from magnoliadyke.gateway import placing
-from magnoliadyke.gateway import promptreading
+from magnoliadyke.gateway import placementservice
+from magnoliadyke.gateway import remoteprefill
 from magnoliadyke.gateway import upstream
 from magnoliadyke import logs
 
@@ -37,7 +37,7 @@
 MOST_UNAVAILABLE = 32
 
 
-class PromptExchange(promptreading.PromptReading):
+class PromptExchange(remoteprefill.PromptReading):
     """Goes where the placing host says.
 
     :ivar last_event: last event that the caller has
@@ -242,12 +242,12 @@
         if runner is None:
             if source is not None:
                 self._free(source)
-            return outcomes.NotRun(promptreading.LEFT, arrived=False)
+            return outcomes.NotRun(remoteprefill.LEFT, arrived=False)
         self.endpoint = runner.id
         options = codecs.RunOptions(
             endpoint=runner.name,
             left_s=self.left_s,
-            urgent=job.tokens <= placing.SHORT_TOKENS,
+            urgent=job.tokens <= placementservice.SHORT_TOKENS,
             source=source,
             fetch_from=placed.fetch_from if source is None else None,
             resume_after=resume_after,
@@ -319,7 +319,7 @@
             return outcomes.NotRun(str(error), arrived=False)
         if not self._may_send():
             self.parts.upstream.give(runner, used)
-            return outcomes.NotRun(promptreading.BUDGET_SPENT, False)
+            return outcomes.NotRun(remoteprefill.BUDGET_SPENT, False)
         self.runs += 1
         headers = self.parts.codec.run_headers(self.request, options)
         request = self.request
@@ -390,7 +390,7 @@
         self, job: promptjobs.Job, runner: catalog.Endpoint
     ) -> None:
         """The first event shows that the prompt has been read."""
-        if job.tokens > placing.SHORT_TOKENS:
+        if job.tokens > placementservice.SHORT_TOKENS:
             self.parts.placer.has_read(self.service, job.id, runner.id)
 
     def _relay(
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -13,7 +13,7 @@
 from magnoliadyke.core import stageplan
 from magnoliadyke.gateway import enginecontrol
 from magnoliadyke.gateway import leadership
-from magnoliadyke.gateway import placing
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
@@ -72,7 +72,7 @@
         self,
         host: str,
         leader: leadership.Leadership,
-        placer: placing.Placer,
+        placer: placementservice.Placer,
         known: catalog.Catalog,
         control: enginecontrol.EngineControl,
         clock: clocks.Clock,
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -15,7 +15,7 @@
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import members
 from magnoliadyke.gateway import operatorcalls
-from magnoliadyke.gateway import placing
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
@@ -73,7 +73,7 @@
         settings: UsageSettings,
         leader: leadership.Leadership,
         others: members.Members,
-        placer: placing.Placer,
+        placer: placementservice.Placer,
         kept: store.Store,
         calls: operatorcalls.OperatorCalls | None,
         clock: clocks.Clock,
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -16,21 +16,21 @@
 from magnoliadyke.core import routes
 from magnoliadyke.core import shutdown
 from magnoliadyke.gateway import confirming
+from magnoliadyke.gateway import crashreports
 from magnoliadyke.gateway import duty_codec
 from magnoliadyke.gateway import exchange
-from magnoliadyke.gateway import figures
 from magnoliadyke.gateway import fleetduty
 from magnoliadyke.gateway import follower
 from magnoliadyke.gateway import ingress
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import members
+from magnoliadyke.gateway import metricscollector
 from magnoliadyke.gateway import peerstate
-from magnoliadyke.gateway import placing
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import smallserver
 from magnoliadyke.gateway import stages
-from magnoliadyke.gateway import suspects
 from magnoliadyke.gateway import upstream
 from magnoliadyke.gateway import usageduty
 from magnoliadyke import logs
@@ -92,7 +92,7 @@
         self.clock = clock
         self.rng = rng
         self.stopping = event.Event()
-        self.figures = figures.Figures(clock)
+        self.metrics = metricscollector.Figures(clock)
         self.catalog = catalog.Catalog()
         self.store = platform_store.PlatformStore(settings.store, clock)
         self.upstream = upstream.Upstream(clock)
@@ -107,7 +107,7 @@
         self.members = members.Members(
             self.own, self.store, clock, rng, settings.link_mbps
         )
-        self.placer = placing.Placer(
+        self.placer = placementservice.Placer(
             settings.ip,
             first_port + 1,
             self.catalog,
@@ -175,12 +175,12 @@
         )
         self.follower.read_whole = self.confirming.listed
         self.follower.untold = frozenset((usageduty.REPORTS_KEY,))
-        self.suspects = suspects.Suspects(clock, self._tell_hosts)
+        self.crashreports = crashreports.Suspects(clock, self._tell_hosts)
         self.placer.tell = self._tell_hosts
         self.placer.listeners = {
-            placing_codec.Broken: self.suspects.heard,
-            placing_codec.Leads: self.leadership.heard,
-            placing_codec.KeyUpdates: self.follower.take_updates,
+            placement_codec.Broken: self.crashreports.heard,
+            placement_codec.Leads: self.leadership.heard,
+            placement_codec.KeyUpdates: self.follower.take_updates,
             duty_codec.ConfirmationRequest: self.confirming.asked,
             duty_codec.ConfirmationReply: self.confirming.heard,
             duty_codec.Usage: self.usage.heard,
@@ -194,7 +194,7 @@
             self.balancer,
             self.budgets,
             self.placer,
-            self.suspects,
+            self.crashreports,
             backoffs.Backoffs(),
             rng,
             self.usage.begun,
@@ -202,14 +202,14 @@
         self.ingress = ingress.Ingress(
             settings.callers,
             parts,
-            self.figures.record,
-            self.figures.measures.record_early,
+            self.metrics.record,
+            self.metrics.registry.record_early,
             self.confirming.holds,
             self.follower.is_behind,
             clock,
             rng,
         )
-        self.figures.watched = figures.Watched(
+        self.metrics.watched = metricscollector.Watched(
             self.catalog,
             self.confirming,
             self.fleet,
@@ -240,7 +240,7 @@
             self.fleet,
             smallserver.SmallServer(settings.readiness, answers.readiness),
             smallserver.SmallServer(settings.directory, answers.resolve),
-            smallserver.SmallServer(metrics_address, self.figures.answer),
+            smallserver.SmallServer(metrics_address, self.metrics.answer),
             self.ingress,
         ):
             self.application.add(component)
@@ -289,7 +289,7 @@
         )
         return usage, fleet
 
-    def _tell_hosts(self, message: placing_codec.Message) -> None:
+    def _tell_hosts(self, message: placement_codec.Message) -> None:
         for address in self.members.listening():
             self.placer.send(address, message)
 
@@ -350,7 +350,7 @@
             self.upstream.trim()
             self.balancer.forget(set(self.catalog.endpoints))
             if ticks % 10 == 0:
-                self.figures.log()
+                self.metrics.log()
 
     def _drain(self) -> None:
         """Leave without cutting a request.
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -145,7 +145,7 @@
     seen += repr(datagrams).encode()
     seen += written.getvalue().encode()
     for node in world.nodes:
-        seen += node.figures.answer(b'GET', b'/metrics').body
+        seen += node.metrics.answer(b'GET', b'/metrics').body
     seen += repr(world.store.items.get('magnoliadyke/usage')).encode()
     for key in keys:
         assert key not in seen
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -12,7 +12,7 @@
 from magnoliadyke import errors
 from magnoliadyke.gateway import events
 from magnoliadyke.gateway import http
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import store
 
 
@@ -109,41 +109,45 @@
 @pytest.mark.parametrize(
     'message',
     [
-        placing_codec.Ask('model', JOB),
-        placing_codec.Waits(7),
-        placing_codec.Told(
+        placement_codec.Ask('model', JOB),
+        placement_codec.Waits(7),
+        placement_codec.Told(
             promptjobs.Placed(7, 'p', 'r', '1.2.3.4:5', 30, 0.0125, True)
         ),
-        placing_codec.Told(
+        placement_codec.Told(
             promptjobs.Placed(7, None, 'r', None, 0, 0.0, False)
         ),
-        placing_codec.Recall('model', (placing_codec.Memory('e', JOB.parts),)),
-        placing_codec.Recall(
-            'model', (placing_codec.Memory('e', JOB.parts, 9, 70, True),)
+        placement_codec.Recall(
+            'model', (placement_codec.Memory('e', JOB.parts),)
         ),
-        placing_codec.Broken(b'12345678', ('e1', 'e2')),
-        placing_codec.Leads('h1', '10.0.0.1', 1787, position.Position(2, 40)),
-        placing_codec.Silent('e1'),
-        placing_codec.Learned(
+        placement_codec.Recall(
+            'model', (placement_codec.Memory('e', JOB.parts, 9, 70, True),)
+        ),
+        placement_codec.Broken(b'12345678', ('e1', 'e2')),
+        placement_codec.Leads(
+            'h1', '10.0.0.1', 1787, position.Position(2, 40)
+        ),
+        placement_codec.Silent('e1'),
+        placement_codec.Learned(
             'model', prefillcost.CostCoefficients(0.04, 0.009, 0.0002, 2.5)
         ),
-        placing_codec.Leads(
+        placement_codec.Leads(
             'h1', '10.0.0.1', 1787, position.Position(2, 40), True
         ),
-        placing_codec.Told(promptjobs.Refused(7, 0.25, 'no room')),
-        placing_codec.Report(
-            'model', 7, placing_codec.Event.MOVED, 'r', 0.02, 'p'
+        placement_codec.Told(promptjobs.Refused(7, 0.25, 'no room')),
+        placement_codec.Report(
+            'model', 7, placement_codec.Event.MOVED, 'r', 0.02, 'p'
         ),
     ],
 )
 def test_datagrams(message):
-    assert placing_codec.decode(placing_codec.encode(message)) == message
+    assert placement_codec.decode(placement_codec.encode(message)) == message
 
 
 @pytest.mark.parametrize('data', [b'', b'\x00', b'nonsense', b'\xff' * 50])
 def test_foreign_datagrams(data):
     with pytest.raises(errors.ProtocolError):
-        placing_codec.decode(data)
+        placement_codec.decode(data)
 
 
 def test_few_long_times_do_not_move_the_median():
@@ -162,16 +166,16 @@
 def test_value_of_a_whole_datagram_is_read(size):
     """A host stops to hear of others at the first value that it can't read."""
     item = store.Item('k', b'x' * size, position.Position(3, 9))
-    message = placing_codec.KeyUpdates(
+    message = placement_codec.KeyUpdates(
         'h', position.Position(3, 8), item.position, (item,)
     )
-    assert placing_codec.decode(placing_codec.encode(message)) == message
+    assert placement_codec.decode(placement_codec.encode(message)) == message
 
 
 def test_value_over_the_limit_is_a_protocol_error():
     item = store.Item('k', b'x' * 5000, position.Position(3, 9))
-    message = placing_codec.KeyUpdates(
+    message = placement_codec.KeyUpdates(
         'h', position.Position(3, 8), item.position, (item,)
     )
     with pytest.raises(errors.ProtocolError):
-        placing_codec.decode(placing_codec.encode(message))
+        placement_codec.decode(placement_codec.encode(message))
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -5,7 +5,7 @@
 
 from magnoliadyke.core import catalog
 from magnoliadyke.gateway import enginecontrol
-from magnoliadyke.gateway import figures
+from magnoliadyke.gateway import metricscollector
 from magnoliadyke.gateway import stages
 
 from tests import gatewayworld
@@ -173,7 +173,9 @@
     gatewayworld.wait_for(
         lambda: len(node.catalog.usable('model')) == 2, 'that they left'
     )
-    text = node.figures.answer(b'GET', figures.METRICS_PATH).body.decode()
+    text = node.metrics.answer(
+        b'GET', metricscollector.METRICS_PATH
+    ).body.decode()
     count = 'magnoliadyke_engines{service="model",stage="%s"} %.1f'
     assert count % ('decode', 0) in text
     assert count % ('prefill', 2) in text
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -363,7 +363,7 @@
     gevent.sleep(0.05)
     stopping.begin()
     stopping.end()
-    assert stopping.node.figures.outcomes == {'left': 1}
+    assert stopping.node.metrics.outcomes == {'left': 1}
 
 
 def test_host_that_stops_does_not_begin_to_lead(world, monkeypatch):
--- a/tests/test_handover.py
+++ b/tests/test_inflightjobs.py
@@ -8,9 +8,9 @@
 from magnoliadyke.core import position
 from magnoliadyke.core import promptcache
 from magnoliadyke.core import promptjobs
-from magnoliadyke.gateway import handover
-from magnoliadyke.gateway import placing as gatewayplacing
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import inflightjobs
+from magnoliadyke.gateway import placement_codec
+from magnoliadyke.gateway import placementservice as gatewayplacing
 from tests import promptload
 
 PARTS = (promptcache.PromptPart(1, 4000), promptcache.PromptPart(2, 400))
@@ -29,22 +29,22 @@
 
 
 def test_prompt_that_is_being_read_is_told_of_as_such():
-    given = handover.GivenJobs()
+    given = inflightjobs.GivenJobs()
     given.placed('model', job(7), placed(7), False, 0.5)
     assert memories(given) == {
-        placing_codec.Memory('p0', PARTS, 7, 3000, False),
-        placing_codec.Memory('d0', PARTS, 7, None, False),
+        placement_codec.Memory('p0', PARTS, 7, 3000, False),
+        placement_codec.Memory('d0', PARTS, 7, None, False),
     }
 
 
 def test_job_that_has_ended_leaves_only_what_engines_keep():
-    given = handover.GivenJobs()
+    given = inflightjobs.GivenJobs()
     given.placed('model', job(7), placed(7), False, 0.5)
     given.has_read(7)
     given.ended(7)
     assert memories(given) == {
-        placing_codec.Memory('p0', PARTS),
-        placing_codec.Memory('d0', PARTS),
+        placement_codec.Memory('p0', PARTS),
+        placement_codec.Memory('d0', PARTS),
     }
 
 
@@ -54,19 +54,19 @@
     Unknown to the next one, the slot would be given away again, and the
     engine would turn away requests whose prompts have just been read.
     """
-    given = handover.GivenJobs()
+    given = inflightjobs.GivenJobs()
     given.placed('model', job(7), placed(7, tell_end=True), False, 0.0)
     given.has_read(7)
     assert memories(given, 60.0) == {
-        placing_codec.Memory('d0', (), 7, None, True)
+        placement_codec.Memory('d0', (), 7, None, True)
     }
 
 
 def test_short_prompt_is_not_accounted_as_reading():
-    given = handover.GivenJobs()
+    given = inflightjobs.GivenJobs()
     given.placed('model', job(7), placed(7, prefill=None), True, 0.5)
     assert memories(given) == {
-        placing_codec.Memory('d0', PARTS, 7, None, False)
+        placement_codec.Memory('d0', PARTS, 7, None, False)
     }
 
 
--- a/tests/test_keyupdates.py
+++ b/tests/test_keyupdates.py
@@ -11,7 +11,7 @@
 from magnoliadyke.core import position
 from magnoliadyke.gateway import keyupdates
 from magnoliadyke.gateway import members
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import store
 from tests import gatewayworld
 from tests import test_follower
@@ -131,7 +131,7 @@
     send = node.members.send_updates
 
     def noting(address, told):
-        sent.append(len(placing_codec.encode(told)))
+        sent.append(len(placement_codec.encode(told)))
         send(address, told)
 
     node.members.send_updates = noting
@@ -204,7 +204,7 @@
     world.store.remove('servers/p1')
     advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
     node.follower.take_updates(
-        placing_codec.KeyUpdates(
+        placement_codec.KeyUpdates(
             'x', test_follower.later(node, -1), before, (old,)
         )
     )
@@ -220,7 +220,7 @@
         'servers/p2', own._replace(revision=world.store.revision + 5)
     )
     node.follower.take_updates(
-        placing_codec.KeyUpdates(
+        placement_codec.KeyUpdates(
             'x',
             test_follower.later(node, 3),
             test_follower.later(node, 9),
@@ -243,7 +243,7 @@
     after = test_follower.later(node, 1)
     gone = store.Removed('servers/p1', after)
     node.follower.take_updates(
-        placing_codec.KeyUpdates('x', own, after, (gone,), regained_s=0.1)
+        placement_codec.KeyUpdates('x', own, after, (gone,), regained_s=0.1)
     )
     assert 'p1' in node.catalog.endpoints
     assert 'p1' in node.follower.mirror.expired_entries.grace_until_s
@@ -271,17 +271,17 @@
     item = store.Item('a', b'1', fourth)
     gone = store.Removed('b', fifth)
     for told in (
-        placing_codec.KeyUpdates(
+        placement_codec.KeyUpdates(
             'h', base, fifth, (item, gone), regained_s=1.5
         ),
-        placing_codec.KeyUpdates('h', base, fifth),
+        placement_codec.KeyUpdates('h', base, fifth),
     ):
-        assert placing_codec.decode(placing_codec.encode(told)) == told
+        assert placement_codec.decode(placement_codec.encode(told)) == told
     for left_out in ((item,), (gone,), ()):
-        large = placing_codec.KeyUpdates(
+        large = placement_codec.KeyUpdates(
             'h', base, fifth, left_out, complete=False
         )
-        got = placing_codec.decode(placing_codec.encode(large))
+        got = placement_codec.decode(placement_codec.encode(large))
         assert got == large._replace(changes=())
 
 
@@ -316,7 +316,7 @@
     )
     for each in told:
         if each.complete and each.changes:
-            assert len(placing_codec.encode(each)) <= 1400
+            assert len(placement_codec.encode(each)) <= 1400
     lost = data.draw(
         strategies.sets(strategies.integers(0, max(0, len(told) - 1)))
     )
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -9,7 +9,7 @@
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import members
 from magnoliadyke.gateway import peerstate
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import store
 from tests import gatewayworld
 from tests import test_follower
@@ -192,7 +192,7 @@
         lambda: all(n.follower.lag.own_position.era == 2 for n in others),
     )
     gone = store.Removed('servers/p1', lost)
-    told = placing_codec.KeyUpdates(old.own.host, lost, lost, (gone,))
+    told = placement_codec.KeyUpdates(old.own.host, lost, lost, (gone,))
     for node in others:
         node.follower.listening = True
         updated_s = node.follower.updated_s
@@ -392,22 +392,22 @@
 
 
 def test_word_without_an_era_is_refused():
-    told = placing_codec.KeyUpdates(
+    told = placement_codec.KeyUpdates(
         'h', position.Position(1, 3), position.Position(1, 4)
     )
-    leads = placing_codec.Leads('h', '127.0.0.1', 1, position.Position(1, 4))
+    leads = placement_codec.Leads('h', '127.0.0.1', 1, position.Position(1, 4))
     for message in (told, leads):
-        with pytest.raises(placing_codec.errors.ProtocolError):
-            placing_codec.decode(_without_era(message))
+        with pytest.raises(placement_codec.errors.ProtocolError):
+            placement_codec.decode(_without_era(message))
 
 
 def _without_era(message):
-    datagram = placing_codec.ttypes.Datagram()
-    serialization = placing_codec.TSerialization
+    datagram = placement_codec.ttypes.Datagram()
+    serialization = placement_codec.TSerialization
     serialization.deserialize(
-        datagram, placing_codec.encode(message), placing_codec.FACTORY
+        datagram, placement_codec.encode(message), placement_codec.FACTORY
     )
     for each in (datagram.updates, datagram.leader):
         if each is not None:
             each.era = None
-    return serialization.serialize(datagram, placing_codec.FACTORY)
+    return serialization.serialize(datagram, placement_codec.FACTORY)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -7,7 +7,7 @@
 from magnoliadyke.core import usage
 from magnoliadyke.core import walltime
 from magnoliadyke.gateway import duty_codec
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 
 WINDOW_S = 5.0
 KEPT = usage.kept_windows(WINDOW_S, 10.0)
@@ -68,9 +68,9 @@
     ledger = usage.Ledger(KEPT)
     for part in usage.split({20: begun, 21: {'a': 1}}, 40):
         message = duty_codec.Usage('host-name-1', 17, part, 1.7e9)
-        data = placing_codec.encode(message)
+        data = placement_codec.encode(message)
         assert len(data) <= 1400
-        for window, counts in placing_codec.decode(data).windows.items():
+        for window, counts in placement_codec.decode(data).windows.items():
             ledger.record_tally('h', 1, window, counts)
     assert ledger.counts(20) == begun
     assert ledger.by_process(21) == {('h', 1): {21: {'a': 1}}}
