--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -51,7 +51,7 @@
         kept: store.Store,
         followed: follower.Follower,
         others: members.Members,
-        placer: placementservice.Placer,
+        placer: placementservice.PlacementService,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -58,8 +58,8 @@
     upstream: upstream.Upstream
     balancer: balance.Balancer
     budgets: dict[str, retrybudget.RetryBudget]
-    placer: placementservice.Placer
-    crashreports: crashreports.Suspects
+    placer: placementservice.PlacementService
+    crashreports: crashreports.CrashReporter
     backoffs: backoffs.Backoffs
     rng: random.Random
     begun: usageduty.Begun
@@ -131,7 +131,7 @@
                     return self._tell(refused)
                 outcome = self._serve()
                 if isinstance(outcome, outcomes.Answered):
-                    self.parts.crashreports.served(self.request)
+                    self.parts.crashreports.record_success(self.request)
                 return self._tell(outcome)
         except callers.HostStops:
             return self._tell(self._give_up())
@@ -232,7 +232,7 @@
     ) -> None:
         """A try that broke off may have crashed its endpoint."""
         if isinstance(result, outcomes.Lost) and result.broke_off:
-            self.parts.crashreports.broke(self.request, endpoint)
+            self.parts.crashreports.record_crash(self.request, endpoint)
 
     def _facts(
         self, endpoint: catalog.Endpoint, head: http.Head
--- a/magnoliadyke/gateway/fleetduty.py
+++ b/magnoliadyke/gateway/fleetduty.py
@@ -45,7 +45,7 @@
     def __init__(
         self,
         leader: leadership.Leadership,
-        placer: placementservice.Placer,
+        placer: placementservice.PlacementService,
         known: catalog.Catalog,
         kept: store.Store,
         calls: operatorcalls.OperatorCalls | None,
--- a/magnoliadyke/gateway/inflightjobs.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -13,16 +13,16 @@
 from magnoliadyke.core import promptjobs
 from magnoliadyke.gateway import placement_codec
 
-__all__ = ['GivenJobs']
+__all__ = ['InFlightJobs']
 
 #: Prompts that a new placing host is told of: the last seconds of this host,
 #: as far as engines still keep them, and so many at most.
-GIVEN_S = 6.0
-MAX_GIVEN = 400
+IN_FLIGHT_RETENTION_S = 6.0
+MAX_IN_FLIGHT = 400
 
 
 @dataclasses.dataclass(slots=True)
-class _Open:
+class _InFlightJob:
     """A job that engines still work on.
 
     :ivar reading: its prompt is long and not known to be read
@@ -30,15 +30,15 @@
 
     service: str
     placed: promptjobs.Placed
-    reading: bool
+    is_prefilling: bool
 
     @property
-    def reader(self) -> str:
+    def prefill_engine_id(self) -> str:
         """The engine that reads the prompt."""
         return self.placed.prefill or self.placed.run
 
 
-class _Given(NamedTuple):
+class _SentPrompt(NamedTuple):
     """A prompt that an engine was given."""
 
     at_s: float
@@ -47,19 +47,19 @@
     engine: str
 
 
-class GivenJobs:
+class InFlightJobs:
     """The jobs of this host that were placed lately.
 
     :ivar open: those that engines still work on, by job
     """
 
     def __init__(self) -> None:
-        self.open: dict[int, _Open] = {}
-        self.given: collections.deque[_Given] = collections.deque(
-            maxlen=MAX_GIVEN
+        self.in_flight: dict[int, _InFlightJob] = {}
+        self.sent_prompts: collections.deque[_SentPrompt] = collections.deque(
+            maxlen=MAX_IN_FLIGHT
         )
 
-    def placed(
+    def record_placement(
         self,
         service: str,
         job: promptjobs.Job,
@@ -71,54 +71,69 @@
 
         :param short: its prompt is too short to be accounted
         """
-        self.open[job.id] = _Open(service, placed, not short)
+        self.in_flight[job.id] = _InFlightJob(service, placed, not short)
         for engine in {placed.prefill or placed.run, placed.run}:
-            self.given.append(_Given(now_s, service, job, engine))
+            self.sent_prompts.append(_SentPrompt(now_s, service, job, engine))
 
-    def has_read(self, job_id: int) -> None:
+    def record_prefill_done(self, job_id: int) -> None:
         """A job's prompt was read, or will not be read there."""
-        opened = self.open.get(job_id)
-        if opened is not None:
-            opened.reading = False
+        in_flight_job = self.in_flight.get(job_id)
+        if in_flight_job is not None:
+            in_flight_job.is_prefilling = False
 
-    def ended(self, job_id: int) -> None:
+    def record_end(self, job_id: int) -> None:
         """No engine works on a job any longer."""
-        self.open.pop(job_id, None)
+        self.in_flight.pop(job_id, None)
 
-    def memories(
+    def cache_contents(
         self, now_s: float
-    ) -> dict[str, tuple[placement_codec.Memory, ...]]:
+    ) -> dict[str, tuple[placement_codec.CacheContents, ...]]:
         """What to tell a host that begins to place, by service."""
-        told: dict[str, list[placement_codec.Memory]] = {}
+        found_contents: dict[str, list[placement_codec.CacheContents]] = {}
         recent = set()
-        for at_s, service, job, engine in self.given:
-            if at_s < now_s - GIVEN_S:
+        for at_s, service, job, engine in self.sent_prompts:
+            if at_s < now_s - IN_FLIGHT_RETENTION_S:
                 continue
             recent.add((job.id, engine))
-            memory = self._memory(job.id, engine, job.parts)
-            told.setdefault(service, []).append(memory)
-        for job_id, opened in self.open.items():
-            engine = opened.placed.run
-            if opened.placed.tell_end and (job_id, engine) not in recent:
-                memory = self._memory(job_id, engine, ())
-                told.setdefault(opened.service, []).append(memory)
-        return {service: tuple(found) for service, found in told.items()}
-
-    def memory(self, job: promptjobs.Job) -> placement_codec.Memory:
+            contents = self._cache_contents(job.id, engine, job.parts)
+            found_contents.setdefault(service, []).append(contents)
+        for job_id, in_flight_job in self.in_flight.items():
+            engine = in_flight_job.placed.run
+            if (
+                in_flight_job.placed.tell_end
+                and (job_id, engine) not in recent
+            ):
+                contents = self._cache_contents(job_id, engine, ())
+                found_contents.setdefault(in_flight_job.service, []).append(
+                    contents
+                )
+        return {
+            service: tuple(found) for service, found in found_contents.items()
+        }
+
+    def prefill_cache_contents(
+        self, job: promptjobs.Job
+    ) -> placement_codec.CacheContents:
         """What the engine that reads a job's prompt has been given."""
-        return self._memory(job.id, self.open[job.id].reader, job.parts)
+        return self._cache_contents(
+            job.id, self.in_flight[job.id].prefill_engine_id, job.parts
+        )
 
-    def _memory(
+    def _cache_contents(
         self, job_id: int, engine: str, parts
-    ) -> placement_codec.Memory:
-        opened = self.open.get(job_id)
-        if opened is None:
-            return placement_codec.Memory(engine, parts)
-        reads = opened.reading and engine == opened.reader
-        return placement_codec.Memory(
+    ) -> placement_codec.CacheContents:
+        in_flight_job = self.in_flight.get(job_id)
+        if in_flight_job is None:
+            return placement_codec.CacheContents(engine, parts)
+        reads = (
+            in_flight_job.is_prefilling
+            and engine == in_flight_job.prefill_engine_id
+        )
+        return placement_codec.CacheContents(
             engine,
             parts,
             job_id,
-            opened.placed.read_tokens if reads else None,
-            opened.placed.tell_end and engine == opened.placed.run,
+            in_flight_job.placed.read_tokens if reads else None,
+            in_flight_job.placed.tell_end
+            and engine == in_flight_job.placed.run,
         )
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -112,11 +112,11 @@
         self,
         own: members.HostRecord,
         others: members.Members,
-        placer: placementservice.Placer,
+        placer: placementservice.PlacementService,
         kept: store.Store,
         min_lease_s: float,
         order_gap_s: float,
-        tell: Callable[[placement_codec.Leads], None],
+        tell: Callable[[placement_codec.LeaderAnnouncement], None],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -288,7 +288,7 @@
 
     # Word of other hosts.
 
-    def heard(self, message: placement_codec.Leads) -> None:
+    def heard(self, message: placement_codec.LeaderAnnouncement) -> None:
         """Another host leads, or gives way.
 
         A host that the store turns away would otherwise go on placing for
@@ -311,8 +311,8 @@
         self.placer.follow(message.address, told)
         LOG.event('leader', leader=self.holder, position=told)
 
-    def _word(self) -> placement_codec.Leads:
-        return placement_codec.Leads(
+    def _word(self) -> placement_codec.LeaderAnnouncement:
+        return placement_codec.LeaderAnnouncement(
             self.own.host,
             self.own.address,
             self.own.incarnation,
@@ -379,7 +379,7 @@
         if member.incarnation > self.holder_incarnation:
             return True
         if member.state == membership.SUSPECT:
-            return self.clock.now_s() < self.placer.silent_until_s
+            return self.clock.now_s() < self.placer.leader_retry_at_s
         return member.state in (membership.DEAD, membership.LEFT)
 
     def _is_unmet(self) -> bool:
@@ -394,7 +394,7 @@
         now_s = self.clock.now_s()
         if now_s - self.holder_since_s < UNMET_S:
             return False
-        return now_s < self.placer.silent_until_s
+        return now_s < self.placer.leader_retry_at_s
 
     def _in_reach(self) -> bool:
         return (
--- a/magnoliadyke/gateway/metricscollector.py
+++ b/magnoliadyke/gateway/metricscollector.py
@@ -21,14 +21,14 @@
 from magnoliadyke.gateway import usageduty
 from magnoliadyke import logs
 
-__all__ = ['METRICS_PATH', 'Figures', 'Watched']
+__all__ = ['METRICS_PATH', 'MetricsCollector', 'MetricSources']
 
 LOG = logs.get('node')
 
 METRICS_PATH = b'/metrics'
 
 
-class Watched(NamedTuple):
+class MetricSources(NamedTuple):
     """The parts of a host whose figures are told."""
 
     catalog: catalog.Catalog
@@ -37,13 +37,13 @@
     follower: follower.Follower
     ingress: ingress.Ingress
     members: members.Members
-    placer: placementservice.Placer
+    placer: placementservice.PlacementService
     store: store.Store
     upstream: upstream.Upstream
     usage: usageduty.UsageDuty
 
 
-class Figures:
+class MetricsCollector:
     """Gathers the figures of a host's parts.
 
     :ivar watched: set before the first one is asked for
@@ -51,8 +51,8 @@
 
     def __init__(self, clock: clocks.Clock) -> None:
         self.clock = clock
-        self.watched: Watched | None = None
-        self.registry = metricsregistry.Measures()
+        self.sources: MetricSources | None = None
+        self.registry = metricsregistry.MetricsRegistry()
         self.outcomes: collections.Counter[str] = collections.Counter()
 
     def record(
@@ -72,34 +72,34 @@
         )
 
     def _gather(self) -> None:
-        told, parts = self.registry, self.watched
+        gauges, parts = self.registry, self.sources
         for by, count in parts.placer.counts.items():
-            told.placed.labels(by).set(count)
+            gauges.placed.labels(by).set(count)
         for call, count in parts.store.calls.items():
-            told.store_calls.labels(call).set(count)
-        told.restores.set(parts.store.restores)
+            gauges.store_calls.labels(call).set(count)
+        gauges.restores.set(parts.store.restores)
         for kind, count in parts.follower.mirror.unusable.items():
-            told.unusable.labels(kind).set(count)
+            gauges.unusable.labels(kind).set(count)
         for source, count in parts.follower.catch_up.caught_up.items():
-            told.caught_up.labels(source).set(count)
+            gauges.caught_up.labels(source).set(count)
         if parts.confirming.needed():
             age_s = self.clock.boot_s() - parts.confirming.proof.proved_s
-            told.proof_age.set(age_s)
+            gauges.proof_age.set(age_s)
         if parts.usage.reports.last is not None:
-            told.usage_window.set(parts.usage.reports.last)
+            gauges.usage_window.set(parts.usage.reports.last)
         for service, wanted in parts.fleet.wanted.items():
-            told.endpoints_wanted.labels(service).set(wanted)
+            gauges.endpoints_wanted.labels(service).set(wanted)
         self._count_engines()
-        told.hosts.set(parts.members.count())
-        told.open_requests.set(parts.ingress.open_requests)
+        gauges.hosts.set(parts.members.count())
+        gauges.open_requests.set(parts.ingress.open_requests)
         if parts.catalog.configuration is not None:
-            told.version.set(parts.catalog.configuration.version)
+            gauges.version.set(parts.catalog.configuration.version)
         if parts.catalog.checked_s is not None:
-            told.store_age.set(self.clock.now_s() - parts.catalog.checked_s)
+            gauges.store_age.set(self.clock.now_s() - parts.catalog.checked_s)
 
     def _count_engines(self) -> None:
         """Count engines by stage; a service whose engines all left keeps 0."""
-        known = self.watched.catalog
+        known = self.sources.catalog
         if known.configuration is None:
             return
         for service, traits in known.configuration.services.items():
@@ -112,7 +112,7 @@
 
     def log(self) -> None:
         """Write the regular lines."""
-        parts = self.watched
+        parts = self.sources
         if parts.placer.leading:
             for service, pool in parts.placer.served.items():
                 LOG.event(
@@ -126,9 +126,7 @@
             open=parts.ingress.open_requests,
             processor_s=round(time.process_time(), 3),
             opened=parts.upstream.opened,
-            after_reading_ms=round(
-                parts.placer.after_reading_s.high_s * 1000, 1
-            ),
+            after_reading_ms=round(parts.placer.transfer_s.high_s * 1000, 1),
             **self.outcomes,
             **{f'placed_{k}': v for k, v in parts.placer.counts.items()},
             **{f'store_{k}': v for k, v in parts.store.calls.items()},
--- a/magnoliadyke/gateway/metricsregistry.py
+++ b/magnoliadyke/gateway/metricsregistry.py
@@ -9,14 +9,14 @@
 from magnoliadyke.core import routes
 from magnoliadyke.gateway import outcomes
 
-__all__ = ['Measures']
+__all__ = ['MetricsRegistry']
 
 #: Bounds of answer times in seconds: below, around and above the usual
 #: objectives (0.1 to 0.25 s), up to the longest timeouts.
-TIME_BOUNDS_S = (0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 2, 5, 15)
+LATENCY_BUCKETS_S = (0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 2, 5, 15)
 
 
-class Measures:
+class MetricsRegistry:
     """What a host counts.
 
     :ivar content_type: of the text
@@ -40,7 +40,7 @@
             'magnoliadyke_answer_seconds',
             'Time from a read head to the end of the answer.',
             ('kind', 'outcome'),
-            buckets=TIME_BOUNDS_S,
+            buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self.placed = self._gauge(
--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -19,18 +19,18 @@
 from magnoliadyke.wire.placement import ttypes
 
 __all__ = [
-    'Ask',
-    'Broken',
+    'PlacementRequest',
+    'CrashNotification',
     'Event',
-    'Leads',
-    'Learned',
-    'Memory',
+    'LeaderAnnouncement',
+    'CostUpdate',
+    'CacheContents',
     'KeyUpdates',
-    'Recall',
+    'CacheSnapshot',
     'Report',
-    'Silent',
-    'Told',
-    'Waits',
+    'EngineStalled',
+    'PlacementDecision',
+    'PlacementQueued',
     'decode',
     'encode',
 ]
@@ -61,20 +61,20 @@
     MOVED = ttypes.Event.MOVED
 
 
-class Ask(NamedTuple):
+class PlacementRequest(NamedTuple):
     """Place this job; its times are relative to when this was sent."""
 
     service: str
     job: promptjobs.Job
 
 
-class Waits(NamedTuple):
+class PlacementQueued(NamedTuple):
     """The job is in the queue."""
 
     job: int
 
 
-class Told(NamedTuple):
+class PlacementDecision(NamedTuple):
     """What was decided of a job."""
 
     decision: promptjobs.Decision
@@ -88,10 +88,10 @@
     event: Event
     endpoint: str
     took_s: float = 0.0
-    runner: str = ''
+    decode_engine: str = ''
 
 
-class Memory(NamedTuple):
+class CacheContents(NamedTuple):
     """Parts of a prompt that an engine was given.
 
     :param job: the job, while engines work on it
@@ -106,14 +106,14 @@
     answers: bool = False
 
 
-class Recall(NamedTuple):
+class CacheSnapshot(NamedTuple):
     """What engines were given lately, for a host that begins to place."""
 
     service: str
-    memories: tuple[Memory, ...]
+    cache_contents: tuple[CacheContents, ...]
 
 
-class Broken(NamedTuple):
+class CrashNotification(NamedTuple):
     """A request that endpoints broke off, perhaps since they crashed.
 
     :param fingerprint: digest of the request's content
@@ -123,7 +123,7 @@
     endpoints: tuple[str, ...]
 
 
-class Leads(NamedTuple):
+class LeaderAnnouncement(NamedTuple):
     """A host places for all.
 
     :param incarnation: of its process
@@ -138,17 +138,17 @@
     yields: bool = False
 
 
-class Silent(NamedTuple):
+class EngineStalled(NamedTuple):
     """An engine reads nothing of the prompts that it was given."""
 
     endpoint: str
 
 
-class Learned(NamedTuple):
+class CostUpdate(NamedTuple):
     """What prompts were found to take, for the host that places next."""
 
     service: str
-    figures: prefillcost.CostCoefficients
+    costs: prefillcost.CostCoefficients
 
 
 class KeyUpdates(NamedTuple):
@@ -171,15 +171,15 @@
 
 
 Message = (
-    Ask
-    | Waits
-    | Told
+    PlacementRequest
+    | PlacementQueued
+    | PlacementDecision
     | Report
-    | Recall
-    | Broken
-    | Leads
-    | Silent
-    | Learned
+    | CacheSnapshot
+    | CrashNotification
+    | LeaderAnnouncement
+    | EngineStalled
+    | CostUpdate
     | KeyUpdates
     | duty_codec.Message
 )
@@ -189,24 +189,29 @@
     """Return the bytes of a message."""
     datagram = ttypes.Datagram(version=constants.VERSION)
     match message:
-        case Ask():
+        case PlacementRequest():
             datagram.ask = _encode_ask(message)
-        case Waits(job):
+        case PlacementQueued(job):
             datagram.decision = ttypes.Decision(job=job)
-        case Told(decision):
+        case PlacementDecision(decision):
             datagram.decision = _encode_decision(decision)
-        case Report(service, job, event, endpoint, took_s, runner):
+        case Report(service, job, event, endpoint, took_s, decode_engine):
             datagram.report = ttypes.Report(
-                job, service, event, endpoint, _micro(took_s), runner or None
+                job,
+                service,
+                event,
+                endpoint,
+                _micro(took_s),
+                decode_engine or None,
             )
-        case Recall(service, memories):
+        case CacheSnapshot(service, cache_contents):
             datagram.recall = ttypes.Recall(
                 service,
-                [_encode_memory(each) for each in memories],
+                [_encode_memory(each) for each in cache_contents],
             )
-        case Broken(fingerprint, endpoints):
+        case CrashNotification(fingerprint, endpoints):
             datagram.broken = ttypes.Broken(fingerprint, list(endpoints))
-        case Leads(host, address, incarnation, written, yields):
+        case LeaderAnnouncement(host, address, incarnation, written, yields):
             datagram.leader = ttypes.Leader(
                 host,
                 address,
@@ -215,15 +220,15 @@
                 yields or None,
                 written.era,
             )
-        case Silent(endpoint):
+        case EngineStalled(endpoint):
             datagram.silent = ttypes.Silent(endpoint)
-        case Learned(service, figures):
+        case CostUpdate(service, costs):
             datagram.learned = ttypes.Learned(
                 service,
-                _micro(figures.latency_s),
-                _micro(figures.thousand_tokens_s),
-                _micro(figures.million_pairs_s),
-                round(figures.decode_stage_factor * PERMILLE),
+                _micro(costs.latency_s),
+                _micro(costs.thousand_tokens_s),
+                _micro(costs.million_pairs_s),
+                round(costs.decode_stage_factor * PERMILLE),
             )
         case KeyUpdates():
             datagram.updates = _encode_updates(message)
@@ -256,16 +261,18 @@
             )
         if datagram.recall is not None:
             recall = datagram.recall
-            return Recall(
+            return CacheSnapshot(
                 recall.pool,
                 tuple(_decode_memory(each) for each in recall.memories),
             )
         if datagram.broken is not None:
             broken = datagram.broken
-            return Broken(broken.fingerprint, tuple(broken.endpoints))
+            return CrashNotification(
+                broken.fingerprint, tuple(broken.endpoints)
+            )
         if datagram.leader is not None:
             leader = datagram.leader
-            return Leads(
+            return LeaderAnnouncement(
                 leader.host,
                 leader.address,
                 leader.incarnation,
@@ -273,7 +280,7 @@
                 bool(leader.yields),
             )
         if datagram.silent is not None:
-            return Silent(datagram.silent.endpoint)
+            return EngineStalled(datagram.silent.endpoint)
         if datagram.learned is not None:
             return _decode_learned(datagram.learned)
         if datagram.updates is not None:
@@ -293,7 +300,7 @@
     raise errors.ProtocolError('an empty placement message')
 
 
-def _encode_ask(ask: Ask) -> ttypes.Ask:
+def _encode_ask(ask: PlacementRequest) -> ttypes.Ask:
     job = ask.job
     return ttypes.Ask(
         job=job.id,
@@ -309,7 +316,7 @@
     )
 
 
-def _decode_ask(ask: ttypes.Ask) -> Ask:
+def _decode_ask(ask: ttypes.Ask) -> PlacementRequest:
     job = promptjobs.Job(
         id=ask.job,
         parts=_decode_parts(ask.parts),
@@ -321,7 +328,7 @@
         resumed=ask.resumed,
         avoid=tuple(ask.avoid),
     )
-    return Ask(ask.pool, job)
+    return PlacementRequest(ask.pool, job)
 
 
 def _encode_decision(decision: promptjobs.Decision) -> ttypes.Decision:
@@ -342,7 +349,9 @@
             )
 
 
-def _decode_decision(decision: ttypes.Decision) -> Told | Waits:
+def _decode_decision(
+    decision: ttypes.Decision,
+) -> PlacementDecision | PlacementQueued:
     if decision.run is not None:
         placed = promptjobs.Placed(
             decision.job,
@@ -353,19 +362,19 @@
             (decision.expected_us or 0) / MICRO,
             bool(decision.tell_end),
         )
-        return Told(placed)
+        return PlacementDecision(placed)
     if decision.retry_after_us is not None:
         refused = promptjobs.Refused(
             decision.job,
             decision.retry_after_us / MICRO,
             decision.reason or '',
         )
-        return Told(refused)
-    return Waits(decision.job)
+        return PlacementDecision(refused)
+    return PlacementQueued(decision.job)
 
 
-def _decode_learned(learned: ttypes.Learned) -> Learned:
-    return Learned(
+def _decode_learned(learned: ttypes.Learned) -> CostUpdate:
+    return CostUpdate(
         learned.pool,
         prefillcost.CostCoefficients(
             learned.latency_us / MICRO,
@@ -436,23 +445,23 @@
     )
 
 
-def _encode_memory(memory: Memory) -> ttypes.Memory:
+def _encode_memory(contents: CacheContents) -> ttypes.Memory:
     return ttypes.Memory(
-        memory.engine,
-        _encode_parts(memory.parts),
-        memory.job,
-        memory.read_tokens,
-        memory.answers or None,
+        contents.engine,
+        _encode_parts(contents.parts),
+        contents.job,
+        contents.read_tokens,
+        contents.answers or None,
     )
 
 
-def _decode_memory(memory: ttypes.Memory) -> Memory:
-    return Memory(
-        memory.engine,
-        _decode_parts(memory.parts),
-        memory.job,
-        memory.read_tokens,
-        bool(memory.answers),
+def _decode_memory(contents: ttypes.Memory) -> CacheContents:
+    return CacheContents(
+        contents.engine,
+        _decode_parts(contents.parts),
+        contents.job,
+        contents.read_tokens,
+        bool(contents.answers),
     )
 
 
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -31,7 +31,7 @@
 from magnoliadyke.gateway import waitlimit
 from magnoliadyke import logs
 
-__all__ = ['SHORT_TOKENS', 'Placer']
+__all__ = ['SHORT_TOKENS', 'PlacementService']
 
 LOG = logs.get('placing')
 
@@ -39,33 +39,33 @@
 SHORT_TOKENS = placement.PlacementSettings().short_tokens
 #: An ask without answer is sent again after this time: several times the
 #: way there and back, so that only a lost datagram or a busy host is late.
-ASK_TIMEOUT_S = 0.02
+REQUEST_TIMEOUT_S = 0.02
 #: An ask, or its answer, may wait behind so many bytes on this host's own
 #: link: the body of a long request.  On a narrow link that takes longer than
 #: the answer; without it each long request would look like a dead host.
-BEHIND_BYTES = 64 * 1024
+QUEUED_BODY_BYTES = 64 * 1024
 #: Asks without any answer before the host places by itself.
-ASKS = 2
+MAX_UNANSWERED_REQUESTS = 2
 #: A placing host that did not answer is not asked for this long.
-SILENT_S = 0.6
+LEADER_COOLDOWN_S = 0.6
 #: A job that waits in the queue is asked for again this often.
-REASK_S = 0.2
+RESEND_INTERVAL_S = 0.2
 #: Prompts told of in one datagram, which stays under a network's 1,400 B.
-GIVEN_IN_DATAGRAM = 16
+MAX_PROMPTS_PER_DATAGRAM = 16
 #: How long decisions are remembered for asks that come twice.
-REMEMBERED = 4096
+MAX_CACHED_DECISIONS = 4096
 MAX_DATAGRAM_BYTES = 65535
 #: From a read prompt to the first event before any was measured, in
 #: seconds: a transfer of some milliseconds and a step or two.
-AFTER_READING_S = 0.015
+INITIAL_TRANSFER_S = 0.015
 #: One transfer in so many is reported.
-MOVES_TOLD = 3
+TRANSFER_SAMPLE_INTERVAL = 3
 #: What prompts take is told to all hosts this often, in seconds: some 40 bytes
 #: each, and a host that takes over begins with figures of the last second.
-LEARNED_TOLD_S = 1.0
+COST_SEND_INTERVAL_S = 1.0
 #: Engines that read nothing are looked for this often, in seconds; a fifth
 #: of the time after which one counts as such.
-SILENT_CHECK_S = 0.1
+STALL_CHECK_INTERVAL_S = 0.1
 
 
 class _Waiting(NamedTuple):
@@ -84,7 +84,7 @@
         self.timer = None
 
 
-class Placer(app.Component):
+class PlacementService(app.Component):
     """Places the prompts of this host's callers.
 
     :param address: of this host, for other hosts
@@ -119,31 +119,31 @@
         self.catalog = known
         self.clock = clock
         self.rng = rng
-        self.ask_timeout_s = ask_timeout_s(link_mbps)
+        self.request_timeout_s = request_timeout_s(link_mbps)
         self.leader: str | None = None
         self.term = position.START
         self.leading = False
-        self.after_reading_s = medianestimator.MedianEstimator(AFTER_READING_S)
+        self.transfer_s = medianestimator.MedianEstimator(INITIAL_TRANSFER_S)
         self.hosts = 1
-        self.silent_until_s = 0.0
+        self.leader_retry_at_s = 0.0
         self.served: dict[str, _Pool] = {}
         self.local: dict[str, _Pool] = {}
         self.waiting: dict[int, _Waiting] = {}
         self.placed_by: dict[int, str | None] = {}
-        self.askers: dict[int, str] = {}
+        self.requesters: dict[int, str] = {}
         self.decided: collections.OrderedDict[int, promptjobs.Decision] = (
             collections.OrderedDict()
         )
         self.counts: collections.Counter[str] = collections.Counter()
-        self.given = inflightjobs.GivenJobs()
+        self.in_flight_jobs = inflightjobs.InFlightJobs()
         self.listeners: dict[
             type, Callable[[Any], placement_codec.Message | None]
         ] = {}
-        self.reads: collections.defaultdict[str, set[waitlimit.WaitLimit]] = (
-            collections.defaultdict(set)
-        )
-        self.learned: dict[str, prefillcost.CostCoefficients] = {}
-        self.tell: Callable[[placement_codec.Message], None] | None = None
+        self.prefill_waits: collections.defaultdict[
+            str, set[waitlimit.WaitLimit]
+        ] = collections.defaultdict(set)
+        self.learned_costs: dict[str, prefillcost.CostCoefficients] = {}
+        self.broadcast: Callable[[placement_codec.Message], None] | None = None
         self.socket: socket.socket | None = None
         self.greenlets: list[gevent.Greenlet] = []
 
@@ -155,8 +155,8 @@
         self.socket.bind((self.address, self.port))
         self.greenlets = [
             gevent.spawn(self._receive_all),
-            gevent.spawn(self._check_silent),
-            gevent.spawn(self._tell_learned),
+            gevent.spawn(self._run_stall_checks),
+            gevent.spawn(self._run_cost_updates),
         ]
 
     def stop(self, deadline_s: float) -> None:
@@ -176,10 +176,14 @@
             if isinstance(decision, promptjobs.Placed):
                 short = job.resumed or job.tokens <= SHORT_TOKENS
                 now_s = self.clock.now_s()
-                self.given.placed(service, job, decision, short, now_s)
-                if self._placed_alone(job.id) and not short:
-                    memory = self.given.memory(job)
-                    recall = placement_codec.Recall(service, (memory,))
+                self.in_flight_jobs.record_placement(
+                    service, job, decision, short, now_s
+                )
+                if self._is_local_fallback(job.id) and not short:
+                    contents = self.in_flight_jobs.prefill_cache_contents(job)
+                    recall = placement_codec.CacheSnapshot(
+                        service, (contents,)
+                    )
                     self.send(self.leader, recall)
             return decision
         except BaseException:
@@ -190,7 +194,7 @@
         finally:
             del self.waiting[job.id]
 
-    def _placed_alone(self, job_id: int) -> bool:
+    def _is_local_fallback(self, job_id: int) -> bool:
         """Whether a job was placed here although another host leads.
 
         That host may be there for others, or be back at any moment.  What it
@@ -216,13 +220,21 @@
         self.term = term
         self.leading = False
         self.leader = leader
-        self.silent_until_s = 0.0
+        self.leader_retry_at_s = 0.0
         now_s = self.clock.now_s()
         self._hand_over(leader, now_s)
-        for service, memories in self.given.memories(now_s).items():
-            for start in range(0, len(memories), GIVEN_IN_DATAGRAM):
-                chunk = memories[start : start + GIVEN_IN_DATAGRAM]
-                self.send(leader, placement_codec.Recall(service, chunk))
+        for service, cache_contents in self.in_flight_jobs.cache_contents(
+            now_s
+        ).items():
+            for start in range(
+                0, len(cache_contents), MAX_PROMPTS_PER_DATAGRAM
+            ):
+                chunk = cache_contents[
+                    start : start + MAX_PROMPTS_PER_DATAGRAM
+                ]
+                self.send(
+                    leader, placement_codec.CacheSnapshot(service, chunk)
+                )
 
     def lead(self) -> None:
         """This host places from now on."""
@@ -232,8 +244,12 @@
             self.served = {}
         self.leading = True
         self._hand_over(None, now_s)
-        for service, memories in self.given.memories(now_s).items():
-            self._recall(placement_codec.Recall(service, memories))
+        for service, cache_contents in self.in_flight_jobs.cache_contents(
+            now_s
+        ).items():
+            self._restore_snapshot(
+                placement_codec.CacheSnapshot(service, cache_contents)
+            )
 
     def _hand_over(self, leader: str | None, now_s: float) -> None:
         """What becomes of this host's jobs is reported elsewhere from now on.
@@ -241,13 +257,13 @@
         Those that it placed alone would else hold the engines in its own
         view, which is used again when nobody leads.
         """
-        for job_id in self.given.open:
+        for job_id in self.in_flight_jobs.in_flight:
             if self.placed_by.get(job_id) is None:
                 for pool in self.local.values():
                     self._publish(pool, pool.core.hand_over(job_id, now_s))
             self.placed_by[job_id] = leader
 
-    def _check_silent(self) -> None:
+    def _run_stall_checks(self) -> None:
         """Look for engines that read nothing, for all hosts.
 
         Only while this host places for all.  One that places alone sees its
@@ -256,43 +272,43 @@
         nothing, and its prompts would be given up one after the other.
         """
         while True:
-            self.clock.sleep(SILENT_CHECK_S)
+            self.clock.sleep(STALL_CHECK_INTERVAL_S)
             if not self.leading:
                 continue
             now_s = self.clock.now_s()
             for pool in list(self.served.values()):
                 for engine in pool.core.find_stalled(now_s):
-                    self._end_reads(engine)
-                    if self.tell is not None:
-                        self.tell(placement_codec.Silent(engine))
+                    self._abort_prefill_waits(engine)
+                    if self.broadcast is not None:
+                        self.broadcast(placement_codec.EngineStalled(engine))
 
-    def _tell_learned(self) -> None:
+    def _run_cost_updates(self) -> None:
         """Tell the other hosts what prompts take, while this one places."""
         while True:
-            self.clock.sleep(LEARNED_TOLD_S)
+            self.clock.sleep(COST_SEND_INTERVAL_S)
             if not self.leading:
                 continue
             for service, pool in list(self.served.items()):
-                figures = pool.core.pool.learned_costs()
-                if figures is None:
+                costs = pool.core.pool.learned_costs()
+                if costs is None:
                     continue
-                self.learned[service] = figures
-                if self.tell is not None:
-                    self.tell(placement_codec.Learned(service, figures))
+                self.learned_costs[service] = costs
+                if self.broadcast is not None:
+                    self.broadcast(placement_codec.CostUpdate(service, costs))
 
-    def _end_reads(self, engine: str) -> None:
+    def _abort_prefill_waits(self, engine: str) -> None:
         """Nobody waits any longer for prompts that an engine should read."""
-        waits = self.reads.get(engine, ())
+        waits = self.prefill_waits.get(engine, ())
         LOG.event('engine_silent', endpoint=engine, waits=len(waits))
         for limit in waits:
             limit.end('the engine reads nothing')
 
-    def _recall(self, recall: placement_codec.Recall) -> None:
-        if not self._knows(recall.service):
+    def _restore_snapshot(self, recall: placement_codec.CacheSnapshot) -> None:
+        if not self._is_model_service(recall.service):
             return
         core = self._pool(self.served, recall.service).core
         now_s = self.clock.now_s()
-        for engine, parts, job, read_tokens, answers in recall.memories:
+        for engine, parts, job, read_tokens, answers in recall.cache_contents:
             core.restore_cache(engine, parts)
             if job is not None:
                 core.adopt(job, engine, read_tokens, answers, now_s)
@@ -304,7 +320,7 @@
             self.counts['own'] += 1
             return self._place_at(self.served, service, job, waiting)
         leader = self.leader
-        if leader is not None and self.clock.now_s() >= self.silent_until_s:
+        if leader is not None and self.clock.now_s() >= self.leader_retry_at_s:
             self.placed_by[job.id] = leader
             decision = self._place_remotely(leader, service, job, waiting)
             if decision is not None:
@@ -335,21 +351,26 @@
     ) -> promptjobs.Decision | None:
         """Ask the placing host; None if it doesn't answer."""
         unanswered = 0
-        while unanswered < ASKS:
+        while unanswered < MAX_UNANSWERED_REQUESTS:
             waiting.acknowledged.clear()
-            self.send(leader, placement_codec.Ask(service, self._aged(job)))
-            if not waiting.acknowledged.wait(self.ask_timeout_s):
+            self.send(
+                leader,
+                placement_codec.PlacementRequest(
+                    service, self._with_relative_times(job)
+                ),
+            )
+            if not waiting.acknowledged.wait(self.request_timeout_s):
                 unanswered += 1
                 continue
             unanswered = 0
-            with gevent.Timeout(REASK_S, False):
+            with gevent.Timeout(RESEND_INTERVAL_S, False):
                 return waiting.decided.get()
-        self.silent_until_s = self.clock.now_s() + SILENT_S
+        self.leader_retry_at_s = self.clock.now_s() + LEADER_COOLDOWN_S
         self.counts['silent'] += 1
         LOG.repeated('placing_host_silent', leader, leader=leader)
         return None
 
-    def _aged(self, job: promptjobs.Job) -> promptjobs.Job:
+    def _with_relative_times(self, job: promptjobs.Job) -> promptjobs.Job:
         """The job with times relative to now."""
         now_s = self.clock.now_s()
         return promptjobs.Job(
@@ -371,38 +392,50 @@
             return leader
         return 'self' if self.leading else 'alone'
 
-    def has_read(self, service: str, job_id: int, endpoint: str) -> None:
+    def record_prefill_done(
+        self, service: str, job_id: int, endpoint: str
+    ) -> None:
         """An engine has read a job's prompt."""
-        self.given.has_read(job_id)
+        self.in_flight_jobs.record_prefill_done(job_id)
         self._report(service, job_id, placement_codec.Event.READ, endpoint)
 
-    def failed(self, service: str, job_id: int, endpoint: str) -> None:
+    def record_failure(self, service: str, job_id: int, endpoint: str) -> None:
         """An engine failed a job."""
-        self.given.has_read(job_id)
+        self.in_flight_jobs.record_prefill_done(job_id)
         self._report(service, job_id, placement_codec.Event.FAILED, endpoint)
 
     @contextlib.contextmanager
-    def reading(
+    def track_prefill(
         self, endpoint: str, limit: waitlimit.WaitLimit
     ) -> Iterator[None]:
         """An engine reads a prompt; the wait ends if it reads nothing."""
-        self.reads[endpoint].add(limit)
+        self.prefill_waits[endpoint].add(limit)
         try:
             yield
         finally:
-            waits = self.reads[endpoint]
+            waits = self.prefill_waits[endpoint]
             waits.discard(limit)
             if not waits:
-                del self.reads[endpoint]
+                del self.prefill_waits[endpoint]
 
-    def lapsed(
-        self, service: str, job_id: int, reader: str, runner: str
+    def record_rejection(
+        self,
+        service: str,
+        job_id: int,
+        prefill_engine: str,
+        decode_engine: str,
     ) -> None:
         """An engine turned away a request whose prompt another had read."""
         lapsed = placement_codec.Event.LAPSED
-        self._report(service, job_id, lapsed, reader, runner=runner)
+        self._report(
+            service,
+            job_id,
+            lapsed,
+            prefill_engine,
+            decode_engine=decode_engine,
+        )
 
-    def moved(
+    def record_kv_transfer(
         self, service: str, job_id: int, endpoint: str, took_s: float
     ) -> None:
         """A prompt that was read elsewhere has given its first event.
@@ -410,18 +443,18 @@
         One in several is told: that shows engines whose transfers are slow
         within a second or two, at a tenth of the messages.
         """
-        self.after_reading_s.add(took_s)
-        if job_id % MOVES_TOLD == 0:
+        self.transfer_s.add(took_s)
+        if job_id % TRANSFER_SAMPLE_INTERVAL == 0:
             moved = placement_codec.Event.MOVED
             self._report(service, job_id, moved, endpoint, took_s)
 
-    def ended(self, service: str, job_id: int, tell: bool) -> None:
+    def record_end(self, service: str, job_id: int, must_report: bool) -> None:
         """A job holds no slot any longer.
 
         :param tell: whether the place was to be told
         """
-        self.given.ended(job_id)
-        if tell:
+        self.in_flight_jobs.record_end(job_id)
+        if must_report:
             self._report(service, job_id, placement_codec.Event.ENDED, '')
         self.placed_by.pop(job_id, None)
 
@@ -432,20 +465,20 @@
         what: placement_codec.Event,
         endpoint: str,
         took_s: float = 0.0,
-        runner: str = '',
+        decode_engine: str = '',
     ) -> None:
         report = placement_codec.Report(
-            service, job_id, what, endpoint, took_s, runner
+            service, job_id, what, endpoint, took_s, decode_engine
         )
         leader = self.placed_by.get(job_id)
         if leader is not None and not self.leading:
             self.send(leader, report)
             return
-        if self._placed_alone(job_id):
+        if self._is_local_fallback(job_id):
             self.send(self.leader, report)
         for pools in (self.served, self.local):
             if service in pools:
-                self._take_report(self._pool(pools, service), report)
+                self._apply_report(self._pool(pools, service), report)
 
     # The placing host.
 
@@ -454,8 +487,8 @@
         if pool is None:
             traits = self.catalog.configuration.services[service].engine
             core = placement.Placement(traits, self.rng)
-            if service in self.learned:
-                core.pool.restore_costs(self.learned[service])
+            if service in self.learned_costs:
+                core.pool.restore_costs(self.learned_costs[service])
             pool = pools[service] = _Pool(core)
         pool.core.sharers = 1 if pools is self.served else self.hosts
         if pool.generation != self.catalog.generation:
@@ -480,24 +513,24 @@
 
     def _receive(self, message: placement_codec.Message, sender: str) -> None:
         match message:
-            case placement_codec.Ask(service, job):
-                self._take_ask(service, job, sender)
+            case placement_codec.PlacementRequest(service, job):
+                self._handle_request(service, job, sender)
             case placement_codec.Report(service=service):
                 if self.leading and service in self.served:
                     pool = self._pool(self.served, service)
-                    self._take_report(pool, message)
-            case placement_codec.Recall():
+                    self._apply_report(pool, message)
+            case placement_codec.CacheSnapshot():
                 if self.leading:
-                    self._recall(message)
-            case placement_codec.Silent(engine):
-                self._end_reads(engine)
-            case placement_codec.Learned(service, figures):
-                self._take_learned(service, figures)
-            case placement_codec.Waits(job):
+                    self._restore_snapshot(message)
+            case placement_codec.EngineStalled(engine):
+                self._abort_prefill_waits(engine)
+            case placement_codec.CostUpdate(service, costs):
+                self._handle_cost_update(service, costs)
+            case placement_codec.PlacementQueued(job):
                 waiting = self.waiting.get(job)
                 if waiting is not None:
                     waiting.acknowledged.set()
-            case placement_codec.Told(decision):
+            case placement_codec.PlacementDecision(decision):
                 waiting = self.waiting.get(decision.job)
                 if waiting is not None:
                     waiting.acknowledged.set()
@@ -511,46 +544,46 @@
         if reply is not None:
             self.send(sender, reply)
 
-    def _take_learned(
-        self, service: str, figures: prefillcost.CostCoefficients
+    def _handle_cost_update(
+        self, service: str, costs: prefillcost.CostCoefficients
     ) -> None:
         if self.leading:
             return
-        self.learned[service] = figures
+        self.learned_costs[service] = costs
         if service in self.local:
-            self.local[service].core.pool.restore_costs(figures)
+            self.local[service].core.pool.restore_costs(costs)
 
-    def _take_ask(
+    def _handle_request(
         self, service: str, job: promptjobs.Job, sender: str
     ) -> None:
-        if not self.leading or not self._knows(service):
+        if not self.leading or not self._is_model_service(service):
             # No answer: the host that asks will place by itself.
             return
         decided = self.decided.get(job.id)
         if decided is not None:
-            self.send(sender, placement_codec.Told(decided))
+            self.send(sender, placement_codec.PlacementDecision(decided))
             return
         pool = self._pool(self.served, service)
-        waits = placement_codec.Waits(job.id)
+        waits = placement_codec.PlacementQueued(job.id)
         if pool.core.is_waiting(job.id):
             self.send(sender, waits)
             return
         now_s = self.clock.now_s()
         job.objective_s += now_s
         job.deadline_s += now_s
-        self.askers[job.id] = sender
+        self.requesters[job.id] = sender
         self._publish(pool, pool.core.submit(job, now_s))
         if job.id not in self.decided:
             self.send(sender, waits)
 
-    def _knows(self, service: str) -> bool:
+    def _is_model_service(self, service: str) -> bool:
         configuration = self.catalog.configuration
         if configuration is None:
             return False
         known = configuration.services.get(service)
         return known is not None and known.engine is not None
 
-    def _take_report(
+    def _apply_report(
         self, pool: _Pool, report: placement_codec.Report
     ) -> None:
         now_s = self.clock.now_s()
@@ -568,7 +601,7 @@
                 )
             case placement_codec.Event.LAPSED:
                 decisions = core.record_rejection(
-                    report.job, report.endpoint, report.runner, now_s
+                    report.job, report.endpoint, report.decode_engine, now_s
                 )
             case placement_codec.Event.MOVED:
                 decisions = core.record_kv_transfer(
@@ -585,13 +618,13 @@
             waiting = self.waiting.get(decision.job)
             if waiting is not None:
                 waiting.decided.set(decision)
-            asker = self.askers.pop(decision.job, None)
-            if asker is None:
+            requester = self.requesters.pop(decision.job, None)
+            if requester is None:
                 continue
             self.decided[decision.job] = decision
-            if len(self.decided) > REMEMBERED:
+            if len(self.decided) > MAX_CACHED_DECISIONS:
                 self.decided.popitem(last=False)
-            self.send(asker, placement_codec.Told(decision))
+            self.send(requester, placement_codec.PlacementDecision(decision))
         self._arm(pool)
 
     def _arm(self, pool: _Pool) -> None:
@@ -621,6 +654,6 @@
             LOG.repeated('send_failed', address, error=str(error))
 
 
-def ask_timeout_s(link_mbps: float) -> float:
+def request_timeout_s(link_mbps: float) -> float:
     """How long an answer of the placing host is waited for, in seconds."""
-    return ASK_TIMEOUT_S + BEHIND_BYTES * 8 / (link_mbps * 1e6)
+    return REQUEST_TIMEOUT_S + QUEUED_BODY_BYTES * 8 / (link_mbps * 1e6)
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -37,7 +37,7 @@
 MOST_UNAVAILABLE = 32
 
 
-class PromptExchange(remoteprefill.PromptReading):
+class PromptExchange(remoteprefill.RemotePrefill):
     """Goes where the placing host says.
 
     :ivar last_event: last event that the caller has
@@ -65,7 +65,7 @@
                 return self._refused(decision.reason, decision.retry_after_s)
             excluded = self._excluded(decision)
             if excluded is not None:
-                self.parts.placer.ended(self.service, job.id, True)
+                self.parts.placer.record_end(self.service, job.id, True)
                 self.misses += 1
                 if excluded in job.avoid or self.misses > MOST_MISSES:
                     backoff_s = self._backoff_s(excluded)
@@ -80,11 +80,11 @@
                     isinstance(result, outcomes.NotRun | outcomes.Lost)
                     and not self.budget_spent
                 ):
-                    self.parts.placer.failed(
+                    self.parts.placer.record_failure(
                         self.service, job.id, self.endpoint
                     )
             finally:
-                self.parts.placer.ended(self.service, job.id, tell)
+                self.parts.placer.record_end(self.service, job.id, tell)
             match result:
                 case outcomes.Answered() | outcomes.Failed():
                     return result
@@ -202,7 +202,7 @@
         objective_s = self.arrived_s + self.route.objective_s
         if returning:
             objective_s -= self.route.timeout_s - wait_s
-        objective_s -= self.parts.placer.after_reading_s.high_s
+        objective_s -= self.parts.placer.transfer_s.high_s
         return promptjobs.Job(
             id=self.parts.rng.getrandbits(62),
             parts=prompt.parts,
@@ -236,13 +236,13 @@
                 return source
         # Looked up after reading: an engine that has begun to leave in the
         # meantime may be given no work any longer.
-        runner = self._present(placed.run)
+        runner = self._find_staying_engine(placed.run)
         if runner is None and source is not None:
             runner = self._other_runner(placed.run)
         if runner is None:
             if source is not None:
-                self._free(source)
-            return outcomes.NotRun(remoteprefill.LEFT, arrived=False)
+                self._release_kv_cache(source)
+            return outcomes.NotRun(remoteprefill.ENGINE_LEFT, arrived=False)
         self.endpoint = runner.id
         options = codecs.RunOptions(
             endpoint=runner.name,
@@ -269,7 +269,7 @@
                     result = self._stream(other, options, job)
         finally:
             if source is not None and not started:
-                self._free(source)
+                self._release_kv_cache(source)
         return result
 
     def _note_turned_away(
@@ -284,10 +284,12 @@
         """
         placer = self.parts.placer
         if result.arrived:
-            placer.lapsed(self.service, job.id, placed.prefill, placed.run)
+            placer.record_rejection(
+                self.service, job.id, placed.prefill, placed.run
+            )
             self._log_try('turned away after reading', 'not run')
         else:
-            placer.failed(self.service, job.id, placed.run)
+            placer.record_failure(self.service, job.id, placed.run)
             self._log_try(result.reason, 'not run')
 
     def _other_runner(self, failed: str) -> catalog.Endpoint | None:
@@ -391,7 +393,9 @@
     ) -> None:
         """The first event shows that the prompt has been read."""
         if job.tokens > placementservice.SHORT_TOKENS:
-            self.parts.placer.has_read(self.service, job.id, runner.id)
+            self.parts.placer.record_prefill_done(
+                self.service, job.id, runner.id
+            )
 
     def _relay(
         self,
@@ -415,9 +419,9 @@
                 self._note_begun()
             if first and options.source is None:
                 self._tell_read(job, runner)
-            elif first and self.read_s is not None:
-                took_s = self.parts.clock.now_s() - self.read_s
-                self.parts.placer.moved(
+            elif first and self.prefill_done_s is not None:
+                took_s = self.parts.clock.now_s() - self.prefill_done_s
+                self.parts.placer.record_kv_transfer(
                     self.service, job.id, runner.id, took_s
                 )
             first = False
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -12,7 +12,7 @@
 from magnoliadyke.gateway import waitlimit
 from magnoliadyke import logs
 
-__all__ = ['BUDGET_SPENT', 'LEFT', 'PromptReading']
+__all__ = ['BUDGET_SPENT', 'ENGINE_LEFT', 'RemotePrefill']
 
 LOG = logs.get('promptreading')
 
@@ -20,16 +20,16 @@
 #: expected to be enough; the rest is for another try.  An engine that is
 #: down is found sooner, by its connections or by all hosts together: one
 #: that is only busy reads on, and what was read there would be read again.
-READ_SHARE = 0.5
+PREFILL_TIMEOUT_SHARE = 0.5
 #: Never given up before so many times the expected time.
-PREFILL_FACTOR = 3.0
+MIN_PREFILL_TIMEOUT_FACTOR = 3.0
 #: Reason told for a request whose engine is gone, or leaves.
-LEFT = 'the engine has left'
+ENGINE_LEFT = 'the engine has left'
 #: Reason told for a request that would be one repeat too many.
 BUDGET_SPENT = 'the retry budget is spent'
 
 
-class PromptReading(exchange.Exchange):
+class RemotePrefill(exchange.Exchange):
     """The part of an exchange in which a prompt is read.
 
     :ivar prefills: times that the prompt was given to an engine to read
@@ -40,7 +40,7 @@
     def __init__(self, *args) -> None:
         super().__init__(*args)
         self.prefills = 0
-        self.read_s: float | None = None
+        self.prefill_done_s: float | None = None
         self.budget_spent = False
 
     @property
@@ -69,7 +69,9 @@
     def _may_go_on(self) -> bool:
         return not self.budget_spent and super()._may_go_on()
 
-    def _present(self, endpoint_id: str) -> catalog.Endpoint | None:
+    def _find_staying_engine(
+        self, endpoint_id: str
+    ) -> catalog.Endpoint | None:
         """An engine, unless it has left or is about to."""
         endpoint = self.parts.catalog.endpoints.get(endpoint_id)
         return None if endpoint is None or endpoint.leaving else endpoint
@@ -83,72 +85,88 @@
         was to answer it would read all of it at half the speed, between the
         tokens of others.
         """
-        reader = self._present(placed.prefill)
-        if reader is None:
-            return self._not_read(placed.prefill, LEFT, False)
+        prefill_engine = self._find_staying_engine(placed.prefill)
+        if prefill_engine is None:
+            return self._record_prefill_failure(
+                placed.prefill, ENGINE_LEFT, False
+            )
         sent_s = self.parts.clock.now_s()
         options = codecs.RunOptions(
-            reader.name, self.left_s, fetch_from=placed.fetch_from
+            prefill_engine.name, self.left_s, fetch_from=placed.fetch_from
         )
         headers = self.parts.codec.prefill_headers(self.request, options)
         try:
-            used = self._take(reader, repeatable=True)
+            used = self._take(prefill_engine, repeatable=True)
         except upstream.NoConnection as error:
-            return self._not_read(reader.id, str(error), False)
+            return self._record_prefill_failure(
+                prefill_engine.id, str(error), False
+            )
         if not self._may_prefill():
-            self.parts.upstream.give(reader, used)
-            return self._not_read(reader.id, BUDGET_SPENT, False)
-        wait_s = placed.expected_s * PREFILL_FACTOR
-        wait_s = min(self.left_s, max(wait_s, self.left_s * READ_SHARE))
+            self.parts.upstream.give(prefill_engine, used)
+            return self._record_prefill_failure(
+                prefill_engine.id, BUDGET_SPENT, False
+            )
+        wait_s = placed.expected_s * MIN_PREFILL_TIMEOUT_FACTOR
+        wait_s = min(
+            self.left_s, max(wait_s, self.left_s * PREFILL_TIMEOUT_SHARE)
+        )
         limit = waitlimit.WaitLimit(wait_s, http.OutOfTime)
         try:
-            with self.parts.placer.reading(reader.id, limit):
-                result = self._converse(reader, used, headers, limit)
+            with self.parts.placer.track_prefill(prefill_engine.id, limit):
+                result = self._converse(prefill_engine, used, headers, limit)
         finally:
-            self.parts.upstream.give(reader, used)
-        self._note_try(result, reader.id)
+            self.parts.upstream.give(prefill_engine, used)
+        self._note_try(result, prefill_engine.id)
         match result:
             case outcomes.NotRun(reason) | outcomes.Lost(reason):
                 self.sends += 1
-                return self._not_read(reader.id, reason, True)
+                return self._record_prefill_failure(
+                    prefill_engine.id, reason, True
+                )
         read = self.parts.codec.prefilled(result.body)
         if read is None or result.facts.status != 200:
             reason = f'status {result.facts.status}'
-            return self._not_read(reader.id, reason, True)
-        if reader.id not in self.parts.catalog.endpoints:
+            return self._record_prefill_failure(
+                prefill_engine.id, reason, True
+            )
+        if prefill_engine.id not in self.parts.catalog.endpoints:
             # What it has read went with it, and the process after it may
             # give another request the same handle.
-            return self._not_read(reader.id, LEFT, True)
-        self.parts.placer.has_read(self.service, job.id, reader.id)
-        self.read_s = self.parts.clock.now_s()
+            return self._record_prefill_failure(
+                prefill_engine.id, ENGINE_LEFT, True
+            )
+        self.parts.placer.record_prefill_done(
+            self.service, job.id, prefill_engine.id
+        )
+        self.prefill_done_s = self.parts.clock.now_s()
         LOG.event(
             'prompt_read',
             id=self.request.id.decode('latin-1'),
-            endpoint=reader.id,
+            endpoint=prefill_engine.id,
             tokens=placed.read_tokens,
-            took_ms=round((self.read_s - sent_s) * 1000),
+            took_ms=round((self.prefill_done_s - sent_s) * 1000),
             expected_ms=round(placed.expected_s * 1000),
         )
-        return f'{reader.address}/{read.handle}'
+        return f'{prefill_engine.address}/{read.handle}'
 
-    def _not_read(
-        self, reader: str, reason: str, arrived: bool
+    def _record_prefill_failure(
+        self, prefill_engine: str, reason: str, arrived: bool
     ) -> outcomes.NotRun:
         LOG.event(
             'prefill_failed',
             id=self.request.id.decode('latin-1'),
-            endpoint=reader,
+            endpoint=prefill_engine,
             cause=reason,
             left_ms=round(self.left_s * 1000),
         )
         return outcomes.NotRun(reason, arrived)
 
-    def _free(self, source: str) -> None:
+    def _release_kv_cache(self, source: str) -> None:
         """Free what was read for a caller that left or was refused."""
         address, _, handle = source.partition('/')
-        gevent.spawn(self._free_now, address, handle)
+        gevent.spawn(self._send_kv_cache_release, address, handle)
 
-    def _free_now(self, address: str, handle: str) -> None:
+    def _send_kv_cache_release(self, address: str, handle: str) -> None:
         for endpoint in self.parts.catalog.endpoints.values():
             if endpoint.address == address:
                 break
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -72,7 +72,7 @@
         self,
         host: str,
         leader: leadership.Leadership,
-        placer: placementservice.Placer,
+        placer: placementservice.PlacementService,
         known: catalog.Catalog,
         control: enginecontrol.EngineControl,
         clock: clocks.Clock,
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -73,7 +73,7 @@
         settings: UsageSettings,
         leader: leadership.Leadership,
         others: members.Members,
-        placer: placementservice.Placer,
+        placer: placementservice.PlacementService,
         kept: store.Store,
         calls: operatorcalls.OperatorCalls | None,
         clock: clocks.Clock,
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -92,7 +92,7 @@
         self.clock = clock
         self.rng = rng
         self.stopping = event.Event()
-        self.metrics = metricscollector.Figures(clock)
+        self.metrics = metricscollector.MetricsCollector(clock)
         self.catalog = catalog.Catalog()
         self.store = platform_store.PlatformStore(settings.store, clock)
         self.upstream = upstream.Upstream(clock)
@@ -107,7 +107,7 @@
         self.members = members.Members(
             self.own, self.store, clock, rng, settings.link_mbps
         )
-        self.placer = placementservice.Placer(
+        self.placer = placementservice.PlacementService(
             settings.ip,
             first_port + 1,
             self.catalog,
@@ -175,11 +175,11 @@
         )
         self.follower.read_whole = self.confirming.listed
         self.follower.untold = frozenset((usageduty.REPORTS_KEY,))
-        self.crashreports = crashreports.Suspects(clock, self._tell_hosts)
-        self.placer.tell = self._tell_hosts
+        self.crashreports = crashreports.CrashReporter(clock, self._tell_hosts)
+        self.placer.broadcast = self._tell_hosts
         self.placer.listeners = {
-            placement_codec.Broken: self.crashreports.heard,
-            placement_codec.Leads: self.leadership.heard,
+            placement_codec.CrashNotification: self.crashreports.handle_report,
+            placement_codec.LeaderAnnouncement: self.leadership.heard,
             placement_codec.KeyUpdates: self.follower.take_updates,
             duty_codec.ConfirmationRequest: self.confirming.asked,
             duty_codec.ConfirmationReply: self.confirming.heard,
@@ -209,7 +209,7 @@
             clock,
             rng,
         )
-        self.metrics.watched = metricscollector.Watched(
+        self.metrics.sources = metricscollector.MetricSources(
             self.catalog,
             self.confirming,
             self.fleet,
--- a/tests/test_gateway_leadership.py
+++ b/tests/test_gateway_leadership.py
@@ -152,8 +152,8 @@
     A question that follows it is answered later than that; the host would
     take the placing host for dead, and place alone for half a second.
     """
-    assert placementservice.ask_timeout_s(10.0) > 0.05
-    assert placementservice.ask_timeout_s(1000.0) < 0.025
+    assert placementservice.request_timeout_s(10.0) > 0.05
+    assert placementservice.request_timeout_s(1000.0) < 0.025
 
 
 def test_late_word_of_an_earlier_leader_changes_nothing(world):
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -109,32 +109,35 @@
 @pytest.mark.parametrize(
     'message',
     [
-        placement_codec.Ask('model', JOB),
-        placement_codec.Waits(7),
-        placement_codec.Told(
+        placement_codec.PlacementRequest('model', JOB),
+        placement_codec.PlacementQueued(7),
+        placement_codec.PlacementDecision(
             promptjobs.Placed(7, 'p', 'r', '1.2.3.4:5', 30, 0.0125, True)
         ),
-        placement_codec.Told(
+        placement_codec.PlacementDecision(
             promptjobs.Placed(7, None, 'r', None, 0, 0.0, False)
         ),
-        placement_codec.Recall(
-            'model', (placement_codec.Memory('e', JOB.parts),)
+        placement_codec.CacheSnapshot(
+            'model', (placement_codec.CacheContents('e', JOB.parts),)
         ),
-        placement_codec.Recall(
-            'model', (placement_codec.Memory('e', JOB.parts, 9, 70, True),)
+        placement_codec.CacheSnapshot(
+            'model',
+            (placement_codec.CacheContents('e', JOB.parts, 9, 70, True),),
         ),
-        placement_codec.Broken(b'12345678', ('e1', 'e2')),
-        placement_codec.Leads(
+        placement_codec.CrashNotification(b'12345678', ('e1', 'e2')),
+        placement_codec.LeaderAnnouncement(
             'h1', '10.0.0.1', 1787, position.Position(2, 40)
         ),
-        placement_codec.Silent('e1'),
-        placement_codec.Learned(
+        placement_codec.EngineStalled('e1'),
+        placement_codec.CostUpdate(
             'model', prefillcost.CostCoefficients(0.04, 0.009, 0.0002, 2.5)
         ),
-        placement_codec.Leads(
+        placement_codec.LeaderAnnouncement(
             'h1', '10.0.0.1', 1787, position.Position(2, 40), True
         ),
-        placement_codec.Told(promptjobs.Refused(7, 0.25, 'no room')),
+        placement_codec.PlacementDecision(
+            promptjobs.Refused(7, 0.25, 'no room')
+        ),
         placement_codec.Report(
             'model', 7, placement_codec.Event.MOVED, 'r', 0.02, 'p'
         ),
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -204,7 +204,7 @@
     dead.members.greenlets[1].kill()
     dead.members.registering.kill()
     dead.members.socket.close()
-    left.placer.silent_until_s = float('inf')
+    left.placer.leader_retry_at_s = float('inf')
     gatewayworld.wait_for(lambda: left.placer.leading, 'the new leader')
     assert not left.leadership.may_order()
     gatewayworld.wait_for(left.leadership.may_order, 'the right to order')
@@ -315,9 +315,9 @@
         lambda: former not in node.catalog.endpoints, 'the new process'
     )
     only_engine(node)
-    node.placer.failed('model', 1, former)
-    node.placer.has_read('model', 2, former)
-    node.placer.moved('model', 3, former, 0.5)
+    node.placer.record_failure('model', 1, former)
+    node.placer.record_prefill_done('model', 2, former)
+    node.placer.record_kv_transfer('model', 3, former, 0.5)
     _, engine = only_engine(node)
     assert engine.failures == 0
     assert engine.last_success_s == float('-inf')
@@ -412,7 +412,7 @@
     reading = core.pool.costs[catalog.Stage.PREFILL]
     reading.set_coefficients(0.04, 0.009, 0.0002)
     reading.count = 1000
-    gatewayworld.wait_for(lambda: new.placer.learned, 'what was learned')
+    gatewayworld.wait_for(lambda: new.placer.learned_costs, 'what was learned')
     new.placer.lead()
     core = new.placer._pool(new.placer.served, 'model').core
     found = core.pool.costs[catalog.Stage.PREFILL].coefficients
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -590,8 +590,8 @@
     node.placer.place = lambda service, job: promptjobs.Placed(
         job.id, 'p1', 'd1', None, 5500, 0.05, False
     )
-    node.placer.lapsed = lambda *what: told.append('turned away')
-    node.placer.failed = lambda *what: told.append(what[2])
+    node.placer.record_rejection = lambda *what: told.append('turned away')
+    node.placer.record_failure = lambda *what: told.append(what[2])
     assert run(world, '/chat/1', **PROMPT)[0].status == 200
     assert len(reader.arrivals) == 1
     assert told == ['d1']
@@ -657,7 +657,7 @@
     node.placer.place = lambda service, job: promptjobs.Placed(
         job.id, next(decided), 'd1', None, 5500, 0.05, False
     )
-    node.placer.failed = lambda *what: told.append(what[2])
+    node.placer.record_failure = lambda *what: told.append(what[2])
     assert run(world, '/chat/1', **PROMPT)[0].status == 200
     assert len(reader.arrivals) == 1
     assert told == ['p1']
@@ -673,7 +673,7 @@
     node = world.node()
     gatewayworld.wait_for(lambda: node.placer.leading, 'the placing host')
     told = []
-    node.placer.tell = told.append
+    node.placer.broadcast = told.append
     core = node.placer._pool(node.placer.served, 'model').core
     core.pool.adopt(1, 'e1', 5000, node.clock.now_s() - 60.0)
     node.placer.leading = False
@@ -718,7 +718,7 @@
         'the placing host',
     )
     leader, other = sorted(world.nodes, key=lambda n: not n.placer.leading)
-    other.placer.silent_until_s = other.clock.now_s() + 60.0
+    other.placer.leader_retry_at_s = other.clock.now_s() + 60.0
     for node in world.nodes:
         for pools in (node.placer.served, node.placer.local):
             core = node.placer._pool(pools, 'model').core
--- a/tests/test_gateway_restart.py
+++ b/tests/test_gateway_restart.py
@@ -113,12 +113,12 @@
     node.members.core.members.pop(first.own.host, None)
     node.members.core._view = None
     now_s = node.clock.now_s()
-    node.placer.silent_until_s = now_s + 60
+    node.placer.leader_retry_at_s = now_s + 60
     led.holder_since_s = now_s
     assert not led._holder_is_dead()
     led.holder_since_s = now_s - leadership.UNMET_S
     assert led._holder_is_dead()
-    node.placer.silent_until_s = 0.0
+    node.placer.leader_retry_at_s = 0.0
     assert not led._holder_is_dead()
 
 
@@ -160,12 +160,12 @@
     gatewayworld.wait_for(
         lambda: other.placer.leader == leader.own.address, 'the holder'
     )
-    other.placer.silent_until_s = other.clock.now_s() + 60.0
+    other.placer.leader_retry_at_s = other.clock.now_s() + 60.0
     word = leader.leadership._word()
     other.leadership.heard(word)
-    assert other.placer.silent_until_s > 0.0
+    assert other.placer.leader_retry_at_s > 0.0
     other.leadership.heard(_next_term(word))
-    assert other.placer.silent_until_s == 0.0
+    assert other.placer.leader_retry_at_s == 0.0
 
 
 def _next_term(word):
--- a/tests/test_inflightjobs.py
+++ b/tests/test_inflightjobs.py
@@ -24,27 +24,27 @@
     return promptjobs.Placed(number, prefill, run, None, 3000, 0.1, tell_end)
 
 
-def memories(given, now_s=1.0):
-    return set(given.memories(now_s).get('model', ()))
+def cache_contents(given, now_s=1.0):
+    return set(given.cache_contents(now_s).get('model', ()))
 
 
 def test_prompt_that_is_being_read_is_told_of_as_such():
-    given = inflightjobs.GivenJobs()
-    given.placed('model', job(7), placed(7), False, 0.5)
-    assert memories(given) == {
-        placement_codec.Memory('p0', PARTS, 7, 3000, False),
-        placement_codec.Memory('d0', PARTS, 7, None, False),
+    given = inflightjobs.InFlightJobs()
+    given.record_placement('model', job(7), placed(7), False, 0.5)
+    assert cache_contents(given) == {
+        placement_codec.CacheContents('p0', PARTS, 7, 3000, False),
+        placement_codec.CacheContents('d0', PARTS, 7, None, False),
     }
 
 
 def test_job_that_has_ended_leaves_only_what_engines_keep():
-    given = inflightjobs.GivenJobs()
-    given.placed('model', job(7), placed(7), False, 0.5)
-    given.has_read(7)
-    given.ended(7)
-    assert memories(given) == {
-        placement_codec.Memory('p0', PARTS),
-        placement_codec.Memory('d0', PARTS),
+    given = inflightjobs.InFlightJobs()
+    given.record_placement('model', job(7), placed(7), False, 0.5)
+    given.record_prefill_done(7)
+    given.record_end(7)
+    assert cache_contents(given) == {
+        placement_codec.CacheContents('p0', PARTS),
+        placement_codec.CacheContents('d0', PARTS),
     }
 
 
@@ -54,19 +54,21 @@
     Unknown to the next one, the slot would be given away again, and the
     engine would turn away requests whose prompts have just been read.
     """
-    given = inflightjobs.GivenJobs()
-    given.placed('model', job(7), placed(7, tell_end=True), False, 0.0)
-    given.has_read(7)
-    assert memories(given, 60.0) == {
-        placement_codec.Memory('d0', (), 7, None, True)
+    given = inflightjobs.InFlightJobs()
+    given.record_placement(
+        'model', job(7), placed(7, tell_end=True), False, 0.0
+    )
+    given.record_prefill_done(7)
+    assert cache_contents(given, 60.0) == {
+        placement_codec.CacheContents('d0', (), 7, None, True)
     }
 
 
 def test_short_prompt_is_not_accounted_as_reading():
-    given = inflightjobs.GivenJobs()
-    given.placed('model', job(7), placed(7, prefill=None), True, 0.5)
-    assert memories(given) == {
-        placement_codec.Memory('d0', PARTS, 7, None, False)
+    given = inflightjobs.InFlightJobs()
+    given.record_placement('model', job(7), placed(7, prefill=None), True, 0.5)
+    assert cache_contents(given) == {
+        placement_codec.CacheContents('d0', PARTS, 7, None, False)
     }
 
 
@@ -135,7 +137,7 @@
     Of the jobs that the other one placed meanwhile it knows by the hosts'
     word only; what it had accounted before has long ended.
     """
-    placer = gatewayplacing.Placer(
+    placer = gatewayplacing.PlacementService(
         '127.0.0.1',
         1,
         catalog.Catalog(),
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -395,7 +395,9 @@
     told = placement_codec.KeyUpdates(
         'h', position.Position(1, 3), position.Position(1, 4)
     )
-    leads = placement_codec.Leads('h', '127.0.0.1', 1, position.Position(1, 4))
+    leads = placement_codec.LeaderAnnouncement(
+        'h', '127.0.0.1', 1, position.Position(1, 4)
+    )
     for message in (told, leads):
         with pytest.raises(placement_codec.errors.ProtocolError):
             placement_codec.decode(_without_era(message))
