--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -88,7 +88,7 @@
 
     def __init__(self):
         self.leading = False
-        self.silent_until_s = 0.0
+        self.leader_retry_at_s = 0.0
 
     def follow(self, leader, term):
         self.leading = False
