--- a/magnoliadyke/gateway/crashreports.py
+++ b/magnoliadyke/gateway/crashreports.py
@@ -1,4 +1,4 @@
-"""Requests that may crash endpoints, as far as all hosts know."""
+"""Shares crash reports between hosts to bar requests that crash endpoints."""
 
 import hashlib
 from typing import Callable
@@ -14,19 +14,24 @@
 LOG = logs.get('suspects')
 
 FINGERPRINT_BYTES = 8
-#: Requests that other hosts are told of in one second; a crash of a full
-#: engine breaks off a dozen at a host.  More at a time are no single
-#: request's doing, and small links have better use.
+#: Maximum number of crash notifications sent per second.  The crash of a
+#: fully loaded engine fails about a dozen requests of a host.  More failures
+#: at a time are not caused by a single request, and notifying the other
+#: hosts of each would take bandwidth from small links.
 MAX_NOTIFICATIONS_PER_S = 24
 
 
 class CrashReporter:
-    """Notes requests that broke off, and tells the other hosts.
+    """Records requests that endpoints failed, and notifies the other hosts.
 
-    Callers send a request that failed again, to any host: what one host
-    has seen of it has to be known at all of them before that.
+    A caller may retry a failed request at any host, so that all hosts need
+    the request's crash history before the retry.
 
-    :param tell: sends a message to all other hosts
+    :param broadcast: sends a message to all other hosts
+    :ivar window_start_s: start of the current one-second window of
+        :data:`MAX_NOTIFICATIONS_PER_S`
+    :ivar sent_in_window: notifications due in that window, including those
+        over the limit, which are not sent
     """
 
     def __init__(
@@ -41,7 +46,10 @@
         self.sent_in_window = 0
 
     def record_crash(self, request: codecs.Request, endpoint: str) -> None:
-        """An endpoint broke a request off without an answer."""
+        """Record that an endpoint failed a request without an answer.
+
+        The other hosts are notified if the endpoint is a new one.
+        """
         now_s = self.clock.now_s()
         fingerprint = _fingerprint(request)
         if not self.history.record_crash(fingerprint, (endpoint,), now_s):
@@ -62,22 +70,22 @@
     def handle_report(
         self, message: placement_codec.CrashNotification
     ) -> None:
-        """Another host tells of a request that broke off there."""
+        """Record the crashes of a request that another host reports."""
         now_s = self.clock.now_s()
         fingerprint, endpoints = message
         if self.history.record_crash(fingerprint, endpoints, now_s):
             self._log_barred(fingerprint, now_s)
 
     def record_success(self, request: codecs.Request) -> None:
-        """A request was answered whole."""
+        """Record that a request got a complete answer."""
         if len(self.history):
             now_s = self.clock.now_s()
             self.history.record_success(_fingerprint(request), now_s)
 
     def barred_s(self, request: codecs.Request) -> float:
-        """How long a request is not to be run, in seconds; 0 if it may.
+        """Return for how many seconds a request is barred; 0 if it may run.
 
-        Nothing is computed while no request is under suspicion.
+        The request's content is not hashed while no crash is on record.
         """
         if not len(self.history):
             return 0.0
@@ -95,7 +103,10 @@
 
 
 def _fingerprint(request: codecs.Request) -> bytes:
-    """A caller's further tries have other ids, but the same content."""
+    """Return a digest of a request's content.
+
+    A caller's retries have other request ids, but the same content.
+    """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (
         request.host.encode(),
--- a/magnoliadyke/gateway/inflightjobs.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -1,9 +1,9 @@
-"""What this host's jobs do at the engines, for the next placing host.
+"""Tracks this host's jobs at engines, to inform a new placement leader.
 
-A host that begins to place knows nothing of what engines have been given:
-for seconds it would send prompts where they have to be read anew, to
-engines that still read those of the host before, and into slots that are
-taken.  So each host tells it of its own jobs.
+A new leader does not know the engines' cache contents and load.  For seconds
+it would send prompts to engines that do not cache them, to engines that are
+still busy with prefills of the previous leader, and into decode slots that
+are in use.  So each host sends its own jobs to a new leader.
 """
 
 import collections
@@ -15,9 +15,10 @@
 
 __all__ = ['InFlightJobs']
 
-#: Prompts that a new placing host is told of: the last seconds of this host,
-#: as far as engines still keep them, and so many at most.
+#: Prompts placed within this time are sent to a new leader: engines are
+#: likely to still cache them.
 IN_FLIGHT_RETENTION_S = 6.0
+#: Maximum number of placed prompts kept for a new leader.
 MAX_IN_FLIGHT = 400
 
 
@@ -25,7 +26,8 @@
 class _InFlightJob:
     """A job that engines still work on.
 
-    :ivar reading: its prompt is long and not known to be read
+    :ivar is_prefilling: whether the prompt is long enough to be accounted and
+        its prefill is not known to be done
     """
 
     service: str
@@ -34,12 +36,12 @@
 
     @property
     def prefill_engine_id(self) -> str:
-        """The engine that reads the prompt."""
+        """Id of the engine that prefills the prompt."""
         return self.placed.prefill or self.placed.run
 
 
 class _SentPrompt(NamedTuple):
-    """A prompt that an engine was given."""
+    """A prompt that was sent to an engine."""
 
     at_s: float
     service: str
@@ -48,9 +50,10 @@
 
 
 class InFlightJobs:
-    """The jobs of this host that were placed lately.
+    """The jobs of this host that were placed recently.
 
-    :ivar open: those that engines still work on, by job
+    :ivar in_flight: jobs that engines still work on, by job id
+    :ivar sent_prompts: the latest prompts that were sent to engines
     """
 
     def __init__(self) -> None:
@@ -67,28 +70,28 @@
         short: bool,
         now_s: float,
     ) -> None:
-        """A job was placed.
+        """Record that a job was placed.
 
-        :param short: its prompt is too short to be accounted
+        :param short: whether its prompt is too short to be accounted
         """
         self.in_flight[job.id] = _InFlightJob(service, placed, not short)
         for engine in {placed.prefill or placed.run, placed.run}:
             self.sent_prompts.append(_SentPrompt(now_s, service, job, engine))
 
     def record_prefill_done(self, job_id: int) -> None:
-        """A job's prompt was read, or will not be read there."""
+        """Record that a job's prefill is done, or was given up."""
         in_flight_job = self.in_flight.get(job_id)
         if in_flight_job is not None:
             in_flight_job.is_prefilling = False
 
     def record_end(self, job_id: int) -> None:
-        """No engine works on a job any longer."""
+        """Record that no engine works on a job any longer."""
         self.in_flight.pop(job_id, None)
 
     def cache_contents(
         self, now_s: float
     ) -> dict[str, tuple[placement_codec.CacheContents, ...]]:
-        """What to tell a host that begins to place, by service."""
+        """Return the cache contents to send to a new leader, by service."""
         found_contents: dict[str, list[placement_codec.CacheContents]] = {}
         recent = set()
         for at_s, service, job, engine in self.sent_prompts:
@@ -114,7 +117,7 @@
     def prefill_cache_contents(
         self, job: promptjobs.Job
     ) -> placement_codec.CacheContents:
-        """What the engine that reads a job's prompt has been given."""
+        """Return what a job adds to the cache of its prefill engine."""
         return self._cache_contents(
             job.id, self.in_flight[job.id].prefill_engine_id, job.parts
         )
--- a/magnoliadyke/gateway/metricscollector.py
+++ b/magnoliadyke/gateway/metricscollector.py
@@ -1,4 +1,4 @@
-"""What operators see of a host: its metrics and its regular log line."""
+"""Collects a host's metrics, for scrapers and for periodic log lines."""
 
 import collections
 import time
@@ -29,7 +29,7 @@
 
 
 class MetricSources(NamedTuple):
-    """The parts of a host whose figures are told."""
+    """The components of a host whose metrics are collected."""
 
     catalog: catalog.Catalog
     confirming: confirming.Confirming
@@ -44,9 +44,10 @@
 
 
 class MetricsCollector:
-    """Gathers the figures of a host's parts.
+    """Collects the metrics of a host's components.
 
-    :ivar watched: set before the first one is asked for
+    :ivar sources: the components; set before the first scrape or log line
+    :ivar outcomes: number of requests by outcome
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -58,12 +59,12 @@
     def record(
         self, outcome: outcomes.Outcome, route: routes.Route, took_s: float
     ) -> None:
-        """Count one request."""
+        """Count a finished request."""
         self.outcomes[type(outcome).__name__.lower()] += 1
         self.registry.record(outcome, route, took_s)
 
     def answer(self, method: bytes, target: bytes) -> smallserver.Reply:
-        """Answer a scraper."""
+        """Answer a request of a metrics scraper."""
         if target.split(b'?', 1)[0] != METRICS_PATH:
             return smallserver.Reply(404)
         self._gather()
@@ -98,7 +99,10 @@
             gauges.store_age.set(self.clock.now_s() - parts.catalog.checked_s)
 
     def _count_engines(self) -> None:
-        """Count engines by stage; a service whose engines all left keeps 0."""
+        """Set the number of engines of each service by stage.
+
+        A service whose engines have all left is reported with 0 engines.
+        """
         known = self.sources.catalog
         if known.configuration is None:
             return
@@ -111,7 +115,7 @@
                 gauge.set(held.count(stage))
 
     def log(self) -> None:
-        """Write the regular lines."""
+        """Log the metrics, and the placement state while this host leads."""
         parts = self.sources
         if parts.placer.leading:
             for service, pool in parts.placer.served.items():
--- a/magnoliadyke/gateway/metricsregistry.py
+++ b/magnoliadyke/gateway/metricsregistry.py
@@ -1,7 +1,8 @@
-"""Counters and latency histograms, as text for a scraper.
+"""Counters, gauges and latency histograms in Prometheus text format.
 
-The library is the one beneath the OpenTelemetry exporter, used directly:
-the whole SDK would take some megabytes of each host's memory.
+``prometheus_client``, on which OpenTelemetry's Prometheus exporter builds, is
+used directly, because the whole SDK would take some megabytes of each host's
+memory.
 """
 
 import prometheus_client
@@ -11,15 +12,15 @@
 
 __all__ = ['MetricsRegistry']
 
-#: Bounds of answer times in seconds: below, around and above the usual
-#: objectives (0.1 to 0.25 s), up to the longest timeouts.
+#: Histogram buckets below, around and above the usual latency objectives
+#: (0.1 to 0.25 s), up to the longest timeouts.
 LATENCY_BUCKETS_S = (0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 2, 5, 15)
 
 
 class MetricsRegistry:
-    """What a host counts.
+    """The metrics of a host.
 
-    :ivar content_type: of the text
+    :ivar content_type: content type of :meth:`text`
     """
 
     def __init__(self) -> None:
@@ -107,15 +108,15 @@
     def record(
         self, outcome: outcomes.Outcome, route: routes.Route, took_s: float
     ) -> None:
-        """Count one request."""
+        """Count a finished request and record its duration."""
         labels = (route.kind.value, type(outcome).__name__.lower())
         self.requests.labels(*labels).inc()
         self.took.labels(*labels).observe(took_s)
 
     def record_early(self, status: int) -> None:
-        """Count one request that was answered before it was looked at."""
+        """Count a request that was answered before an exchange began."""
         self.early.labels(str(status)).inc()
 
     def text(self) -> bytes:
-        """All figures."""
+        """Return all metrics in Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
