--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways and the placing host as compact thrift."""
+"""Encodes datagrams between hosts as compact thrift."""
 
 import enum
 from typing import NamedTuple
@@ -35,12 +35,12 @@
     'encode',
 ]
 
-#: A text or value fills a datagram at most.
+#: Maximum length of a string or binary field: the size of a datagram.
 MAX_STRING_BYTES = 1400
 MAX_ITEMS = 256
 MICRO = 1_000_000
 PERMILLE = 1000
-#: Longest time that fits the field, in microseconds.
+#: Longest duration that fits a 32-bit field, in microseconds.
 MAX_US = 2**31 - 1
 
 FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
@@ -51,7 +51,11 @@
 
 
 class Event(enum.IntEnum):
-    """What has become of a job."""
+    """An event in the life of a job that hosts report to the leader.
+
+    READ is the end of its prefill, LAPSED the rejection of a prefilled job by
+    its decode engine, MOVED the transfer of its KV cache.
+    """
 
     READ = ttypes.Event.READ
     ENDED = ttypes.Event.ENDED
@@ -62,26 +66,38 @@
 
 
 class PlacementRequest(NamedTuple):
-    """Place this job; its times are relative to when this was sent."""
+    """Asks the leader to place a job.
+
+    :param job: its moments are relative to when the request was sent
+    """
 
     service: str
     job: promptjobs.Job
 
 
 class PlacementQueued(NamedTuple):
-    """The job is in the queue."""
+    """Acknowledges a request whose job is queued at the leader.
+
+    :param job: id of the job
+    """
 
     job: int
 
 
 class PlacementDecision(NamedTuple):
-    """What was decided of a job."""
+    """The leader's decision on a job."""
 
     decision: promptjobs.Decision
 
 
 class Report(NamedTuple):
-    """What has become of a job that was placed."""
+    """Reports an event of a placed job to the leader.
+
+    :param job: id of the job
+    :param endpoint: engine of the event, empty where it concerns none
+    :param took_s: duration of a KV cache transfer
+    :param decode_engine: the engine that rejected a prefilled job
+    """
 
     service: str
     job: int
@@ -92,11 +108,12 @@
 
 
 class CacheContents(NamedTuple):
-    """Parts of a prompt that an engine was given.
+    """Parts of a prompt that an engine is estimated to cache.
 
-    :param job: the job, while engines work on it
-    :param read_tokens: still to be read there, None if it has been
-    :param answers: the job holds a slot there
+    :param job: id of the job, None if no engine works on it any longer
+    :param read_tokens: tokens that the engine has to prefill, None if it has
+        no prefill of the job to do
+    :param answers: whether the job holds a decode slot of the engine
     """
 
     engine: str
@@ -107,14 +124,14 @@
 
 
 class CacheSnapshot(NamedTuple):
-    """What engines were given lately, for a host that begins to place."""
+    """Sends a new leader the recent cache contents of a service's engines."""
 
     service: str
     cache_contents: tuple[CacheContents, ...]
 
 
 class CrashNotification(NamedTuple):
-    """A request that endpoints broke off, perhaps since they crashed.
+    """A request that endpoints failed without an answer, as in a crash.
 
     :param fingerprint: digest of the request's content
     """
@@ -124,11 +141,13 @@
 
 
 class LeaderAnnouncement(NamedTuple):
-    """A host places for all.
+    """Announces the placement leader to the other hosts.
 
-    :param incarnation: of its process
-    :param position: of its key in the store; later holders have larger ones
-    :param yields: the store is out of its reach, and another host may lead
+    :param incarnation: incarnation of the leader's process
+    :param position: position of the leader's key in the store; a later leader
+        has a larger one
+    :param yields: whether the leader cannot reach the store, so that another
+        host may take over
     """
 
     host: str
@@ -139,27 +158,27 @@
 
 
 class EngineStalled(NamedTuple):
-    """An engine reads nothing of the prompts that it was given."""
+    """Announces that an engine makes no progress with its prefills."""
 
     endpoint: str
 
 
 class CostUpdate(NamedTuple):
-    """What prompts were found to take, for the host that places next."""
+    """Sends fitted prefill costs to the hosts, one of which may lead next."""
 
     service: str
     costs: prefillcost.CostCoefficients
 
 
 class KeyUpdates(NamedTuple):
-    """Changes of the store's keys, for hosts that do not watch it.
-
-    :param host: that has seen them
-    :param base: position after which they are
-    :param position: up to which they are, in the same era
-    :param complete: none of them was too large to be told
-    :param regained_s: how long ago the store came back to that host, None
-        where it has not been away
+    """Changes of the store's keys, for hosts that do not watch the store.
+
+    :param host: the host that sends the changes
+    :param base: position after which the changes begin
+    :param position: position of the last change, of the same store epoch
+    :param complete: whether all changes fit into the message
+    :param regained_s: time since the store was reachable again from the
+        sender, None if there was no outage
     """
 
     host: str
@@ -186,7 +205,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message as a datagram."""
     datagram = ttypes.Datagram(version=constants.VERSION)
     match message:
         case PlacementRequest():
@@ -238,9 +257,10 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read a message.
+    """Decode a datagram.
 
-    :raises errors.ProtocolError: the bytes are none of these messages
+    :raises errors.ProtocolError: the datagram is malformed or holds no known
+        message
     """
     datagram = ttypes.Datagram()
     try:
@@ -296,8 +316,10 @@
         TypeError,
         ValueError,
     ) as error:
-        raise errors.ProtocolError(f'no placement message: {error}') from error
-    raise errors.ProtocolError('an empty placement message')
+        raise errors.ProtocolError(
+            f'malformed placement datagram: {error}'
+        ) from error
+    raise errors.ProtocolError('placement datagram without a known message')
 
 
 def _encode_ask(ask: PlacementRequest) -> ttypes.Ask:
@@ -401,13 +423,14 @@
 
 def _era(era: int | None) -> int:
     if era is None:
-        raise errors.ProtocolError('a position without its era')
+        raise errors.ProtocolError('store position without its field era')
     return era
 
 
 def _encode_changes(updates: KeyUpdates) -> list[ttypes.KeyChange]:
     if not updates.complete:
-        # A change without its value says that there is more to read.
+        # A change without its value marks the update as incomplete: the
+        # receiver has to read the store.
         return [ttypes.KeyChange('', updates.position.revision)]
     return [_encode_change(each) for each in updates.changes]
 
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -1,4 +1,4 @@
-"""Has a request's prompt read by another engine than the one that answers."""
+"""Prefills a prompt on another engine than the one that decodes."""
 
 import gevent
 
@@ -16,25 +16,26 @@
 
 LOG = logs.get('promptreading')
 
-#: Part of a caller's time in which one engine may read its prompt, if that is
-#: expected to be enough; the rest is for another try.  An engine that is
-#: down is found sooner, by its connections or by all hosts together: one
-#: that is only busy reads on, and what was read there would be read again.
+#: Timeout of one prefill as a share of the time left until the caller's
+#: deadline, unless the expected prefill time asks for more; the rest is for a
+#: retry.  The timeout is long because an engine that is down is found sooner,
+#: by failing connections or by the leader's stall checks.  An engine that is
+#: only busy goes on with the prefill, which a retry would repeat elsewhere.
 PREFILL_TIMEOUT_SHARE = 0.5
-#: Never given up before so many times the expected time.
+#: Lower limit of that timeout, as a multiple of the expected prefill time.
 MIN_PREFILL_TIMEOUT_FACTOR = 3.0
-#: Reason told for a request whose engine is gone, or leaves.
+#: Failure reason of a request whose engine has left or is leaving.
 ENGINE_LEFT = 'the engine has left'
-#: Reason told for a request that would be one repeat too many.
+#: Failure reason of a request that the retry budget does not let retry.
 BUDGET_SPENT = 'the retry budget is spent'
 
 
 class RemotePrefill(exchange.Exchange):
-    """The part of an exchange in which a prompt is read.
+    """The part of an exchange that prefills the prompt on a prefill engine.
 
-    :ivar prefills: times that the prompt was given to an engine to read
-    :ivar read_s: when it had been read
-    :ivar budget_spent: the retry budget allows no further try
+    :ivar prefills: number of prefill attempts that got a connection
+    :ivar prefill_done_s: when the prefill was done, None before
+    :ivar budget_spent: whether the retry budget allows no further attempt
     """
 
     def __init__(self, *args) -> None:
@@ -45,14 +46,14 @@
 
     @property
     def waits(self) -> bool:
-        """Whether no engine has been asked for anything yet."""
+        """Whether nothing has been sent to an engine yet."""
         return not self.prefills and super().waits
 
     def _may_prefill(self) -> bool:
-        """Count a prompt that is to be read.
+        """Count a prefill attempt; return whether the retry budget allows it.
 
-        The first one that an engine takes is free; one that it turns away
-        counts as the request's first send.
+        The first attempt needs no budget.  If it fails it counts as the
+        request's first send.
         """
         self.prefills += 1
         if self.prefills == 1:
@@ -72,18 +73,21 @@
     def _find_staying_engine(
         self, endpoint_id: str
     ) -> catalog.Endpoint | None:
-        """An engine, unless it has left or is about to."""
+        """Return an engine by id, None if it has left or is leaving."""
         endpoint = self.parts.catalog.endpoints.get(endpoint_id)
         return None if endpoint is None or endpoint.leaving else endpoint
 
     def _prefill(
         self, job: promptjobs.Job, placed: promptjobs.Placed
     ) -> str | outcomes.NotRun:
-        """Have the prompt read; returns where it waits to be fetched.
+        """Prefill the prompt; return where its KV cache can be fetched.
 
-        A prompt that is not read goes back to the placement: the engine that
-        was to answer it would read all of it at half the speed, between the
-        tokens of others.
+        A prompt whose prefill fails has to be placed again.  The decode
+        engine that it was placed on would prefill all of it at half the
+        speed, between the decode steps of other requests.
+
+        :returns: address of the engine and handle of the KV cache, as
+            ``ADDRESS/HANDLE``; the outcome if the prefill failed
         """
         prefill_engine = self._find_staying_engine(placed.prefill)
         if prefill_engine is None:
@@ -130,8 +134,8 @@
                 prefill_engine.id, reason, True
             )
         if prefill_engine.id not in self.parts.catalog.endpoints:
-            # What it has read went with it, and the process after it may
-            # give another request the same handle.
+            # The KV cache is gone with the engine's process, and the next
+            # process may give the same handle to another request.
             return self._record_prefill_failure(
                 prefill_engine.id, ENGINE_LEFT, True
             )
@@ -162,7 +166,10 @@
         return outcomes.NotRun(reason, arrived)
 
     def _release_kv_cache(self, source: str) -> None:
-        """Free what was read for a caller that left or was refused."""
+        """Release the KV cache of a request that will not be decoded.
+
+        :param source: the KV cache, as :meth:`_prefill` returned it
+        """
         address, _, handle = source.partition('/')
         gevent.spawn(self._send_kv_cache_release, address, handle)
 
@@ -173,7 +180,7 @@
         else:
             return
         if self._backoff_s(endpoint.id):
-            # What it keeps lapses by itself.
+            # The engine drops the KV cache when it expires there.
             return
         method, target = self.parts.codec.drop_target(handle)
         try:
@@ -182,7 +189,9 @@
             LOG.repeated('handle_kept', endpoint.id, cause=str(error))
             return
         try:
-            with gevent.Timeout(1.0, http.OutOfTime('no answer in time')):
+            with gevent.Timeout(
+                1.0, http.OutOfTime('engine did not answer within 1 s')
+            ):
                 used.call(method, target, [(b'Host', address.encode())])
         except (
             OSError,
