--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -1,8 +1,9 @@
-"""Asks the placing host where requests go; is that host if it leads.
+"""Places requests on engines: as the placement leader or as its client.
 
-One host places for all, so that what engines have been given is known in
-one place.  Its decisions are soft state: when it doesn't answer, each host
-places by itself, as one of several that share the engines unseen.
+One host, the leader, places the requests of all hosts, so that it accounts
+for all work at the engines.  Its decisions are soft state: when the leader
+does not answer, each host places its own requests, without knowing what the
+other hosts send to the same engines.
 """
 
 import collections
@@ -35,48 +36,57 @@
 
 LOG = logs.get('placing')
 
-#: Prompts up to this size go before others at an engine.
+#: Prompts up to this length, in tokens, take precedence at an engine.
 SHORT_TOKENS = placement.PlacementSettings().short_tokens
-#: An ask without answer is sent again after this time: several times the
-#: way there and back, so that only a lost datagram or a busy host is late.
+#: An unanswered request is sent again after this time.  It is several
+#: round-trip times, so that only a lost datagram or a busy leader exceeds it.
 REQUEST_TIMEOUT_S = 0.02
-#: An ask, or its answer, may wait behind so many bytes on this host's own
-#: link: the body of a long request.  On a narrow link that takes longer than
-#: the answer; without it each long request would look like a dead host.
+#: Bytes that may be queued on this host's link ahead of a placement request
+#: or its answer: the body of a long request.  On a narrow link they take
+#: longer to send than the leader takes to answer; without this allowance each
+#: long request would make the leader look dead.
 QUEUED_BODY_BYTES = 64 * 1024
-#: Asks without any answer before the host places by itself.
+#: Consecutive unanswered requests after which this host places a job itself.
 MAX_UNANSWERED_REQUESTS = 2
-#: A placing host that did not answer is not asked for this long.
+#: Time for which a leader that did not answer gets no requests.
 LEADER_COOLDOWN_S = 0.6
-#: A job that waits in the queue is asked for again this often.
+#: The request for a job that is queued at the leader is repeated this often.
 RESEND_INTERVAL_S = 0.2
-#: Prompts told of in one datagram, which stays under a network's 1,400 B.
+#: Maximum number of prompts in a datagram, so that it does not exceed the
+#: 1,400 bytes of a network packet.
 MAX_PROMPTS_PER_DATAGRAM = 16
-#: How long decisions are remembered for asks that come twice.
+#: Maximum number of decisions kept to answer duplicate requests.
 MAX_CACHED_DECISIONS = 4096
 MAX_DATAGRAM_BYTES = 65535
-#: From a read prompt to the first event before any was measured, in
-#: seconds: a transfer of some milliseconds and a step or two.
+#: Initial estimate of the time from the end of a prefill to the first event,
+#: in seconds: a KV transfer of some milliseconds and one or two decode steps.
 INITIAL_TRANSFER_S = 0.015
-#: One transfer in so many is reported.
+#: One of this many KV transfers is reported to the leader.
 TRANSFER_SAMPLE_INTERVAL = 3
-#: What prompts take is told to all hosts this often, in seconds: some 40 bytes
-#: each, and a host that takes over begins with figures of the last second.
+#: The leader sends the fitted prefill costs to all hosts this often, in
+#: seconds.  A message has about 40 bytes, and a new leader starts with costs
+#: of the last second.
 COST_SEND_INTERVAL_S = 1.0
-#: Engines that read nothing are looked for this often, in seconds; a fifth
-#: of the time after which one counts as such.
+#: The leader checks for stalled engines this often, in seconds: a fifth of
+#: the time after which an engine counts as stalled.
 STALL_CHECK_INTERVAL_S = 0.1
 
 
 class _Waiting(NamedTuple):
-    """A job of this host that waits for a decision."""
+    """A job of this host that waits for a decision.
+
+    :ivar acknowledged: set when the leader has answered the latest request
+    """
 
     decided: event.AsyncResult
     acknowledged: event.Event
 
 
 class _Pool:
-    """The placement of one service, with its timer."""
+    """The placement of one service, with its timer.
+
+    :ivar generation: catalog generation of the engines that it places on
+    """
 
     def __init__(self, core: placement.Placement) -> None:
         self.core = core
@@ -87,22 +97,31 @@
 class PlacementService(app.Component):
     """Places the prompts of this host's callers.
 
-    :param address: of this host, for other hosts
-    :param port: of this host, the same on all hosts
-    :param link_mbps: of this host's link
-    :ivar leader: address of the placing host, None if none is known
-    :ivar term: of the placing host; a later one has a larger one
-    :ivar leading: this host is the placing host
-    :ivar hosts: live hosts
-    :ivar listeners: take the messages of other hosts that are not about
-        placing, by their kind; what one returns is sent back
-    :ivar reads: the waits for prompts that engines read, by engine
-    :ivar learned: what prompts take, as the placing host has found, by
-        service; a host that begins to place would else learn it anew, and
-        let in too many or too few for seconds
-    :ivar tell: sends a message to all other hosts
-    :ivar after_reading_s: time from a prompt that has been read to the
-        first event, which the place has to leave free
+    :param address: address of this host at which it receives datagrams
+    :param port: UDP port, the same on all hosts
+    :param link_mbps: bandwidth of this host's link, in Mbit/s
+    :ivar leader: address of the leader, None if none is known
+    :ivar term: term of the leader; each later leader has a larger one
+    :ivar leading: whether this host is the leader
+    :ivar hosts: number of live hosts
+    :ivar leader_retry_at_s: the leader gets no requests until then
+    :ivar served: placement of all hosts' jobs by service, used as the leader
+    :ivar local: placement of this host's jobs by service, used without an
+        answering leader
+    :ivar placed_by: address of the leader that placed a job, by job id; None
+        for jobs that this host placed
+    :ivar requesters: address of the host that waits for a decision, by job id
+    :ivar decided: the latest decisions sent to other hosts, by job id
+    :ivar counts: number of jobs by how they were placed, for the metrics
+    :ivar listeners: handlers of the messages that do not concern placement,
+        by message type; a handler's result is sent back as the reply
+    :ivar prefill_waits: wait limits of the prefills in flight, by engine
+    :ivar learned_costs: prefill costs fitted by the leader, by service; a new
+        leader without them would have to learn the costs again, and would
+        admit too many or too few requests for seconds
+    :ivar broadcast: sends a message to all other hosts
+    :ivar transfer_s: estimated time from the end of a prefill to the first
+        event, which placement has to leave within the latency objective
     """
 
     def __init__(
@@ -150,7 +169,7 @@
     # Life cycle.
 
     def start(self) -> None:
-        """Listen for other hosts."""
+        """Receive datagrams from other hosts, and start the periodic tasks."""
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind((self.address, self.port))
         self.greenlets = [
@@ -160,12 +179,12 @@
         ]
 
     def stop(self, deadline_s: float) -> None:
-        """Answer nobody from now on."""
+        """Stop receiving datagrams and end the periodic tasks."""
         gevent.killall(self.greenlets)
         if self.socket is not None:
             self.socket.close()
 
-    # What exchanges ask and tell.
+    # Calls from exchanges.
 
     def place(self, service: str, job: promptjobs.Job) -> promptjobs.Decision:
         """Wait until a job is placed or refused."""
@@ -187,7 +206,7 @@
                     self.send(self.leader, recall)
             return decision
         except BaseException:
-            # The caller has left: the place goes to somebody else.
+            # The caller has left: the slot is released for other jobs.
             self._report(service, job.id, placement_codec.Event.WITHDRAWN, '')
             self.placed_by.pop(job.id, None)
             raise
@@ -197,9 +216,9 @@
     def _is_local_fallback(self, job_id: int) -> bool:
         """Whether a job was placed here although another host leads.
 
-        That host may be there for others, or be back at any moment.  What it
-        does not hear of holds its engines up, which it then takes for slow,
-        or for silent, and takes their prompts away.
+        The leader may still answer other hosts, or answer again at any
+        moment.  Work that is not reported to it delays the engines, so that
+        it would estimate them as slow, or as stalled and fail their prefills.
         """
         return (
             not self.leading
@@ -208,12 +227,13 @@
         )
 
     def follow(self, leader: str, term: position.Position) -> None:
-        """Another host places from now on; tell it what engines do.
+        """Follow another host as the leader, and send it this host's jobs.
 
-        What becomes of the jobs under way is reported to it as well.
+        Later events of the jobs in flight are reported to it as well.
 
-        :param term: grows with each host that begins to place, also where
-            that is a later process of the same one
+        :param leader: address of the leader
+        :param term: term of the leader, which grows with each new leader,
+            also if that is a later process of the same host
         """
         if (leader, term) == (self.leader, self.term) and not self.leading:
             return
@@ -237,10 +257,10 @@
                 )
 
     def lead(self) -> None:
-        """This host places from now on."""
+        """Become the leader."""
         now_s = self.clock.now_s()
         if not self.leading:
-            # What it knew when it led before is long out of date.
+            # The state of an earlier term of this host is out of date.
             self.served = {}
         self.leading = True
         self._hand_over(None, now_s)
@@ -252,10 +272,13 @@
             )
 
     def _hand_over(self, leader: str | None, now_s: float) -> None:
-        """What becomes of this host's jobs is reported elsewhere from now on.
+        """Report further events of this host's jobs to another leader.
+
+        Jobs that this host placed itself are removed from its local
+        placement.  They would otherwise occupy the engines there, and the
+        local placement is used again when no leader answers.
 
-        Those that it placed alone would else hold the engines in its own
-        view, which is used again when nobody leads.
+        :param leader: address of the leader, None if this host leads
         """
         for job_id in self.in_flight_jobs.in_flight:
             if self.placed_by.get(job_id) is None:
@@ -264,12 +287,12 @@
             self.placed_by[job_id] = leader
 
     def _run_stall_checks(self) -> None:
-        """Look for engines that read nothing, for all hosts.
+        """Check for stalled engines, and notify all hosts of them.
 
-        Only while this host places for all.  One that places alone sees its
-        own prompts only, and one that did before hears no longer what is
-        read: to both an engine that reads for others looks as if it read
-        nothing, and its prompts would be given up one after the other.
+        Only the leader checks.  A host that places only its own jobs sees no
+        other prompts, and a former leader gets no more prefill reports.  To
+        both an engine that prefills for other hosts looks stalled, and its
+        prefills would be aborted one after the other.
         """
         while True:
             self.clock.sleep(STALL_CHECK_INTERVAL_S)
@@ -283,7 +306,7 @@
                         self.broadcast(placement_codec.EngineStalled(engine))
 
     def _run_cost_updates(self) -> None:
-        """Tell the other hosts what prompts take, while this one places."""
+        """Send the fitted prefill costs to the other hosts as the leader."""
         while True:
             self.clock.sleep(COST_SEND_INTERVAL_S)
             if not self.leading:
@@ -297,7 +320,7 @@
                     self.broadcast(placement_codec.CostUpdate(service, costs))
 
     def _abort_prefill_waits(self, engine: str) -> None:
-        """Nobody waits any longer for prompts that an engine should read."""
+        """Abort this host's waits for prefills of a stalled engine."""
         waits = self.prefill_waits.get(engine, ())
         LOG.event('engine_silent', endpoint=engine, waits=len(waits))
         for limit in waits:
@@ -349,7 +372,7 @@
         job: promptjobs.Job,
         waiting: _Waiting,
     ) -> promptjobs.Decision | None:
-        """Ask the placing host; None if it doesn't answer."""
+        """Request a decision from the leader; None if it does not answer."""
         unanswered = 0
         while unanswered < MAX_UNANSWERED_REQUESTS:
             waiting.acknowledged.clear()
@@ -371,7 +394,7 @@
         return None
 
     def _with_relative_times(self, job: promptjobs.Job) -> promptjobs.Job:
-        """The job with times relative to now."""
+        """Return a copy of a job whose moments are relative to now."""
         now_s = self.clock.now_s()
         return promptjobs.Job(
             job.id,
@@ -386,7 +409,11 @@
         )
 
     def decided_by(self, job_id: int) -> str:
-        """Who decided on a job, for the log: a host, 'self' or 'alone'."""
+        """Return who decided on a job, for the log.
+
+        :returns: the leader's address, ``self`` if this host leads, ``alone``
+            if it placed the job without a leader
+        """
         leader = self.placed_by.get(job_id)
         if leader is not None:
             return leader
@@ -395,12 +422,12 @@
     def record_prefill_done(
         self, service: str, job_id: int, endpoint: str
     ) -> None:
-        """An engine has read a job's prompt."""
+        """Record that an engine has prefilled a job's prompt."""
         self.in_flight_jobs.record_prefill_done(job_id)
         self._report(service, job_id, placement_codec.Event.READ, endpoint)
 
     def record_failure(self, service: str, job_id: int, endpoint: str) -> None:
-        """An engine failed a job."""
+        """Record that an engine failed a job."""
         self.in_flight_jobs.record_prefill_done(job_id)
         self._report(service, job_id, placement_codec.Event.FAILED, endpoint)
 
@@ -408,7 +435,10 @@
     def track_prefill(
         self, endpoint: str, limit: waitlimit.WaitLimit
     ) -> Iterator[None]:
-        """An engine reads a prompt; the wait ends if it reads nothing."""
+        """Abort a wait for an engine's prefill if the engine is stalled.
+
+        :param limit: the wait; it is tracked inside the ``with`` block
+        """
         self.prefill_waits[endpoint].add(limit)
         try:
             yield
@@ -425,7 +455,7 @@
         prefill_engine: str,
         decode_engine: str,
     ) -> None:
-        """An engine turned away a request whose prompt another had read."""
+        """Record that a decode engine rejected a prefilled request."""
         lapsed = placement_codec.Event.LAPSED
         self._report(
             service,
@@ -438,10 +468,13 @@
     def record_kv_transfer(
         self, service: str, job_id: int, endpoint: str, took_s: float
     ) -> None:
-        """A prompt that was read elsewhere has given its first event.
+        """Record the KV transfer of a job that has its first event.
 
-        One in several is told: that shows engines whose transfers are slow
-        within a second or two, at a tenth of the messages.
+        One in :data:`TRANSFER_SAMPLE_INTERVAL` is reported: that shows engines
+        with slow transfers within a second or two, at a tenth of the
+        messages.
+
+        :param took_s: time from the end of the prefill to the first event
         """
         self.transfer_s.add(took_s)
         if job_id % TRANSFER_SAMPLE_INTERVAL == 0:
@@ -449,9 +482,10 @@
             self._report(service, job_id, moved, endpoint, took_s)
 
     def record_end(self, service: str, job_id: int, must_report: bool) -> None:
-        """A job holds no slot any longer.
+        """Record that a job holds no decode slot any longer.
 
-        :param tell: whether the place was to be told
+        :param must_report: whether the end is to be reported to whoever
+            placed the job
         """
         self.in_flight_jobs.record_end(job_id)
         if must_report:
@@ -480,7 +514,7 @@
             if service in pools:
                 self._apply_report(self._pool(pools, service), report)
 
-    # The placing host.
+    # Calls from other hosts, and the placement itself.
 
     def _pool(self, pools: dict[str, _Pool], service: str) -> _Pool:
         pool = pools.get(service)
@@ -495,8 +529,8 @@
             pool.generation = self.catalog.generation
             engines = self.catalog.usable(service)
             if pools is self.local:
-                # Of engines that look alike the first one is taken: hosts
-                # that place alone would all send to the same one.
+                # Of equal engines the first one is chosen: without a leader
+                # all hosts would send their jobs to the same one.
                 self.rng.shuffle(engines)
             pool.core.set_engines(engines)
         return pool
@@ -557,7 +591,7 @@
         self, service: str, job: promptjobs.Job, sender: str
     ) -> None:
         if not self.leading or not self._is_model_service(service):
-            # No answer: the host that asks will place by itself.
+            # Without an answer the requesting host places the job itself.
             return
         decided = self.decided.get(job.id)
         if decided is not None:
@@ -628,7 +662,7 @@
         self._arm(pool)
 
     def _arm(self, pool: _Pool) -> None:
-        """Look again when an engine is expected to be free."""
+        """Start a timer for when an engine is expected to be available."""
         if pool.timer is not None:
             return
         now_s = self.clock.now_s()
@@ -646,7 +680,10 @@
         timer.start(fire)
 
     def send(self, address: str, message: placement_codec.Message) -> None:
-        """Send a datagram; never waits, since the event loop sends too."""
+        """Send a datagram without blocking.
+
+        It is also called from the event loop, where nothing may block.
+        """
         data = placement_codec.encode(message)
         try:
             self.socket._sock.sendto(data, (address, self.port))
@@ -655,5 +692,5 @@
 
 
 def request_timeout_s(link_mbps: float) -> float:
-    """How long an answer of the placing host is waited for, in seconds."""
+    """Return the timeout of a placement request, in seconds."""
     return REQUEST_TIMEOUT_S + QUEUED_BODY_BYTES * 8 / (link_mbps * 1e6)
