--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -209,7 +209,7 @@
     datagram = ttypes.Datagram(version=constants.VERSION)
     match message:
         case PlacementRequest():
-            datagram.ask = _encode_ask(message)
+            datagram.ask = _encode_request(message)
         case PlacementQueued(job):
             datagram.decision = ttypes.Decision(job=job)
         case PlacementDecision(decision):
@@ -226,7 +226,7 @@
         case CacheSnapshot(service, cache_contents):
             datagram.recall = ttypes.Recall(
                 service,
-                [_encode_memory(each) for each in cache_contents],
+                [_encode_contents(each) for each in cache_contents],
             )
         case CrashNotification(fingerprint, endpoints):
             datagram.broken = ttypes.Broken(fingerprint, list(endpoints))
@@ -266,7 +266,7 @@
     try:
         TSerialization.deserialize(datagram, data, FACTORY)
         if datagram.ask is not None:
-            return _decode_ask(datagram.ask)
+            return _decode_request(datagram.ask)
         if datagram.decision is not None:
             return _decode_decision(datagram.decision)
         if datagram.report is not None:
@@ -283,7 +283,7 @@
             recall = datagram.recall
             return CacheSnapshot(
                 recall.pool,
-                tuple(_decode_memory(each) for each in recall.memories),
+                tuple(_decode_contents(each) for each in recall.memories),
             )
         if datagram.broken is not None:
             broken = datagram.broken
@@ -302,7 +302,7 @@
         if datagram.silent is not None:
             return EngineStalled(datagram.silent.endpoint)
         if datagram.learned is not None:
-            return _decode_learned(datagram.learned)
+            return _decode_cost_update(datagram.learned)
         if datagram.updates is not None:
             return _decode_updates(datagram.updates)
         found = duty_codec.decode(datagram)
@@ -322,7 +322,7 @@
     raise errors.ProtocolError('placement datagram without a known message')
 
 
-def _encode_ask(ask: PlacementRequest) -> ttypes.Ask:
+def _encode_request(ask: PlacementRequest) -> ttypes.Ask:
     job = ask.job
     return ttypes.Ask(
         job=job.id,
@@ -338,7 +338,7 @@
     )
 
 
-def _decode_ask(ask: ttypes.Ask) -> PlacementRequest:
+def _decode_request(ask: ttypes.Ask) -> PlacementRequest:
     job = promptjobs.Job(
         id=ask.job,
         parts=_decode_parts(ask.parts),
@@ -395,7 +395,7 @@
     return PlacementQueued(decision.job)
 
 
-def _decode_learned(learned: ttypes.Learned) -> CostUpdate:
+def _decode_cost_update(learned: ttypes.Learned) -> CostUpdate:
     return CostUpdate(
         learned.pool,
         prefillcost.CostCoefficients(
@@ -468,7 +468,7 @@
     )
 
 
-def _encode_memory(contents: CacheContents) -> ttypes.Memory:
+def _encode_contents(contents: CacheContents) -> ttypes.Memory:
     return ttypes.Memory(
         contents.engine,
         _encode_parts(contents.parts),
@@ -478,7 +478,7 @@
     )
 
 
-def _decode_memory(contents: ttypes.Memory) -> CacheContents:
+def _decode_contents(contents: ttypes.Memory) -> CacheContents:
     return CacheContents(
         contents.engine,
         _decode_parts(contents.parts),
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -200,10 +200,10 @@
                 )
                 if self._is_local_fallback(job.id) and not short:
                     contents = self.in_flight_jobs.prefill_cache_contents(job)
-                    recall = placement_codec.CacheSnapshot(
+                    snapshot = placement_codec.CacheSnapshot(
                         service, (contents,)
                     )
-                    self.send(self.leader, recall)
+                    self.send(self.leader, snapshot)
             return decision
         except BaseException:
             # The caller has left: the slot is released for other jobs.
@@ -326,12 +326,20 @@
         for limit in waits:
             limit.end('the engine reads nothing')
 
-    def _restore_snapshot(self, recall: placement_codec.CacheSnapshot) -> None:
-        if not self._is_model_service(recall.service):
+    def _restore_snapshot(
+        self, snapshot: placement_codec.CacheSnapshot
+    ) -> None:
+        if not self._is_model_service(snapshot.service):
             return
-        core = self._pool(self.served, recall.service).core
+        core = self._pool(self.served, snapshot.service).core
         now_s = self.clock.now_s()
-        for engine, parts, job, read_tokens, answers in recall.cache_contents:
+        for (
+            engine,
+            parts,
+            job,
+            read_tokens,
+            answers,
+        ) in snapshot.cache_contents:
             core.restore_cache(engine, parts)
             if job is not None:
                 core.adopt(job, engine, read_tokens, answers, now_s)
