--- a/magnoliadyke/gateway/caller.py
+++ b/magnoliadyke/gateway/caller.py
@@ -50,16 +50,16 @@
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.closing = False
-        self.told = False
-        self.begun = False
+        self.close_announced = False
+        self.answer_begun = False
         self.streaming = False
         self.broken = False
-        self.serving: gevent.Greenlet | None = None
+        self.greenlet: gevent.Greenlet | None = None
 
     # Word that the caller left.
 
     @contextlib.contextmanager
-    def watched(self) -> Iterator[None]:
+    def watch_disconnect(self) -> Iterator[None]:
         """Raise :class:`CallerLeft` inside when the caller closes.
 
         :class:`HostStops` is raised on :meth:`interrupt`.
@@ -69,13 +69,13 @@
         Bytes of a further request end the watch: they can't be read past
         without taking them.
         """
-        self.serving = gevent.getcurrent()
+        self.greenlet = gevent.getcurrent()
         loop = gevent.get_hub().loop
         watcher = loop.io(self.sock.fileno(), READ)
 
         def readable() -> None:
             watcher.stop()
-            if not self._has_ended():
+            if not self._has_disconnected():
                 return
             self._throw(CallerLeft())
 
@@ -83,7 +83,7 @@
         try:
             yield
         finally:
-            self.serving = None
+            self.greenlet = None
             watcher.stop()
             watcher.close()
 
@@ -93,11 +93,11 @@
 
     def _throw(self, error: Interrupted) -> None:
         # Called by the event loop, like the timer of a Timeout.
-        greenlet, self.serving = self.serving, None
+        greenlet, self.greenlet = self.greenlet, None
         if greenlet is not None:
             greenlet.throw(error)
 
-    def _has_ended(self) -> bool:
+    def _has_disconnected(self) -> bool:
         try:
             data = self.sock._sock.recv(
                 1, socket.MSG_PEEK | socket.MSG_DONTWAIT
@@ -120,7 +120,7 @@
         if status not in (204, 304):
             lines.append(b'Content-Length: %d' % len(body))
         if self.closing:
-            self.told = True
+            self.close_announced = True
             lines.append(b'Connection: close')
         self._send(b'\r\n'.join(lines) + b'\r\n\r\n' + body)
 
@@ -130,7 +130,7 @@
         lines += [b'%s: %s' % header for header in headers]
         lines.append(b'Transfer-Encoding: chunked')
         if self.closing:
-            self.told = True
+            self.close_announced = True
             lines.append(b'Connection: close')
         self.streaming = True
         self._send(b'\r\n'.join(lines) + b'\r\n\r\n')
@@ -145,7 +145,7 @@
         self._send(b'0\r\n\r\n')
 
     def _send(self, data: bytes) -> None:
-        self.begun = True
+        self.answer_begun = True
         try:
             self.sock.sendall(data)
         except OSError as error:
--- a/magnoliadyke/gateway/events.py
+++ b/magnoliadyke/gateway/events.py
@@ -23,14 +23,17 @@
     """
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.incomplete = b''
 
     def feed(self, data: bytes) -> list[Event]:
         """Take bytes in; returns the events that are complete now."""
-        self.rest += data
+        self.incomplete += data
         events = []
-        while (end := self.rest.find(b'\n\n')) >= 0:
-            event, self.rest = self.rest[: end + 2], self.rest[end + 2 :]
+        while (end := self.incomplete.find(b'\n\n')) >= 0:
+            event, self.incomplete = (
+                self.incomplete[: end + 2],
+                self.incomplete[end + 2 :],
+            )
             events.append(Event(_event_id(event), event))
         return events
 
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -25,7 +25,7 @@
 __all__ = [
     'BACKOFF',
     'RETRY_AFTER_S',
-    'RETURN_S',
+    'RESPONSE_MARGIN_S',
     'STOPPING',
     'Exchange',
     'Parts',
@@ -37,7 +37,7 @@
 RETRY_AFTER_S = 0.4
 #: Kept of a caller's time for the answer's way back, in seconds: below it a
 #: further try could not be answered in time.
-RETURN_S = 0.02
+RESPONSE_MARGIN_S = 0.02
 #: Reason told for a request that no endpoint wants at present.
 BACKOFF = 'the endpoint asked to back off'
 #: Reason told for a request that may outlast this host, or did.
@@ -93,7 +93,7 @@
         self.sends = 0
         self.tried: set[str] = set()
         self.endpoint = ''
-        self.counted = False
+        self.start_recorded = False
 
     def _pick_service(self) -> str:
         targets = self.route.targets
@@ -104,7 +104,7 @@
         return chosen.service
 
     @property
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether no endpoint has been asked for anything yet."""
         return not self.sends
 
@@ -124,22 +124,22 @@
 
     def _run(self) -> outcomes.Outcome:
         try:
-            with self.caller.watched():
+            with self.caller.watch_disconnect():
                 barred_s = self.parts.suspects.barred_s(self.request)
                 if barred_s:
                     refused = outcomes.Refused(CRASHES, barred_s)
-                    return self._tell(refused)
+                    return self._respond(refused)
                 outcome = self._serve()
                 if isinstance(outcome, outcomes.Answered):
                     self.parts.suspects.served(self.request)
-                return self._tell(outcome)
+                return self._respond(outcome)
         except callers.HostStops:
-            return self._tell(self._give_up())
+            return self._respond(self._end_interrupted())
 
-    def _give_up(self) -> outcomes.Refused | outcomes.Failed:
+    def _end_interrupted(self) -> outcomes.Refused | outcomes.Failed:
         """How a request ends that this process can't finish."""
-        self.caller.broken = self.caller.begun
-        if not (self.runs or self.caller.begun):
+        self.caller.broken = self.caller.answer_begun
+        if not (self.runs or self.caller.answer_begun):
             return outcomes.Refused(STOPPING, 0.0)
         return outcomes.Failed(504, STOPPING)
 
@@ -147,7 +147,7 @@
     def _serve(self) -> outcomes.Outcome:
         """Have an endpoint run the request."""
 
-    def _tell(self, outcome: outcomes.Outcome) -> outcomes.Outcome:
+    def _respond(self, outcome: outcomes.Outcome) -> outcomes.Outcome:
         """Give the caller what it doesn't have yet."""
         match outcome:
             case outcomes.Refused(reason, retry_after_s):
@@ -155,7 +155,9 @@
                 headers = self.parts.codec.own_headers(self.request)
                 headers.append((b'Retry-After', retry_after))
                 self.caller.answer(503, headers, reason.encode())
-            case outcomes.Failed(status, reason) if not self.caller.begun:
+            case outcomes.Failed(status, reason) if (
+                not self.caller.answer_begun
+            ):
                 headers = self.parts.codec.own_headers(self.request)
                 self.caller.answer(status, headers, reason.encode())
         return outcome
@@ -171,7 +173,7 @@
     def _budget(self) -> retrybudget.RetryBudget:
         return self.parts.budgets[self.service]
 
-    def _take(
+    def _acquire_connection(
         self, endpoint: catalog.Endpoint, repeatable: bool
     ) -> connection.Connection:
         """Get a connection to an endpoint, unless it asked to back off.
@@ -181,7 +183,7 @@
         """
         if self._backoff_s(endpoint.id):
             raise upstream.NoConnection(BACKOFF)
-        return self.parts.upstream.take(
+        return self.parts.upstream.acquire(
             endpoint, self._max_connections(), repeatable
         )
 
@@ -206,23 +208,23 @@
             self.parts.clock.now_s()
         )
 
-    def _may_go_on(self) -> bool:
+    def _may_retry(self) -> bool:
         if self.runs >= self.route.max_attempts:
             return False
         if self.sends > self.route.max_attempts:
             return False
         if self.parts.suspects.barred_s(self.request):
             return False
-        return self.left_s >= RETURN_S
+        return self.left_s >= RESPONSE_MARGIN_S
 
-    def _note_begun(self, ago_s: float = 0.0) -> None:
+    def _record_start(self, ago_s: float = 0.0) -> None:
         """An endpoint has begun to run the request; counted once."""
         workspace = self.request.workspace
-        if workspace is not None and not self.counted:
-            self.counted = True
+        if workspace is not None and not self.start_recorded:
+            self.start_recorded = True
             self.parts.begun(workspace.name, ago_s)
 
-    def _note_try(
+    def _record_crash(
         self,
         result: outcomes.Whole
         | outcomes.NotRun
@@ -234,7 +236,7 @@
         if isinstance(result, outcomes.Lost) and result.broke_off:
             self.parts.suspects.broke(self.request, endpoint)
 
-    def _facts(
+    def _read_facts(
         self, endpoint: catalog.Endpoint, head: http.Head
     ) -> codecs.AnswerFacts:
         """Read an answer's head, and what it tells of its endpoint.
@@ -246,12 +248,14 @@
         own = facts.request_id in (None, self.request.id)
         if own and not facts.wrong_endpoint:
             if facts.leaving:
-                self._heard_leaving(endpoint)
+                self._record_leaving(endpoint)
             if facts.backoff_s:
-                self._heard_backoff(endpoint, facts.backoff_s)
+                self._record_backoff(endpoint, facts.backoff_s)
         return facts
 
-    def _heard_backoff(self, endpoint: catalog.Endpoint, for_s: float) -> None:
+    def _record_backoff(
+        self, endpoint: catalog.Endpoint, for_s: float
+    ) -> None:
         now_s = self.parts.clock.now_s()
         self.parts.backoffs.record_backoff(endpoint.id, for_s, now_s)
         LOG.event(
@@ -261,7 +265,7 @@
             for_ms=round(for_s * 1000),
         )
 
-    def _heard_leaving(self, endpoint: catalog.Endpoint) -> None:
+    def _record_leaving(self, endpoint: catalog.Endpoint) -> None:
         if self.parts.catalog.mark_leaving(endpoint.id):
             LOG.event(
                 'endpoint_said_leaving',
@@ -269,7 +273,7 @@
                 endpoint=endpoint.id,
             )
 
-    def _converse(
+    def _send_request(
         self,
         endpoint: catalog.Endpoint,
         used: connection.Connection,
@@ -296,9 +300,9 @@
         except callers.Interrupted:
             used.close()
             raise
-        return self._judge(endpoint, used, head, body)
+        return self._classify(endpoint, used, head, body)
 
-    def _judge(
+    def _classify(
         self,
         endpoint: catalog.Endpoint,
         used: connection.Connection,
@@ -311,7 +315,7 @@
         connection; the id tells them apart.  Such a connection is closed:
         what comes next on it belongs to no one.
         """
-        facts = self._facts(endpoint, head)
+        facts = self._read_facts(endpoint, head)
         if facts.idle_limit_s is not None:
             used.idle_limit_s = facts.idle_limit_s
         if facts.not_run and facts.request_id in (None, self.request.id):
@@ -329,7 +333,7 @@
         self.caller.answer(whole.facts.status, headers, whole.body)
         return outcomes.Answered(whole.facts.status, self.endpoint)
 
-    def _log_try(self, cause: object, meaning: str) -> None:
+    def _log_attempt(self, cause: object, meaning: str) -> None:
         LOG.event(
             'try_ended',
             id=self.request.id.decode('latin-1'),
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -112,11 +112,11 @@
 
     def refuse_waiting(self) -> None:
         """Refuse what waits and is not certain to end in time."""
-        for caller, one in self.running.items():
-            if one.waits and not self._ends_in_time(one):
+        for caller, active in self.running.items():
+            if active.is_waiting and not self._can_finish(active):
                 caller.interrupt()
 
-    def give_up(self) -> None:
+    def interrupt_all(self) -> None:
         """Tell the callers whose requests are under way that they are over."""
         for caller in self.running:
             caller.interrupt()
@@ -124,16 +124,16 @@
     def log_running(self) -> None:
         """Name the requests that the end of this process cuts."""
         now_s = self.clock.now_s()
-        for one in self.running.values():
+        for active in self.running.values():
             LOG.warning_event(
                 'request_cut',
-                id=one.request.id.decode('latin-1'),
-                route=one.route.name,
-                age_ms=round((now_s - one.arrived_s) * 1000),
-                left_ms=round(one.left_s * 1000),
-                endpoint=one.endpoint or 'none',
-                sends=one.sends,
-                begun=one.caller.begun,
+                id=active.request.id.decode('latin-1'),
+                route=active.route.name,
+                age_ms=round((now_s - active.arrived_s) * 1000),
+                left_ms=round(active.left_s * 1000),
+                endpoint=active.endpoint or 'none',
+                sends=active.sends,
+                begun=active.caller.answer_begun,
             )
 
     def stop(self, deadline_s: float) -> None:
@@ -165,7 +165,7 @@
         A connection that ends without an answer is closed at once: a request
         that comes just then is to stay unread.
         """
-        if caller.begun and not (caller.broken or caller.streaming):
+        if caller.answer_begun and not (caller.broken or caller.streaming):
             self._linger(caller.sock)
         http.drop(caller.sock)
 
@@ -183,7 +183,7 @@
         self, caller: callers.Caller, reader: http.RequestReader
     ) -> None:
         while True:
-            caller.begun = False
+            caller.answer_begun = False
             caller.closing = caller.closing or self.shutdown is not None
             try:
                 head = self._read_head(reader)
@@ -199,25 +199,25 @@
             except http.PeerClosed:
                 return
             except http.BrokenMessage as error:
-                self._refuse_bytes(caller, 400, str(error))
+                self._reject_unreadable(caller, 400, str(error))
                 return
             except TooLarge as error:
-                self._refuse_bytes(caller, error.status, 'over a limit')
+                self._reject_unreadable(caller, error.status, 'over a limit')
                 return
             except http.OutOfTime:
                 if reader.begun:
-                    self._refuse_bytes(caller, 408, 'the request is late')
+                    self._reject_unreadable(caller, 408, 'the request is late')
                 return
-            if caller.broken or (caller.closing and self._may_end(caller)):
+            if caller.broken or (caller.closing and self._may_close(caller)):
                 return
 
-    def _may_end(self, caller: callers.Caller) -> bool:
+    def _may_close(self, caller: callers.Caller) -> bool:
         """Whether a connection may end now that its request is answered.
 
         The head of a stream may have left before this host was told to
         stop; its caller may be sending the next request already.
         """
-        if caller.told or self.shutdown is None:
+        if caller.close_announced or self.shutdown is None:
             return True
         return self.clock.now_s() >= self.shutdown.closes_s
 
@@ -267,13 +267,13 @@
                     case http.End():
                         return b''.join(pieces)
 
-    def _refuse_bytes(
+    def _reject_unreadable(
         self, caller: callers.Caller, status: int, reason: str
     ) -> None:
         """Answer what can't be read on, then close."""
         LOG.event('request_unreadable', status=status, reason=reason)
         caller.closing = True
-        if not caller.begun:
+        if not caller.answer_begun:
             caller.answer(status, [], b'')
 
     # One request.
@@ -290,7 +290,7 @@
         request = self.parts.codec.decode(head)
         body = self._read_body(caller, reader, head)
         if isinstance(request, codecs.Malformed):
-            self._refuse_bytes(caller, 400, request.reason)
+            self._reject_unreadable(caller, 400, request.reason)
             return
         request.body = body
         configuration = self.parts.catalog.configuration
@@ -309,32 +309,32 @@
             return
         if not self._admit(caller, request, configuration, route):
             return
-        one = self._exchange(request, route, caller, arrived_s)
-        if not self._ends_in_time(one):
+        active = self._exchange(request, route, caller, arrived_s)
+        if not self._can_finish(active):
             self._answer_early(caller, request, 503, exchange.STOPPING, 0.0)
             return
-        self.running[caller] = one
+        self.running[caller] = active
         try:
-            outcome = one.run()
+            outcome = active.run()
         except Exception as error:
             # A fault of this program must not end a connection without an
             # answer: nobody could tell whether the request has run.
             LOG.error_event(
                 'request_error', error, id=request.id.decode('latin-1')
             )
-            outcome = self._fail(caller, request)
+            outcome = self._answer_fault(caller, request)
         finally:
             del self.running[caller]
         took_s = self.clock.now_s() - arrived_s
         self.record(outcome, route, took_s)
-        self._log(one, outcome, took_s, configuration.version)
+        self._log(active, outcome, took_s, configuration.version)
 
-    def _ends_in_time(self, one: exchange.Exchange) -> bool:
+    def _can_finish(self, active: exchange.Exchange) -> bool:
         """Whether a request is over before this host is."""
         if self.shutdown is None:
             return True
         # Its body may have come long after its head.
-        return self.shutdown.accepts(self.clock.now_s(), one.deadline_s)
+        return self.shutdown.accepts(self.clock.now_s(), active.deadline_s)
 
     def _admit(
         self,
@@ -397,10 +397,10 @@
             kind = promptexchange.PromptExchange
         return kind(self.parts, request, route, caller, arrived_s)
 
-    def _fail(
+    def _answer_fault(
         self, caller: callers.Caller, request: codecs.Request
     ) -> outcomes.Failed:
-        if caller.begun:
+        if caller.answer_begun:
             caller.broken = True
         else:
             caller.closing = True
@@ -435,22 +435,22 @@
 
     def _log(
         self,
-        one: exchange.Exchange,
+        active: exchange.Exchange,
         outcome: outcomes.Outcome,
         took_s: float,
         version: int,
     ) -> None:
         fields = {
-            'id': one.request.id.decode('latin-1'),
-            'route': one.route.name,
+            'id': active.request.id.decode('latin-1'),
+            'route': active.route.name,
             'version': version,
             'outcome': type(outcome).__name__.lower(),
             'took_ms': round(took_s * 1000, 1),
-            'endpoint': one.endpoint or 'none',
-            'sends': one.sends,
+            'endpoint': active.endpoint or 'none',
+            'sends': active.sends,
         }
-        if one.request.workspace is not None:
-            fields['workspace'] = one.request.workspace.name
+        if active.request.workspace is not None:
+            fields['workspace'] = active.request.workspace.name
         match outcome:
             case outcomes.Answered(status):
                 fields['status'] = status
--- a/magnoliadyke/gateway/plainexchange.py
+++ b/magnoliadyke/gateway/plainexchange.py
@@ -25,34 +25,36 @@
         while True:
             endpoint = self._choose()
             if endpoint is None:
-                return failure or self._refused(reason or self._why_none())
-            tried = self._try_plain(endpoint)
+                return failure or self._refused(
+                    reason or self._unavailable_reason()
+                )
+            tried = self._attempt(endpoint)
             match tried:
                 case outcomes.Answered():
                     return tried
                 case outcomes.Whole():
-                    if not self._wants_another(tried):
+                    if not self._should_retry(tried):
                         return self._deliver(tried)
                     failure = outcomes.Failed(502, 'the endpoint failed')
-                    self._log_try(tried.facts.status, 'failed')
-                    if not self._may_go_on():
+                    self._log_attempt(tried.facts.status, 'failed')
+                    if not self._may_retry():
                         return self._deliver(tried)
                 case outcomes.NotRun(reason):
-                    self._log_try(reason, 'not run')
-                    if not self._may_go_on():
+                    self._log_attempt(reason, 'not run')
+                    if not self._may_retry():
                         return failure or self._refused(reason)
                 case outcomes.Lost(reason, timed_out):
-                    self._log_try(reason, 'unknown')
+                    self._log_attempt(reason, 'unknown')
                     status = 504 if timed_out else 502
                     failure = outcomes.Failed(status, reason)
-                    if self.caller.begun or not self.route.repeatable:
+                    if self.caller.answer_begun or not self.route.repeatable:
                         return failure
-                    if not self._may_go_on():
+                    if not self._may_retry():
                         return failure
                 case outcomes.Failed():
                     return tried
 
-    def _why_none(self) -> str:
+    def _unavailable_reason(self) -> str:
         if self.parts.catalog.usable(self.service):
             return exchange.BACKOFF
         return 'no endpoint is known'
@@ -67,7 +69,7 @@
         )
         return self.parts.balancer.choose(endpoints, self.tried, now_s)
 
-    def _wants_another(self, whole: outcomes.Whole) -> bool:
+    def _should_retry(self, whole: outcomes.Whole) -> bool:
         """A failure that another endpoint may not have."""
         if whole.facts.status < 500:
             return False
@@ -76,7 +78,7 @@
             and self.runs < self.route.max_attempts
         )
 
-    def _try_plain(
+    def _attempt(
         self, endpoint: catalog.Endpoint
     ) -> (
         outcomes.Whole
@@ -92,14 +94,14 @@
         begun_s = self.parts.clock.now_s()
         balancer.record_sent(endpoint.id)
         try:
-            result = self._send_whole(endpoint, self._try_s())
+            result = self._send_buffered(endpoint, self._attempt_timeout_s())
         except callers.Interrupted:
             balancer.record_cancel(endpoint.id)
             raise
-        self._note_try(result, endpoint.id)
+        self._record_crash(result, endpoint.id)
         now_s = self.parts.clock.now_s()
         if not isinstance(result, outcomes.NotRun):
-            self._note_begun(now_s - begun_s)
+            self._record_start(now_s - begun_s)
         match result:
             case outcomes.Whole(facts=facts):
                 failed = facts.status >= 500
@@ -110,7 +112,7 @@
                 balancer.record_failure(endpoint.id, now_s)
         return result
 
-    def _try_s(self) -> float:
+    def _attempt_timeout_s(self) -> float:
         """Time for this try: a repeat has to find some left."""
         if self.route.kind is routes.Kind.SAFE:
             if self.runs + 1 < self.route.max_attempts:
@@ -118,31 +120,31 @@
                 return max(share_s, min(self.left_s, self.route.objective_s))
         return self.left_s
 
-    def _send_whole(
-        self, endpoint: catalog.Endpoint, try_s: float
+    def _send_buffered(
+        self, endpoint: catalog.Endpoint, timeout_s: float
     ) -> outcomes.Whole | outcomes.NotRun | outcomes.Lost:
         """One try whose answer is read whole before it is passed on.
 
         Passed on piece by piece, an answer that breaks off could not be
         replaced by that of another endpoint.
         """
-        if try_s <= 0:
+        if timeout_s <= 0:
             return outcomes.NotRun('no time is left', arrived=False)
         options = codecs.RunOptions(endpoint.name, self.left_s)
         headers = self.parts.codec.run_headers(self.request, options)
         try:
-            used = self._take(endpoint, self.route.repeatable)
+            used = self._acquire_connection(endpoint, self.route.repeatable)
         except upstream.NoConnection as error:
             return outcomes.NotRun(str(error), arrived=False)
         if not self._may_send():
-            self.parts.upstream.give(endpoint, used)
+            self.parts.upstream.release(endpoint, used)
             return outcomes.NotRun('the retry budget is spent', False)
         self.runs += 1
         try:
-            limit = waitlimit.WaitLimit(try_s, http.OutOfTime)
-            result = self._converse(endpoint, used, headers, limit)
+            limit = waitlimit.WaitLimit(timeout_s, http.OutOfTime)
+            result = self._send_request(endpoint, used, headers, limit)
         finally:
-            self.parts.upstream.give(endpoint, used)
+            self.parts.upstream.release(endpoint, used)
         match result:
             case outcomes.NotRun():
                 self.runs -= 1
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -22,7 +22,7 @@
 
 #: A request whose caller waits for less than its route's time by more than
 #: this has been here before: callers count from their first try.
-RETURNING_S = 0.1
+RETRY_DETECTION_S = 0.1
 #: A resumable stream that is silent for this long goes on at another
 #: engine, in seconds; several times the pause that callers accept.
 STALL_FACTOR = 5.0
@@ -32,9 +32,9 @@
 #: Engines that did not take a request before it is told to come back.  An
 #: engine that is down refuses a connection within a millisecond; where it is
 #: the only one left, a request would try it thousands of times.
-MOST_MISSES = 3
+MAX_ENGINE_REJECTIONS = 3
 #: Engines that take nothing of which the placing host is told with a request.
-MOST_UNAVAILABLE = 32
+MAX_EXCLUDED_ENGINES = 32
 
 
 class PromptExchange(promptreading.PromptReading):
@@ -49,13 +49,13 @@
         super().__init__(*args)
         self.last_event: bytes | None = None
         self.unknown: outcomes.Failed | None = None
-        self.misses = 0
+        self.rejections = 0
 
     def _serve(self) -> outcomes.Outcome:
         avoid: tuple[str, ...] = ()
         resume_after = self.request.resume_after
         while True:
-            backoff_s = self._answerers_backoff_s()
+            backoff_s = self._decode_engines_backoff_s()
             if backoff_s:
                 return self._refused(exchange.BACKOFF, backoff_s)
             job = self._job(avoid, resume_after is not None)
@@ -63,11 +63,14 @@
             self._log_decision(job, decision)
             if isinstance(decision, promptjobs.Refused):
                 return self._refused(decision.reason, decision.retry_after_s)
-            excluded = self._excluded(decision)
+            excluded = self._engine_in_backoff(decision)
             if excluded is not None:
                 self.parts.placer.ended(self.service, job.id, True)
-                self.misses += 1
-                if excluded in job.avoid or self.misses > MOST_MISSES:
+                self.rejections += 1
+                if (
+                    excluded in job.avoid
+                    or self.rejections > MAX_ENGINE_REJECTIONS
+                ):
                     backoff_s = self._backoff_s(excluded)
                     return self._refused(exchange.BACKOFF, backoff_s)
                 continue
@@ -88,22 +91,25 @@
             match result:
                 case outcomes.Answered() | outcomes.Failed():
                     return result
-                case outcomes.Whole(facts=facts) if self.caller.begun:
+                case outcomes.Whole(facts=facts) if self.caller.answer_begun:
                     # In the middle of a stream it would be no answer.
                     reason = f'status {facts.status} after a part'
                     return self._break_off(outcomes.Failed(502, reason))
                 case outcomes.Whole():
                     return self._deliver(result)
                 case outcomes.NotRun(reason):
-                    self._log_try(reason, 'not run')
-                    self.misses += 1
-                    if self.misses > MOST_MISSES or not self._may_go_on():
+                    self._log_attempt(reason, 'not run')
+                    self.rejections += 1
+                    if (
+                        self.rejections > MAX_ENGINE_REJECTIONS
+                        or not self._may_retry()
+                    ):
                         return self._refused(reason, self._retry_after_s())
                 case outcomes.Lost(reason, timed_out):
-                    self._log_try(reason, 'unknown')
+                    self._log_attempt(reason, 'unknown')
                     status = 504 if timed_out else 502
                     failure = self.unknown = outcomes.Failed(status, reason)
-                    if not self.route.repeatable or not self._may_go_on():
+                    if not self.route.repeatable or not self._may_retry():
                         return self._break_off(failure)
                     if self.last_event is not None:
                         resume_after = self.last_event
@@ -140,14 +146,14 @@
                     retry_after_ms=round(retry_after_s * 1000),
                 )
 
-    def _excluded(self, placed: promptjobs.Placed) -> str | None:
+    def _engine_in_backoff(self, placed: promptjobs.Placed) -> str | None:
         """The engine of a placement that wants nothing from this host."""
         for engine in (placed.prefill, placed.run):
             if engine is not None and self._backoff_s(engine):
                 return engine
         return None
 
-    def _answerers_backoff_s(self) -> float:
+    def _decode_engines_backoff_s(self) -> float:
         """How long no engine answers this host; 0 if one does."""
         listed = self.parts.catalog.by_service.get(self.service, {})
         answering = (
@@ -158,7 +164,7 @@
         now_s = self.parts.clock.now_s()
         return self.parts.backoffs.shortest_remaining_s(answering, now_s)
 
-    def _unavailable(self) -> list[str]:
+    def _unavailable_engines(self) -> list[str]:
         """Engines that take nothing, which the placing host may not know.
 
         Backoffs are this host's own, and a leave may have been told here only.
@@ -171,7 +177,7 @@
             for each in (*backing_off, *known.leaving_ids)
             if each in listed
         ]
-        return ids[:MOST_UNAVAILABLE]
+        return ids[:MAX_EXCLUDED_ENGINES]
 
     def _refused(
         self, reason: str, retry_after_s: float
@@ -187,7 +193,7 @@
 
     def _break_off(self, failure: outcomes.Failed) -> outcomes.Failed:
         """A begun stream ends without its last chunk: it looks incomplete."""
-        if self.caller.begun:
+        if self.caller.answer_begun:
             self.caller.broken = True
         return failure
 
@@ -197,7 +203,8 @@
         prompt = self.request.prompt
         wait_s = self.request.wait_s
         returning = (
-            wait_s is not None and wait_s < self.route.timeout_s - RETURNING_S
+            wait_s is not None
+            and wait_s < self.route.timeout_s - RETRY_DETECTION_S
         )
         objective_s = self.arrived_s + self.route.objective_s
         if returning:
@@ -212,7 +219,7 @@
             failure_domain=self.parts.balancer.failure_domain,
             returning=returning or self.prefills > 0,
             resumed=resumed,
-            avoid=(*avoid, *self._unavailable()),
+            avoid=(*avoid, *self._unavailable_engines()),
         )
 
     def _run_placed(
@@ -236,16 +243,16 @@
                 return source
         # Looked up after reading: an engine that has begun to leave in the
         # meantime may be given no work any longer.
-        runner = self._present(placed.run)
-        if runner is None and source is not None:
-            runner = self._other_runner(placed.run)
-        if runner is None:
+        engine = self._present(placed.run)
+        if engine is None and source is not None:
+            engine = self._alternative_engine(placed.run)
+        if engine is None:
             if source is not None:
                 self._free(source)
             return outcomes.NotRun(promptreading.LEFT, arrived=False)
-        self.endpoint = runner.id
+        self.endpoint = engine.id
         options = codecs.RunOptions(
-            endpoint=runner.name,
+            endpoint=engine.name,
             left_s=self.left_s,
             urgent=job.tokens <= placing.SHORT_TOKENS,
             source=source,
@@ -254,13 +261,13 @@
         )
         started = False
         try:
-            result = self._stream(runner, options, job)
+            result = self._stream(engine, options, job)
             started = not isinstance(result, outcomes.NotRun)
             if not started and source is not None:
                 # Turned away: it is full, or what was read is gone.  An
                 # engine that reads the prompt itself can still answer.
-                self._note_turned_away(job, placed, result)
-                other = self._other_runner(runner.id)
+                self._report_rejection(job, placed, result)
+                other = self._alternative_engine(engine.id)
                 if other is not None:
                     self.endpoint = other.id
                     options = options._replace(
@@ -272,7 +279,7 @@
                 self._free(source)
         return result
 
-    def _note_turned_away(
+    def _report_rejection(
         self,
         job: promptjobs.Job,
         placed: promptjobs.Placed,
@@ -285,14 +292,14 @@
         placer = self.parts.placer
         if result.arrived:
             placer.lapsed(self.service, job.id, placed.prefill, placed.run)
-            self._log_try('turned away after reading', 'not run')
+            self._log_attempt('turned away after reading', 'not run')
         else:
             placer.failed(self.service, job.id, placed.run)
-            self._log_try(result.reason, 'not run')
+            self._log_attempt(result.reason, 'not run')
 
-    def _other_runner(self, failed: str) -> catalog.Endpoint | None:
+    def _alternative_engine(self, failed: str) -> catalog.Endpoint | None:
         """Another engine for a request that one has not taken."""
-        if self.left_s < exchange.RETURN_S:
+        if self.left_s < exchange.RESPONSE_MARGIN_S:
             return None
         answering = [
             each
@@ -308,17 +315,17 @@
 
     def _stream(
         self,
-        runner: catalog.Endpoint,
+        engine: catalog.Endpoint,
         options: codecs.RunOptions,
         job: promptjobs.Job,
     ) -> outcomes.Answered | outcomes.Whole | outcomes.NotRun | outcomes.Lost:
         """Have the engine run the request and pass its events on."""
         try:
-            used = self._take(runner, self.route.repeatable)
+            used = self._acquire_connection(engine, self.route.repeatable)
         except upstream.NoConnection as error:
             return outcomes.NotRun(str(error), arrived=False)
         if not self._may_send():
-            self.parts.upstream.give(runner, used)
+            self.parts.upstream.release(engine, used)
             return outcomes.NotRun(promptreading.BUDGET_SPENT, False)
         self.runs += 1
         headers = self.parts.codec.run_headers(self.request, options)
@@ -328,8 +335,10 @@
                 used.send(
                     request.method, request.target, headers, request.body
                 )
-                head = self._waited(used.head, FIRST_STALL_S)
-                result = self._judge_stream(used, head, job, runner, options)
+                head = self._wait_for_engine(used.head, FIRST_STALL_S)
+                result = self._classify_stream(
+                    used, head, job, engine, options
+                )
         except http.OutOfTime as error:
             result = outcomes.Lost(str(error), timed_out=True)
             used.close()
@@ -343,13 +352,13 @@
             used.close()
             raise
         finally:
-            self.parts.upstream.give(runner, used)
+            self.parts.upstream.release(engine, used)
         if isinstance(result, outcomes.NotRun):
             self.runs -= 1
-        self._note_try(result, runner.id)
+        self._record_crash(result, engine.id)
         return result
 
-    def _waited(self, wait, least_s):
+    def _wait_for_engine(self, wait, min_stall_s):
         """Wait for the next piece, less long if it can go on elsewhere.
 
         A stream that has begun and can't is left to its engine: the caller
@@ -357,68 +366,68 @@
         """
         if not self.route.resumable:
             return wait()
-        if self.caller.begun and not self._could_resume():
+        if self.caller.answer_begun and not self._can_resume():
             return wait()
-        stall_s = max(least_s, self.route.pause_s * STALL_FACTOR)
+        stall_s = max(min_stall_s, self.route.pause_s * STALL_FACTOR)
         with gevent.Timeout(stall_s, http.OutOfTime('the engine is silent')):
             return wait()
 
-    def _could_resume(self) -> bool:
+    def _can_resume(self) -> bool:
         now_s = self.parts.clock.now_s()
-        return self._may_go_on() and self._budget().has_left(now_s)
+        return self._may_retry() and self._budget().has_left(now_s)
 
-    def _judge_stream(
+    def _classify_stream(
         self,
         used: connection.Connection,
         head: http.Head,
         job: promptjobs.Job,
-        runner: catalog.Endpoint,
+        engine: catalog.Endpoint,
         options: codecs.RunOptions,
     ) -> outcomes.Answered | outcomes.Whole | outcomes.NotRun | outcomes.Lost:
-        facts = self._facts(runner, head)
+        facts = self._read_facts(engine, head)
         if facts.status != 200:
-            return self._judge(runner, used, head, used.body())
+            return self._classify(engine, used, head, used.body())
         if facts.request_id != self.request.id:
             return outcomes.Lost('answer to another request', False)
         if not facts.sealed or facts.encoded:
             return outcomes.Lost("not the endpoint's own answer", False)
         if facts.idle_limit_s is not None:
             used.idle_limit_s = facts.idle_limit_s
-        return self._relay(used, head, job, runner, options)
+        return self._relay(used, head, job, engine, options)
 
-    def _tell_read(
-        self, job: promptjobs.Job, runner: catalog.Endpoint
+    def _report_prefill_done(
+        self, job: promptjobs.Job, engine: catalog.Endpoint
     ) -> None:
         """The first event shows that the prompt has been read."""
         if job.tokens > placing.SHORT_TOKENS:
-            self.parts.placer.has_read(self.service, job.id, runner.id)
+            self.parts.placer.has_read(self.service, job.id, engine.id)
 
     def _relay(
         self,
         used: connection.Connection,
         head: http.Head,
         job: promptjobs.Job,
-        runner: catalog.Endpoint,
+        engine: catalog.Endpoint,
         options: codecs.RunOptions,
     ) -> outcomes.Answered:
         splitter = events.EventSplitter()
         first = True
         while True:
-            least_s = FIRST_STALL_S if first else MIN_STALL_S
-            part = self._waited(used.part, least_s)
+            min_stall_s = FIRST_STALL_S if first else MIN_STALL_S
+            part = self._wait_for_engine(used.part, min_stall_s)
             if isinstance(part, http.End):
                 break
             whole = splitter.feed(part.data)
             if not whole:
                 continue
             if first:
-                self._note_begun()
+                self._record_start()
             if first and options.source is None:
-                self._tell_read(job, runner)
+                self._report_prefill_done(job, engine)
             elif first and self.read_s is not None:
                 took_s = self.parts.clock.now_s() - self.read_s
                 self.parts.placer.moved(
-                    self.service, job.id, runner.id, took_s
+                    self.service, job.id, engine.id, took_s
                 )
             first = False
             self._begin(head)
@@ -427,12 +436,12 @@
             if whole[-1].id is not None:
                 self.last_event = whole[-1].id
         self._begin(head)
-        if splitter.rest:
-            self.caller.chunk(splitter.rest)
+        if splitter.incomplete:
+            self.caller.chunk(splitter.incomplete)
         self.caller.end_stream()
         return outcomes.Answered(200, self.endpoint)
 
     def _begin(self, head: http.Head) -> None:
-        if not self.caller.begun:
+        if not self.caller.answer_begun:
             headers = self.parts.codec.answer_headers(head)
             self.caller.begin_stream(head.status, headers)
--- a/magnoliadyke/gateway/promptreading.py
+++ b/magnoliadyke/gateway/promptreading.py
@@ -44,9 +44,9 @@
         self.budget_spent = False
 
     @property
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether no engine has been asked for anything yet."""
-        return not self.prefills and super().waits
+        return not self.prefills and super().is_waiting
 
     def _may_prefill(self) -> bool:
         """Count a prompt that is to be read.
@@ -66,8 +66,8 @@
         self.budget_spent = not super()._may_send()
         return not self.budget_spent
 
-    def _may_go_on(self) -> bool:
-        return not self.budget_spent and super()._may_go_on()
+    def _may_retry(self) -> bool:
+        return not self.budget_spent and super()._may_retry()
 
     def _present(self, endpoint_id: str) -> catalog.Endpoint | None:
         """An engine, unless it has left or is about to."""
@@ -92,21 +92,21 @@
         )
         headers = self.parts.codec.prefill_headers(self.request, options)
         try:
-            used = self._take(reader, repeatable=True)
+            used = self._acquire_connection(reader, repeatable=True)
         except upstream.NoConnection as error:
             return self._not_read(reader.id, str(error), False)
         if not self._may_prefill():
-            self.parts.upstream.give(reader, used)
+            self.parts.upstream.release(reader, used)
             return self._not_read(reader.id, BUDGET_SPENT, False)
         wait_s = placed.expected_s * PREFILL_FACTOR
         wait_s = min(self.left_s, max(wait_s, self.left_s * READ_SHARE))
         limit = waitlimit.WaitLimit(wait_s, http.OutOfTime)
         try:
             with self.parts.placer.reading(reader.id, limit):
-                result = self._converse(reader, used, headers, limit)
+                result = self._send_request(reader, used, headers, limit)
         finally:
-            self.parts.upstream.give(reader, used)
-        self._note_try(result, reader.id)
+            self.parts.upstream.release(reader, used)
+        self._record_crash(result, reader.id)
         match result:
             case outcomes.NotRun(reason) | outcomes.Lost(reason):
                 self.sends += 1
@@ -159,7 +159,7 @@
             return
         method, target = self.parts.codec.drop_target(handle)
         try:
-            used = self.parts.upstream.take(endpoint, 0, repeatable=True)
+            used = self.parts.upstream.acquire(endpoint, 0, repeatable=True)
         except upstream.NoConnection as error:
             LOG.repeated('handle_kept', endpoint.id, cause=str(error))
             return
@@ -174,4 +174,4 @@
         ) as error:
             used.close()
             LOG.repeated('handle_kept', endpoint.id, cause=str(error))
-        self.parts.upstream.give(endpoint, used)
+        self.parts.upstream.release(endpoint, used)
--- a/magnoliadyke/gateway/upstream.py
+++ b/magnoliadyke/gateway/upstream.py
@@ -15,11 +15,11 @@
 #: that may run at most once: the endpoint may just be closing it, and then
 #: nobody could tell whether the request has run.  Connections in use are
 #: back well within it.
-FRESH_IDLE_S = 0.3
+MAX_IDLE_UNREPEATABLE_S = 0.3
 #: The same for requests that may be sent again.
 MAX_IDLE_S = 1.5
 #: Idle connections kept to one endpoint.
-MAX_IDLE = 16
+MAX_IDLE_CONNECTIONS = 16
 #: Share of an endpoint's connections that hosts use together; the rest is
 #: for hosts that have just come.
 CONNECTION_SHARE = 0.8
@@ -44,7 +44,7 @@
         self.in_use: collections.Counter[str] = collections.Counter()
         self.opened = 0
 
-    def take(
+    def acquire(
         self,
         endpoint: catalog.Endpoint,
         max_connections: int,
@@ -56,24 +56,24 @@
         :param repeatable: the request may be sent again
         :raises NoConnection: none could be opened
         """
-        limit_s = MAX_IDLE_S if repeatable else FRESH_IDLE_S
-        kept = self._kept(endpoint.id, limit_s)
+        limit_s = MAX_IDLE_S if repeatable else MAX_IDLE_UNREPEATABLE_S
+        kept = self._pop_idle(endpoint.id, limit_s)
         if kept is None:
             kept = self._open(endpoint, max_connections)
         self.in_use[endpoint.id] += 1
         return kept
 
-    def _kept(
+    def _pop_idle(
         self, endpoint_id: str, limit_s: float
     ) -> connection.Connection | None:
         idle = self.idle.get(endpoint_id)
         now_s = self.clock.now_s()
         while idle:
             kept = idle.pop()
-            most_s = limit_s
+            max_idle_s = limit_s
             if kept.idle_limit_s is not None:
-                most_s = min(most_s, kept.idle_limit_s / 2)
-            if now_s - kept.used_s <= most_s and kept.is_quiet():
+                max_idle_s = min(max_idle_s, kept.idle_limit_s / 2)
+            if now_s - kept.used_s <= max_idle_s and kept.is_quiet():
                 kept.kept = True
                 return kept
             if now_s - kept.used_s <= MAX_IDLE_S and kept.is_quiet():
@@ -97,7 +97,7 @@
         self.opened += 1
         return opened
 
-    def give(
+    def release(
         self, endpoint: catalog.Endpoint, used: connection.Connection
     ) -> None:
         """Give a connection back; it is closed unless it can be reused."""
@@ -108,7 +108,7 @@
         used.used_s = self.clock.now_s()
         idle = self.idle.setdefault(endpoint.id, collections.deque())
         idle.append(used)
-        if len(idle) > MAX_IDLE:
+        if len(idle) > MAX_IDLE_CONNECTIONS:
             idle.popleft().close()
 
     def drop_endpoint(self, endpoint_id: str) -> None:
--- a/magnoliadyke/gateway/waitlimit.py
+++ b/magnoliadyke/gateway/waitlimit.py
@@ -16,9 +16,9 @@
     """
 
     def __init__(
-        self, seconds: float, error: Callable[[str], Exception]
+        self, timeout_s: float, error: Callable[[str], Exception]
     ) -> None:
-        self.seconds = seconds
+        self.timeout_s = timeout_s
         self.error = error
         self.greenlet: gevent.Greenlet | None = None
         self.timeout: gevent.Timeout | None = None
@@ -26,7 +26,7 @@
     def __enter__(self) -> 'WaitLimit':
         self.greenlet = gevent.getcurrent()
         error = self.error('no answer in time')
-        self.timeout = gevent.Timeout.start_new(self.seconds, error)
+        self.timeout = gevent.Timeout.start_new(self.timeout_s, error)
         return self
 
     def __exit__(
--- a/magnoliadyke/lab/platformendpoint.py
+++ b/magnoliadyke/lab/platformendpoint.py
@@ -153,7 +153,7 @@
     ) -> bool:
         head, body = httpstandin.read_request(reader)
         headers = {k.lower(): v for k, v in head.headers}
-        caller.begun = False
+        caller.answer_begun = False
         if head.target.startswith(b'/api/'):
             return self._control(caller, head, body)
         arrival = Arrival(
@@ -172,7 +172,7 @@
             return self._read_prompt(caller, arrival)
         arrival.run = True
         try:
-            with caller.watched():
+            with caller.watch_disconnect():
                 return self._run(caller, arrival)
         except callers.CallerLeft:
             arrival.left = True
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -371,7 +371,7 @@
         self._wait_until(course.closes_s, False)
         self.ingress.close_idle()
         self._wait_until(course.ends_s, True)
-        self.ingress.give_up()
+        self.ingress.interrupt_all()
         self._wait_until(course.exits_s, True)
 
     def _wait_until(self, until_s: float, may_end: bool) -> None:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -91,7 +91,7 @@
         data = data[cut:]
     assert b''.join(event.data for event in found) == stream
     assert [event.id for event in found] == [b'%d' % n for n in range(count)]
-    assert splitter.rest == rest
+    assert splitter.incomplete == rest
 
 
 JOB = promptjobs.Job(
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -130,7 +130,7 @@
     monkeypatch.setattr(
         stopping.node.placer, 'place', lambda *job: place.wait() or waits(*job)
     )
-    monkeypatch.setattr(stopping.node.ingress, 'give_up', lambda: None)
+    monkeypatch.setattr(stopping.node.ingress, 'interrupt_all', lambda: None)
     client = gatewayworld.Client(stopping.node)
     ask(client, 'early')
     gatewayworld.wait_for(lambda: stopping.node.ingress.running, 'the request')
@@ -213,7 +213,7 @@
     stopping = Stopping(world)
 
     def serve(one):
-        one.caller.begun = True
+        one.caller.answer_begun = True
         gevent.sleep(gatewayworld.WAIT_S)
 
     monkeypatch.setattr(plainexchange.PlainExchange, '_serve', serve)
--- a/tests/test_lab_platformday.py
+++ b/tests/test_lab_platformday.py
@@ -237,27 +237,27 @@
 
 
 def test_calling_a_lost_request_not_run_is_caught(world, monkeypatch):
-    tell = exchange.Exchange._tell
+    tell = exchange.Exchange._respond
 
     def lie(self, outcome):
         if isinstance(outcome, outcomes.Failed):
             outcome = outcomes.Refused('it was lost', 0.1)
         return tell(self, outcome)
 
-    monkeypatch.setattr(exchange.Exchange, '_tell', lie)
+    monkeypatch.setattr(exchange.Exchange, '_respond', lie)
     assert '"not run" is true' in _play(world, _reset_plain)
 
 
 def test_ending_a_cut_stream_in_order_is_caught(world, monkeypatch):
-    tell = exchange.Exchange._tell
+    tell = exchange.Exchange._respond
 
     def hide(self, outcome):
-        if isinstance(outcome, outcomes.Failed) and self.caller.begun:
+        if isinstance(outcome, outcomes.Failed) and self.caller.answer_begun:
             self.caller.broken = False
             self.caller.end_stream()
         return tell(self, outcome)
 
-    monkeypatch.setattr(exchange.Exchange, '_tell', hide)
+    monkeypatch.setattr(exchange.Exchange, '_respond', hide)
     assert 'streams are whole' in _play(world, _cut_streams)
 
 
@@ -265,5 +265,5 @@
     def nothing(self, *arguments):
         raise callers.CallerLeft('for the test')
 
-    monkeypatch.setattr(exchange.Exchange, '_tell', nothing)
+    monkeypatch.setattr(exchange.Exchange, '_respond', nothing)
     assert 'each request is answered' in _play(world, _reset_plain)
