--- a/magnoliadyke/gateway/caller.py
+++ b/magnoliadyke/gateway/caller.py
@@ -1,4 +1,4 @@
-"""A caller's connection: answers to it, and word that the caller left."""
+"""Caller connections: sends answers and detects disconnects."""
 
 import contextlib
 from typing import Iterator
@@ -22,29 +22,34 @@
     503: b'Service Unavailable',
     504: b'Gateway Timeout',
 }
-#: An event-loop watcher of this kind fires when bytes or an end arrive.
+#: Event mask of a watcher that fires when a socket is readable: bytes or the
+#: end of the connection have arrived.
 READ = 1
 
 
 class Interrupted(Exception):
-    """Nothing more is to be done for a request that is under way."""
+    """A request in flight is to be aborted."""
 
 
 class CallerLeft(Interrupted):
-    """The caller closed its connection while its request was under way."""
+    """The caller closed its connection while its request was in flight."""
 
 
 class HostStops(Interrupted):
-    """This process ends while a request is under way."""
+    """This host stops while a request is in flight."""
 
 
 class Caller:
     """One caller's connection.
 
-    :ivar closing: the connection ends with the next answer
-    :ivar told: the caller knows from an answer that it ends
-    :ivar begun: bytes of an answer to the present request have been sent
-    :ivar serving: who serves the present request and can be interrupted
+    :ivar closing: whether the connection is closed after the next answer
+    :ivar close_announced: whether an answer had ``Connection: close``
+    :ivar answer_begun: whether bytes of an answer to the current request have
+        been sent
+    :ivar streaming: whether a chunked answer has begun and is not complete
+    :ivar broken: whether the connection can carry no further answer
+    :ivar greenlet: greenlet that serves the current request and can be
+        interrupted
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -56,18 +61,19 @@
         self.broken = False
         self.greenlet: gevent.Greenlet | None = None
 
-    # Word that the caller left.
+    # Disconnects and interrupts.
 
     @contextlib.contextmanager
     def watch_disconnect(self) -> Iterator[None]:
-        """Raise :class:`CallerLeft` inside when the caller closes.
+        """Raise :class:`CallerLeft` in the block when the caller disconnects.
 
-        :class:`HostStops` is raised on :meth:`interrupt`.
+        :meth:`interrupt` raises :class:`HostStops` in the block.
 
-        Nobody reads the connection while a request is under way, so its
-        end would go unnoticed and the endpoint would work for nobody.
-        Bytes of a further request end the watch: they can't be read past
-        without taking them.
+        The connection is not read while a request is in flight, so without
+        this watch a disconnect would go unnoticed and the endpoint would go
+        on generating an answer that is never delivered. The watch ends when
+        bytes of a further request arrive: a disconnect behind them can't be
+        detected without consuming them.
         """
         self.greenlet = gevent.getcurrent()
         loop = gevent.get_hub().loop
@@ -88,11 +94,11 @@
             watcher.close()
 
     def interrupt(self) -> None:
-        """Raise :class:`HostStops` in whoever serves the present request."""
+        """Raise :class:`HostStops` in the greenlet that serves a request."""
         gevent.get_hub().loop.run_callback(self._throw, HostStops())
 
     def _throw(self, error: Interrupted) -> None:
-        # Called by the event loop, like the timer of a Timeout.
+        # Runs in the event loop, like the timer of a gevent.Timeout.
         greenlet, self.greenlet = self.greenlet, None
         if greenlet is not None:
             greenlet.throw(error)
@@ -111,9 +117,9 @@
     # Answers.
 
     def answer(self, status: int, headers: http.Headers, body: bytes) -> None:
-        """Send a whole answer.
+        """Send a complete answer.
 
-        :raises CallerLeft: it can't be delivered
+        :raises CallerLeft: the answer can't be delivered
         """
         lines = [b'HTTP/1.1 %d %s' % (status, REASONS.get(status, b'Status'))]
         lines += [b'%s: %s' % header for header in headers]
@@ -125,7 +131,10 @@
         self._send(b'\r\n'.join(lines) + b'\r\n\r\n' + body)
 
     def begin_stream(self, status: int, headers: http.Headers) -> None:
-        """Send the head of an answer whose body follows in chunks."""
+        """Send the head of a chunked answer.
+
+        :raises CallerLeft: the head can't be delivered
+        """
         lines = [b'HTTP/1.1 %d %s' % (status, REASONS.get(status, b'Status'))]
         lines += [b'%s: %s' % header for header in headers]
         lines.append(b'Transfer-Encoding: chunked')
@@ -136,11 +145,11 @@
         self._send(b'\r\n'.join(lines) + b'\r\n\r\n')
 
     def chunk(self, data: bytes) -> None:
-        """Send a part of a stream."""
+        """Send one chunk of a stream."""
         self._send(b'%x\r\n%s\r\n' % (len(data), data))
 
     def end_stream(self) -> None:
-        """Mark a stream as complete."""
+        """Send the last chunk, which marks the stream as complete."""
         self.streaming = False
         self._send(b'0\r\n\r\n')
 
--- a/magnoliadyke/gateway/events.py
+++ b/magnoliadyke/gateway/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events cut out of the bytes of a stream."""
+"""Splits the bytes of a stream into server-sent events."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,10 @@
 
 
 class Event(NamedTuple):
-    """One whole event.
+    """One complete event.
 
-    :param id: its id, None if it has none
+    :param id: value of the event's ``id`` field, None if it has none
+    :param data: bytes of the event, with its terminating blank line
     """
 
     id: bytes | None
@@ -16,17 +17,19 @@
 
 
 class EventSplitter:
-    """Collects bytes and gives whole events.
+    """Buffers the bytes of a stream and returns complete events.
 
-    An endpoint may break off in the middle of an event.  Only whole events
-    are passed on, so that the stream can go on at another endpoint.
+    An endpoint may break off in the middle of an event. Only complete events
+    are relayed to the caller, so that another endpoint can resume the stream.
+
+    :ivar incomplete: bytes of the event that is not complete yet
     """
 
     def __init__(self) -> None:
         self.incomplete = b''
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes in; returns the events that are complete now."""
+        """Append bytes; return the events that they complete."""
         self.incomplete += data
         events = []
         while (end := self.incomplete.find(b'\n\n')) >= 0:
--- a/magnoliadyke/gateway/outcomes.py
+++ b/magnoliadyke/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request ended, and how one try at an endpoint ended."""
+"""Outcomes of requests, and of single attempts at endpoints."""
 
 from typing import NamedTuple
 
@@ -17,16 +17,17 @@
 
 
 class Answered(NamedTuple):
-    """The caller has an endpoint's whole answer."""
+    """The caller received an endpoint's complete answer."""
 
     status: int
     endpoint: str
 
 
 class Refused(NamedTuple):
-    """The request has not run and will not.
+    """The request has not run, and this host will not run it.
 
-    :param retry_after_s: when there will be room
+    :param retry_after_s: time after which the caller should retry, in
+        seconds
     """
 
     reason: str
@@ -34,14 +35,17 @@
 
 
 class Failed(NamedTuple):
-    """It may have run; the caller has a failure, or a broken answer."""
+    """The request may have run.
+
+    The caller received an error status, or an answer that breaks off.
+    """
 
     status: int
     reason: str
 
 
 class Left(NamedTuple):
-    """The caller left first."""
+    """The caller closed its connection before its answer was complete."""
 
     reason: str
 
@@ -50,7 +54,7 @@
 
 
 class Whole(NamedTuple):
-    """An endpoint's whole answer to one try."""
+    """An endpoint's complete answer to one attempt."""
 
     head: http.Head
     facts: codec.AnswerFacts
@@ -58,9 +62,11 @@
 
 
 class NotRun(NamedTuple):
-    """A try that has not run: nothing was sent, or the endpoint says so.
+    """An attempt that did not run the request.
+
+    Nothing was sent, or the endpoint answered that it has not run it.
 
-    :param arrived: the endpoint got the request and turned it away
+    :param arrived: whether the endpoint received the request and rejected it
     """
 
     reason: str
@@ -68,10 +74,10 @@
 
 
 class Lost(NamedTuple):
-    """A try of which nobody can say whether it has run.
+    """An attempt that failed after the request may have run.
 
-    :param timed_out: the time for it was over
-    :param broke_off: the endpoint ended the connection, or it was reset
+    :param timed_out: whether the attempt timed out
+    :param broke_off: whether the endpoint closed or reset the connection
     """
 
     reason: str
--- a/magnoliadyke/gateway/upstream.py
+++ b/magnoliadyke/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to the endpoints, kept between requests."""
+"""Pool of keep-alive connections to the endpoints."""
 
 import collections
 
@@ -8,33 +8,38 @@
 
 __all__ = ['NoConnection', 'Upstream']
 
-#: Time for an opening packet and its answer; an endpoint that needs longer
-#: is down or out of reach, and another one can still be in time.
+#: Timeout for opening a connection: an endpoint that needs longer is down or
+#: unreachable, and another one can still answer in time.
 CONNECT_TIMEOUT_S = 0.25
-#: A connection that idled for longer than this is not used for requests
-#: that may run at most once: the endpoint may just be closing it, and then
-#: nobody could tell whether the request has run.  Connections in use are
-#: back well within it.
+#: Maximum idle time of a connection that is reused for a request that may
+#: run at most once, in seconds. The endpoint may be closing a connection that
+#: has idled for longer; it would then be unknown whether the request has run.
+#: Under load, connections are reused well within this time.
 MAX_IDLE_UNREPEATABLE_S = 0.3
-#: The same for requests that may be sent again.
+#: Maximum idle time of a connection for requests that may be sent again, in
+#: seconds; older connections are closed.
 MAX_IDLE_S = 1.5
-#: Idle connections kept to one endpoint.
+#: Maximum number of idle connections to one endpoint.
 MAX_IDLE_CONNECTIONS = 16
-#: Share of an endpoint's connections that hosts use together; the rest is
-#: for hosts that have just come.
+#: Share of an endpoint's connections that is divided among the live hosts;
+#: the rest is for hosts that have just started.
 CONNECTION_SHARE = 0.8
-#: Connections that a host may have at least, however many hosts there are.
+#: Number of connections to one endpoint that each host may use, however many
+#: hosts there are.
 MIN_CONNECTIONS = 3
 
 
 class NoConnection(Exception):
-    """No connection could be had; nothing has been sent."""
+    """No connection is available; nothing has been sent."""
 
 
 class Upstream:
-    """Opens, keeps and closes connections to endpoints.
+    """Opens, reuses and closes connections to endpoints.
 
-    :ivar hosts: live hosts, which share each endpoint's connections
+    :ivar hosts: number of live hosts, which share each endpoint's connections
+    :ivar idle: idle connections by endpoint id, most recently used last
+    :ivar in_use: number of acquired connections by endpoint id
+    :ivar opened: number of connections opened since the start
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
@@ -50,11 +55,13 @@
         max_connections: int,
         repeatable: bool,
     ) -> connection.Connection:
-        """Get a connection for one request.
+        """Return an idle or a new connection for one request.
 
-        :param max_connections: that the endpoint accepts from all hosts
-        :param repeatable: the request may be sent again
-        :raises NoConnection: none could be opened
+        :param max_connections: number of connections that the endpoint
+            accepts from all hosts together; 0 if unlimited
+        :param repeatable: whether the request may be sent again
+        :raises NoConnection: this host's share is in use, or connecting
+            failed
         """
         limit_s = MAX_IDLE_S if repeatable else MAX_IDLE_UNREPEATABLE_S
         kept = self._pop_idle(endpoint.id, limit_s)
@@ -77,7 +84,7 @@
                 kept.kept = True
                 return kept
             if now_s - kept.used_s <= MAX_IDLE_S and kept.is_quiet():
-                # Too old for this request, good for another one.
+                # Too old for this request, but a repeatable one can use it.
                 idle.append(kept)
                 return None
             kept.close()
@@ -100,7 +107,7 @@
     def release(
         self, endpoint: catalog.Endpoint, used: connection.Connection
     ) -> None:
-        """Give a connection back; it is closed unless it can be reused."""
+        """Return a connection to the pool, or close it if not reusable."""
         self.in_use[endpoint.id] -= 1
         if not used.reusable:
             used.close()
@@ -112,12 +119,12 @@
             idle.popleft().close()
 
     def drop_endpoint(self, endpoint_id: str) -> None:
-        """Close the idle connections to an endpoint that is gone."""
+        """Close the idle connections to a removed endpoint."""
         for kept in self.idle.pop(endpoint_id, ()):
             kept.close()
 
     def trim(self) -> None:
-        """Close connections that have idled for too long."""
+        """Close connections that have idled for over ``MAX_IDLE_S``."""
         now_s = self.clock.now_s()
         for endpoint_id, idle in list(self.idle.items()):
             while idle and now_s - idle[0].used_s > MAX_IDLE_S:
--- a/magnoliadyke/gateway/waitlimit.py
+++ b/magnoliadyke/gateway/waitlimit.py
@@ -1,4 +1,4 @@
-"""A wait that ends after a time, or sooner when somebody says so."""
+"""A timeout that another greenlet can bring forward."""
 
 from collections.abc import Callable
 import types
@@ -9,10 +9,10 @@
 
 
 class WaitLimit:
-    """Limits what a greenlet does inside a ``with`` block.
+    """Context manager that raises an error in its block at a timeout.
 
-    :param seconds: longest time
-    :param error: makes the error that is raised in the block when it is over
+    :param timeout_s: maximum time in the block, in seconds
+    :param error: makes the error to raise in the block, from a reason
     """
 
     def __init__(
@@ -39,10 +39,12 @@
         self.timeout.close()
 
     def end(self, reason: str) -> None:
-        """End the wait now, if it still goes on.
+        """Raise the error in the block now, if it is still running.
 
-        The error is raised from the event loop, where the waiting greenlet
-        does not run: it is either inside the block, or has left it for good.
+        The event loop raises it. The greenlet of the block does not run at
+        that time, so it is either inside the block or has left it for good.
+
+        :param reason: text of the error
         """
         gevent.get_hub().loop.run_callback(self._raise, reason)
 
