--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its arrival to exactly one outcome."""
+"""Base of exchanges: serves one request, from arrival to its outcome."""
 
 import abc
 import random
@@ -33,23 +33,28 @@
 
 LOG = logs.get('exchange')
 
-#: What a refused caller is told when nothing better is known, in seconds.
+#: Retry-After of a refused request if no endpoint's backoff gives one, in
+#: seconds.
 RETRY_AFTER_S = 0.4
-#: Kept of a caller's time for the answer's way back, in seconds: below it a
-#: further try could not be answered in time.
+#: Part of a caller's remaining time that is reserved for sending the answer
+#: back, in seconds: with less left, another attempt could not be answered in
+#: time.
 RESPONSE_MARGIN_S = 0.02
-#: Reason told for a request that no endpoint wants at present.
+#: Reason of a refusal when all usable endpoints asked this host to back off.
 BACKOFF = 'the endpoint asked to back off'
-#: Reason told for a request that may outlast this host, or did.
+#: Reason of a refusal or failure when a request may not complete, or did not,
+#: before this host stops.
 STOPPING = 'this host is stopping'
-#: Reason told for a request that is not run any more.
+#: Reason of a refusal when a request is blocked because endpoints that ran it
+#: crashed.
 CRASHES = 'endpoints crash when they run it'
 
 
 class Parts(NamedTuple):
-    """What an exchange works with.
+    """Shared components that an exchange uses.
 
-    :param begun: counts a request of a workspace that has begun to run
+    :param budgets: retry budgets by service
+    :param begun: records a request that began to run as its workspace's usage
     """
 
     clock: clocks.Clock
@@ -66,9 +71,16 @@
 
 
 class Exchange(abc.ABC):
-    """One request under way.
-
-    :param arrived_s: when its head had been read
+    """One request in flight.
+
+    :param arrived_s: when the head of the request was complete, in monotonic
+        seconds
+    :ivar deadline_s: when the caller gives up, in monotonic seconds
+    :ivar runs: number of attempts that ran the request, or may have
+    :ivar sends: number of attempts, including those that endpoints rejected
+    :ivar tried: ids of endpoints that the request was sent to
+    :ivar endpoint: id of the last endpoint tried, empty if none
+    :ivar start_recorded: whether the request was recorded as usage
     """
 
     def __init__(
@@ -105,16 +117,16 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether no endpoint has been asked for anything yet."""
+        """Whether the request has not been sent to any endpoint yet."""
         return not self.sends
 
     @property
     def left_s(self) -> float:
-        """Time until the caller gives up."""
+        """Time until the caller gives up, in seconds."""
         return self.deadline_s - self.parts.clock.now_s()
 
     def run(self) -> outcomes.Outcome:
-        """Serve the request; the caller has its answer afterwards."""
+        """Serve the request and send the caller its answer."""
         self._budget().record_request(self.parts.clock.now_s())
         try:
             return self._run()
@@ -137,7 +149,7 @@
             return self._respond(self._end_interrupted())
 
     def _end_interrupted(self) -> outcomes.Refused | outcomes.Failed:
-        """How a request ends that this process can't finish."""
+        """Return the outcome of a request that this host's stop aborts."""
         self.caller.broken = self.caller.answer_begun
         if not (self.runs or self.caller.answer_begun):
             return outcomes.Refused(STOPPING, 0.0)
@@ -145,10 +157,10 @@
 
     @abc.abstractmethod
     def _serve(self) -> outcomes.Outcome:
-        """Have an endpoint run the request."""
+        """Have an endpoint run the request, and return the outcome."""
 
     def _respond(self, outcome: outcomes.Outcome) -> outcomes.Outcome:
-        """Give the caller what it doesn't have yet."""
+        """Send the answer of a refused or failed request, unless one began."""
         match outcome:
             case outcomes.Refused(reason, retry_after_s):
                 retry_after = b'%.3f' % max(0.0, retry_after_s)
@@ -176,10 +188,11 @@
     def _acquire_connection(
         self, endpoint: catalog.Endpoint, repeatable: bool
     ) -> connection.Connection:
-        """Get a connection to an endpoint, unless it asked to back off.
+        """Acquire a connection to an endpoint, unless it asked to back off.
 
-        :param repeatable: what it is for may be sent again
-        :raises upstream.NoConnection: there is none; nothing has been sent
+        :param repeatable: whether the request may be sent again
+        :raises upstream.NoConnection: the endpoint asked to back off, or no
+            connection is available; nothing has been sent
         """
         if self._backoff_s(endpoint.id):
             raise upstream.NoConnection(BACKOFF)
@@ -188,12 +201,12 @@
         )
 
     def _backoff_s(self, endpoint_id: str) -> float:
-        """How much longer an endpoint wants nothing from this host."""
+        """Return the rest of an endpoint's backoff in seconds, 0 if none."""
         now_s = self.parts.clock.now_s()
         return self.parts.backoffs.remaining_s(endpoint_id, now_s)
 
     def _retry_after_s(self) -> float:
-        """When a request that none takes may come back."""
+        """Return the Retry-After in seconds if all endpoints reject."""
         usable = self.parts.catalog.usable(self.service)
         now_s = self.parts.clock.now_s()
         return (
@@ -202,7 +215,10 @@
         )
 
     def _may_send(self) -> bool:
-        """Count a send that is to run; all but the first are repeats."""
+        """Count an attempt and return whether the retry budget allows it.
+
+        The first attempt of a request is not a retry and always allowed.
+        """
         self.sends += 1
         return self.sends == 1 or self._budget().try_acquire(
             self.parts.clock.now_s()
@@ -218,7 +234,10 @@
         return self.left_s >= RESPONSE_MARGIN_S
 
     def _record_start(self, ago_s: float = 0.0) -> None:
-        """An endpoint has begun to run the request; counted once."""
+        """Record, once per request, that it began to run, as usage.
+
+        :param ago_s: time since it began to run, in seconds
+        """
         workspace = self.request.workspace
         if workspace is not None and not self.start_recorded:
             self.start_recorded = True
@@ -232,17 +251,18 @@
         | outcomes.Answered,
         endpoint: str,
     ) -> None:
-        """A try that broke off may have crashed its endpoint."""
+        """Record a possible crash if the endpoint broke off the attempt."""
         if isinstance(result, outcomes.Lost) and result.broke_off:
             self.parts.suspects.broke(self.request, endpoint)
 
     def _read_facts(
         self, endpoint: catalog.Endpoint, head: http.Head
     ) -> codecs.AnswerFacts:
-        """Read an answer's head, and what it tells of its endpoint.
+        """Parse an answer's head, and record the endpoint's signals in it.
 
-        An answer to another request, or of another process at the same
-        address, tells nothing of the one that was asked.
+        The signals are a backoff and a planned stop. They are ignored in an
+        answer to another request and in one from another process at the
+        same address, which say nothing about this endpoint.
         """
         facts = self.parts.codec.facts(head)
         own = facts.request_id in (None, self.request.id)
@@ -309,11 +329,11 @@
         head: http.Head,
         body: bytes,
     ) -> outcomes.Whole | outcomes.NotRun | outcomes.Lost:
-        """Whether an answer is that of this request.
+        """Check an answer against the request, and return the result.
 
-        A second answer to an earlier request may wait on a kept
-        connection; the id tells them apart.  Such a connection is closed:
-        what comes next on it belongs to no one.
+        A reused connection may hold a duplicate answer to an earlier
+        request, which has another request id. That connection is closed:
+        further bytes on it can't be assigned to a request.
         """
         facts = self._read_facts(endpoint, head)
         if facts.idle_limit_s is not None:
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -1,4 +1,4 @@
-"""Takes callers' connections and their requests."""
+"""Listener for callers: reads, admits and serves their requests."""
 
 import random
 from typing import Callable
@@ -26,20 +26,22 @@
 LOG = logs.get('ingress')
 
 BACKLOG = 1024
-#: When a caller is told to come back that is refused before any
-#: configuration is known, or while it is not confirmed, in seconds.
+#: Retry-After of requests that arrive before this host has a configuration,
+#: in seconds.
 UNCONFIGURED_RETRY_S = 0.5
+#: Retry-After of requests that can't be decided because the configuration is
+#: not confirmed to be current, in seconds.
 UNCONFIRMED_RETRY_S = 0.3
-#: After an answer that ends a connection, unread bytes of the caller are
-#: taken for this long, in seconds: closing at once would reset the
+#: Maximum time to read and discard the caller's bytes after the last answer of
+#: a connection, in seconds. Closing with unread bytes would reset the
 #: connection, and the caller could lose the answer.
 LINGER_S = 0.3
 
 
 class TooLarge(Exception):
-    """A request is over a limit.
+    """The head or body of a request exceeds its size limit.
 
-    :param status: that the caller gets
+    :param status: HTTP status of the answer
     """
 
     def __init__(self, status: int) -> None:
@@ -48,17 +50,24 @@
 
 
 class Ingress(app.Component):
-    """The callers' listener.
+    """Listener for callers' requests.
 
     :param address: numeric ``ip:port``
-    :param parts: what exchanges work with
-    :param record: called with each request's outcome and seconds
+    :param parts: components that exchanges use
+    :param record: called with each request's outcome, its route and the time
+        that it took in seconds
     :param record_early: called with the status of a request that is answered
-        before it is looked at
-    :param confirmed: whether the configuration is known to be the newest
-    :param behind: whether other hosts know of changes that this one has missed
-    :ivar running: requests under way
-    :ivar shutdown: set once this host has been told to stop
+        without an exchange
+    :param confirmed: returns whether the configuration is confirmed to be
+        current
+    :param behind: returns whether other hosts have changes that this host has
+        missed
+    :ivar open_requests: number of requests of which the head has been read and
+        that are not answered yet
+    :ivar connections: open connections, and whether each has a request or is
+        being closed
+    :ivar running: requests in flight
+    :ivar shutdown: schedule of this host's shutdown, None until it begins
     """
 
     def __init__(
@@ -86,10 +95,10 @@
         self.running: dict[callers.Caller, exchange.Exchange] = {}
         self.server: server.StreamServer | None = None
 
-    # Life cycle.
+    # Start and shutdown.
 
     def start(self) -> None:
-        """Listen."""
+        """Start to listen on the address."""
         host, _, port = self.address.rpartition(':')
         self.server = server.StreamServer(
             (host, int(port)), self._serve, backlog=BACKLOG
@@ -97,7 +106,10 @@
         self.server.start()
 
     def drain(self, course: shutdown.Shutdown) -> None:
-        """Each answer from now on ends its connection."""
+        """Close each connection after its next answer from now on.
+
+        :param course: schedule of the shutdown
+        """
         self.shutdown = course
         for caller in self.connections:
             caller.closing = True
@@ -111,18 +123,21 @@
                 http.drop(caller.sock)
 
     def refuse_waiting(self) -> None:
-        """Refuse what waits and is not certain to end in time."""
+        """Refuse requests that may not complete before this host stops.
+
+        Only those are refused that have not been sent to an endpoint yet.
+        """
         for caller, active in self.running.items():
             if active.is_waiting and not self._can_finish(active):
                 caller.interrupt()
 
     def interrupt_all(self) -> None:
-        """Tell the callers whose requests are under way that they are over."""
+        """Abort all requests in flight; their callers get an answer."""
         for caller in self.running:
             caller.interrupt()
 
     def log_running(self) -> None:
-        """Name the requests that the end of this process cuts."""
+        """Log the requests in flight, which the end of this process cuts."""
         now_s = self.clock.now_s()
         for active in self.running.values():
             LOG.warning_event(
@@ -137,7 +152,7 @@
             )
 
     def stop(self, deadline_s: float) -> None:
-        """Stop listening; requests under way are the process's to wait."""
+        """Stop listening; the process itself waits for requests in flight."""
         self.close_idle()
 
     # One connection.
@@ -151,19 +166,20 @@
         except callers.CallerLeft:
             caller.broken = True
         finally:
-            # Busy until it is closed: its last answer may be on the way.
+            # Marked as busy, so that close_idle does not drop the connection
+            # while its last answer is still being delivered.
             self.connections[caller] = True
             self._close(caller)
             del self.connections[caller]
 
     def _close(self, caller: callers.Caller) -> None:
-        """Close a connection.
+        """Close a connection; linger first if its last answer is complete.
 
-        A stream that broke off lacks its last chunk, and that shows.  It is
-        closed in order all the same: a reset would also take back bytes
-        that are still on their way, and cut the answer in any place.
-        A connection that ends without an answer is closed at once: a request
-        that comes just then is to stay unread.
+        A stream that broke off is recognized by its missing last chunk. It
+        is closed without a reset, which would also discard bytes in transit
+        and cut the answer at an arbitrary place. A connection that ends
+        without an answer is closed at once, so that a request that arrives
+        at this moment stays unread.
         """
         if caller.answer_begun and not (caller.broken or caller.streaming):
             self._linger(caller.sock)
@@ -176,7 +192,7 @@
                 while sock.recv(http.READ_BYTES):
                     pass
         except OSError:
-            # The caller has closed, or the connection was reset.
+            # The caller has closed or reset the connection.
             return
 
     def _serve_requests(
@@ -202,20 +218,23 @@
                 self._reject_unreadable(caller, 400, str(error))
                 return
             except TooLarge as error:
-                self._reject_unreadable(caller, error.status, 'over a limit')
+                self._reject_unreadable(
+                    caller, error.status, 'over the size limit'
+                )
                 return
             except http.OutOfTime:
                 if reader.begun:
-                    self._reject_unreadable(caller, 408, 'the request is late')
+                    self._reject_unreadable(caller, 408, 'request timed out')
                 return
             if caller.broken or (caller.closing and self._may_close(caller)):
                 return
 
     def _may_close(self, caller: callers.Caller) -> bool:
-        """Whether a connection may end now that its request is answered.
+        """Return whether a connection may be closed after an answer.
 
-        The head of a stream may have left before this host was told to
-        stop; its caller may be sending the next request already.
+        If the head of a stream was sent before the shutdown began, it does
+        not announce the close, and the caller may already be sending its
+        next request. Such a connection stays open until the listener closes.
         """
         if caller.close_announced or self.shutdown is None:
             return True
@@ -228,7 +247,10 @@
         return configuration.limits
 
     def _read_head(self, reader: http.RequestReader) -> http.Head | None:
-        """Wait for a request's head; None if the connection idled out."""
+        """Wait for a request's head; None if the connection was idle too long.
+
+        :raises TooLarge: the head exceeds its limit
+        """
         limits = self._limits()
         if not reader.begun and not reader.parts:
             with gevent.Timeout(limits.idle_s, False):
@@ -270,7 +292,7 @@
     def _reject_unreadable(
         self, caller: callers.Caller, status: int, reason: str
     ) -> None:
-        """Answer what can't be read on, then close."""
+        """Answer a request that can't be parsed or read, then close."""
         LOG.event('request_unreadable', status=status, reason=reason)
         caller.closing = True
         if not caller.answer_begun:
@@ -317,8 +339,8 @@
         try:
             outcome = active.run()
         except Exception as error:
-            # A fault of this program must not end a connection without an
-            # answer: nobody could tell whether the request has run.
+            # A bug must not end a connection without an answer: the caller
+            # could not tell whether the request has run.
             LOG.error_event(
                 'request_error', error, id=request.id.decode('latin-1')
             )
@@ -330,10 +352,11 @@
         self._log(active, outcome, took_s, configuration.version)
 
     def _can_finish(self, active: exchange.Exchange) -> bool:
-        """Whether a request is over before this host is."""
+        """Return whether a request will end before this host stops."""
         if self.shutdown is None:
             return True
-        # Its body may have come long after its head.
+        # Checked against the current time, since the body may have arrived
+        # long after the head.
         return self.shutdown.accepts(self.clock.now_s(), active.deadline_s)
 
     def _admit(
@@ -343,7 +366,7 @@
         configuration: routes.Configuration,
         route: routes.Route,
     ) -> bool:
-        """Whether the request may run; who may not is answered."""
+        """Return whether the request may run; if not, answer it."""
         admitted = workspaces.admit(
             configuration, route, request.key_digest, self.confirmed()
         )
@@ -366,9 +389,10 @@
         status: int,
         reason: str,
     ) -> None:
-        """Answer who may not be served under the configuration in force.
+        """Reject a request that the current configuration does not allow.
 
-        A host that has missed changes can't tell whether it still is.
+        While this host has missed configuration changes, which may allow
+        the request, the caller is told to retry instead.
         """
         if self.behind():
             reason = 'changes of the configuration may have been missed'
@@ -385,7 +409,11 @@
         caller: callers.Caller,
         arrived_s: float,
     ) -> exchange.Exchange:
-        """What serves a request, by whether engines are to read a prompt."""
+        """Return the exchange for a request.
+
+        It is a prompt exchange if the request has a prompt and a target of
+        the route is a service with engines.
+        """
         services = self.parts.catalog.configuration.services
         has_engines = any(
             target.service in services
@@ -406,7 +434,7 @@
             caller.closing = True
             headers = self.parts.codec.own_headers(request)
             caller.answer(500, headers, b'')
-        return outcomes.Failed(500, 'an error of this program')
+        return outcomes.Failed(500, 'unhandled exception')
 
     def _answer_early(
         self,
@@ -466,6 +494,6 @@
 
 
 def _size(head: http.Head) -> int:
-    """Bytes of a head, line ends and separators included."""
+    """Return the bytes of a head with line ends and separators."""
     size = len(head.method) + len(head.target) + len(' HTTP/1.1') + 5
     return size + sum(len(n) + len(v) + 4 for n, v in head.headers)
--- a/magnoliadyke/gateway/plainexchange.py
+++ b/magnoliadyke/gateway/plainexchange.py
@@ -1,4 +1,4 @@
-"""A request for a plain service."""
+"""Exchanges with services whose endpoints are not engines."""
 
 from magnoliadyke.core import catalog
 from magnoliadyke.core import routes
@@ -12,12 +12,15 @@
 
 __all__ = ['PlainExchange']
 
-#: Part of the time left that the first of two tries may take.
+#: Share of the remaining time that an attempt may take if a retry may follow.
 FIRST_TRY_SHARE = 0.45
 
 
 class PlainExchange(exchange.Exchange):
-    """Goes to the endpoint that costs callers least, again if it may."""
+    """Sends a request to the endpoint that the balancer chooses.
+
+    Failed attempts are retried at other endpoints where the route allows it.
+    """
 
     def _serve(self) -> outcomes.Outcome:
         failure: outcomes.Failed | None = None
@@ -70,7 +73,7 @@
         return self.parts.balancer.choose(endpoints, self.tried, now_s)
 
     def _should_retry(self, whole: outcomes.Whole) -> bool:
-        """A failure that another endpoint may not have."""
+        """Return whether to retry a server error at another endpoint."""
         if whole.facts.status < 500:
             return False
         return (
@@ -87,7 +90,7 @@
         | outcomes.Answered
         | outcomes.Failed
     ):
-        """Send the request to one endpoint."""
+        """Send the request to one endpoint, and record how that went."""
         balancer = self.parts.balancer
         self.tried.add(endpoint.id)
         self.endpoint = endpoint.id
@@ -113,7 +116,7 @@
         return result
 
     def _attempt_timeout_s(self) -> float:
-        """Time for this try: a repeat has to find some left."""
+        """Return the timeout of an attempt, leaving time for a retry."""
         if self.route.kind is routes.Kind.SAFE:
             if self.runs + 1 < self.route.max_attempts:
                 share_s = self.left_s * FIRST_TRY_SHARE
@@ -123,10 +126,10 @@
     def _send_buffered(
         self, endpoint: catalog.Endpoint, timeout_s: float
     ) -> outcomes.Whole | outcomes.NotRun | outcomes.Lost:
-        """One try whose answer is read whole before it is passed on.
+        """Make one attempt and buffer the complete answer.
 
-        Passed on piece by piece, an answer that breaks off could not be
-        replaced by that of another endpoint.
+        If the answer were relayed in parts, one that breaks off could not be
+        replaced by the answer of another endpoint.
         """
         if timeout_s <= 0:
             return outcomes.NotRun('no time is left', arrived=False)
@@ -149,7 +152,7 @@
             case outcomes.NotRun():
                 self.runs -= 1
             case outcomes.Whole(facts=facts):
-                # Only an answer with the endpoint's signature is a success.
+                # A success status counts only with the endpoint's signature.
                 if facts.status < 300 and not facts.sealed:
                     return outcomes.Lost('the answer is not signed', False)
         return result
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -1,4 +1,4 @@
-"""A request with a prompt: placed, read, answered, resumed."""
+"""Exchanges with engines: placement, prefill, decode and resumption."""
 
 import gevent
 
@@ -20,29 +20,35 @@
 
 LOG = logs.get('promptexchange')
 
-#: A request whose caller waits for less than its route's time by more than
-#: this has been here before: callers count from their first try.
+#: A request is a caller's retry if its remaining time is shorter than the
+#: route's timeout by more than this, in seconds: callers send the time left
+#: since their first attempt.
 RETRY_DETECTION_S = 0.1
-#: A resumable stream that is silent for this long goes on at another
-#: engine, in seconds; several times the pause that callers accept.
+#: Silence after which a resumable stream is resumed at another engine, as a
+#: multiple of the pause between events that the route allows.
 STALL_FACTOR = 5.0
+#: Minimum of that silence, in seconds.
 MIN_STALL_S = 0.5
-#: The same before the first event: it may wait for a slot.
+#: Minimum of it before the first event, in seconds: the request may have to
+#: wait for a decode slot.
 FIRST_STALL_S = 1.2
-#: Engines that did not take a request before it is told to come back.  An
-#: engine that is down refuses a connection within a millisecond; where it is
-#: the only one left, a request would try it thousands of times.
+#: Number of rejections by engines that a request tolerates; after one more it
+#: is refused with a Retry-After. An engine that is down refuses a connection
+#: within a millisecond; if it is the only one left, a request would otherwise
+#: try it thousands of times.
 MAX_ENGINE_REJECTIONS = 3
-#: Engines that take nothing of which the placing host is told with a request.
+#: Number of unavailable engines that a request sends to the placement leader.
 MAX_EXCLUDED_ENGINES = 32
 
 
 class PromptExchange(promptreading.PromptReading):
-    """Goes where the placing host says.
+    """Runs a request on the engines that the placement leader assigns.
 
-    :ivar last_event: last event that the caller has
-    :ivar misses: engines that did not take it
-    :ivar unknown: how a try ended of which nobody can say whether it ran
+    :ivar last_event: id of the last event that was relayed to the caller
+    :ivar rejections: number of times that an engine did not accept the
+        request
+    :ivar unknown: failure of the last attempt that may have run the request,
+        None if there is none
     """
 
     def __init__(self, *args) -> None:
@@ -92,8 +98,8 @@
                 case outcomes.Answered() | outcomes.Failed():
                     return result
                 case outcomes.Whole(facts=facts) if self.caller.answer_begun:
-                    # In the middle of a stream it would be no answer.
-                    reason = f'status {facts.status} after a part'
+                    # An error answer can't be sent in the middle of a stream.
+                    reason = f'status {facts.status} on resume'
                     return self._break_off(outcomes.Failed(502, reason))
                 case outcomes.Whole():
                     return self._deliver(result)
@@ -147,14 +153,17 @@
                 )
 
     def _engine_in_backoff(self, placed: promptjobs.Placed) -> str | None:
-        """The engine of a placement that wants nothing from this host."""
+        """Return an engine of the placement that this host backs off from."""
         for engine in (placed.prefill, placed.run):
             if engine is not None and self._backoff_s(engine):
                 return engine
         return None
 
     def _decode_engines_backoff_s(self) -> float:
-        """How long no engine answers this host; 0 if one does."""
+        """Return when the first decode engine is available, in seconds.
+
+        0 if one is available now, or if there is none.
+        """
         listed = self.parts.catalog.by_service.get(self.service, {})
         answering = (
             each
@@ -165,9 +174,10 @@
         return self.parts.backoffs.shortest_remaining_s(answering, now_s)
 
     def _unavailable_engines(self) -> list[str]:
-        """Engines that take nothing, which the placing host may not know.
+        """Return ids of engines that the leader may not see as unavailable.
 
-        Backoffs are this host's own, and a leave may have been told here only.
+        Backoffs apply to this host alone, and an engine may have announced
+        its planned stop only to this host so far.
         """
         known = self.parts.catalog
         listed = known.by_service.get(self.service, {})
@@ -182,23 +192,28 @@
     def _refused(
         self, reason: str, retry_after_s: float
     ) -> outcomes.Refused | outcomes.Failed:
-        """No engine takes the request, or what is left of it.
+        """Return the outcome of a request that no engine accepts.
 
-        After a try of which nobody can say whether it has run, "not run"
-        would not be true; in the middle of a stream it would be no answer.
+        A refusal states that the request has not run. After an attempt that
+        may have run, the outcome is the failure of that attempt instead; in
+        the middle of a stream, a refusal could not be sent.
         """
         if self.unknown is not None:
             return self._break_off(self.unknown)
         return outcomes.Refused(reason, retry_after_s)
 
     def _break_off(self, failure: outcomes.Failed) -> outcomes.Failed:
-        """A begun stream ends without its last chunk: it looks incomplete."""
+        """Mark a begun stream to end without its last chunk, as incomplete."""
         if self.caller.answer_begun:
             self.caller.broken = True
         return failure
 
     def _job(self, avoid: tuple[str, ...], resumed: bool) -> promptjobs.Job:
-        """What has to be placed; one that has lost time goes first."""
+        """Return the job to place.
+
+        The objective of a retry is earlier by the time already lost, so that
+        it is placed first.
+        """
         now_s = self.parts.clock.now_s()
         prompt = self.request.prompt
         wait_s = self.request.wait_s
@@ -241,8 +256,8 @@
             if isinstance(source, outcomes.NotRun):
                 self.endpoint = placed.prefill
                 return source
-        # Looked up after reading: an engine that has begun to leave in the
-        # meantime may be given no work any longer.
+        # Looked up after the prefill: an engine that has announced its stop
+        # in the meantime accepts no more work.
         engine = self._present(placed.run)
         if engine is None and source is not None:
             engine = self._alternative_engine(placed.run)
@@ -264,8 +279,9 @@
             result = self._stream(engine, options, job)
             started = not isinstance(result, outcomes.NotRun)
             if not started and source is not None:
-                # Turned away: it is full, or what was read is gone.  An
-                # engine that reads the prompt itself can still answer.
+                # The decode engine is full, or the prefilled KV cache is
+                # gone. An engine that prefills the prompt itself can still
+                # answer.
                 self._report_rejection(job, placed, result)
                 other = self._alternative_engine(engine.id)
                 if other is not None:
@@ -285,9 +301,11 @@
         placed: promptjobs.Placed,
         result: outcomes.NotRun,
     ) -> None:
-        """Who is at fault that a read prompt was not taken.
+        """Report that a decode engine did not accept a prefilled prompt.
 
-        An engine that can't be reached has said nothing of the reader.
+        A rejection is reported with both engines of the placement, since
+        either may be at fault. A decode engine that can't be reached is
+        reported alone: its failure says nothing about the prefill engine.
         """
         placer = self.parts.placer
         if result.arrived:
@@ -298,7 +316,13 @@
             self._log_attempt(result.reason, 'not run')
 
     def _alternative_engine(self, failed: str) -> catalog.Endpoint | None:
-        """Another engine for a request that one has not taken."""
+        """Return a decode engine for a retry.
+
+        None if no engine is available or too little time is left. The failed
+        engine is returned only if no other is available.
+
+        :param failed: id of the engine that did not accept the request
+        """
         if self.left_s < exchange.RESPONSE_MARGIN_S:
             return None
         answering = [
@@ -319,7 +343,7 @@
         options: codecs.RunOptions,
         job: promptjobs.Job,
     ) -> outcomes.Answered | outcomes.Whole | outcomes.NotRun | outcomes.Lost:
-        """Have the engine run the request and pass its events on."""
+        """Have the engine run the request, and relay its events."""
         try:
             used = self._acquire_connection(engine, self.route.repeatable)
         except upstream.NoConnection as error:
@@ -359,10 +383,15 @@
         return result
 
     def _wait_for_engine(self, wait, min_stall_s):
-        """Wait for the next piece, less long if it can go on elsewhere.
+        """Wait for the next part of an answer.
+
+        The wait has a stall timeout if another engine could resume the
+        stream. A stream that has begun and can't be resumed has none: only
+        its engine can still complete the answer.
 
-        A stream that has begun and can't is left to its engine: the caller
-        has no answer without the rest.
+        :param wait: waits for the part and returns it
+        :param min_stall_s: minimum stall timeout in seconds
+        :raises http.OutOfTime: the engine has stalled
         """
         if not self.route.resumable:
             return wait()
@@ -398,7 +427,7 @@
     def _report_prefill_done(
         self, job: promptjobs.Job, engine: catalog.Endpoint
     ) -> None:
-        """The first event shows that the prompt has been read."""
+        """Report, at the first event, that the engine finished the prefill."""
         if job.tokens > placing.SHORT_TOKENS:
             self.parts.placer.has_read(self.service, job.id, engine.id)
 
