--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -80,11 +80,11 @@
                     backoff_s = self._backoff_s(excluded)
                     return self._refused(exchange.BACKOFF, backoff_s)
                 continue
-            tell = True
+            report_end = True
             try:
                 result = self._run_placed(job, decision, resume_after)
                 if isinstance(result, outcomes.Answered):
-                    tell = decision.tell_end
+                    report_end = decision.tell_end
                 elif (
                     isinstance(result, outcomes.NotRun | outcomes.Lost)
                     and not self.budget_spent
@@ -93,7 +93,7 @@
                         self.service, job.id, self.endpoint
                     )
             finally:
-                self.parts.placer.ended(self.service, job.id, tell)
+                self.parts.placer.ended(self.service, job.id, report_end)
             match result:
                 case outcomes.Answered() | outcomes.Failed():
                     return result
@@ -165,13 +165,13 @@
         0 if one is available now, or if there is none.
         """
         listed = self.parts.catalog.by_service.get(self.service, {})
-        answering = (
+        decode_engines = (
             each
             for each in listed.values()
             if each.stage is catalog.Stage.DECODE and not each.leaving
         )
         now_s = self.parts.clock.now_s()
-        return self.parts.backoffs.shortest_remaining_s(answering, now_s)
+        return self.parts.backoffs.shortest_remaining_s(decode_engines, now_s)
 
     def _unavailable_engines(self) -> list[str]:
         """Return ids of engines that the leader may not see as unavailable.
@@ -325,13 +325,13 @@
         """
         if self.left_s < exchange.RESPONSE_MARGIN_S:
             return None
-        answering = [
+        decode_engines = [
             each
             for each in self.parts.catalog.usable(self.service)
             if each.stage is catalog.Stage.DECODE
         ]
         now_s = self.parts.clock.now_s()
-        available = self.parts.backoffs.available(answering, now_s)
+        available = self.parts.backoffs.available(decode_engines, now_s)
         others = [each for each in available if each.id != failed]
         if not others:
             return next(iter(available), None)
@@ -446,8 +446,8 @@
             part = self._wait_for_engine(used.part, min_stall_s)
             if isinstance(part, http.End):
                 break
-            whole = splitter.feed(part.data)
-            if not whole:
+            complete = splitter.feed(part.data)
+            if not complete:
                 continue
             if first:
                 self._record_start()
@@ -460,10 +460,10 @@
                 )
             first = False
             self._begin(head)
-            data = b''.join(event.data for event in whole)
+            data = b''.join(event.data for event in complete)
             self.caller.chunk(data)
-            if whole[-1].id is not None:
-                self.last_event = whole[-1].id
+            if complete[-1].id is not None:
+                self.last_event = complete[-1].id
         self._begin(head)
         if splitter.incomplete:
             self.caller.chunk(splitter.incomplete)
