--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -54,7 +54,7 @@
     """Shared components that an exchange uses.
 
     :param budgets: retry budgets by service
-    :param begun: records a request that began to run as its workspace's usage
+    :param begun: records that a request of a workspace began to run
     """
 
     clock: clocks.Clock
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -66,7 +66,7 @@
         that are not answered yet
     :ivar connections: open connections, and whether each has a request or is
         being closed
-    :ivar running: requests in flight
+    :ivar running: exchanges in flight, by connection
     :ivar shutdown: schedule of this host's shutdown, None until it begins
     """
 
@@ -132,12 +132,15 @@
                 caller.interrupt()
 
     def interrupt_all(self) -> None:
-        """Abort all requests in flight; their callers get an answer."""
+        """Abort all requests in flight.
+
+        Their callers get an error status or, in mid-stream, a broken answer.
+        """
         for caller in self.running:
             caller.interrupt()
 
     def log_running(self) -> None:
-        """Log the requests in flight, which the end of this process cuts."""
+        """Log the requests that are in flight when this process exits."""
         now_s = self.clock.now_s()
         for active in self.running.values():
             LOG.warning_event(
@@ -392,7 +395,7 @@
         """Reject a request that the current configuration does not allow.
 
         While this host has missed configuration changes, which may allow
-        the request, the caller is told to retry instead.
+        the request, the answer is a 503 with Retry-After instead.
         """
         if self.behind():
             reason = 'changes of the configuration may have been missed'
--- a/magnoliadyke/gateway/plainexchange.py
+++ b/magnoliadyke/gateway/plainexchange.py
@@ -1,4 +1,4 @@
-"""Exchanges with services whose endpoints are not engines."""
+"""Exchange for requests without a prompt, or to services without engines."""
 
 from magnoliadyke.core import catalog
 from magnoliadyke.core import routes
@@ -90,7 +90,7 @@
         | outcomes.Answered
         | outcomes.Failed
     ):
-        """Send the request to one endpoint, and record how that went."""
+        """Send the request to one endpoint, and record the result."""
         balancer = self.parts.balancer
         self.tried.add(endpoint.id)
         self.endpoint = endpoint.id
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -1,4 +1,4 @@
-"""Exchanges with engines: placement, prefill, decode and resumption."""
+"""Exchange for prompts: placement, prefill, decode and resumption."""
 
 import gevent
 
@@ -37,7 +37,8 @@
 #: within a millisecond; if it is the only one left, a request would otherwise
 #: try it thousands of times.
 MAX_ENGINE_REJECTIONS = 3
-#: Number of unavailable engines that a request sends to the placement leader.
+#: Maximum number of unavailable engines that a job excludes, besides those
+#: that failed the request.
 MAX_EXCLUDED_ENGINES = 32
 
 
