--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -23,11 +23,11 @@
 READ_SHARE = 0.1
 PAUSE_SHARE = 0.15
 #: Hosts that are asked what they have seen, until one can tell.
-ASKED = 3
+MAX_PEERS_QUERIED = 3
 #: A host that starts asks another one which entries of a restored store are
 #: not gone by, until one tells or for this long, in seconds: by then endpoints
 #: that live have written theirs again.
-INTRODUCED_S = 5.0
+STALE_QUERY_TIMEOUT_S = 5.0
 
 
 class CatchUp:
@@ -42,11 +42,13 @@
     def __init__(self, follower: 'followers.Follower') -> None:
         self.follower = follower
         self.caught_up: collections.Counter[str] = collections.Counter()
-        self.introduced_s = float('-inf')
+        self.stale_query_until_s = float('-inf')
 
     def begin(self) -> None:
         """The host has read the store for the first time."""
-        self.introduced_s = self.follower.clock.now_s() + INTRODUCED_S
+        self.stale_query_until_s = (
+            self.follower.clock.now_s() + STALE_QUERY_TIMEOUT_S
+        )
 
     def run(self) -> None:
         """Compare this host with the others, for ever."""
@@ -58,9 +60,9 @@
             if behind is not None:
                 self._read_or_ask(behind)
             if follower.mirror.expired_entries.needs_peer_reports():
-                self._explain_outage()
-            if follower.clock.now_s() < self.introduced_s:
-                self._introduce()
+                self._resolve_outage()
+            if follower.clock.now_s() < self.stale_query_until_s:
+                self._fetch_stale_entries()
 
     def _read_or_ask(self, behind: revisionlag.Behind) -> None:
         """Have the store read anew, or else ask other hosts."""
@@ -76,7 +78,7 @@
             self.follower.clock.sleep(self.follower.bound_s * READ_SHARE)
         source = 'store'
         if self.follower.lag.own_position < behind.position:
-            told = self.take_from_others(behind.host)
+            told = self.fetch_from_peers(behind.host)
             source = 'host' if told else 'nobody'
         self.caught_up[source] += 1
         LOG.event(
@@ -85,14 +87,14 @@
         if source == 'nobody':
             self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
 
-    def _asked(self, first: str) -> list[str]:
+    def _peer_addresses(self, first: str) -> list[str]:
         if self.follower.others is None:
             return []
-        return self.follower.others.peers(first)[:ASKED]
+        return self.follower.others.peers(first)[:MAX_PEERS_QUERIED]
 
-    def take_from_others(self, host: str) -> bool:
+    def fetch_from_peers(self, host: str) -> bool:
         """Take what another host has seen; False if none can tell."""
-        for address in self._asked(host):
+        for address in self._peer_addresses(host):
             state = peerstate.fetch(address, self.follower.lag.own_position)
             if (
                 state is None
@@ -110,25 +112,25 @@
                 state.regained_s, self.follower.clock.now_s()
             )
             self.follower.take_all(items, state.position)
-            self.follower.mirror.learn_passed_over(state.passed_over)
+            self.follower.mirror.merge_stale_entries(state.passed_over)
             return True
         return False
 
-    def _introduce(self) -> None:
+    def _fetch_stale_entries(self) -> None:
         """Learn which entries of a restored store others do not go by."""
-        for address in self._asked(''):
+        for address in self._peer_addresses(''):
             state = peerstate.fetch(address, self.follower.lag.own_position)
             if (
                 state is None
                 or state.position.era != self.follower.lag.own_position.era
             ):
                 continue
-            self.follower.mirror.learn_passed_over(state.passed_over)
-            self.introduced_s = float('-inf')
+            self.follower.mirror.merge_stale_entries(state.passed_over)
+            self.stale_query_until_s = float('-inf')
             return
         self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
 
-    def _explain_outage(self) -> None:
+    def _resolve_outage(self) -> None:
         """Ask other hosts whether they had the last outage too.
 
         Those that were cut off with this one, or that it has not met again,
@@ -137,7 +139,7 @@
         known = self.follower.mirror.expired_entries
         told: list[expiredentries.StoreContact | None] = []
         alone = None
-        for address in self._asked(''):
+        for address in self._peer_addresses(''):
             state = peerstate.fetch(address, self.follower.lag.own_position)
             told.append(state and state.reach)
             alone = known.is_local_outage(told, self.follower.clock.now_s())
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -127,7 +127,9 @@
         """
         if self.placer.leading:
             return True
-        return not self.follower.listening and not self.follower.cut_off_s()
+        return (
+            not self.follower.listening and not self.follower.unreachable_s()
+        )
 
     def listed(self, asked_s: float) -> None:
         """All keys were read, and the configuration with them."""
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -27,18 +27,18 @@
 #: Longest wait of one watch.  The connection's own probes notice one that
 #: went silent; the end of the wait notices a store that holds it open and
 #: tells nothing.
-WATCH_S = 3.0
+WATCH_TIMEOUT_S = 3.0
 #: Pause between two watches: changes that come together are told together,
 #: which saves most of the calls while a fleet starts.  Well inside the
 #: shortest time in which a change has to be in force (2 s).
-GATHER_S = 0.4
+BATCH_INTERVAL_S = 0.4
 #: Pause after a failure, spread by as much again; it doubles in a row, as
 #: each call of each host is counted also while the store is away, up to a
 #: pause after which a change is still in force inside the shortest time.
 RETRY_S = 0.25
 MAX_RETRY_S = 0.7
 #: Longest wait of a watch while entries are doubted, in seconds.
-DOUBT_WATCH_S = 0.2
+GRACE_WATCH_TIMEOUT_S = 0.2
 #: Share of the shortest time in which a change has to be in force: how long
 #: the store may take to tell what other hosts know.  A change reaches the
 #: others within GATHER_S and their word of it within a second.
@@ -48,14 +48,14 @@
 #: More such shares: hosts that watch tell the others at least this often, and
 #: one that has not heard of them twice watches by itself.
 RELAY_SHARE = 0.15
-RELAY_LOST_SHARE = 0.35
+RELAY_TIMEOUT_SHARE = 0.35
 #: How often a host that does not watch looks what it has missed, in seconds.
-LISTEN_TICK_S = 0.1
+PEER_UPDATES_TICK_S = 0.1
 #: Hosts that have missed the same change read it spread over this time, in
 #: seconds.
 MISSED_SPREAD_S = 0.2
 #: What a host that never lost the store says of how long it has had it.
-MAX_IN_REACH_S = 3600.0
+MAX_REACHABLE_S = 3600.0
 
 
 class Others(abc.ABC):
@@ -70,7 +70,7 @@
         """
 
     @abc.abstractmethod
-    def tell_position(self, upto: position.Position) -> None:
+    def broadcast_position(self, upto: position.Position) -> None:
         """Tell them up to where this host has seen the store's keys."""
 
     @abc.abstractmethod
@@ -133,21 +133,21 @@
         self.regained_s = float('-inf')
         self.lag = revisionlag.RevisionLag(bound_s * LAG_SHARE)
         self.behind = event.Event()
-        self.always_watches: Callable[[], bool] = lambda: False
-        self.read_whole: Callable[[float], None] = lambda asked_s: None
-        self.untold: frozenset[str] = frozenset()
+        self.is_always_watcher: Callable[[], bool] = lambda: False
+        self.on_full_read: Callable[[float], None] = lambda asked_s: None
+        self.not_relayed: frozenset[str] = frozenset()
         self.listening = False
         self.missed = False
         self.updated_s = float('-inf')
         self.relayed_s = float('-inf')
         self.greenlets: list[gevent.Greenlet] = []
-        self.watch_s = WATCH_S
+        self.watch_s = WATCH_TIMEOUT_S
 
     def start(self) -> None:
         """Begin to follow."""
         self.greenlets = [
             gevent.spawn(self._run),
-            gevent.spawn(self._relay_all),
+            gevent.spawn(self._run_relay_loop),
             gevent.spawn(self.catch_up.run),
         ]
 
@@ -155,13 +155,13 @@
         """Stop following."""
         gevent.killall(self.greenlets)
 
-    def cut_off_s(self) -> float:
+    def unreachable_s(self) -> float:
         """For how long the store has been out of reach; 0 if it isn't."""
         if self.failing_since_s is None:
             return 0.0
         return self.clock.now_s() - self.failing_since_s
 
-    def in_reach_s(self) -> float:
+    def reachable_s(self) -> float:
         """For how long the store has been in reach; 0 if it isn't."""
         if self.failing_since_s is not None:
             return 0.0
@@ -170,7 +170,7 @@
     def is_behind(self) -> bool:
         """Whether others have known for long what this host has not seen."""
         missed_s = self.lag.missed_s(self.clock.now_s())
-        return missed_s > GATHER_S + self.lag.allowed_s
+        return missed_s > BATCH_INTERVAL_S + self.lag.allowed_s
 
     def state(self, known: position.Position) -> peerstate.PeerState:
         """What this host has seen, for one that asks.
@@ -182,21 +182,23 @@
             tuple(
                 item
                 for item in self.mirror.items.values()
-                if item.key not in self.untold
+                if item.key not in self.not_relayed
                 and (item.position > known or known.era != item.position.era)
             ),
             {
                 key: item.position
                 for key, item in self.mirror.items.items()
-                if key not in self.untold
+                if key not in self.not_relayed
             },
             self.lag.own_position,
-            self._reach(now_s),
+            self._store_contact(now_s),
             self.mirror.expired_entries.since_regained_s(now_s),
             self.mirror.stale_entries.export(now_s),
         )
 
-    def _reach(self, now_s: float) -> expiredentries.StoreContact | None:
+    def _store_contact(
+        self, now_s: float
+    ) -> expiredentries.StoreContact | None:
         """Word of the store, its own or that of a host that watches."""
         if (
             self.failing_since_s is not None
@@ -209,7 +211,7 @@
             since_s = max(since_s, self.mirror.expired_entries.regained_s)
             age_s = now_s - self.updated_s
         return expiredentries.StoreContact(
-            min(now_s - since_s, MAX_IN_REACH_S), age_s
+            min(now_s - since_s, MAX_REACHABLE_S), age_s
         )
 
     # The store.
@@ -228,39 +230,39 @@
         asked_s = self.clock.boot_s()
         found = self.store.list_prefix('')
         if isinstance(found, store.Unavailable):
-            self._failed(found.reason)
+            self._record_failure(found.reason)
             return False
-        self._answered()
+        self._record_success()
         self.take_all({i.key: i for i in found.items}, found.position)
         self.behind.clear()
-        self.read_whole(asked_s)
+        self.on_full_read(asked_s)
         return True
 
     def _follow(self) -> bool:
-        listening = self._may_listen()
+        listening = self._can_follow_peers()
         if listening is not self.listening:
             self.listening = listening
             by = 'other hosts' if listening else 'its own watch'
             LOG.event('follows', by=by, position=self.lag.own_position)
-        return self._listen() if self.listening else self._watch()
+        return self._follow_peers() if self.listening else self._watch()
 
-    def _may_listen(self) -> bool:
+    def _can_follow_peers(self) -> bool:
         """Whether this host hears of changes without a watch of its own."""
         if (
             self.others is None
-            or self.always_watches()
+            or self.is_always_watcher()
             or self.others.watches()
         ):
             return False
         return (
             self.clock.now_s() - self.updated_s
-            < self.bound_s * RELAY_LOST_SHARE
+            < self.bound_s * RELAY_TIMEOUT_SHARE
         )
 
-    def _listen(self) -> bool:
+    def _follow_peers(self) -> bool:
         """Wait for word of others; False where all has to be read anew."""
-        self.clock.sleep(LISTEN_TICK_S)
-        self.mirror.settle()
+        self.clock.sleep(PEER_UPDATES_TICK_S)
+        self.mirror.drop_expired()
         if not self.missed and not self.behind.is_set():
             return True
         self.behind.clear()
@@ -273,32 +275,32 @@
         base = self.lag.own_position
         match self.store.watch('', base, 0.0):
             case store.Changes(changes, upto):
-                self._answered()
+                self._record_success()
                 if base == self.lag.own_position:
                     self.mirror.change(changes)
-                    self._seen(upto)
+                    self._record_position(upto)
                 return True
             case store.Restored():
                 self.behind.set()
             case store.Unavailable(reason):
-                self._failed(reason)
+                self._record_failure(reason)
         return False
 
     def _watch(self) -> bool:
         """Take the next changes; False where all has to be read anew."""
-        self.lag.record_poll(self.clock.now_s() + GATHER_S)
-        self.clock.sleep(GATHER_S)
-        self.mirror.settle()
+        self.lag.record_poll(self.clock.now_s() + BATCH_INTERVAL_S)
+        self.clock.sleep(BATCH_INTERVAL_S)
+        self.mirror.drop_expired()
         wait_s = self.watch_s
         if self.mirror.expired_entries.grace_until_s:
-            wait_s = min(wait_s, DOUBT_WATCH_S)
+            wait_s = min(wait_s, GRACE_WATCH_TIMEOUT_S)
         base = self.lag.own_position
         match self._watch_unless_behind(base, wait_s):
             case store.Changes(changes, upto):
-                self._answered()
+                self._record_success()
                 if base == self.lag.own_position:
                     self.mirror.change(changes)
-                    self._seen(upto)
+                    self._record_position(upto)
                     self._relay(base, changes)
                 return True
             case store.Compacted():
@@ -307,7 +309,7 @@
                 LOG.warning_event('watch_of_earlier_era', era=era)
                 self.behind.set()
             case store.Unavailable(reason):
-                self._failed(reason)
+                self._record_failure(reason)
             case None:
                 LOG.warning_event('watch_given_up', position=base)
         return False
@@ -353,16 +355,16 @@
             self.mirror.replace(items)
         if own == position.START and at.era:
             self.catch_up.begin()
-        self._seen(at)
+        self._record_position(at)
 
-    def _seen(self, upto: position.Position) -> None:
+    def _record_position(self, upto: position.Position) -> None:
         self.lag.record_own_position(upto)
         if self.others is not None:
-            self.others.tell_position(self.lag.own_position)
+            self.others.broadcast_position(self.lag.own_position)
 
     # Other hosts.
 
-    def heard(self, host: str, upto: position.Position) -> None:
+    def record_peer_position(self, host: str, upto: position.Position) -> None:
         """Another host has told up to where it has seen the keys.
 
         Those that tell this one what has changed may pause as long as any
@@ -370,10 +372,10 @@
         """
         at_s = self.clock.now_s()
         if self.listening:
-            at_s += GATHER_S
+            at_s += BATCH_INTERVAL_S
         self.lag.record_peer_position(host, upto, at_s)
 
-    def take_updates(self, told: placing_codec.KeyUpdates) -> None:
+    def apply_updates(self, told: placing_codec.KeyUpdates) -> None:
         """A host that watches the store tells what it has seen.
 
         One that has not noticed a restore yet tells nothing that holds.
@@ -397,7 +399,7 @@
                 c for c in told.changes if c.position > self.lag.own_position
             )
         )
-        self._seen(told.position)
+        self._record_position(told.position)
 
     def _relay(
         self,
@@ -407,12 +409,14 @@
         """Tell the hosts that do not watch, if this one is to."""
         if self.others is None:
             return
-        if not self.always_watches() and not self.others.watches():
+        if not self.is_always_watcher() and not self.others.watches():
             return
         now_s = self.clock.now_s()
         self.relayed_s = now_s
         regained_s = self.mirror.expired_entries.since_regained_s(now_s)
-        told = tuple(each for each in changes if each.key not in self.untold)
+        told = tuple(
+            each for each in changes if each.key not in self.not_relayed
+        )
         self.others.relay(
             keyupdates.split(
                 self.host,
@@ -431,7 +435,7 @@
         if self.clock.now_s() - self.relayed_s >= self.bound_s * RELAY_SHARE:
             self._relay(self.lag.own_position)
 
-    def _relay_all(self) -> None:
+    def _run_relay_loop(self) -> None:
         while True:
             self.clock.sleep(LAG_TICK_S)
             self._relay_idle()
@@ -442,7 +446,7 @@
         """The store answers in a later era: all has to be read anew."""
         self.behind.set()
 
-    def _answered(self) -> None:
+    def _record_success(self) -> None:
         now_s = self.clock.now_s()
         self.mirror.catalog.checked_s = now_s
         self.failures = 0
@@ -454,7 +458,7 @@
             self.failing_since_s = None
             self.regained_s = now_s
 
-    def _failed(self, reason: str) -> None:
+    def _record_failure(self, reason: str) -> None:
         self.failures += 1
         if self.failing_since_s is None:
             self.failing_since_s = self.clock.now_s()
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -92,8 +92,8 @@
             self._apply(item)
         for key in before.keys() - items.keys():
             if not key.startswith(self.decoder.endpoint_prefix):
-                self._remove_own(key)
-        self._lose(self._unlisted())
+                self._notify_removed(key)
+        self._record_missing(self._unlisted())
 
     def restored(
         self, items: dict[str, store.Item], at: position.Position
@@ -108,7 +108,7 @@
         self.expired_entries.restored(now_s)
         for item in items.values():
             if item.key.startswith(self.decoder.endpoint_prefix):
-                self._note_copied(item, now_s)
+                self._record_restored(item, now_s)
                 self._apply(item)
             elif item.key == self.decoder.configuration_key:
                 self._apply(item)
@@ -116,7 +116,7 @@
             own = {k: i for k, i in items.items() if k.startswith(prefix)}
             listener.restored(own, at)
         missing = self._unlisted()
-        self._lose(missing)
+        self._record_missing(missing)
         LOG.event(
             'copy_taken',
             position=at,
@@ -138,7 +138,7 @@
         listed = self.listed_in(self.items)
         return [e for e in self.catalog.by_name.values() if e not in listed]
 
-    def learn_passed_over(
+    def merge_stale_entries(
         self, told: tuple[staleentries.StaleEntry, ...]
     ) -> None:
         """Take over which entries another host does not go by."""
@@ -159,7 +159,7 @@
                 endpoint = self.catalog.endpoints[endpoint_id]
                 self.catalog.put(endpoint._replace(leaving=True))
 
-    def _note_copied(self, item: store.Item, now_s: float) -> None:
+    def _record_restored(self, item: store.Item, now_s: float) -> None:
         endpoint = self.decoder.endpoint(item.key, item.value)
         if isinstance(endpoint, catalog.UnusableRecord):
             return
@@ -185,7 +185,7 @@
                 case store.Removed(key):
                     self.items.pop(key, None)
                     if not key.startswith(prefix):
-                        self._remove_own(key)
+                        self._notify_removed(key)
                         continue
                     name = key.removeprefix(prefix)
                     if name in self.catalog.by_name:
@@ -195,7 +195,9 @@
             for change in changes
             if isinstance(change, store.Item)
         }
-        self._lose([each for each in missing if each not in returned])
+        self._record_missing(
+            [each for each in missing if each not in returned]
+        )
 
     def _apply(self, item: store.Item) -> None:
         if item.key == self.decoder.configuration_key:
@@ -203,7 +205,7 @@
         elif item.key.startswith(self.decoder.endpoint_prefix):
             self._put_endpoint(item)
         else:
-            self._put_own(item)
+            self._notify_changed(item)
 
     def _configure(self, item: store.Item) -> None:
         configuration = self.decoder.configuration(item.value)
@@ -280,19 +282,19 @@
         self.expired_entries.record_entry(endpoint_id)
         self._drop(endpoint_id)
 
-    def _put_own(self, item: store.Item) -> None:
+    def _notify_changed(self, item: store.Item) -> None:
         for prefix, listener in self.listeners.items():
             if item.key.startswith(prefix):
                 listener.changed(item)
 
-    def _remove_own(self, key: str) -> None:
+    def _notify_removed(self, key: str) -> None:
         for prefix, listener in self.listeners.items():
             if key.startswith(prefix):
                 listener.removed(key)
 
     # Endpoints that are no longer listed.
 
-    def _lose(self, missing: list[str]) -> None:
+    def _record_missing(self, missing: list[str]) -> None:
         """Endpoints have vanished from the list, together."""
         gone = self.expired_entries.record_missing(missing, self.clock.now_s())
         for endpoint_id in missing:
@@ -300,7 +302,7 @@
                 LOG.event('endpoint_doubted', endpoint=endpoint_id)
         self.drop_all(gone)
 
-    def settle(self) -> None:
+    def drop_expired(self) -> None:
         """Drop the endpoints that did not come back in time.
 
         Entries of a copy that nobody wrote again in time hold from now on.
--- a/magnoliadyke/gateway/keyupdates.py
+++ b/magnoliadyke/gateway/keyupdates.py
@@ -11,9 +11,9 @@
 
 #: Most bytes of keys and values in a datagram: it stays whole on networks
 #: that carry 1,400.
-MAX_BYTES = 1200
+MAX_CHANGES_BYTES = 1200
 #: What a change takes beside its key and its value, in bytes.
-CHANGE_BYTES = 16
+CHANGE_OVERHEAD_BYTES = 16
 
 Change = store.Item | store.Removed
 
@@ -24,7 +24,7 @@
     upto: position.Position,
     changes: tuple[Change, ...],
     regained_s: float | None,
-    room: float,
+    max_bytes: float,
 ) -> list[placing_codec.KeyUpdates]:
     """Tell changes in as few datagrams as they fit.
 
@@ -36,7 +36,7 @@
     :param upto: up to which they are, in the same era
     :param room: most bytes of changes; more are named, and read by the others
     """
-    if _size(changes) > room:
+    if _size(changes) > max_bytes:
         return [
             placing_codec.KeyUpdates(host, base, upto, (), False, regained_s)
         ]
@@ -66,10 +66,10 @@
     group: list[Change] = []
     for _, same in itertools.groupby(ordered, lambda change: change.position):
         written = list(same)
-        if group and _size(group) + _size(written) > MAX_BYTES:
+        if group and _size(group) + _size(written) > MAX_CHANGES_BYTES:
             yield tuple(group), True
             group = []
-        if _size(written) > MAX_BYTES:
+        if _size(written) > MAX_CHANGES_BYTES:
             yield tuple(written), False
         else:
             group += written
@@ -79,6 +79,8 @@
 
 def _size(changes: Iterable[Change]) -> int:
     return sum(
-        len(change.key) + CHANGE_BYTES + len(getattr(change, 'value', b''))
+        len(change.key)
+        + CHANGE_OVERHEAD_BYTES
+        + len(getattr(change, 'value', b''))
         for change in changes
     )
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -337,7 +337,7 @@
             self.renew_s = self.clock.now_s() + RENEW_S
         if self.lease is None or self.contact is None:
             return
-        cut_off = self.contact.cut_off_s() >= YIELD_S
+        cut_off = self.contact.unreachable_s() >= YIELD_S
         if cut_off or self.yielding:
             if cut_off != self.yielding:
                 LOG.event('yielding', yields=cut_off, fencing=self.fencing)
@@ -399,7 +399,7 @@
     def _in_reach(self) -> bool:
         return (
             self.contact is not None
-            and self.contact.in_reach_s() >= IN_REACH_S
+            and self.contact.reachable_s() >= IN_REACH_S
         )
 
     def _rank(self) -> int:
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -42,7 +42,7 @@
 #: die, or be cut off, between two changes.
 WATCHERS = 2
 #: Up to so many hosts all of them watch: few calls, and no word to wait for.
-ALL_WATCH = 16
+MAX_ALL_WATCH_HOSTS = 16
 #: For how long changes that are told at once may fill this host's own link,
 #: in seconds: half of the pause between two watches.  The next watch, proofs
 #: and requests wait behind them.
@@ -129,7 +129,7 @@
             clock.now_s(),
         )
         self.states: dict[str, str] = {}
-        self.position_heard: (
+        self.on_peer_position: (
             Callable[[str, position.Position], None] | None
         ) = None
         self.send_updates: (
@@ -213,16 +213,16 @@
 
     def room(self) -> float:
         """What this host's link carries to each; see :meth:`relay`."""
-        told = max(1, len(self._told()))
+        told = max(1, len(self._non_watchers()))
         return self.link_bytes_s * RELAY_LINK_S / told
 
     def relay(self, told: list[placing_codec.KeyUpdates]) -> None:
         """Tell the hosts of this failure domain that do not watch."""
-        for record in self._told():
+        for record in self._non_watchers():
             for message in told:
                 self.send_updates(record.address, message)
 
-    def _told(self) -> list[HostRecord]:
+    def _non_watchers(self) -> list[HostRecord]:
         return [r for r in self._domain()[WATCHERS:] if r != self.own]
 
     def _domain(self) -> list[HostRecord]:
@@ -237,7 +237,7 @@
             member = members.get(host)
             if host != self.own.host and (member is None or _may_run(member)):
                 running.append(self.records[host])
-        if len(running) <= ALL_WATCH:
+        if len(running) <= MAX_ALL_WATCH_HOSTS:
             return []
         domain = self.own.failure_domain
         return sorted(
@@ -245,7 +245,7 @@
             key=lambda record: _digest(record.host),
         )
 
-    def tell_position(self, upto: position.Position) -> None:
+    def broadcast_position(self, upto: position.Position) -> None:
         """Tell the others up to where this host has seen the store.
 
         It rides on the datagrams that are sent anyway.
@@ -258,7 +258,7 @@
 
     # What the store says.
 
-    def listed_host(self, value: bytes) -> None:
+    def add_listed_host(self, value: bytes) -> None:
         """A host's key was read."""
         try:
             record = HostRecord.parse(value)
@@ -269,7 +269,7 @@
         self.listed.add(record.host)
         self.core.add_seed(_member(record))
 
-    def unlisted_host(self, host: str) -> None:
+    def remove_listed_host(self, host: str) -> None:
         """A host's key is gone; gossip says whether the host is.
 
         A store that was away may drop the keys of hosts that live.
@@ -289,7 +289,7 @@
         """
         self.listed.clear()
         for value in values:
-            self.listed_host(value)
+            self.add_listed_host(value)
         if self.leaving or self.registering is None:
             return
         if self.own.dump() not in values:
@@ -350,9 +350,9 @@
                 continue
             self._act(self.core.receive(message, self.clock.now_s()))
             self._log_changes()
-            if self.position_heard is not None:
+            if self.on_peer_position is not None:
                 for seen in message.sightings:
-                    self.position_heard(
+                    self.on_peer_position(
                         seen.host,
                         position.Position.unpack(seen.table_revision),
                     )
@@ -407,11 +407,11 @@
 
     def changed(self, item: store.Item) -> None:
         """A host's key was written."""
-        self.members.listed_host(item.value)
+        self.members.add_listed_host(item.value)
 
     def removed(self, key: str) -> None:
         """A host's key is gone."""
-        self.members.unlisted_host(key.removeprefix(HOST_PREFIX))
+        self.members.remove_listed_host(key.removeprefix(HOST_PREFIX))
 
     def restored(
         self, items: dict[str, store.Item], at: position.Position
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -31,11 +31,11 @@
 
 #: A host that has not answered by then is not waited for, in seconds: a
 #: configuration of a megabyte over a link of 20 Mbit/s.
-FETCH_S = 0.5
+FETCH_TIMEOUT_S = 0.5
 #: Hosts that are answered at one time; more wait for their turn.
 MAX_CONNECTIONS = 64
 #: A connection carries one call; it is closed after this time, in seconds.
-IDLE_S = 2.0
+CONNECTION_TIMEOUT_S = 2.0
 
 
 class PeerState(NamedTuple):
@@ -66,10 +66,10 @@
     """
 
     def __init__(
-        self, address: str, tell: Callable[[position.Position], PeerState]
+        self, address: str, get_state: Callable[[position.Position], PeerState]
     ) -> None:
         self.address = address
-        self.tell = tell
+        self.get_state = get_state
         self.server: server.StreamServer | None = None
 
     def start(self) -> None:
@@ -83,13 +83,15 @@
     def stop(self, deadline_s: float) -> None:
         """Stop listening."""
         if self.server is not None:
-            self.server.stop(min(deadline_s, FETCH_S))
+            self.server.stop(min(deadline_s, FETCH_TIMEOUT_S))
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        sock.settimeout(IDLE_S)
+        sock.settimeout(CONNECTION_TIMEOUT_S)
         protocol = peer.protocol_over(sock)
         try:
-            State.Processor(_Handler(self.tell)).process(protocol, protocol)
+            State.Processor(_Handler(self.get_state)).process(
+                protocol, protocol
+            )
         except peer.FAILURES as error:
             LOG.repeated('state_not_told', address[0], error=str(error))
         finally:
@@ -99,8 +101,10 @@
 class _Handler(State.Iface):
     """Writes a state as it travels."""
 
-    def __init__(self, tell: Callable[[position.Position], PeerState]) -> None:
-        self.tell = tell
+    def __init__(
+        self, get_state: Callable[[position.Position], PeerState]
+    ) -> None:
+        self.get_state = get_state
 
     def fetch(
         self, version: int, known_revision: int, known_era: int | None
@@ -111,7 +115,7 @@
                 message='the question names no era'
             )
         known = position.Position(known_era, known_revision)
-        state = self.tell(known)
+        state = self.get_state(known)
         values = {item.key: item.value for item in state.items}
         entries = [
             ttypes.Entry(key, written.revision, values.get(key))
@@ -147,7 +151,9 @@
     """
     sock = None
     try:
-        with gevent.Timeout(FETCH_S, TimeoutError('no answer in time')):
+        with gevent.Timeout(
+            FETCH_TIMEOUT_S, TimeoutError('no answer in time')
+        ):
             sock = peer.connect(address)
             client = State.Client(peer.protocol_over(sock))
             reply = client.fetch(constants.VERSION, known.revision, known.era)
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -158,9 +158,9 @@
             self.members,
         )
         self.store.era_changed = self.follower.era_changed
-        self.members.position_heard = self.follower.heard
+        self.members.on_peer_position = self.follower.record_peer_position
         self.members.send_updates = self.placer.send
-        self.follower.always_watches = lambda: self.placer.leading
+        self.follower.is_always_watcher = lambda: self.placer.leading
         self.leadership.contact = self.follower
         self.confirming = confirming.Confirming(
             settings.revoke_s,
@@ -173,14 +173,14 @@
             clock,
             rng,
         )
-        self.follower.read_whole = self.confirming.listed
-        self.follower.untold = frozenset((usageduty.REPORTS_KEY,))
+        self.follower.on_full_read = self.confirming.listed
+        self.follower.not_relayed = frozenset((usageduty.REPORTS_KEY,))
         self.suspects = suspects.Suspects(clock, self._tell_hosts)
         self.placer.tell = self._tell_hosts
         self.placer.listeners = {
             placing_codec.Broken: self.suspects.heard,
             placing_codec.Leads: self.leadership.heard,
-            placing_codec.KeyUpdates: self.follower.take_updates,
+            placing_codec.KeyUpdates: self.follower.apply_updates,
             duty_codec.ConfirmationRequest: self.confirming.asked,
             duty_codec.ConfirmationReply: self.confirming.heard,
             duty_codec.Usage: self.usage.heard,
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -86,7 +86,7 @@
     for call in ('list_prefix', 'watch', 'commit', 'grant', 'renew'):
         setattr(node.store, call, refuse)
     world.store.put('magnoliadyke/other', b'{}')
-    advance_until(clock, lambda: node.follower.cut_off_s() > 0)
+    advance_until(clock, lambda: node.follower.unreachable_s() > 0)
 
 
 def answer_calls(node):
@@ -158,12 +158,14 @@
     )
     assert took_s < BOUND_S
     assert refused.follower.catch_up.caught_up['host'] >= 1
-    assert refused.follower.cut_off_s() > 0
+    assert refused.follower.unreachable_s() > 0
 
 
 def test_others_that_know_no_more_change_nothing(world, clock):
     node = world.nodes[0]
-    node.follower.heard(world.nodes[1].own.host, later(node, 1000))
+    node.follower.record_peer_position(
+        world.nodes[1].own.host, later(node, 1000)
+    )
     advance_until(
         clock, lambda: node.follower.catch_up.caught_up['nobody'] > 0
     )
@@ -195,8 +197,8 @@
     """
     node = world.nodes[0]
     refuse_calls(world, clock, node)
-    advance_until(clock, lambda: node.follower.cut_off_s() > 5.0)
-    node.members.position_heard = None
+    advance_until(clock, lambda: node.follower.unreachable_s() > 5.0)
+    node.members.on_peer_position = None
     node.follower.lag.unseen.clear()
     world.store.remove('servers/p1')
     answer_calls(node)
@@ -208,7 +210,8 @@
     for node in world.nodes:
         refuse_calls(world, clock, node)
     advance_until(
-        clock, lambda: all(n.follower.cut_off_s() > 5.0 for n in world.nodes)
+        clock,
+        lambda: all(n.follower.unreachable_s() > 5.0 for n in world.nodes),
     )
     world.store.remove('servers/p1')
     for node in world.nodes:
@@ -272,8 +275,8 @@
     The host hears of it from the store alone.
     """
     refuse_calls(world, clock, node)
-    advance_until(clock, lambda: node.follower.cut_off_s() > 5.0)
-    node.members.position_heard = None
+    advance_until(clock, lambda: node.follower.unreachable_s() > 5.0)
+    node.members.on_peer_position = None
     node.follower.lag.unseen.clear()
     world.store.remove('servers/p1')
 
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -403,7 +403,7 @@
     world, plain, cloud, monkeypatch
 ):
     """A report is larger than a datagram: each host would read it anew."""
-    monkeypatch.setattr(members, 'ALL_WATCH', 2)
+    monkeypatch.setattr(members, 'MAX_ALL_WATCH_HOSTS', 2)
     monkeypatch.setattr(members, 'WATCHERS', 1)
     serving_nodes(world, cloud, 4)
     gatewayworld.wait_for(
--- a/tests/test_keyupdates.py
+++ b/tests/test_keyupdates.py
@@ -39,7 +39,7 @@
 
 @contextlib.contextmanager
 def four_hosts(clock, monkeypatch, **fields):
-    monkeypatch.setattr(members, 'ALL_WATCH', 1)
+    monkeypatch.setattr(members, 'MAX_ALL_WATCH_HOSTS', 1)
     monkeypatch.setattr(members, 'WATCHERS', 1)
     with gatewayworld.world() as made:
         made.configure()
@@ -173,7 +173,7 @@
     teller = watching(world)
     # The placing host watches too, but may be the teller itself.
     other = next(n for n in world.nodes if n is not teller)
-    other.follower.always_watches = lambda: True
+    other.follower.is_always_watcher = lambda: True
     advance_until(clock, lambda: not other.follower.listening)
     test_follower.hold_watches(world, clock, teller)
     world.store.remove('servers/p1')
@@ -203,7 +203,7 @@
     old = store.Item(entry.key, entry.value, written)
     world.store.remove('servers/p1')
     advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
-    node.follower.take_updates(
+    node.follower.apply_updates(
         placing_codec.KeyUpdates(
             'x', test_follower.later(node, -1), before, (old,)
         )
@@ -219,7 +219,7 @@
     gone = store.Removed(
         'servers/p2', own._replace(revision=world.store.revision + 5)
     )
-    node.follower.take_updates(
+    node.follower.apply_updates(
         placing_codec.KeyUpdates(
             'x',
             test_follower.later(node, 3),
@@ -242,7 +242,7 @@
     own = node.follower.lag.own_position
     after = test_follower.later(node, 1)
     gone = store.Removed('servers/p1', after)
-    node.follower.take_updates(
+    node.follower.apply_updates(
         placing_codec.KeyUpdates('x', own, after, (gone,), regained_s=0.1)
     )
     assert 'p1' in node.catalog.endpoints
@@ -252,7 +252,7 @@
 def test_hosts_that_listen_tell_of_an_outage_of_one_alone(world, clock):
     """A host that comes back from a cut keeps an endpoint that has left."""
     node = listening(world)[0]
-    node.follower.always_watches = lambda: True
+    node.follower.is_always_watcher = lambda: True
     # It tells the others nothing, like one of another failure domain.
     node.members.send_updates = lambda address, told: None
     test_follower.leave_while_cut_off(world, clock, node)
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -127,7 +127,7 @@
     def peers(self, first):
         return self.addresses
 
-    def tell_position(self, seen):
+    def broadcast_position(self, seen):
         pass
 
     def watches(self):
@@ -312,7 +312,7 @@
 
     @stateful.rule(pick=picks, other=picks)
     def ask_host(self, pick, other):
-        self.hosts[pick].follower.catch_up.take_from_others(f'host-{other}')
+        self.hosts[pick].follower.catch_up.fetch_from_peers(f'host-{other}')
 
     @stateful.rule(pick=picks)
     def contend(self, pick):
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -182,7 +182,7 @@
     leave(world, 'p2')
     advance_until(clock, lambda: known_leaving(world, 'p2'))
     test_follower.refuse_calls(world, clock, old)
-    old.members.position_heard = None
+    old.members.on_peer_position = None
     write_on(world)
     lost = position.Position(world.store.era, world.store.revision + 500)
     world.store.restore(copy)
@@ -196,9 +196,9 @@
     for node in others:
         node.follower.listening = True
         updated_s = node.follower.updated_s
-        node.follower.take_updates(told)
+        node.follower.apply_updates(told)
         assert node.follower.updated_s == updated_s
-        node.follower.heard(old.own.host, lost)
+        node.follower.record_peer_position(old.own.host, lost)
         state = peerstate.fetch(
             f'{old.own.address}:{old.own.gossip_port}',
             node.follower.lag.own_position,
@@ -207,11 +207,11 @@
         node.members.peers = lambda first: [
             f'{old.own.address}:{old.own.gossip_port}'
         ]
-        assert not node.follower.catch_up.take_from_others(old.own.host)
+        assert not node.follower.catch_up.fetch_from_peers(old.own.host)
         del node.members.peers
         assert node.follower.lag.behind(clock.now_s() + 9.0) is None
         assert 'p1' in node.catalog.endpoints
-    old.members.position_heard = old.follower.heard
+    old.members.on_peer_position = old.follower.record_peer_position
     test_follower.answer_calls(old)
     leave(world, 'p1')
     took_s = advance_until(clock, lambda: known_leaving(world, 'p1'))
