--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -1,4 +1,4 @@
-"""Follows the store's keys, by its own watch or by what others tell."""
+"""Keeps a host's copy of the store's keys current, by watch or relay."""
 
 import abc
 import random
@@ -24,90 +24,105 @@
 
 LOG = logs.get('follower')
 
-#: Longest wait of one watch.  The connection's own probes notice one that
-#: went silent; the end of the wait notices a store that holds it open and
-#: tells nothing.
+#: Longest wait of one watch call, in seconds.  The connection's own probes
+#: detect that it is dead; this limit detects a store that keeps it open and
+#: reports no changes.
 WATCH_TIMEOUT_S = 3.0
-#: Pause between two watches: changes that come together are told together,
-#: which saves most of the calls while a fleet starts.  Well inside the
-#: shortest time in which a change has to be in force (2 s).
+#: Pause between two watch calls, in seconds.  It batches changes, which saves
+#: most of the calls while a fleet starts.  Well below the shortest limit for a
+#: change to take effect (2 s).
 BATCH_INTERVAL_S = 0.4
-#: Pause after a failure, spread by as much again; it doubles in a row, as
-#: each call of each host is counted also while the store is away, up to a
-#: pause after which a change is still in force inside the shortest time.
+#: Pause after a failed call, in seconds, with as much random jitter on top.
+#: It doubles with each consecutive failure, since calls count toward the
+#: store's call rate also while it is unavailable.  After a pause of
+#: MAX_RETRY_S a change still takes effect within the shortest limit.
 RETRY_S = 0.25
 MAX_RETRY_S = 0.7
-#: Longest wait of a watch while entries are doubted, in seconds.
+#: Longest wait of one watch call, in seconds, while an endpoint whose entry is
+#: missing is in its grace period.
 GRACE_WATCH_TIMEOUT_S = 0.2
-#: Share of the shortest time in which a change has to be in force: how long
-#: the store may take to tell what other hosts know.  A change reaches the
-#: others within GATHER_S and their word of it within a second.
+#: Share of ``bound_s`` within which the store must report to this host a
+#: change that another host has seen.  Other hosts read a change within
+#: BATCH_INTERVAL_S, and gossip carries their position here within a second.
 LAG_SHARE = 0.15
-#: How often this host compares itself with the others, in seconds.
+#: Interval between checks whether a relay of updates is due, in seconds.
 LAG_TICK_S = 0.1
-#: More such shares: hosts that watch tell the others at least this often, and
-#: one that has not heard of them twice watches by itself.
+#: Shares of ``bound_s``: a watching host sends an update at least every
+#: RELAY_SHARE, and a host that misses two of them (RELAY_TIMEOUT_SHARE)
+#: watches the store itself.
 RELAY_SHARE = 0.15
 RELAY_TIMEOUT_SHARE = 0.35
-#: How often a host that does not watch looks what it has missed, in seconds.
-PEER_UPDATES_TICK_S = 0.1
-#: Hosts that have missed the same change read it spread over this time, in
+#: Interval at which a host that does not watch checks for missed updates, in
 #: seconds.
+PEER_UPDATES_TICK_S = 0.1
+#: Hosts that have missed the same update delay their read of the store by a
+#: random time up to this, in seconds.
 MISSED_SPREAD_S = 0.2
-#: What a host that never lost the store says of how long it has had it.
+#: Upper limit of the contact time reported to other hosts, in seconds; a host
+#: that never lost the store reports this value.
 MAX_REACHABLE_S = 3600.0
 
 
 class Others(abc.ABC):
-    """The other hosts, which follow the same store."""
+    """The other hosts that follow the same store."""
 
     @abc.abstractmethod
     def peers(self, first: str) -> list[str]:
-        """Addresses of those that are thought to run.
+        """Return the addresses of the other hosts that gossip lists as alive.
 
-        :param first: name of the host that comes first; the others come in
-            any order
+        :param first: name of the host to put first; the rest are in any order
         """
 
     @abc.abstractmethod
     def broadcast_position(self, upto: position.Position) -> None:
-        """Tell them up to where this host has seen the store's keys."""
+        """Send the position up to which this host has read the store."""
 
     @abc.abstractmethod
     def watches(self) -> bool:
-        """Whether this host is one of those that watch the store."""
+        """Return whether this host watches the store for other hosts."""
 
     @abc.abstractmethod
     def room(self) -> float:
-        """Most bytes of changes to tell each of those that don't, at once."""
+        """Return how many bytes of changes one relay may send to each host."""
 
     @abc.abstractmethod
     def relay(self, told: list[placing_codec.KeyUpdates]) -> None:
-        """Tell changes to those that don't; a host that watches does so."""
+        """Send changes to the hosts that do not watch the store."""
 
 
 class Follower(app.Component):
-    """Reads everything once, then watches.
+    """Reads all keys of the store once, then follows their changes.
 
-    One watch for all keys: each watch is a call that is counted.  In a large
-    fleet a few hosts of each failure domain watch and tell the others, which
-    read only what they have missed.
+    One watch covers all keys, since each watch counts as a call of the store.
+    In a large fleet a few hosts of each failure domain watch the store and
+    relay its changes to the others, which read from the store only what they
+    missed.
 
-    What other hosts have seen earlier makes it read anew, and is taken from
-    them where the store does not answer.
+    If another host reports a later position and this host's watch stays
+    behind, the keys are read again, or fetched from that host if the store
+    does not answer.
 
     :param host: name of this host
-    :param mirror: takes the keys, as of ``lag.own_position``
-    :param bound_s: shortest time in which a change has to be in force
-    :ivar others: the other hosts, None for one that is alone
-    :ivar always_watches: whether this host watches though others would tell it
-    :ivar read_whole: called once all keys were read, with the moment at which
-        they were asked for, by the clock that passes during a suspension
-    :ivar listening: it goes by what others tell
-    :ivar updated_s: when one that watches last relayed something
-    :ivar catch_up: asks other hosts for what this one lacks
-    :ivar untold: keys that other hosts are told nothing of: whoever needs them
-        reads them
+    :param kept: the store
+    :param mirror: applies the keys, as of ``lag.own_position``
+    :param bound_s: shortest limit for a change to take effect, in seconds
+    :ivar others: the other hosts, None for a host that runs alone
+    :ivar is_always_watcher: returns whether this host must watch the store
+        even where other hosts relay changes to it
+    :ivar on_full_read: called after a read of all keys with the time at which
+        the read began, by the clock that also runs during a suspension
+    :ivar listening: whether this host applies relayed updates and does not
+        watch
+    :ivar missed: whether a relayed update was incomplete or left a gap
+    :ivar updated_s: when a watching host last sent an update to this one
+    :ivar relayed_s: when this host last relayed an update
+    :ivar regained_s: when the store last came back after an outage
+    :ivar failing_since_s: when the store's present outage began, None if the
+        store answers
+    :ivar behind: set when all keys have to be read again
+    :ivar catch_up: fetches from other hosts what this one lacks
+    :ivar not_relayed: keys that are not sent to other hosts; the hosts that
+        need them read them
     """
 
     def __init__(
@@ -144,7 +159,7 @@
         self.watch_s = WATCH_TIMEOUT_S
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to read and watch the store, and to relay its changes."""
         self.greenlets = [
             gevent.spawn(self._run),
             gevent.spawn(self._run_relay_loop),
@@ -152,30 +167,31 @@
         ]
 
     def stop(self, deadline_s: float) -> None:
-        """Stop following."""
+        """Stop at once; the deadline is not needed."""
         gevent.killall(self.greenlets)
 
     def unreachable_s(self) -> float:
-        """For how long the store has been out of reach; 0 if it isn't."""
+        """Return how long the store has not answered; 0 if it answers."""
         if self.failing_since_s is None:
             return 0.0
         return self.clock.now_s() - self.failing_since_s
 
     def reachable_s(self) -> float:
-        """For how long the store has been in reach; 0 if it isn't."""
+        """Return how long the store has answered; 0 if it does not."""
         if self.failing_since_s is not None:
             return 0.0
         return self.clock.now_s() - self.regained_s
 
     def is_behind(self) -> bool:
-        """Whether others have known for long what this host has not seen."""
+        """Return whether this host lags longer than the store may take."""
         missed_s = self.lag.missed_s(self.clock.now_s())
         return missed_s > BATCH_INTERVAL_S + self.lag.allowed_s
 
     def state(self, known: position.Position) -> peerstate.PeerState:
-        """What this host has seen, for one that asks.
+        """Return the keys that this host has read, for another host.
 
-        :param known: items up to it are left out if it is of this era
+        :param known: position of the other host; the values of keys written up
+            to it are left out, unless it is of another era
         """
         now_s = self.clock.now_s()
         return peerstate.PeerState(
@@ -199,7 +215,10 @@
     def _store_contact(
         self, now_s: float
     ) -> expiredentries.StoreContact | None:
-        """Word of the store, its own or that of a host that watches."""
+        """Return this host's contact with the store, direct or by relay.
+
+        None during an outage and before the first read.
+        """
         if (
             self.failing_since_s is not None
             or self.lag.own_position == position.START
@@ -214,7 +233,7 @@
             min(now_s - since_s, MAX_REACHABLE_S), age_s
         )
 
-    # The store.
+    # Reading and watching the store.
 
     def _run(self) -> None:
         while True:
@@ -247,7 +266,7 @@
         return self._follow_peers() if self.listening else self._watch()
 
     def _can_follow_peers(self) -> bool:
-        """Whether this host hears of changes without a watch of its own."""
+        """Return whether other hosts relay the changes to this one."""
         if (
             self.others is None
             or self.is_always_watcher()
@@ -260,7 +279,10 @@
         )
 
     def _follow_peers(self) -> bool:
-        """Wait for word of others; False where all has to be read anew."""
+        """Wait one interval for relayed updates; read those missed.
+
+        :returns: False if all keys have to be read again
+        """
         self.clock.sleep(PEER_UPDATES_TICK_S)
         self.mirror.drop_expired()
         if not self.missed and not self.behind.is_set():
@@ -270,7 +292,10 @@
         return self._read_missed()
 
     def _read_missed(self) -> bool:
-        """Read the changes that nobody has told, without waiting for more."""
+        """Read the changes that were not relayed, without waiting for more.
+
+        :returns: False if all keys have to be read again
+        """
         self.missed = False
         base = self.lag.own_position
         match self.store.watch('', base, 0.0):
@@ -287,7 +312,10 @@
         return False
 
     def _watch(self) -> bool:
-        """Take the next changes; False where all has to be read anew."""
+        """Apply and relay the changes that one watch call returns.
+
+        :returns: False if all keys have to be read again
+        """
         self.lag.record_poll(self.clock.now_s() + BATCH_INTERVAL_S)
         self.clock.sleep(BATCH_INTERVAL_S)
         self.mirror.drop_expired()
@@ -323,12 +351,12 @@
         | store.Unavailable
         | None
     ):
-        """Watch, but no longer than until this host is found to be behind.
+        """Watch the store; abandon the call once this host is behind.
 
-        A watch that the store holds open and that tells nothing would else
-        be waited for to its end, longer than a change may take.
+        A watch that the store holds open without reporting changes would
+        otherwise last up to ``wait_s``, longer than a change may take.
 
-        :returns: the watch's outcome, None if it was given up
+        :returns: outcome of the watch, None if it was abandoned
         """
         self.behind.clear()
         call = gevent.spawn(self.store.watch, '', after, wait_s)
@@ -341,10 +369,10 @@
     def take_all(
         self, items: dict[str, store.Item], at: position.Position
     ) -> None:
-        """Take all keys as of a position, unless newer ones are known.
+        """Apply all keys as of a position, unless this host is past it.
 
-        An answer of the store that was under way while another host told of
-        later changes would take them back.
+        A response of the store that was in flight while another host relayed
+        later changes would revert them.
         """
         own = self.lag.own_position
         if at < own:
@@ -362,13 +390,13 @@
         if self.others is not None:
             self.others.broadcast_position(self.lag.own_position)
 
-    # Other hosts.
+    # Updates from and to other hosts.
 
     def record_peer_position(self, host: str, upto: position.Position) -> None:
-        """Another host has told up to where it has seen the keys.
+        """Record the position up to which another host has read the store.
 
-        Those that tell this one what has changed may pause as long as any
-        host that watches.
+        A host that follows relayed updates counts the lag one batch interval
+        later, since the watching hosts pause that long between two watches.
         """
         at_s = self.clock.now_s()
         if self.listening:
@@ -376,9 +404,10 @@
         self.lag.record_peer_position(host, upto, at_s)
 
     def apply_updates(self, told: placing_codec.KeyUpdates) -> None:
-        """A host that watches the store tells what it has seen.
+        """Apply an update relayed by a host that watches the store.
 
-        One that has not noticed a restore yet tells nothing that holds.
+        Updates of an earlier era are ignored: their sender has not noticed
+        yet that the store was restored.
         """
         if told.position.era < self.lag.own_position.era:
             return
@@ -406,7 +435,7 @@
         base: position.Position,
         changes: tuple[store.Item | store.Removed, ...] = (),
     ) -> None:
-        """Tell the hosts that do not watch, if this one is to."""
+        """Send changes to the hosts that do not watch, if this one watches."""
         if self.others is None:
             return
         if not self.is_always_watcher() and not self.others.watches():
@@ -429,7 +458,10 @@
         )
 
     def _relay_idle(self) -> None:
-        """Tell that nothing has changed, as long as the store is there."""
+        """Send an empty update if none was due to changes for a while.
+
+        It shows the other hosts that this one still reaches the store.
+        """
         if self.listening or self.failing_since_s is not None:
             return
         if self.clock.now_s() - self.relayed_s >= self.bound_s * RELAY_SHARE:
@@ -440,10 +472,10 @@
             self.clock.sleep(LAG_TICK_S)
             self._relay_idle()
 
-    # Whether the store is there.
+    # Store outages.
 
     def era_changed(self) -> None:
-        """The store answers in a later era: all has to be read anew."""
+        """Have all keys read again: the store answers in a later era."""
         self.behind.set()
 
     def _record_success(self) -> None:
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -1,4 +1,4 @@
-"""The store's keys as this host has taken them."""
+"""Local copy of the store's keys, applied to the endpoint catalog."""
 
 import collections
 from collections.abc import Container
@@ -19,7 +19,11 @@
 
 
 class Decoder:
-    """What the store's keys and values mean; given by the platform."""
+    """Decodes the store's keys and values; implemented by the platform.
+
+    :ivar configuration_key: key of the configuration
+    :ivar endpoint_prefix: prefix of the endpoints' keys
+    """
 
     configuration_key: str
     endpoint_prefix: str
@@ -27,44 +31,44 @@
     def configuration(
         self, value: bytes
     ) -> routes.Configuration | catalog.UnusableRecord:
-        """Decode a configuration."""
+        """Decode a configuration, or return why it is not usable."""
         raise NotImplementedError
 
     def endpoint(
         self, key: str, value: bytes
     ) -> catalog.Endpoint | catalog.UnusableRecord:
-        """Decode an endpoint's entry."""
+        """Decode an endpoint's entry, or return why it is not usable."""
         raise NotImplementedError
 
 
 class Listener:
-    """Who wants to hear of the project's own keys."""
+    """Receives changes of the gateways' own keys under one prefix."""
 
     def changed(self, item: store.Item) -> None:
-        """A key was written."""
+        """Handle a key that was written."""
 
     def removed(self, key: str) -> None:
-        """A key is gone."""
+        """Handle a key that was removed."""
 
     def restored(
         self, items: dict[str, store.Item], at: position.Position
     ) -> None:
-        """The store came back from an older copy.
+        """Handle a restore of the store from a backup.
 
-        :param items: those of its keys that the copy has, or that were
-            written since
-        :param at: up to where
+        :param items: keys under the listener's prefix that the backup holds or
+            that were written since the restore
+        :param at: position as of which the items were read
         """
 
 
 class KeyMirror:
-    """Takes keys to the catalog and to those that listen to their own.
+    """Applies the store's keys to the catalog and to listeners.
 
-    :param known: takes the configuration and the endpoints
-    :param listeners: take the project's own keys, by prefix
-    :param gone: called with the id of each endpoint that is gone
-    :ivar items: the keys as they were last taken
-    :ivar unusable: records that were not used, by kind
+    :param known: catalog that receives the configuration and the endpoints
+    :param listeners: receive the gateways' own keys, by key prefix
+    :param gone: called with the id of each endpoint that is removed
+    :ivar items: the store's keys as last applied
+    :ivar unusable: number of records that were ignored, by kind
     """
 
     def __init__(
@@ -86,7 +90,7 @@
         self.unusable: collections.Counter[str] = collections.Counter()
 
     def replace(self, items: dict[str, store.Item]) -> None:
-        """Take all keys; those that are not among them are gone."""
+        """Apply a complete list of keys; keys that it lacks were removed."""
         before, self.items = self.items, items
         for item in items.values():
             self._apply(item)
@@ -98,10 +102,13 @@
     def restored(
         self, items: dict[str, store.Item], at: position.Position
     ) -> None:
-        """Take all keys of a store that came back from an older copy.
+        """Apply all keys of a store that was restored from a backup.
+
+        Endpoints that the backup lacks, or holds in an older state, stay as
+        this host knows them for a grace period, in which they write their
+        entries again.
 
-        What was known and is not in the copy, or is older there, outlives
-        it: those who wrote it write it again.
+        :param at: position as of which the items were read
         """
         self.items = items
         now_s = self.clock.now_s()
@@ -126,7 +133,7 @@
         )
 
     def listed_in(self, keys: Container[str]) -> set[str]:
-        """Ids of the endpoints whose entries are among keys."""
+        """Return ids of the endpoints whose entries are among the keys."""
         prefix = self.decoder.endpoint_prefix
         return {
             endpoint_id
@@ -141,7 +148,10 @@
     def merge_stale_entries(
         self, told: tuple[staleentries.StaleEntry, ...]
     ) -> None:
-        """Take over which entries another host does not go by."""
+        """Ignore the stale entries that another host ignores.
+
+        Only entries that this host holds at the same position are affected.
+        """
         for each in told:
             item = self.items.get(self.decoder.endpoint_prefix + each.name)
             endpoint_id = self.catalog.by_name.get(each.name)
@@ -174,7 +184,10 @@
             )
 
     def change(self, changes: tuple[store.Item | store.Removed, ...]) -> None:
-        """Take changes, all of them at once."""
+        """Apply changes; entries removed among them count as one group.
+
+        An endpoint that was removed and written again is not missing.
+        """
         missing = []
         prefix = self.decoder.endpoint_prefix
         for change in changes:
@@ -232,12 +245,14 @@
             return
         latest_ms = self.catalog.latest_started_ms(endpoint.name)
         if latest_ms and not endpoint.started_ms:
-            self._ignore_endpoint(item, 'it does not say when it began')
+            self._ignore_endpoint(
+                item, 'no start time, unlike an earlier entry'
+            )
             return
         if endpoint.started_ms < latest_ms:
-            # Of a process that has been replaced.  Taken for the present
-            # one, all that is known would go twice: now, and when the new
-            # entry is seen again.
+            # The entry is of a process that has been replaced.  If it were
+            # applied, the state kept for the endpoint would be dropped twice:
+            # now, and when the entry of the new process is read again.
             self.unusable['former endpoint'] += 1
             LOG.repeated('endpoint_former', item.key, key=item.key)
             return
@@ -251,8 +266,8 @@
             return
         former = self.catalog.by_name.get(endpoint.name)
         if former is not None and former != endpoint.id:
-            # It holds and knows nothing of before, and what is still to come
-            # of its former process says nothing of it.
+            # The new process has none of the former one's cache and requests,
+            # and late responses of the former process do not describe it.
             self._forget(former)
         self.catalog.put(endpoint)
         LOG.event(
@@ -265,7 +280,7 @@
         )
 
     def _ignore_endpoint(self, item: store.Item, reason: str) -> None:
-        """An entry that names no endpoint to use; the others hold."""
+        """Ignore an entry that is not usable, and drop its endpoint."""
         self.unusable['endpoint'] += 1
         LOG.repeated(
             'endpoint_ignored',
@@ -292,10 +307,15 @@
             if key.startswith(prefix):
                 listener.removed(key)
 
-    # Endpoints that are no longer listed.
+    # Endpoints whose entries are missing.
 
     def _record_missing(self, missing: list[str]) -> None:
-        """Endpoints have vanished from the list, together."""
+        """Start grace periods for endpoints whose entries disappeared.
+
+        Endpoints without a grace period are dropped at once.
+
+        :param missing: ids of endpoints whose entries disappeared together
+        """
         gone = self.expired_entries.record_missing(missing, self.clock.now_s())
         for endpoint_id in missing:
             if endpoint_id in self.expired_entries.grace_until_s:
@@ -303,9 +323,10 @@
         self.drop_all(gone)
 
     def drop_expired(self) -> None:
-        """Drop the endpoints that did not come back in time.
+        """Drop the endpoints whose grace period is over.
 
-        Entries of a copy that nobody wrote again in time hold from now on.
+        Entries of a restored store that were ignored as stale, and were not
+        written again in time, are applied.
         """
         now_s = self.clock.now_s()
         self.drop_all(self.expired_entries.pop_expired(now_s))
@@ -317,7 +338,7 @@
                 self._apply(item)
 
     def drop_all(self, endpoint_ids: list[str]) -> None:
-        """These endpoints are gone."""
+        """Remove endpoints from the catalog."""
         for endpoint_id in endpoint_ids:
             self._drop(endpoint_id)
 
