--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -1,4 +1,4 @@
-"""What a host asks other hosts for, of the store that all of them follow."""
+"""Detects that a host lags behind others and fetches what it lacks."""
 
 import collections
 import typing
@@ -15,28 +15,29 @@
 
 LOG = logs.get('catchup')
 
-#: How often this host compares itself with the others, in seconds.
+#: Interval between comparisons with the other hosts' positions, in seconds.
 TICK_S = 0.1
-#: Shares of the shortest time in which a change has to be in force: how long
-#: a new read of the store may take before another host is asked, and the pause
-#: after hosts could not tell.
+#: Shares of the follower's ``bound_s``, the shortest limit for a change to
+#: take effect: how long a new read of the store may take before another host
+#: is asked, and the pause after no host could answer.
 READ_SHARE = 0.1
 PAUSE_SHARE = 0.15
-#: Hosts that are asked what they have seen, until one can tell.
+#: Maximum number of hosts asked for their state before giving up.
 MAX_PEERS_QUERIED = 3
-#: A host that starts asks another one which entries of a restored store are
-#: not gone by, until one tells or for this long, in seconds: by then endpoints
-#: that live have written theirs again.
+#: A host that starts after a restore of the store asks others which entries
+#: are stale, until one answers or for this long, in seconds.  By then running
+#: endpoints have written their entries again.
 STALE_QUERY_TIMEOUT_S = 5.0
 
 
 class CatchUp:
-    """Sees to it that a host knows what the others know.
+    """Brings a host that lags behind up to the other hosts' position.
 
-    :param follower: of this host; reads the store
-    :ivar caught_up: times that this host was behind, by what ended it
-    :ivar introduced_s: until when others are asked what is old in a restored
-        store
+    :param follower: this host's follower of the store
+    :ivar caught_up: how often this host lagged, by the source that ended it:
+        ``store``, ``host``, or ``nobody`` if it still lags
+    :ivar stale_query_until_s: until when to ask other hosts which entries of a
+        restored store are stale
     """
 
     def __init__(self, follower: 'followers.Follower') -> None:
@@ -45,13 +46,13 @@
         self.stale_query_until_s = float('-inf')
 
     def begin(self) -> None:
-        """The host has read the store for the first time."""
+        """Start to ask for stale entries, after the first read of a store."""
         self.stale_query_until_s = (
             self.follower.clock.now_s() + STALE_QUERY_TIMEOUT_S
         )
 
     def run(self) -> None:
-        """Compare this host with the others, for ever."""
+        """Check for lag and for open questions to other hosts, for ever."""
         follower = self.follower
         while True:
             follower.clock.sleep(TICK_S)
@@ -65,7 +66,7 @@
                 self._fetch_stale_entries()
 
     def _read_or_ask(self, behind: revisionlag.Behind) -> None:
-        """Have the store read anew, or else ask other hosts."""
+        """Have the store read again; if that is too slow, ask other hosts."""
         LOG.warning_event(
             'behind',
             position=self.follower.lag.own_position,
@@ -93,7 +94,11 @@
         return self.follower.others.peers(first)[:MAX_PEERS_QUERIED]
 
     def fetch_from_peers(self, host: str) -> bool:
-        """Take what another host has seen; False if none can tell."""
+        """Apply the state of a host that is ahead of this one.
+
+        :param host: name of the host to ask first
+        :returns: False if none of those asked is ahead and sent all keys
+        """
         for address in self._peer_addresses(host):
             state = peerstate.fetch(address, self.follower.lag.own_position)
             if (
@@ -117,7 +122,7 @@
         return False
 
     def _fetch_stale_entries(self) -> None:
-        """Learn which entries of a restored store others do not go by."""
+        """Ask other hosts which entries of the restored store are stale."""
         for address in self._peer_addresses(''):
             state = peerstate.fetch(address, self.follower.lag.own_position)
             if (
@@ -133,8 +138,9 @@
     def _resolve_outage(self) -> None:
         """Ask other hosts whether they had the last outage too.
 
-        Those that were cut off with this one, or that it has not met again,
-        can't tell yet; it asks until one can, while entries are doubted.
+        Hosts that lost the store at the same time, or that are not reachable
+        again yet, cannot answer.  The question is repeated until one can, as
+        long as endpoints are in their grace period.
         """
         known = self.follower.mirror.expired_entries
         told: list[expiredentries.StoreContact | None] = []
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -1,4 +1,4 @@
-"""The other hosts: found through the store, checked by gossip."""
+"""Membership of hosts: discovery by the store, liveness by gossip."""
 
 import functools
 import hashlib
@@ -28,37 +28,44 @@
 
 LOG = logs.get('members')
 
-#: Keys of hosts in the store.
+#: Prefix of the hosts' keys in the store.
 HOST_PREFIX = 'magnoliadyke/hosts/'
-#: Name that keeps datagrams of other programs out, and of hosts that do not
-#: tell the era of a position.
+#: Name in each datagram.  Datagrams under another name are ignored: those of
+#: other programs, and of hosts whose positions do not carry an era.
 DEPLOYMENT = 'gateway/eras'
 TICK_S = 0.1
-#: Time to live of a host's key.  Gossip notices a dead host sooner; the key
-#: is for hosts that have just come, so few renewals do.
+#: Time to live of a host's key, in seconds.  Gossip detects a dead host
+#: sooner; the key serves hosts that have just started, so few renewals do.
 LEASE_S = 10.0
 RENEW_S = 4.0
-#: Hosts of each failure domain that watch the store for the others: one may
-#: die, or be cut off, between two changes.
+#: Number of hosts in each failure domain that watch the store for the others.
+#: One of them may crash, or lose the store, between two changes.
 WATCHERS = 2
-#: Up to so many hosts all of them watch: few calls, and no word to wait for.
+#: Up to this number of hosts every host watches the store: the calls are few,
+#: and no host waits for relayed changes.
 MAX_ALL_WATCH_HOSTS = 16
-#: For how long changes that are told at once may fill this host's own link,
+#: Longest time for which the changes of one relay may occupy this host's link,
 #: in seconds: half of the pause between two watches.  The next watch, proofs
-#: and requests wait behind them.
+#: that the configuration is current, and requests queue behind them.
 RELAY_LINK_S = 0.2
-#: Pause after a call to the store that failed, spread by as much again.
+#: Pause after a failed call to the store, in seconds, with as much random
+#: jitter on top.
 RETRY_S = 0.8
-#: After a restore of the store all hosts renew their keys, or write them
-#: again, spread over this time, in seconds.
+#: After a restore of the store all hosts renew or rewrite their keys, each
+#: after a random delay up to this, in seconds.
 RESTORED_SPREAD_S = 1.0
 MAX_DATAGRAM_BYTES = 65535
 
 
 class HostRecord(NamedTuple):
-    """What a host writes of itself into the store.
-
-    :param capacity: prompts a second that it can place for all hosts
+    """A host's entry in the store.
+
+    :param host: name of the host
+    :param incarnation: number of the process, higher after each restart
+    :param address: IP address for gossip and for other hosts' calls
+    :param callers: ``ip:port`` at which it serves callers
+    :param gossip_port: UDP port for gossip
+    :param capacity: prompts per second that it can place as the leader
     """
 
     host: str
@@ -70,34 +77,37 @@
     capacity: float
 
     def dump(self) -> bytes:
-        """Write the record as the store keeps it."""
+        """Encode the record as JSON, as stored."""
         return json.dumps(self._asdict(), separators=(',', ':')).encode()
 
     @classmethod
     def parse(cls, value: bytes) -> 'HostRecord':
-        """Read a record of the store.
+        """Decode a stored record.
 
-        :raises ValueError, KeyError: it is none
+        :raises ValueError, KeyError: not JSON, or a field is missing
         """
         fields: dict[str, Any] = json.loads(value)
         return cls(**{name: fields[name] for name in cls._fields})
 
     @property
     def key(self) -> str:
-        """The host's key in the store."""
+        """Key of the host in the store."""
         return HOST_PREFIX + self.host
 
 
 class Members(app.Component, follower.Others):
-    """Who is there.
+    """The hosts of the system and the state of each.
 
-    :param own: this host
+    :param own: record of this host
     :param kept: the store
-    :param link_mbps: of this host's link
-    :ivar position_heard: takes a host's name and the position of the store's
-        keys that it has seen
-    :ivar send_updates: sends word of the store to an address
-    :ivar records: hosts that the store has named since this one started
+    :param link_mbps: bandwidth of this host's link, in Mbit/s
+    :ivar on_peer_position: called with another host's name and the position
+        up to which it has read the store
+    :ivar send_updates: sends an update of the store's keys to an address
+    :ivar records: every host listed by the store since this one started
+    :ivar listed: names of the hosts that the store lists now
+    :ivar lease: lease of this host's key, None until the key is written
+    :ivar states: state of each host as last logged
     """
 
     def __init__(
@@ -139,7 +149,7 @@
     # Life cycle.
 
     def start(self) -> None:
-        """Listen, probe others, and write the own key."""
+        """Open the gossip socket, probe other hosts, write the own key."""
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind((self.own.address, self.own.gossip_port))
         self.greenlets = [
@@ -149,23 +159,23 @@
         self.registering = gevent.spawn(self._register, 0.0)
 
     def leave(self) -> None:
-        """Tell the others and the store that this host takes no new work."""
+        """Announce by gossip that this host leaves, and remove its key."""
         self.leaving = True
         self._act(self.core.leave('', self.clock.now_s()))
         gevent.spawn(self._deregister)
 
     def stop(self, deadline_s: float) -> None:
-        """Answer nobody from now on."""
+        """Stop gossip and key renewal, and close the socket."""
         gevent.killall(self.greenlets)
         if self.registering is not None:
             self.registering.kill()
         if self.socket is not None:
             self.socket.close()
 
-    # What others ask.
+    # Queries.
 
     def addresses(self) -> list[str]:
-        """Where callers can connect."""
+        """Return the ``ip:port`` addresses at which hosts serve callers."""
         found = []
         for member in self.core.view().alive():
             if member.caller_port:
@@ -173,7 +183,7 @@
         return found
 
     def peers(self, first: str) -> list[str]:
-        """Addresses of the other hosts; see :class:`follower.Others`."""
+        """Return the other hosts' addresses; see :class:`follower.Others`."""
         others = [
             member
             for member in self.core.view().alive()
@@ -184,10 +194,10 @@
         return [f'{each.address}:{each.peer_port}' for each in others]
 
     def listening(self) -> list[str]:
-        """Addresses of all other hosts that may run.
+        """Return the addresses of all other hosts that may run.
 
-        Those too that the store lists and gossip has not met: a host that
-        has just started has met few, and what it tells concerns all.
+        Includes hosts that the store lists and gossip has not met yet: a host
+        that has just started has met few, but its messages concern all.
         """
         members = self.core.view().members
         found = [m.address for m in members.values() if _may_run(m)]
@@ -199,25 +209,25 @@
         return [each for each in found if each != self.own.address]
 
     def watches(self) -> bool:
-        """Whether this host watches the store for its failure domain."""
+        """Return whether this host watches the store for its domain."""
         domain = self._domain()
         return not domain or self.own in domain[:WATCHERS]
 
     def watchers(self) -> list[str]:
-        """Addresses of the others that watch for this failure domain.
+        """Return the addresses of this failure domain's other watching hosts.
 
-        Empty in a small fleet, where all hosts watch.
+        Empty in a small fleet, where every host watches the store.
         """
         watching = self._domain()[:WATCHERS]
         return [each.address for each in watching if each != self.own]
 
     def room(self) -> float:
-        """What this host's link carries to each; see :meth:`relay`."""
+        """Return how many bytes one :meth:`relay` may send to each host."""
         told = max(1, len(self._non_watchers()))
         return self.link_bytes_s * RELAY_LINK_S / told
 
     def relay(self, told: list[placing_codec.KeyUpdates]) -> None:
-        """Tell the hosts of this failure domain that do not watch."""
+        """Send updates to the hosts of this domain that do not watch."""
         for record in self._non_watchers():
             for message in told:
                 self.send_updates(record.address, message)
@@ -226,10 +236,10 @@
         return [r for r in self._domain()[WATCHERS:] if r != self.own]
 
     def _domain(self) -> list[HostRecord]:
-        """Hosts of this failure domain, first those that watch.
+        """Return the hosts of this failure domain, the watching ones first.
 
-        Empty in a small fleet.  Hosts that see this differently for a moment
-        watch once too often, or hear nothing and watch by themselves.
+        Empty in a small fleet.  While hosts disagree on the order, more hosts
+        than necessary watch, or a host gets no updates and starts to watch.
         """
         members = self.core.view().members
         running = [self.own]
@@ -246,20 +256,20 @@
         )
 
     def broadcast_position(self, upto: position.Position) -> None:
-        """Tell the others up to where this host has seen the store.
+        """Send the position up to which this host has read the store.
 
-        It rides on the datagrams that are sent anyway.
+        It is added to the gossip datagrams, at no message of its own.
         """
         self.core.set_table(upto.packed, 0)
 
     def count(self) -> int:
-        """Hosts that are thought to run."""
+        """Return the number of hosts that gossip lists as alive."""
         return max(1, len(self.core.view().alive()))
 
-    # What the store says.
+    # Changes of the hosts' keys in the store.
 
     def add_listed_host(self, value: bytes) -> None:
-        """A host's key was read."""
+        """Add a host whose key was read; a malformed record is ignored."""
         try:
             record = HostRecord.parse(value)
         except (ValueError, KeyError, TypeError) as error:
@@ -270,22 +280,23 @@
         self.core.add_seed(_member(record))
 
     def remove_listed_host(self, host: str) -> None:
-        """A host's key is gone; gossip says whether the host is.
+        """Remove a host from the listed ones.
 
-        A store that was away may drop the keys of hosts that live.
+        Gossip decides whether it runs: after an outage the store may remove
+        the keys of hosts that do.
         """
         self.listed.discard(host)
         if host == self.own.host and not self.leaving:
-            # The key was taken away from a live host: write it again.
+            # This host runs: have _register write its key again.
             self.lease = None
 
     def restored(self, values: list[bytes]) -> None:
-        """The store came back from an older copy, with these hosts.
+        """Handle a restore of the store from a backup.
 
-        Gossip goes on by what it knows.  The own lease is that of the copy
-        only if the copy has the own key as this process wrote it.
+        Gossip keeps its state.  The own lease is still valid only if the
+        backup holds the own key as this process wrote it.
 
-        :param values: as in :meth:`listed_host`
+        :param values: encoded records of the hosts that the backup lists
         """
         self.listed.clear()
         for value in values:
@@ -299,7 +310,7 @@
             self._register, RESTORED_SPREAD_S * self.rng.random()
         )
 
-    # Own key.
+    # This host's key.
 
     def _register(self, after_s: float) -> None:
         self.clock.sleep(after_s)
@@ -400,23 +411,23 @@
 
 
 class HostListener(keymirror.Listener):
-    """Takes the keys of hosts to the members."""
+    """Passes changes of the hosts' keys to the membership."""
 
     def __init__(self, joined: Members) -> None:
         self.members = joined
 
     def changed(self, item: store.Item) -> None:
-        """A host's key was written."""
+        """Add the host whose key was written."""
         self.members.add_listed_host(item.value)
 
     def removed(self, key: str) -> None:
-        """A host's key is gone."""
+        """Remove the host whose key was removed."""
         self.members.remove_listed_host(key.removeprefix(HOST_PREFIX))
 
     def restored(
         self, items: dict[str, store.Item], at: position.Position
     ) -> None:
-        """The store came back from an older copy."""
+        """Replace the listed hosts by those of a restored store."""
         self.members.restored([item.value for item in items.values()])
 
 
