--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -79,8 +79,8 @@
             self.follower.clock.sleep(self.follower.bound_s * READ_SHARE)
         source = 'store'
         if self.follower.lag.own_position < behind.position:
-            told = self.fetch_from_peers(behind.host)
-            source = 'host' if told else 'nobody'
+            is_fetched = self.fetch_from_peers(behind.host)
+            source = 'host' if is_fetched else 'nobody'
         self.caught_up[source] += 1
         LOG.event(
             'caught_up', source=source, position=self.follower.lag.own_position
@@ -143,12 +143,12 @@
         long as endpoints are in their grace period.
         """
         known = self.follower.mirror.expired_entries
-        told: list[expiredentries.StoreContact | None] = []
+        reports: list[expiredentries.StoreContact | None] = []
         alone = None
         for address in self._peer_addresses(''):
             state = peerstate.fetch(address, self.follower.lag.own_position)
-            told.append(state and state.reach)
-            alone = known.is_local_outage(told, self.follower.clock.now_s())
+            reports.append(state and state.store_contact)
+            alone = known.is_local_outage(reports, self.follower.clock.now_s())
             if alone:
                 listed = self.follower.mirror.listed_in(state.positions)
                 self.follower.mirror.drop_all(known.resolve_outage(listed))
@@ -158,4 +158,4 @@
         if known.outage_unresolved:
             self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
         else:
-            LOG.event('outage_explained', alone=alone, asked=len(told))
+            LOG.event('outage_explained', alone=alone, asked=len(reports))
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -78,15 +78,15 @@
         """Send the position up to which this host has read the store."""
 
     @abc.abstractmethod
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """Return whether this host watches the store for other hosts."""
 
     @abc.abstractmethod
-    def room(self) -> float:
+    def max_relay_bytes(self) -> float:
         """Return how many bytes of changes one relay may send to each host."""
 
     @abc.abstractmethod
-    def relay(self, told: list[placing_codec.KeyUpdates]) -> None:
+    def relay(self, updates: list[placing_codec.KeyUpdates]) -> None:
         """Send changes to the hosts that do not watch the store."""
 
 
@@ -270,7 +270,7 @@
         if (
             self.others is None
             or self.is_always_watcher()
-            or self.others.watches()
+            or self.others.is_watcher()
         ):
             return False
         return (
@@ -403,32 +403,34 @@
             at_s += BATCH_INTERVAL_S
         self.lag.record_peer_position(host, upto, at_s)
 
-    def apply_updates(self, told: placing_codec.KeyUpdates) -> None:
+    def apply_updates(self, updates: placing_codec.KeyUpdates) -> None:
         """Apply an update relayed by a host that watches the store.
 
         Updates of an earlier era are ignored: their sender has not noticed
         yet that the store was restored.
         """
-        if told.position.era < self.lag.own_position.era:
+        if updates.position.era < self.lag.own_position.era:
             return
         now_s = self.clock.now_s()
         self.updated_s = now_s
         if not self.listening:
             return
         self.mirror.expired_entries.record_peer_regained(
-            told.regained_s, now_s
+            updates.regained_s, now_s
         )
-        if told.position <= self.lag.own_position:
+        if updates.position <= self.lag.own_position:
             return
-        if told.base > self.lag.own_position or not told.complete:
+        if updates.base > self.lag.own_position or not updates.complete:
             self.missed = True
             return
         self.mirror.change(
             tuple(
-                c for c in told.changes if c.position > self.lag.own_position
+                c
+                for c in updates.changes
+                if c.position > self.lag.own_position
             )
         )
-        self._record_position(told.position)
+        self._record_position(updates.position)
 
     def _relay(
         self,
@@ -438,12 +440,12 @@
         """Send changes to the hosts that do not watch, if this one watches."""
         if self.others is None:
             return
-        if not self.is_always_watcher() and not self.others.watches():
+        if not self.is_always_watcher() and not self.others.is_watcher():
             return
         now_s = self.clock.now_s()
         self.relayed_s = now_s
         regained_s = self.mirror.expired_entries.since_regained_s(now_s)
-        told = tuple(
+        updates = tuple(
             each for each in changes if each.key not in self.not_relayed
         )
         self.others.relay(
@@ -451,9 +453,9 @@
                 self.host,
                 base,
                 self.lag.own_position,
-                told,
+                updates,
                 regained_s,
-                self.others.room(),
+                self.others.max_relay_bytes(),
             )
         )
 
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -146,13 +146,13 @@
         return [e for e in self.catalog.by_name.values() if e not in listed]
 
     def merge_stale_entries(
-        self, told: tuple[staleentries.StaleEntry, ...]
+        self, peer_entries: tuple[staleentries.StaleEntry, ...]
     ) -> None:
         """Ignore the stale entries that another host ignores.
 
         Only entries that this host holds at the same position are affected.
         """
-        for each in told:
+        for each in peer_entries:
             item = self.items.get(self.decoder.endpoint_prefix + each.name)
             endpoint_id = self.catalog.by_name.get(each.name)
             if item is None or item.position != each.written:
--- a/magnoliadyke/gateway/keyupdates.py
+++ b/magnoliadyke/gateway/keyupdates.py
@@ -40,22 +40,22 @@
         return [
             placing_codec.KeyUpdates(host, base, upto, (), False, regained_s)
         ]
-    told = []
+    updates = []
     for group, complete in _groups(changes):
         until = group[-1].position
-        told.append(
+        updates.append(
             placing_codec.KeyUpdates(
                 host, base, until, group, complete, regained_s
             )
         )
         base = until
-    if told and told[-1].complete:
-        told[-1] = told[-1]._replace(position=upto)
-    elif upto > base or not told:
-        told.append(
+    if updates and updates[-1].complete:
+        updates[-1] = updates[-1]._replace(position=upto)
+    elif upto > base or not updates:
+        updates.append(
             placing_codec.KeyUpdates(host, base, upto, (), True, regained_s)
         )
-    return told
+    return updates
 
 
 def _groups(
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -208,7 +208,7 @@
         ]
         return [each for each in found if each != self.own.address]
 
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """Return whether this host watches the store for its domain."""
         domain = self._domain()
         return not domain or self.own in domain[:WATCHERS]
@@ -221,15 +221,15 @@
         watching = self._domain()[:WATCHERS]
         return [each.address for each in watching if each != self.own]
 
-    def room(self) -> float:
+    def max_relay_bytes(self) -> float:
         """Return how many bytes one :meth:`relay` may send to each host."""
-        told = max(1, len(self._non_watchers()))
-        return self.link_bytes_s * RELAY_LINK_S / told
+        receivers = max(1, len(self._non_watchers()))
+        return self.link_bytes_s * RELAY_LINK_S / receivers
 
-    def relay(self, told: list[placing_codec.KeyUpdates]) -> None:
+    def relay(self, updates: list[placing_codec.KeyUpdates]) -> None:
         """Send updates to the hosts of this domain that do not watch."""
         for record in self._non_watchers():
-            for message in told:
+            for message in updates:
                 self.send_updates(record.address, message)
 
     def _non_watchers(self) -> list[HostRecord]:
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -53,7 +53,7 @@
     items: tuple[store.Item, ...]
     positions: dict[str, position.Position]
     position: position.Position
-    reach: expiredentries.StoreContact | None
+    store_contact: expiredentries.StoreContact | None
     regained_s: float | None
     passed_over: tuple[staleentries.StaleEntry, ...] = ()
 
@@ -125,9 +125,9 @@
             constants.VERSION,
             state.position.revision,
             entries,
-            _milliseconds(state.reach and state.reach.for_s),
+            _milliseconds(state.store_contact and state.store_contact.for_s),
             _milliseconds(state.regained_s),
-            _milliseconds(state.reach and state.reach.age_s),
+            _milliseconds(state.store_contact and state.store_contact.age_s),
             state.position.era,
             [
                 ttypes.PassedOver(
@@ -169,9 +169,9 @@
 def _decode(reply: ttypes.StateReply) -> PeerState:
     if reply.era is None:
         raise errors.ProtocolError('a state without its era')
-    reach = None
+    store_contact = None
     if reply.in_reach_ms is not None and reply.word_age_ms is not None:
-        reach = expiredentries.StoreContact(
+        store_contact = expiredentries.StoreContact(
             reply.in_reach_ms / 1000, reply.word_age_ms / 1000
         )
     return PeerState(
@@ -189,7 +189,7 @@
             for entry in reply.entries
         },
         position.Position(reply.era, reply.revision),
-        reach,
+        store_contact,
         _seconds(reply.regained_ms),
         tuple(
             staleentries.StaleEntry(
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -258,8 +258,8 @@
     assert whole.items == own.items
     assert whole.positions == own.positions
     assert whole.position == own.position
-    assert whole.reach.for_s > 0
-    assert whole.reach.age_s == 0
+    assert whole.store_contact.for_s > 0
+    assert whole.store_contact.age_s == 0
     known = peerstate.fetch(address, own.position)
     assert known.items == ()
     assert known.positions == own.positions
@@ -320,8 +320,8 @@
 
     def unaware(address, known):
         listed = dict.fromkeys(('servers/p1', 'servers/p2'), known)
-        reach = expiredentries.StoreContact(100.0, 0.0)
-        return peerstate.PeerState((), listed, known, reach, None)
+        store_contact = expiredentries.StoreContact(100.0, 0.0)
+        return peerstate.PeerState((), listed, known, store_contact, None)
 
     node = world.nodes[0]
     leave_while_cut_off(world, clock, node)
--- a/tests/test_keyupdates.py
+++ b/tests/test_keyupdates.py
@@ -70,7 +70,7 @@
 
 def watching(world):
     """The host that watches for the others."""
-    (node,) = [n for n in world.nodes if n.members.watches()]
+    (node,) = [n for n in world.nodes if n.members.is_watcher()]
     return node
 
 
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -130,10 +130,10 @@
     def broadcast_position(self, seen):
         pass
 
-    def watches(self):
+    def is_watcher(self):
         return True
 
-    def room(self):
+    def max_relay_bytes(self):
         return 0.0
 
     def relay(self, told):
