--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -183,7 +183,7 @@
         return self.clock.now_s() - self.regained_s
 
     def is_behind(self) -> bool:
-        """Return whether this host lags longer than the store may take."""
+        """Return whether a change seen by another host is overdue here."""
         missed_s = self.lag.missed_s(self.clock.now_s())
         return missed_s > BATCH_INTERVAL_S + self.lag.allowed_s
 
@@ -460,7 +460,7 @@
         )
 
     def _relay_idle(self) -> None:
-        """Send an empty update if none was due to changes for a while.
+        """Send an empty update if no update was sent for RELAY_SHARE.
 
         It shows the other hosts that this one still reaches the store.
         """
--- a/magnoliadyke/gateway/keyupdates.py
+++ b/magnoliadyke/gateway/keyupdates.py
@@ -1,4 +1,4 @@
-"""Changes of the store's keys, cut into datagrams for other hosts."""
+"""Splits changes of the store's keys into datagrams for other hosts."""
 
 from collections.abc import Iterable
 import itertools
@@ -9,10 +9,10 @@
 
 __all__ = ['split']
 
-#: Most bytes of keys and values in a datagram: it stays whole on networks
-#: that carry 1,400.
+#: Maximum size of the changes in a datagram, in bytes.  Networks that carry
+#: packets of 1,400 bytes do not fragment it.
 MAX_CHANGES_BYTES = 1200
-#: What a change takes beside its key and its value, in bytes.
+#: Encoded size of a change without its key and its value, in bytes.
 CHANGE_OVERHEAD_BYTES = 16
 
 Change = store.Item | store.Removed
@@ -26,15 +26,20 @@
     regained_s: float | None,
     max_bytes: float,
 ) -> list[placing_codec.KeyUpdates]:
-    """Tell changes in as few datagrams as they fit.
+    """Pack changes into as few updates, one per datagram, as possible.
 
-    Each begins where the one before it ends, so a host that misses one sees
-    it by the next.  Changes of one position are never parted: a host that
-    had a part of them would take itself for having all.
+    Each update begins at the position where the previous one ends, so a host
+    that misses one detects the gap by the next.  Changes of one position are
+    never split: a host that got only some of them would record the position
+    as reached.
 
-    :param base: position after which the changes are
-    :param upto: up to which they are, in the same era
-    :param room: most bytes of changes; more are named, and read by the others
+    :param host: name of this host
+    :param base: position that precedes the changes
+    :param upto: position up to which they reach, in the same era
+    :param regained_s: how long ago the store came back, in seconds; None if
+        the grace period after that outage is over
+    :param max_bytes: maximum size of the changes, in bytes.  Above it one
+        update without changes is sent, and the receivers read the store
     """
     if _size(changes) > max_bytes:
         return [
@@ -61,7 +66,7 @@
 def _groups(
     changes: tuple[Change, ...],
 ) -> Iterable[tuple[tuple[Change, ...], bool]]:
-    """Changes that go together, and whether they fit a datagram."""
+    """Group changes by datagram; with False, a group that exceeds one."""
     ordered = sorted(changes, key=lambda change: change.position)
     group: list[Change] = []
     for _, same in itertools.groupby(ordered, lambda change: change.position):
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -1,7 +1,8 @@
-"""The store's keys as a host has seen them, told to other hosts.
+"""Transfer of the store's keys, as one host has read them, to another.
 
-A host that the store tells nothing, or does not answer, learns from another
-one which endpoints have left and which configuration is in force.
+A host whose watch reports nothing, or that cannot reach the store, fetches
+from another host which endpoints have left and which configuration is in
+force.
 """
 
 from typing import Callable
@@ -29,25 +30,29 @@
 
 LOG = logs.get('peerstate')
 
-#: A host that has not answered by then is not waited for, in seconds: a
-#: configuration of a megabyte over a link of 20 Mbit/s.
+#: Time limit of a fetch, in seconds: enough to transfer a configuration of one
+#: megabyte over a link of 20 Mbit/s.
 FETCH_TIMEOUT_S = 0.5
-#: Hosts that are answered at one time; more wait for their turn.
+#: Maximum number of connections served at a time; further ones wait.
 MAX_CONNECTIONS = 64
-#: A connection carries one call; it is closed after this time, in seconds.
+#: Longest wait for data on a connection, in seconds.  A connection carries one
+#: call and is then closed.
 CONNECTION_TIMEOUT_S = 2.0
 
 
 class PeerState(NamedTuple):
-    """All keys that a host has seen.
-
-    :param items: those that were asked for, with their values
-    :param positions: of all keys, also of those without a value here
-    :param position: up to which it has seen them
-    :param reach: its word of the store, None if it has none at present
-    :param regained_s: how long ago the store came back to it, or to the host
-        that it heard from; None if entries may have lapsed no more
-    :param passed_over: entries of an older copy that it does not go by
+    """All keys of the store that a host has read.
+
+    :param items: keys with their values, of those written after the position
+        asked for
+    :param positions: positions of all keys, including those without an item
+    :param position: position up to which the host has read the store
+    :param store_contact: the host's contact with the store, None if it has
+        none at present
+    :param regained_s: how long ago, in seconds, the store came back for this
+        host or for the one that relays to it; None if the grace period after
+        that outage is over
+    :param passed_over: stale entries of a restored store that it ignores
     """
 
     items: tuple[store.Item, ...]
@@ -59,10 +64,11 @@
 
 
 class StateServer(app.Component):
-    """Tells other hosts what this one has seen.
+    """Serves this host's state to other hosts.
 
-    :param address: numeric ``ip:port``
-    :param tell: gives the state, with the items after a position
+    :param address: numeric ``ip:port`` to listen at
+    :param get_state: returns the state, with the items written after a
+        position
     """
 
     def __init__(
@@ -73,7 +79,7 @@
         self.server: server.StreamServer | None = None
 
     def start(self) -> None:
-        """Listen."""
+        """Start to accept connections."""
         host, _, port = self.address.rpartition(':')
         self.server = server.StreamServer(
             (host, int(port)), self._serve, spawn=pool.Pool(MAX_CONNECTIONS)
@@ -81,7 +87,7 @@
         self.server.start()
 
     def stop(self, deadline_s: float) -> None:
-        """Stop listening."""
+        """Stop accepting; wait briefly for the calls in flight."""
         if self.server is not None:
             self.server.stop(min(deadline_s, FETCH_TIMEOUT_S))
 
@@ -99,7 +105,7 @@
 
 
 class _Handler(State.Iface):
-    """Writes a state as it travels."""
+    """Handles the thrift calls of one connection."""
 
     def __init__(
         self, get_state: Callable[[position.Position], PeerState]
@@ -109,10 +115,16 @@
     def fetch(
         self, version: int, known_revision: int, known_era: int | None
     ) -> ttypes.StateReply:
-        """Tell all keys, with the values written after a position."""
+        """Return all keys, with the values written after a position.
+
+        :param version: version of the caller's protocol; not checked
+        :param known_revision: revision of the position
+        :param known_era: era of the position, None if the caller sent none
+        :raises TTransportException: the request has no era
+        """
         if known_era is None:
             raise TTransport.TTransportException(
-                message='the question names no era'
+                message='state request has no era'
             )
         known = position.Position(known_era, known_revision)
         state = self.get_state(known)
@@ -143,16 +155,17 @@
 
 
 def fetch(address: str, known: position.Position) -> PeerState | None:
-    """Ask a host what it has seen.
+    """Fetch the state of another host.
 
     :param address: numeric ``ip:port``
-    :param known: values up to it are not sent
-    :returns: None if it does not answer in time, or not in this form
+    :param known: position up to which values need not be sent
+    :returns: None if the host does not answer in time or the reply is
+        malformed
     """
     sock = None
     try:
         with gevent.Timeout(
-            FETCH_TIMEOUT_S, TimeoutError('no answer in time')
+            FETCH_TIMEOUT_S, TimeoutError('state not fetched in time')
         ):
             sock = peer.connect(address)
             client = State.Client(peer.protocol_over(sock))
@@ -168,7 +181,7 @@
 
 def _decode(reply: ttypes.StateReply) -> PeerState:
     if reply.era is None:
-        raise errors.ProtocolError('a state without its era')
+        raise errors.ProtocolError('state reply has no era')
     store_contact = None
     if reply.in_reach_ms is not None and reply.word_age_ms is not None:
         store_contact = expiredentries.StoreContact(
--- a/magnoliadyke/gateway/store.py
+++ b/magnoliadyke/gateway/store.py
@@ -1,4 +1,4 @@
-"""What a gateway needs of a store: prefix watches, leases, transactions."""
+"""Interface of the store: prefix watches, leases, transactions."""
 
 import abc
 from typing import Callable
@@ -25,7 +25,7 @@
 
 
 class Item(NamedTuple):
-    """A key as it was written."""
+    """A key with its value and the position of its last write."""
 
     key: str
     value: bytes
@@ -33,40 +33,40 @@
 
 
 class Removed(NamedTuple):
-    """A key that is gone."""
+    """A key that was removed, and the position of its removal."""
 
     key: str
     position: position.Position
 
 
 class Absent(NamedTuple):
-    """There is no such key."""
+    """The key does not exist."""
 
 
 class Items(NamedTuple):
-    """All keys under a prefix; changes after ``position`` are not in it."""
+    """All keys under a prefix; later changes follow from ``position``."""
 
     items: tuple[Item, ...]
     position: position.Position
 
 
 class Changes(NamedTuple):
-    """What has changed, possibly nothing, up to ``position``."""
+    """The changes up to ``position``; none if a watch ended without any."""
 
     changes: tuple[Item | Removed, ...]
     position: position.Position
 
 
 class Compacted(NamedTuple):
-    """The history asked for is no longer there: read everything again."""
+    """The watched history was compacted; all keys must be read again."""
 
 
 class Restored(NamedTuple):
-    """The store came back from an older copy; the question was of before.
+    """The store was restored from a backup; the request named an older era.
 
-    Whatever it did or told concerns another history than the one asked for.
+    Positions and leases of the older era mean nothing in the restored store.
 
-    :param era: of the store now
+    :param era: present era of the store
     """
 
     era: int
@@ -90,26 +90,31 @@
 
 
 class Conflict(NamedTuple):
-    """Nothing was written; the expected keys as they are now."""
+    """A key was not at its expected position; nothing was written.
+
+    :param items: the expected keys as they are now
+    """
 
     items: tuple[Item, ...]
 
 
 class NoLease(NamedTuple):
-    """The lease has ended."""
+    """The lease has expired or was revoked."""
 
 
 class Granted(NamedTuple):
-    """A lease was granted or renewed."""
+    """A lease was granted or renewed, for ``ttl_s`` seconds."""
 
     lease: int
     ttl_s: float
 
 
 class Unavailable(NamedTuple):
-    """The store did not do what was asked, as far as is known.
+    """The store did not confirm the request.
 
-    :param maybe_applied: it may have been done, or be done seconds later
+    :param reason: what failed, for the log
+    :param maybe_applied: whether the request may have been applied, or may
+        still be, some seconds later
     """
 
     reason: str
@@ -117,7 +122,7 @@
 
 
 class Store(abc.ABC):
-    """The store; methods return outcomes and raise nothing.
+    """A store; its methods report failures as outcomes and raise nothing.
 
     :ivar era_changed: called when the store answers in a later era
     """
@@ -130,13 +135,13 @@
 
     @abc.abstractmethod
     def read(self, key: str) -> Item | Absent | Unavailable:
-        """Read one key as it is at some moment of this call."""
+        """Read one key, as it is at some moment during the call."""
 
     @abc.abstractmethod
     def watch(
         self, prefix: str, after: position.Position, wait_s: float
     ) -> Changes | Compacted | Restored | Unavailable:
-        """Wait for changes after a position, at most ``wait_s`` seconds."""
+        """Wait up to ``wait_s`` seconds for changes after a position."""
 
     @abc.abstractmethod
     def commit(
@@ -145,23 +150,29 @@
         puts: tuple[Put, ...] = (),
         removals: tuple[str, ...] = (),
     ) -> Written | Conflict | NoLease | Restored | Unavailable:
-        """Write if the keys are at the positions expected.
+        """Write and remove keys atomically if others are as expected.
 
-        :param expected: with revision 0 for keys that are absent
+        :param expected: positions at which keys must be, by key; revision 0
+            for a key that must not exist
+        :param puts: keys to write
+        :param removals: keys to remove
         """
 
     @abc.abstractmethod
     def grant(self, ttl_s: float) -> Granted | Unavailable:
-        """Ask for a lease."""
+        """Request a new lease."""
 
     @abc.abstractmethod
     def renew(self, lease: int) -> Granted | NoLease | Restored | Unavailable:
-        """Renew a lease that was granted in the era known."""
+        """Renew a lease granted in the store's last known era."""
 
     @abc.abstractmethod
     def revoke(self, lease: int) -> None:
-        """End a lease, removing its keys; a failure leaves it to lapse."""
+        """Revoke a lease, which removes its keys.
+
+        If the call fails, the lease expires at the end of its time to live.
+        """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
