--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -44,9 +44,9 @@
 #: Share of ``bound_s`` within which the store must report to this host a
 #: change that another host has seen.  Other hosts read a change within
 #: BATCH_INTERVAL_S, and gossip carries their position here within a second.
-LAG_SHARE = 0.15
+MAX_LAG_SHARE = 0.15
 #: Interval between checks whether a relay of updates is due, in seconds.
-LAG_TICK_S = 0.1
+RELAY_CHECK_INTERVAL_S = 0.1
 #: Shares of ``bound_s``: a watching host sends an update at least every
 #: RELAY_SHARE, and a host that misses two of them (RELAY_TIMEOUT_SHARE)
 #: watches the store itself.
@@ -54,7 +54,7 @@
 RELAY_TIMEOUT_SHARE = 0.35
 #: Interval at which a host that does not watch checks for missed updates, in
 #: seconds.
-PEER_UPDATES_TICK_S = 0.1
+PEER_UPDATES_CHECK_INTERVAL_S = 0.1
 #: Hosts that have missed the same update delay their read of the store by a
 #: random time up to this, in seconds.
 MISSED_SPREAD_S = 0.2
@@ -146,7 +146,7 @@
         self.failures = 0
         self.failing_since_s: float | None = None
         self.regained_s = float('-inf')
-        self.lag = revisionlag.RevisionLag(bound_s * LAG_SHARE)
+        self.lag = revisionlag.RevisionLag(bound_s * MAX_LAG_SHARE)
         self.behind = event.Event()
         self.is_always_watcher: Callable[[], bool] = lambda: False
         self.on_full_read: Callable[[float], None] = lambda asked_s: None
@@ -283,7 +283,7 @@
 
         :returns: False if all keys have to be read again
         """
-        self.clock.sleep(PEER_UPDATES_TICK_S)
+        self.clock.sleep(PEER_UPDATES_CHECK_INTERVAL_S)
         self.mirror.drop_expired()
         if not self.missed and not self.behind.is_set():
             return True
@@ -471,7 +471,7 @@
 
     def _run_relay_loop(self) -> None:
         while True:
-            self.clock.sleep(LAG_TICK_S)
+            self.clock.sleep(RELAY_CHECK_INTERVAL_S)
             self._relay_idle()
 
     # Store outages.
