--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -46,13 +46,13 @@
         self.stale_query_until_s = float('-inf')
 
     def begin(self) -> None:
-        """Start to ask for stale entries, after the first read of a store."""
+        """Start to ask for stale entries; called after the first read."""
         self.stale_query_until_s = (
             self.follower.clock.now_s() + STALE_QUERY_TIMEOUT_S
         )
 
     def run(self) -> None:
-        """Check for lag and for open questions to other hosts, for ever."""
+        """Check for lag, unresolved outages and stale entries, for ever."""
         follower = self.follower
         while True:
             follower.clock.sleep(TICK_S)
