--- a/magnoliadyke/gateway/figures.py
+++ b/magnoliadyke/gateway/figures.py
@@ -7,8 +7,8 @@
 from magnoliadyke import clock as clocks
 from magnoliadyke.core import catalog
 from magnoliadyke.core import routes
+from magnoliadyke.gateway import autoscaling
 from magnoliadyke.gateway import confirming
-from magnoliadyke.gateway import fleetduty
 from magnoliadyke.gateway import follower
 from magnoliadyke.gateway import ingress
 from magnoliadyke.gateway import measures
@@ -33,7 +33,7 @@
 
     catalog: catalog.Catalog
     confirming: confirming.Confirming
-    fleet: fleetduty.FleetDuty
+    fleet: autoscaling.FleetDuty
     follower: follower.Follower
     ingress: ingress.Ingress
     members: members.Members
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -15,11 +15,11 @@
 from magnoliadyke.core import retrybudget
 from magnoliadyke.core import routes
 from magnoliadyke.core import shutdown
+from magnoliadyke.gateway import autoscaling
 from magnoliadyke.gateway import confirming
 from magnoliadyke.gateway import duty_codec
 from magnoliadyke.gateway import exchange
 from magnoliadyke.gateway import figures
-from magnoliadyke.gateway import fleetduty
 from magnoliadyke.gateway import follower
 from magnoliadyke.gateway import ingress
 from magnoliadyke.gateway import keymirror
@@ -143,7 +143,7 @@
                 members.HOST_PREFIX: members.HostListener(self.members),
                 leadership.LEADER_KEY: self.leadership,
                 usageduty.REPORTS_KEY: self.usage,
-                fleetduty.FLEET_PREFIX: self.fleet,
+                autoscaling.FLEET_PREFIX: self.fleet,
             },
             self.upstream.drop_endpoint,
             clock,
@@ -259,7 +259,7 @@
             ),
         )
 
-    def _duties(self) -> tuple[usageduty.UsageDuty, fleetduty.FleetDuty]:
+    def _duties(self) -> tuple[usageduty.UsageDuty, autoscaling.FleetDuty]:
         """What one host does for all, as far as the platform asks for it."""
         asked = self.settings.duties
         names = () if asked is None else asked.names
@@ -279,7 +279,7 @@
             calls if USAGE in names else None,
             self.clock,
         )
-        fleet = fleetduty.FleetDuty(
+        fleet = autoscaling.FleetDuty(
             self.leadership,
             self.placer,
             self.catalog,
--- a/tests/test_gateway_fleet.py
+++ b/tests/test_gateway_fleet.py
@@ -3,7 +3,7 @@
 import pytest
 
 from magnoliadyke.core import autoscaler
-from magnoliadyke.gateway import fleetduty
+from magnoliadyke.gateway import autoscaling
 from magnoliadyke.lab import platformcloud
 from magnoliadyke.lab import platformendpoint
 from tests import gatewayworld
@@ -107,16 +107,18 @@
     nodes(world, cloud, 1)
     gatewayworld.wait_for(world.nodes[0].leadership.may_order, 'a leader')
     assert not cloud.calls
-    assert not world.store.items.get(fleetduty.FLEET_PREFIX + 'model')
+    assert not world.store.items.get(autoscaling.FLEET_PREFIX + 'model')
 
 
 @pytest.mark.parametrize('value', [b'', b'"9"', b'-1', b'[]', b'1.5'])
 def test_number_of_another_writer_is_not_used(world, cloud, value):
     nodes(world, cloud, 1)
     node = world.nodes[0]
-    world.store.put(fleetduty.FLEET_PREFIX + 'model', value)
+    world.store.put(autoscaling.FLEET_PREFIX + 'model', value)
     gatewayworld.wait_for(
-        lambda: fleetduty.FLEET_PREFIX + 'model' in node.follower.mirror.items,
+        lambda: (
+            autoscaling.FLEET_PREFIX + 'model' in node.follower.mirror.items
+        ),
         'the record',
     )
     assert node.fleet.wanted.get('model') in (None, 4)
