--- a/magnoliadyke/gateway/autoscaling.py
+++ b/magnoliadyke/gateway/autoscaling.py
@@ -15,7 +15,7 @@
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
-__all__ = ['FLEET_PREFIX', 'FleetDuty']
+__all__ = ['FLEET_PREFIX', 'AutoscalingDuty']
 
 LOG = logs.get('fleet')
 
@@ -24,13 +24,13 @@
 TICK_S = 0.5
 #: Endpoints of a service that is set up are listed one after the other; their
 #: number counts once it has been the same for so long, in seconds.
-SET_UP_S = 2.0
+STABLE_COUNT_S = 2.0
 #: Pause after an order of which nobody can say whether it was taken, in
 #: seconds.
 RETRY_S = 1.0
 
 
-class FleetDuty(app.Component, keymirror.Listener):
+class AutoscalingDuty(app.Component, keymirror.Listener):
     """Carries the plans out, under the lease.
 
     A service is to have as many endpoints as it was set up with.  The first
@@ -47,19 +47,19 @@
         leader: leadership.Leadership,
         placer: placing.Placer,
         known: catalog.Catalog,
-        kept: store.Store,
+        kv_store: store.Store,
         calls: operatorcalls.OperatorCalls | None,
         clock: clocks.Clock,
     ) -> None:
         self.leadership = leader
         self.placer = placer
         self.catalog = known
-        self.store = kept
+        self.store = kv_store
         self.calls = calls
         self.clock = clock
         self.plans: dict[str, autoscaler.Autoscaler] = {}
         self.wanted: dict[str, int] = {}
-        self.listed: dict[str, tuple[int, float]] = {}
+        self.initial_counts: dict[str, tuple[int, float]] = {}
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -101,9 +101,9 @@
                     self._step(service.name, service.scaling)
 
     def _step(self, service: str, limits: autoscaler.ScalingLimits) -> None:
-        present = self._present(service)
+        present = self._available_capacity(service)
         if service not in self.wanted:
-            self._set_up(
+            self._record_initial_size(
                 service, sum(each.on_demand for each in present.values())
             )
             return
@@ -115,14 +115,14 @@
         for order in plan.decide(limits, present, wanted, now_s):
             self._order(plan, order)
 
-    def _set_up(self, service: str, count: int) -> None:
+    def _record_initial_size(self, service: str, count: int) -> None:
         """Write down how many endpoints a service was set up with."""
         now_s = self.clock.now_s()
-        before, since_s = self.listed.get(service, (0, now_s))
+        before, since_s = self.initial_counts.get(service, (0, now_s))
         if count != before:
-            self.listed[service] = (count, now_s)
+            self.initial_counts[service] = (count, now_s)
             return
-        if not count or now_s - since_s < SET_UP_S:
+        if not count or now_s - since_s < STABLE_COUNT_S:
             return
         put = store.Put(FLEET_PREFIX + service, json.dumps(count).encode())
         match self.store.commit({put.key: self.leadership.absent()}, (put,)):
@@ -138,18 +138,20 @@
             wanted=self.wanted.get(service, 'unknown'),
         )
 
-    def _present(
+    def _available_capacity(
         self, service: str
     ) -> dict[str, autoscaler.AvailableCapacity]:
         found: dict[str, autoscaler.AvailableCapacity] = {}
         for endpoint in self.catalog.usable(service):
             domain = endpoint.failure_domain
-            there = found.get(domain, autoscaler.AvailableCapacity())
+            capacity = found.get(domain, autoscaler.AvailableCapacity())
             if endpoint.reclaimable:
-                there = there._replace(reclaimable=there.reclaimable + 1)
+                capacity = capacity._replace(
+                    reclaimable=capacity.reclaimable + 1
+                )
             else:
-                there = there._replace(on_demand=there.on_demand + 1)
-            found[domain] = there
+                capacity = capacity._replace(on_demand=capacity.on_demand + 1)
+            found[domain] = capacity
         return found
 
     def _order(
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -17,22 +17,22 @@
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
-__all__ = ['Confirming']
+__all__ = ['ConfigurationConfirmer']
 
 LOG = logs.get('confirming')
 
 TICK_S = 0.25
 #: Hosts that are asked at one time where the one that leads does not answer,
 #: beside those that watch the store.
-ASKED = 1
+PEERS_ASKED = 1
 #: How long a host that starts on a copy of the store waits for the others'
 #: word, in seconds.
-MEET_S = 1.0
+PEER_REPLY_WAIT_S = 1.0
 #: Pause after the store gave no proof, spread by as much again, in seconds.
 RETRY_S = 0.3
 
 
-class Confirming(app.Component):
+class ConfigurationConfirmer(app.Component):
     """Asks the store, or other hosts, by the age of the proof.
 
     Only where routes need the key of a workspace, and keys have to end in
@@ -48,7 +48,7 @@
         bound_s: float | None,
         known: catalog.Catalog,
         decoder: keymirror.Decoder,
-        kept: store.Store,
+        kv_store: store.Store,
         followed: follower.Follower,
         others: members.Members,
         placer: placing.Placer,
@@ -58,7 +58,7 @@
         self.proof = confirmation.Confirmation(bound_s)
         self.catalog = known
         self.decoder = decoder
-        self.store = kept
+        self.store = kv_store
         self.follower = followed
         self.members = others
         self.placer = placer
@@ -105,18 +105,18 @@
         now_s = self.clock.boot_s()
         match self.proof.source(now_s, self.placer.leading):
             case confirmation.Source.STORE:
-                self._ask_others(self._some_peers())
+                self._ask_peers(self._sample_peers())
                 if self._may_ask_store() and not self._ask_store():
                     self.clock.sleep(RETRY_S * (1 + self.rng.random()))
             case confirmation.Source.PEERS:
-                self._ask_others(self._some_peers())
+                self._ask_peers(self._sample_peers())
             case confirmation.Source.LEADER:
                 leader = self.placer.leader
-                self._ask_others([leader] if leader else self._some_peers())
+                self._ask_peers([leader] if leader else self._sample_peers())
 
-    def _some_peers(self) -> list[str]:
+    def _sample_peers(self) -> list[str]:
         listening = self.members.listening()
-        asked = self.rng.sample(listening, min(ASKED, len(listening)))
+        asked = self.rng.sample(listening, min(PEERS_ASKED, len(listening)))
         return list({*asked, *self.members.watchers()})
 
     def _may_ask_store(self) -> bool:
@@ -129,7 +129,7 @@
             return True
         return not self.follower.listening and not self.follower.cut_off_s()
 
-    def listed(self, asked_s: float) -> None:
+    def record_full_read(self, asked_s: float) -> None:
         """All keys were read, and the configuration with them."""
         if not self.needed():
             return
@@ -169,29 +169,29 @@
         if newest.version > own_version:
             self.follower.behind.set()
             return False
-        if item.position.era and not self._has_met_others():
+        if item.position.era and not self._has_peer_reply():
             return False
         self.proof.record_proof(asked_s, own_version)
         return True
 
-    def _has_met_others(self) -> bool:
+    def _has_peer_reply(self) -> bool:
         """Whether a host that starts on a copy of the store may trust it.
 
         The others may go by a newer configuration than the copy has.
         """
         if self.proof.newest_peer_version >= 0 or not self.members.listening():
             return True
-        return self.clock.boot_s() - self.started_s >= MEET_S
+        return self.clock.boot_s() - self.started_s >= PEER_REPLY_WAIT_S
 
     # Other hosts.
 
-    def _ask_others(self, addresses: list[str]) -> None:
+    def _ask_peers(self, addresses: list[str]) -> None:
         for address in addresses:
             nonce = self.rng.getrandbits(62)
             self.proof.record_query(nonce, self.clock.boot_s())
             self.placer.send(address, duty_codec.ConfirmationRequest(nonce))
 
-    def asked(
+    def handle_request(
         self, request: duty_codec.ConfirmationRequest
     ) -> duty_codec.ConfirmationReply | None:
         """Another host asks for a proof; None if this one can tell nothing.
@@ -206,7 +206,7 @@
             self.clock.boot_s() - self.proof.proved_s,
         )
 
-    def heard(self, reply: duty_codec.ConfirmationReply) -> None:
+    def handle_reply(self, reply: duty_codec.ConfirmationReply) -> None:
         """Another host has told its proof."""
         configuration = self.catalog.configuration
         if configuration is None:
--- a/magnoliadyke/gateway/duty_codec.py
+++ b/magnoliadyke/gateway/duty_codec.py
@@ -16,7 +16,7 @@
 
 MILLI = 1000
 #: Largest age that fits the field, in milliseconds.
-MAX_MS = 2**31 - 1
+MAX_AGE_MS = 2**31 - 1
 
 
 class ConfirmationRequest(NamedTuple):
@@ -63,7 +63,7 @@
             datagram.confirmation_request = ttypes.ConfirmationRequest(nonce)
         case ConfirmationReply(nonce, version, age_s):
             datagram.confirmation_reply = ttypes.ConfirmationReply(
-                nonce, version, round(min(age_s * MILLI, MAX_MS))
+                nonce, version, round(min(age_s * MILLI, MAX_AGE_MS))
             )
         case Usage(host, incarnation, windows, wall_s):
             datagram.usage = ttypes.Usage(
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -62,7 +62,7 @@
     suspects: suspects.Suspects
     backoffs: backoffs.Backoffs
     rng: random.Random
-    begun: usageduty.Begun
+    begun: usageduty.StartRecorder
 
 
 class Exchange(abc.ABC):
--- a/magnoliadyke/gateway/figures.py
+++ b/magnoliadyke/gateway/figures.py
@@ -32,8 +32,8 @@
     """The parts of a host whose figures are told."""
 
     catalog: catalog.Catalog
-    confirming: confirming.Confirming
-    fleet: autoscaling.FleetDuty
+    confirming: confirming.ConfigurationConfirmer
+    fleet: autoscaling.AutoscalingDuty
     follower: follower.Follower
     ingress: ingress.Ingress
     members: members.Members
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -23,7 +23,7 @@
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
-__all__ = ['LEADER_KEY', 'Leadership', 'placing_capacity']
+__all__ = ['LEADER_KEY', 'Leadership', 'placement_capacity']
 
 LOG = logs.get('leadership')
 
@@ -47,9 +47,9 @@
 #: A holder that a host has never met, and that answers nothing, counts as gone
 #: this long after the host has heard of it, in seconds: gossip takes as long
 #: to find a host dead.
-UNMET_S = 2.0
+UNMET_TIMEOUT_S = 2.0
 #: How often the holder looks whether it has to give way.
-HOLD_TICK_S = 0.25
+HOLD_CHECK_INTERVAL_S = 0.25
 #: Pause after a call to the store that failed, spread by as much again.
 RETRY_S = 0.5
 #: A host that has just started, and has heard of no holder, gives the others
@@ -59,8 +59,8 @@
 GATHERING_S = 1.5
 #: What placing one prompt takes of the placing host: seconds of a core, and
 #: bits on its link for the question, the answer and the reports.
-PLACED_CORE_S = 0.0003
-PLACED_BITS = 12_000
+PLACEMENT_CORE_S = 0.0003
+PLACEMENT_LINK_BITS = 12_000
 #: Each candidate waits this much longer than the one before it, so that
 #: mostly one writes.
 RANK_DELAY_S = 0.12
@@ -74,9 +74,9 @@
 #: After a restore of the store whoever leads goes on placing, and has this
 #: long to take the key again before others do, in seconds: hosts read the
 #: restored store up to a pause between two calls apart.
-TAKEN_AGAIN_S = 1.5
+REACQUIRE_GRACE_S = 1.5
 #: Terms of holders that are remembered, to know them in a copy of the store.
-MOST_TERMS = 32
+MAX_TERMS = 32
 
 
 #: What a call came to.
@@ -113,20 +113,20 @@
         own: members.HostRecord,
         others: members.Members,
         placer: placing.Placer,
-        kept: store.Store,
+        kv_store: store.Store,
         min_lease_s: float,
         order_gap_s: float,
-        tell: Callable[[placing_codec.Leads], None],
+        broadcast: Callable[[placing_codec.Leads], None],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self.own = own
         self.members = others
         self.placer = placer
-        self.store = kept
+        self.store = kv_store
         self.lease_s = max(LEASE_S, min_lease_s)
         self.order_gap_s = order_gap_s
-        self.tell = tell
+        self.broadcast = broadcast
         self.contact: follower.Follower | None = None
         self.yielding = False
         self.yielded = position.START
@@ -141,7 +141,7 @@
         self.holder_incarnation = 0
         self.holder_position = position.START
         self.terms: collections.deque[_Term] = collections.deque(
-            maxlen=MOST_TERMS
+            maxlen=MAX_TERMS
         )
         self.holder_since_s = clock.now_s()
         self.vacant_since_s: float | None = clock.now_s()
@@ -213,7 +213,9 @@
     def changed(self, item: store.Item) -> None:
         """A host holds the lease."""
         fields = json.loads(item.value)
-        self._note_holder(fields['host'], fields['incarnation'], item.position)
+        self._record_holder(
+            fields['host'], fields['incarnation'], item.position
+        )
         if self.holder != self.own.host or self.lease is None:
             self.placer.follow(fields['address'], item.position)
             LOG.event('leader', leader=self.holder, position=item.position)
@@ -224,9 +226,9 @@
         The last holder is asked as before until there is another one: the
         store may have been away while the holder lives.
         """
-        self._vacate(position.START)
+        self._record_vacancy(position.START)
 
-    def _vacate(self, key: position.Position) -> None:
+    def _record_vacancy(self, key: position.Position) -> None:
         """Nobody holds the lease.
 
         :param key: where the key is that a holder of before has left
@@ -255,7 +257,7 @@
             # Its lease may be gone: no orders before it has been renewed.
             # Another host may have led since the copy was made.
             self.held = self.holder_position = item.position
-            self.order_from_s = self._orders_apart_s()
+            self.order_from_s = self._first_order_s()
             self.order_until_s = 0.0
             self.renew_s = 0.0
             return
@@ -266,11 +268,11 @@
         if term is not None and (term == present or term not in self.terms):
             self.changed(item)
             return
-        self._vacate(position.START if item is None else item.position)
+        self._record_vacancy(position.START if item is None else item.position)
         if not self.placer.leading:
-            self.vacant_since_s += TAKEN_AGAIN_S
+            self.vacant_since_s += REACQUIRE_GRACE_S
 
-    def _note_holder(
+    def _record_holder(
         self, host: str, incarnation: int, key: position.Position
     ) -> None:
         if key != self.holder_position:
@@ -288,30 +290,30 @@
 
     # Word of other hosts.
 
-    def heard(self, message: placing_codec.Leads) -> None:
+    def handle_announcement(self, message: placing_codec.Leads) -> None:
         """Another host leads, or gives way.
 
         A host that the store turns away would otherwise go on placing for
         itself, beside the one that took over, until its lease ends.
         """
-        told = message.position
-        if told < self.holder_position or told.era < self._era():
+        announced = message.position
+        if announced < self.holder_position or announced.era < self._era():
             return
         if message.yields:
-            self.yielded = told
-        elif self.yielded == told:
+            self.yielded = announced
+        elif self.yielded == announced:
             self.yielded = position.START
-        if told == self.holder_position:
+        if announced == self.holder_position:
             return
-        self._note_holder(message.host, message.incarnation, told)
+        self._record_holder(message.host, message.incarnation, announced)
         if self.lease is not None:
             LOG.warning_event('leadership_taken', by=message.host)
             self.lease = None
             self.yielding = False
-        self.placer.follow(message.address, told)
-        LOG.event('leader', leader=self.holder, position=told)
+        self.placer.follow(message.address, announced)
+        LOG.event('leader', leader=self.holder, position=announced)
 
-    def _word(self) -> placing_codec.Leads:
+    def _announcement(self) -> placing_codec.Leads:
         return placing_codec.Leads(
             self.own.host,
             self.own.address,
@@ -326,7 +328,7 @@
         while True:
             if self.lease is not None:
                 self._hold()
-                self.clock.sleep(HOLD_TICK_S)
+                self.clock.sleep(HOLD_CHECK_INTERVAL_S)
             else:
                 self.clock.sleep(TICK_S)
                 self._contend()
@@ -342,7 +344,7 @@
             if cut_off != self.yielding:
                 LOG.event('yielding', yields=cut_off, fencing=self.fencing)
             self.yielding = cut_off
-            self.tell(self._word())
+            self.broadcast(self._announcement())
 
     def _contend(self) -> None:
         if self.members.leaving:
@@ -361,7 +363,7 @@
         # Who leads already knows the engines, and goes first.
         rank = 0 if self.placer.leading else 1 + self._rank()
         if vacant_s >= rank * RANK_DELAY_S:
-            self._take()
+            self._acquire()
 
     def _holder_is_dead(self) -> bool:
         """The process that holds the lease is gone, as far as is known.
@@ -392,7 +394,7 @@
         not asked it.
         """
         now_s = self.clock.now_s()
-        if now_s - self.holder_since_s < UNMET_S:
+        if now_s - self.holder_since_s < UNMET_TIMEOUT_S:
             return False
         return now_s < self.placer.silent_until_s
 
@@ -409,10 +411,12 @@
             for host in self.members.listed
             if host in self.members.records
         ]
-        own = _order(self.own)
-        return min(MAX_RANK, sum(1 for each in listed if _order(each) < own))
+        own = _rank_key(self.own)
+        return min(
+            MAX_RANK, sum(1 for each in listed if _rank_key(each) < own)
+        )
 
-    def _take(self) -> None:
+    def _acquire(self) -> None:
         asked_s = self.clock.now_s()
         # Another host may lead by the time that the store has answered; the
         # key is taken only from the holder that was found to be gone.
@@ -438,7 +442,7 @@
                 self.store.revoke(granted.lease)
             case store.Written(written):
                 by_force = replaced != position.START
-                self._taken(granted, written, asked_s, by_force)
+                self._record_acquired(granted, written, asked_s, by_force)
             case store.Conflict():
                 self.vacant_since_s = None
                 self.store.revoke(granted.lease)
@@ -451,7 +455,7 @@
                 # renewal the lease ends by itself.
                 self.vacant_since_s = self.clock.now_s()
 
-    def _taken(
+    def _record_acquired(
         self,
         granted: store.Granted,
         written: position.Position,
@@ -461,13 +465,13 @@
         now_s = self.clock.now_s()
         self.lease = granted.lease
         self.held = written
-        self._note_holder(self.own.host, self.own.incarnation, written)
-        self.order_from_s = self._orders_apart_s()
+        self._record_holder(self.own.host, self.own.incarnation, written)
+        self.order_from_s = self._first_order_s()
         self.order_until_s = asked_s + granted.ttl_s * ORDER_SHARE
         self.yielding = False
         self.renew_s = now_s + RENEW_S
         self.placer.lead()
-        self.tell(self._word())
+        self.broadcast(self._announcement())
         LOG.event(
             'leading',
             fencing=self.fencing,
@@ -476,7 +480,7 @@
             by_force=by_force,
         )
 
-    def _orders_apart_s(self) -> float:
+    def _first_order_s(self) -> float:
         """When orders of a holder before this one have long ended."""
         return self.clock.now_s() + self.order_gap_s + GAP_MARGIN_S
 
@@ -499,15 +503,15 @@
     return _Term(fields['host'], fields['incarnation'], item.position.revision)
 
 
-def placing_capacity(cores: float, link_mbps: float) -> float:
+def placement_capacity(cores: float, link_mbps: float) -> float:
     """Prompts a second that a machine can place for all.
 
     Where its link is narrow the questions of other hosts wait behind the
     bodies of its own requests, and those hosts place alone.
     """
-    return min(cores / PLACED_CORE_S, link_mbps * 1e6 / PLACED_BITS)
+    return min(cores / PLACEMENT_CORE_S, link_mbps * 1e6 / PLACEMENT_LINK_BITS)
 
 
-def _order(record: members.HostRecord) -> tuple[float, bytes]:
+def _rank_key(record: members.HostRecord) -> tuple[float, bytes]:
     digest = hashlib.blake2b(record.host.encode(), digest_size=8).digest()
     return (-record.capacity, digest)
--- a/magnoliadyke/gateway/operatorcalls.py
+++ b/magnoliadyke/gateway/operatorcalls.py
@@ -31,7 +31,7 @@
 
     reason: str
     scarce: bool = False
-    again: bool = True
+    retryable: bool = True
 
 
 class Unreachable(NamedTuple):
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -25,32 +25,32 @@
 #: An order without an answer may be carried out seconds later, also by the
 #: next process of that name, whose count of orders begins anew; the engine of
 #: that name is left alone for so long.
-UNANSWERED_S = 15.0
+UNANSWERED_COOLDOWN_S = 15.0
 #: While no engine answers, an order without an answer, or one that was
 #: refused, is repeated after this time, in seconds: longer than the engine's
 #: answer is waited for.
-REPEAT_S = 2.0
+RETRY_INTERVAL_S = 2.0
 #: Orders under way at one time.
-ORDERED_AT_ONCE = 8
+MAX_CONCURRENT_ORDERS = 8
 #: Time beyond the change itself in which running requests end.
-SETTLE_S = 8.0
+DRAIN_ALLOWANCE_S = 8.0
 
 
-class Hindrance(enum.Enum):
+class BlockedReason(enum.Enum):
     """Why no order goes out in a look at a service."""
 
     NONE = 'none'
     NO_ENGINE = 'there is no engine to change'
     LEASE = 'the lease allows no order now'
     PLAN = 'the plan wants no change'
-    LEFT_ALONE = 'engines are left alone after an order'
+    COOLING_DOWN = 'engines are left alone after an order'
 
 
 class _Fleet(NamedTuple):
     """The engines of a service, by what they do."""
 
-    reading: list[catalog.Endpoint]
-    answering: list[catalog.Endpoint]
+    prefilling: list[catalog.Endpoint]
+    decoding: list[catalog.Endpoint]
     changing: list[catalog.Endpoint]
 
 
@@ -61,8 +61,8 @@
     :ivar hindrance: as last logged, None before the first line
     """
 
-    begun_s: float
-    hindrance: Hindrance | None = None
+    started_s: float
+    hindrance: BlockedReason | None = None
 
 
 class Stages(app.Component):
@@ -85,8 +85,8 @@
         self.clock = clock
         self.plans: dict[str, stageplan.StagePlan] = {}
         self.changing: dict[str, tuple[catalog.Stage, float]] = {}
-        self.alone_until_s: dict[str, float] = {}
-        self.repeat_from_s: dict[str, float] = {}
+        self.cooldown_until_s: dict[str, float] = {}
+        self.retry_from_s: dict[str, float] = {}
         self.outages: dict[str, _Outage] = {}
         self.greenlet: gevent.Greenlet | None = None
 
@@ -112,11 +112,11 @@
     def _plan(self, service: str, core) -> None:
         now_s = self.clock.now_s()
         plan = self.plans.setdefault(service, stageplan.StagePlan())
-        self._settle(now_s)
+        self._drop_finished_changes(now_s)
         fleet = self._fleet(service)
         plan.record_load(core.load(now_s), self._sizes(fleet, core), now_s)
-        hindrance = self._change(plan, fleet, core, now_s)
-        self._note_outage(service, fleet, hindrance, now_s)
+        hindrance = self._order_change(plan, fleet, core, now_s)
+        self._log_outage(service, fleet, hindrance, now_s)
 
     def _fleet(self, service: str) -> _Fleet:
         engines = self.catalog.usable(service)
@@ -127,36 +127,38 @@
             [e for e in engines if e.id in self.changing],
         )
 
-    def _change(
+    def _order_change(
         self, plan: stageplan.StagePlan, fleet: _Fleet, core, now_s: float
-    ) -> Hindrance:
+    ) -> BlockedReason:
         """Order what the plan wants.
 
         :returns: why nothing was ordered
         """
         if not any(fleet):
-            return Hindrance.NO_ENGINE
+            return BlockedReason.NO_ENGINE
         if not self.leadership.may_order():
-            return Hindrance.LEASE
+            return BlockedReason.LEASE
         change = plan.decide(self._sizes(fleet, core), now_s)
         if change is None:
-            return Hindrance.PLAN
+            return BlockedReason.PLAN
         candidates = self._candidates(change, fleet, now_s)
         if not candidates:
-            return Hindrance.LEFT_ALONE
+            return BlockedReason.COOLING_DOWN
         candidates.sort(key=lambda e: core.load_order(e.id, now_s))
         target = catalog.Stage.DECODE
         if change.to_prefill:
             target = catalog.Stage.PREFILL
-        self._order(_spread(candidates, change.count), target, core)
-        return Hindrance.NONE
+        self._order(
+            _spread_over_domains(candidates, change.count), target, core
+        )
+        return BlockedReason.NONE
 
     def _sizes(self, fleet: _Fleet, core) -> stageplan.Fleet:
         return stageplan.Fleet(
-            len(fleet.reading),
-            len(fleet.answering),
+            len(fleet.prefilling),
+            len(fleet.decoding),
             len(fleet.changing),
-            self._to_answering(fleet),
+            self._to_decode(fleet),
             core.traits.stage_change_s,
         )
 
@@ -171,19 +173,23 @@
         carries out one of them at most.
         """
         if change.to_prefill:
-            engines, from_s = fleet.answering, self.alone_until_s
-        elif fleet.answering:
-            engines, from_s = fleet.reading, self.alone_until_s
+            engines, from_s = fleet.decoding, self.cooldown_until_s
+        elif fleet.decoding:
+            engines, from_s = fleet.prefilling, self.cooldown_until_s
         else:
-            engines, from_s = fleet.reading, self.repeat_from_s
+            engines, from_s = fleet.prefilling, self.retry_from_s
         return [e for e in engines if from_s.get(e.name, 0.0) <= now_s]
 
-    def _to_answering(self, fleet: _Fleet) -> int:
+    def _to_decode(self, fleet: _Fleet) -> int:
         wanted = [self.changing[each.id][0] for each in fleet.changing]
         return wanted.count(catalog.Stage.DECODE)
 
-    def _note_outage(
-        self, service: str, fleet: _Fleet, hindrance: Hindrance, now_s: float
+    def _log_outage(
+        self,
+        service: str,
+        fleet: _Fleet,
+        hindrance: BlockedReason,
+        now_s: float,
     ) -> None:
         """Log that no engine answers, what holds a change back, and the end.
 
@@ -191,10 +197,10 @@
         and what holds the change back tells whose fault that is.
         """
         outage = self.outages.get(service)
-        if fleet.answering:
+        if fleet.decoding:
             if outage is not None:
                 del self.outages[service]
-                after_s = now_s - outage.begun_s
+                after_s = now_s - outage.started_s
                 LOG.event('engine_answers', service=service, after_s=after_s)
             return
         if outage is None:
@@ -205,12 +211,12 @@
         LOG.warning_event(
             'no_engine_answers',
             service=service,
-            reading=len(fleet.reading),
+            reading=len(fleet.prefilling),
             changing=len(fleet.changing),
             hindrance=hindrance.value,
         )
 
-    def _settle(self, now_s: float) -> None:
+    def _drop_finished_changes(self, now_s: float) -> None:
         """Engines that have changed, or will not, are steady again."""
         for endpoint_id, (stage, until_s) in list(self.changing.items()):
             endpoint = self.catalog.endpoints.get(endpoint_id)
@@ -234,8 +240,10 @@
         An order of a holder before that is still on its way is refused by
         the engine: it names the number of orders that it was meant for.
         """
-        asked = gevent.pool.Pool(ORDERED_AT_ONCE)
-        states = asked.map(lambda e: self._orders_so_far(e, stage), endpoints)
+        workers = gevent.pool.Pool(MAX_CONCURRENT_ORDERS)
+        states = workers.map(
+            lambda e: self._accepted_orders(e, stage), endpoints
+        )
         ready = [
             (endpoint, orders)
             for endpoint, orders in zip(endpoints, states, strict=True)
@@ -248,9 +256,9 @@
             LOG.event('orders_put_off', count=len(ready), cause=checked)
             return
         if self.leadership.may_order():
-            asked.map(lambda one: self._send(*one, stage, core), ready)
+            workers.map(lambda one: self._send(*one, stage, core), ready)
 
-    def _orders_so_far(
+    def _accepted_orders(
         self, endpoint: catalog.Endpoint, stage: catalog.Stage
     ) -> int | None:
         """The number of orders before this one; None if none may be given."""
@@ -287,20 +295,24 @@
         )
         match outcome:
             case enginecontrol.Ordered(accepted=True):
-                until_s = now_s + core.traits.stage_change_s + SETTLE_S
+                until_s = (
+                    now_s + core.traits.stage_change_s + DRAIN_ALLOWANCE_S
+                )
                 self.changing[endpoint.id] = (stage, until_s)
                 core.change_stage(endpoint.id, stage, until_s)
             case enginecontrol.Unreachable():
-                self._leave_alone(endpoint.name, UNANSWERED_S, now_s)
+                self._start_cooldown(
+                    endpoint.name, UNANSWERED_COOLDOWN_S, now_s
+                )
             case _:
-                self._leave_alone(endpoint.name, REPEAT_S, now_s)
+                self._start_cooldown(endpoint.name, RETRY_INTERVAL_S, now_s)
 
-    def _leave_alone(self, name: str, for_s: float, now_s: float) -> None:
-        self.alone_until_s[name] = now_s + for_s
-        self.repeat_from_s[name] = now_s + REPEAT_S
+    def _start_cooldown(self, name: str, for_s: float, now_s: float) -> None:
+        self.cooldown_until_s[name] = now_s + for_s
+        self.retry_from_s[name] = now_s + RETRY_INTERVAL_S
 
 
-def _spread(
+def _spread_over_domains(
     candidates: list[catalog.Endpoint], count: int
 ) -> list[catalog.Endpoint]:
     """The first ones of each failure domain in turn.
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -25,15 +25,15 @@
 
 REPORTS_KEY = 'magnoliadyke/usage'
 #: How often counts are told, in seconds.
-TELL_S = 1.0
+SEND_INTERVAL_S = 1.0
 #: Hosts that keep a copy of what the host that leads has counted itself: it
 #: is told to nobody else, and would go with that host.
-COPIES = 2
+COPY_HOSTS = 2
 #: Counts in a datagram: it stays whole on networks that carry 1,400 bytes.
-TOLD_AT_ONCE = 40
+SEND_BATCH = 40
 #: From telling the counts until the answer with the time of day, at most, in
 #: seconds: a later one has waited while this host stood still.
-ANSWERED_S = 0.5
+MAX_CORRECTION_DELAY_S = 0.5
 TICK_S = 0.5
 #: From the end of a window until its report is fixed, in seconds: what began
 #: in it has been counted and told twice by then.
@@ -74,7 +74,7 @@
         leader: leadership.Leadership,
         others: members.Members,
         placer: placing.Placer,
-        kept: store.Store,
+        kv_store: store.Store,
         calls: operatorcalls.OperatorCalls | None,
         clock: clocks.Clock,
     ) -> None:
@@ -83,35 +83,37 @@
         self.settings = settings
         self.leadership = leader
         self.placer = placer
-        self.store = kept
+        self.store = kv_store
         self.calls = calls
         self.clock = clock
         self.wall = walltime.AdjustedClock(clock.wall_s(), clock.boot_s())
-        self.fleet_time = walltime.MedianClock(self.wall)
-        self.kept = usage.kept_windows(settings.window_s, settings.due_s)
-        self.tally = usage.Tally(settings.window_s, self.kept)
-        self.ledger = usage.Ledger(self.kept)
-        self.reports = usage.Reports(self.kept)
+        self.median_clock = walltime.MedianClock(self.wall)
+        self.retained_windows = usage.kept_windows(
+            settings.window_s, settings.due_s
+        )
+        self.tally = usage.Tally(settings.window_s, self.retained_windows)
+        self.ledger = usage.Ledger(self.retained_windows)
+        self.reports = usage.Reports(self.retained_windows)
         self.key: store.Item | None = None
-        self.read_for = position.START
+        self.read_term = position.START
         self.sent: set[int] = set()
-        self.copies = usage.Ledger(self.kept)
-        self.told_s = float('-inf')
+        self.copies = usage.Ledger(self.retained_windows)
+        self.last_sent_s = float('-inf')
         self.greenlets: list[gevent.Greenlet] = []
 
     def start(self) -> None:
         """Begin to tell and to report."""
         if self.calls is not None:
             self.greenlets = [
-                gevent.spawn(self._tell_all),
-                gevent.spawn(self._report_all),
+                gevent.spawn(self._run_send_loop),
+                gevent.spawn(self._run_report_loop),
             ]
 
     def stop(self, deadline_s: float) -> None:
         """Tell the counts once more, and nothing from now on."""
         gevent.killall(self.greenlets)
         if self.calls is not None:
-            self._tell()
+            self._send_usage()
 
     def wall_s(self) -> float:
         """The time of day, though this machine's clock may be set."""
@@ -119,21 +121,21 @@
 
     # What this host has seen.
 
-    def begun(self, workspace: str, ago_s: float = 0.0) -> None:
+    def record_start(self, workspace: str, ago_s: float = 0.0) -> None:
         """A request of a workspace has begun to run."""
         if self.calls is not None:
             self.tally.record_start(workspace, self.wall_s() - ago_s)
 
-    def _tell_all(self) -> None:
+    def _run_send_loop(self) -> None:
         while True:
-            self.clock.sleep(TELL_S)
-            self._tell()
+            self.clock.sleep(SEND_INTERVAL_S)
+            self._send_usage()
 
-    def _tell(self) -> None:
+    def _send_usage(self) -> None:
         wall_s = self.wall_s()
         own = (self.host, self.incarnation)
         counted = self._messages(own, self.tally.recent(wall_s), wall_s)
-        since = self._window(0.0) - self.kept + 1
+        since = self._window(0.0) - self.retained_windows + 1
         copied = [
             message
             for process, windows in self.copies.by_process(since).items()
@@ -141,12 +143,12 @@
         ]
         if self.placer.leading:
             for message in counted + copied:
-                self.heard(message)
-            for address in self._keepers():
+                self.handle_usage(message)
+            for address in self._copy_holders():
                 for message in counted:
                     self.placer.send(address, message)
         elif self.placer.leader is not None:
-            self.told_s = self.clock.boot_s()
+            self.last_sent_s = self.clock.boot_s()
             for message in counted + copied:
                 self.placer.send(self.placer.leader, message)
 
@@ -158,22 +160,24 @@
     ) -> list[duty_codec.Usage]:
         return [
             duty_codec.Usage(*process, part, wall_s)
-            for part in usage.split(windows, TOLD_AT_ONCE)
+            for part in usage.split(windows, SEND_BATCH)
         ]
 
-    def _keepers(self) -> list[str]:
+    def _copy_holders(self) -> list[str]:
         """The hosts that keep a copy; the same ones as long as they run."""
-        return sorted(self.members.listening())[:COPIES]
+        return sorted(self.members.listening())[:COPY_HOSTS]
 
     # What other hosts tell.
 
-    def heard(self, message: duty_codec.Usage) -> duty_codec.WallTime | None:
+    def handle_usage(
+        self, message: duty_codec.Usage
+    ) -> duty_codec.WallTime | None:
         """A host tells its counts; one whose clock is off hears the time."""
         ledger = self.ledger if self.placer.leading else self.copies
         present = self._window(0.0)
         for window, begun in message.windows.items():
             # A host whose clock is far off would push the others' out.
-            if present - self.kept < window <= present + 1:
+            if present - self.retained_windows < window <= present + 1:
                 ledger.record_tally(
                     message.host, message.incarnation, window, begun
                 )
@@ -183,21 +187,23 @@
             return None
         now_s = self.clock.boot_s()
         before_s = self.wall_s()
-        told = self.fleet_time.record_peer_time(
+        corrected_s = self.median_clock.record_peer_time(
             message.host, message.wall_s, now_s
         )
-        self._moved(self.wall_s() - before_s)
-        return None if told is None else duty_codec.WallTime(told)
+        self._shift_tally(self.wall_s() - before_s)
+        return (
+            None if corrected_s is None else duty_codec.WallTime(corrected_s)
+        )
 
-    def corrected(self, message: duty_codec.WallTime) -> None:
+    def handle_wall_time(self, message: duty_codec.WallTime) -> None:
         """The host that leads tells the time that most hosts have."""
-        if self.clock.boot_s() - self.told_s > ANSWERED_S:
+        if self.clock.boot_s() - self.last_sent_s > MAX_CORRECTION_DELAY_S:
             return
         off_s = message.wall_s - self.wall_s()
         self.wall.set(message.wall_s, self.clock.boot_s())
-        self._moved(off_s)
+        self._shift_tally(off_s)
 
-    def _moved(self, by_s: float) -> None:
+    def _shift_tally(self, by_s: float) -> None:
         """This host goes by another time of day from now on."""
         if abs(by_s) < walltime.MAX_OFFSET_S:
             return
@@ -223,13 +229,13 @@
         What is known of the reports outlives it, and is written again with
         the next one.
         """
-        self.read_for = position.START
+        self.read_term = position.START
         for item in items.values():
             self.changed(item)
 
     # Reporting.
 
-    def _report_all(self) -> None:
+    def _run_report_loop(self) -> None:
         while True:
             self.clock.sleep(TICK_S)
             if not self.placer.leading:
@@ -239,12 +245,12 @@
 
     def _step(self) -> bool:
         """Fix what is due, and report it; False if some of it has to wait."""
-        done = self.read_for == self.leadership.held or self._read()
+        done = self.read_term == self.leadership.held or self._read()
         while done and (window := self._due()) is not None:
             done = self._fix(window)
         for each in sorted(self.reports.fixed):
             if each not in self.sent and not self._is_overdue(each):
-                done &= self._send(self.reports.fixed[each])
+                done &= self._report_window(self.reports.fixed[each])
         return done
 
     def _read(self) -> bool:
@@ -258,7 +264,7 @@
             case store.Unavailable(reason):
                 LOG.event('usage_not_read', reason=reason)
                 return False
-        self.read_for = held
+        self.read_term = held
         return True
 
     def _due(self) -> int | None:
@@ -270,7 +276,7 @@
             return first if first <= over else None
         if last >= over:
             return None
-        return max(last + 1, over - self.kept + 1)
+        return max(last + 1, over - self.retained_windows + 1)
 
     def _window(self, ago_s: float) -> int:
         return usage.window_of(self.wall_s() - ago_s, self.settings.window_s)
@@ -306,7 +312,7 @@
                 LOG.event('usage_not_fixed', window=window, cause=failure)
         return False
 
-    def _send(self, report: usage.Report) -> bool:
+    def _report_window(self, report: usage.Report) -> bool:
         outcome = self.leadership.call(
             lambda caller: self.calls.report_usage(
                 caller, report.window, report.counts
@@ -320,11 +326,13 @@
             fencing=self.leadership.fencing,
         )
         match outcome:
-            case operatorcalls.Done() | operatorcalls.Rejected(again=False):
+            case (
+                operatorcalls.Done() | operatorcalls.Rejected(retryable=False)
+            ):
                 self.sent.add(report.window)
                 return True
         return False
 
 
 #: Takes the name of a workspace, and how long ago its request began.
-Begun = Callable[[str, float], None]
+StartRecorder = Callable[[str, float], None]
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -162,7 +162,7 @@
         self.members.send_updates = self.placer.send
         self.follower.always_watches = lambda: self.placer.leading
         self.leadership.contact = self.follower
-        self.confirming = confirming.Confirming(
+        self.confirming = confirming.ConfigurationConfirmer(
             settings.revoke_s,
             self.catalog,
             decoder,
@@ -173,18 +173,18 @@
             clock,
             rng,
         )
-        self.follower.read_whole = self.confirming.listed
+        self.follower.read_whole = self.confirming.record_full_read
         self.follower.untold = frozenset((usageduty.REPORTS_KEY,))
         self.suspects = suspects.Suspects(clock, self._tell_hosts)
         self.placer.tell = self._tell_hosts
         self.placer.listeners = {
             placing_codec.Broken: self.suspects.heard,
-            placing_codec.Leads: self.leadership.heard,
+            placing_codec.Leads: self.leadership.handle_announcement,
             placing_codec.KeyUpdates: self.follower.take_updates,
-            duty_codec.ConfirmationRequest: self.confirming.asked,
-            duty_codec.ConfirmationReply: self.confirming.heard,
-            duty_codec.Usage: self.usage.heard,
-            duty_codec.WallTime: self.usage.corrected,
+            duty_codec.ConfirmationRequest: self.confirming.handle_request,
+            duty_codec.ConfirmationReply: self.confirming.handle_reply,
+            duty_codec.Usage: self.usage.handle_usage,
+            duty_codec.WallTime: self.usage.handle_wall_time,
         }
         parts = exchange.Parts(
             clock,
@@ -197,7 +197,7 @@
             self.suspects,
             backoffs.Backoffs(),
             rng,
-            self.usage.begun,
+            self.usage.record_start,
         )
         self.ingress = ingress.Ingress(
             settings.callers,
@@ -254,12 +254,14 @@
             callers=settings.callers,
             gossip_port=settings.peer_ports[0],
             failure_domain=settings.failure_domain,
-            capacity=leadership.placing_capacity(
+            capacity=leadership.placement_capacity(
                 settings.cores, settings.link_mbps
             ),
         )
 
-    def _duties(self) -> tuple[usageduty.UsageDuty, autoscaling.FleetDuty]:
+    def _duties(
+        self,
+    ) -> tuple[usageduty.UsageDuty, autoscaling.AutoscalingDuty]:
         """What one host does for all, as far as the platform asks for it."""
         asked = self.settings.duties
         names = () if asked is None else asked.names
@@ -279,7 +281,7 @@
             calls if USAGE in names else None,
             self.clock,
         )
-        fleet = autoscaling.FleetDuty(
+        fleet = autoscaling.AutoscalingDuty(
             self.leadership,
             self.placer,
             self.catalog,
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -448,7 +448,7 @@
     leader = next(n for n in world.nodes if n.leadership.may_order())
     later = leader.usage._window(0.0) + 2400
     windows = {later + number: {'small': 1} for number in range(20)}
-    leader.usage.heard(duty_codec.Usage('front-9', 1, windows, None))
+    leader.usage.handle_usage(duty_codec.Usage('front-9', 1, windows, None))
     made = call_for(world, 1.0)
     gatewayworld.wait_for(lambda: reported(cloud) == made, 'all reports')
     present = world.nodes[0].usage._window(0.0)
@@ -462,11 +462,11 @@
     leader, *others = serving_nodes(world, cloud)
     node = others[0].usage
     before_s = node.wall.offset_s
-    node.told_s -= 6.0
-    node.corrected(duty_codec.WallTime(node.wall_s() - 6.0))
+    node.last_sent_s -= 6.0
+    node.handle_wall_time(duty_codec.WallTime(node.wall_s() - 6.0))
     assert node.wall.offset_s == before_s
-    node.told_s = node.clock.boot_s()
-    node.corrected(duty_codec.WallTime(node.wall_s() - 6.0))
+    node.last_sent_s = node.clock.boot_s()
+    node.handle_wall_time(duty_codec.WallTime(node.wall_s() - 6.0))
     assert node.wall.offset_s < before_s - 5.0
 
 
@@ -480,7 +480,7 @@
     window, fixed = max(first.usage.reports.fixed.items())
     other = second.usage
     other.key = None
-    other.reports = usage.Reports(other.kept)
+    other.reports = usage.Reports(other.retained_windows)
     other.ledger.record_tally('front-9', 1, window, {'small': 99})
     assert not other._fix(window)
     assert other.reports.fixed[window] == fixed
--- a/tests/test_gateway_leadership.py
+++ b/tests/test_gateway_leadership.py
@@ -135,15 +135,15 @@
 
 
 def test_capacity_is_bound_by_the_link_or_the_processor():
-    assert leadership.placing_capacity(
+    assert leadership.placement_capacity(
         0.5, 10.0
-    ) < leadership.placing_capacity(0.5, 100.0)
-    assert leadership.placing_capacity(
+    ) < leadership.placement_capacity(0.5, 100.0)
+    assert leadership.placement_capacity(
         0.5, 1000.0
-    ) == leadership.placing_capacity(0.5, 10_000.0)
-    assert leadership.placing_capacity(
+    ) == leadership.placement_capacity(0.5, 10_000.0)
+    assert leadership.placement_capacity(
         0.5, 1000.0
-    ) < leadership.placing_capacity(1.0, 1000.0)
+    ) < leadership.placement_capacity(1.0, 1000.0)
 
 
 def test_answer_is_waited_for_as_long_as_the_own_link_may_hold_it_up():
@@ -158,8 +158,8 @@
 
 def test_late_word_of_an_earlier_leader_changes_nothing(world):
     first, second = hosts(world, 2)
-    word = first.leadership._word()
-    second.leadership.heard(
+    word = first.leadership._announcement()
+    second.leadership.handle_announcement(
         word._replace(host='old', position=position.Position(1, 1))
     )
     assert second.leadership.holder == first.own.host
@@ -176,18 +176,18 @@
     first, second = hosts(world, 2)
     contender = second.leadership
     fencing = first.leadership.fencing
-    word = first.leadership._word()
+    word = first.leadership._announcement()
     contender.holder = None
     contender.holder_position = position.START
     grant = second.store.grant
 
     def slow_grant(ttl_s):
         granted = grant(ttl_s)
-        contender.heard(word)
+        contender.handle_announcement(word)
         return granted
 
     second.store.grant = slow_grant
-    contender._take()
+    contender._acquire()
     assert contender.lease is None
     assert contender.holder == first.own.host
     assert first.leadership.fencing == fencing
--- a/tests/test_gateway_restart.py
+++ b/tests/test_gateway_restart.py
@@ -137,7 +137,7 @@
     met.pop(other.own.host, None)
     leader.members.core._view = None
     assert leader.members.listening() == [other.own.address]
-    word = leader.leadership._word()
+    word = leader.leadership._announcement()
     later = _next_term(word)
     leader._tell_hosts(later)
     gatewayworld.wait_for(
@@ -161,10 +161,10 @@
         lambda: other.placer.leader == leader.own.address, 'the holder'
     )
     other.placer.silent_until_s = other.clock.now_s() + 60.0
-    word = leader.leadership._word()
-    other.leadership.heard(word)
+    word = leader.leadership._announcement()
+    other.leadership.handle_announcement(word)
     assert other.placer.silent_until_s > 0.0
-    other.leadership.heard(_next_term(word))
+    other.leadership.handle_announcement(_next_term(word))
     assert other.placer.silent_until_s == 0.0
 
 
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -113,7 +113,7 @@
     world.endpoints['d1'].stop()
     core = press(node)
     node.stages._send(engine, 0, catalog.Stage.PREFILL, core)
-    assert node.stages.alone_until_s['d1'] > node.clock.now_s() + 10
+    assert node.stages.cooldown_until_s['d1'] > node.clock.now_s() + 10
 
 
 @pytest.fixture
@@ -134,8 +134,8 @@
 @pytest.mark.parametrize(
     ('may_order', 'left_alone', 'hindrance'),
     [
-        (False, False, stages.Hindrance.LEASE),
-        (True, True, stages.Hindrance.LEFT_ALONE),
+        (False, False, stages.BlockedReason.LEASE),
+        (True, True, stages.BlockedReason.COOLING_DOWN),
     ],
 )
 def test_log_tells_why_no_engine_is_made_to_answer(
@@ -151,7 +151,7 @@
     node.stages.leadership.may_order = lambda: may_order
     if left_alone:
         for name in ('p0', 'p1'):
-            node.stages.repeat_from_s[name] = node.clock.now_s() + 60
+            node.stages.retry_from_s[name] = node.clock.now_s() + 60
     for name in ('d0', 'd1', 'd2'):
         world.store.remove(f'servers/{name}')
     gatewayworld.wait_for(lambda: lines(logged, 'no_engine_answers'), 'line')
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -333,7 +333,7 @@
         host = self.hosts[pick]
         before = host.leadership.holder
         message = data.draw(strategies.sampled_from(self.told))
-        host.leadership.heard(message)
+        host.leadership.handle_announcement(message)
         if message.position.era < host.position.era:
             assert host.leadership.holder == before
 
