--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -1,4 +1,4 @@
-"""Which host places prompts and orders stages: the holder of a lease."""
+"""Elects the placement leader through a lease in the store."""
 
 import collections
 import hashlib
@@ -28,63 +28,72 @@
 LOG = logs.get('leadership')
 
 LEADER_KEY = 'magnoliadyke/leader'
-#: Time to live of the lease.  What a holder knows of the engines is lost
-#: with it, so it outlasts the usual cuts between one host and the store; a
-#: holder that dies is replaced sooner, by the word of gossip.
+#: Time to live of the lease, in seconds.  A change of leader loses the
+#: leader's record of jobs at the engines, so the lease outlasts the usual
+#: network interruptions between one host and the store.  A leader that dies
+#: is replaced sooner, once gossip reports it dead.
 LEASE_S = 12.0
+#: Interval between renewals of the lease, in seconds.
 RENEW_S = 2.0
-#: Part of the time to live after which the holder gives no more orders,
-#: counted from before the renewal was sent: its clock and the store's may
-#: run apart by the rest.
+#: Share of the time to live during which the leader may send orders, counted
+#: from before the renewal was sent.  The remainder allows for drift between
+#: its clock and the store's.
 ORDER_SHARE = 0.8
+#: Interval between checks for a vacant lease on other hosts, in seconds.
 TICK_S = 0.1
-#: A holder that the store has not answered for this long gives way, and
-#: another host takes over that has had the store in reach for so long: a
-#: watch that fails is seen within half a second, and a store that nobody
-#: reaches comes back to all hosts within that time.
+#: The leader yields after it has not reached the store for this long, in
+#: seconds.  A failed watch is detected within 0.5 s, and after an outage of
+#: the store all hosts reconnect within that time.
 YIELD_S = 1.5
+#: A host replaces a yielding leader only after the store has been reachable
+#: for this long, in seconds.
 IN_REACH_S = 1.0
-#: A holder that a host has never met, and that answers nothing, counts as gone
-#: this long after the host has heard of it, in seconds: gossip takes as long
-#: to find a host dead.
+#: A leader that is not a member in gossip, and that does not answer
+#: placement requests, is treated as dead this long after this host learned
+#: of its lease, in seconds: gossip takes as long to declare a host dead.
 UNMET_TIMEOUT_S = 2.0
-#: How often the holder looks whether it has to give way.
+#: Interval between the leader's checks of its lease and of its connection
+#: to the store, in seconds.
 HOLD_CHECK_INTERVAL_S = 0.25
-#: Pause after a call to the store that failed, spread by as much again.
+#: Shortest pause after a failed call to the store, in seconds; jitter adds
+#: up to as much again.
 RETRY_S = 0.5
-#: A host that has just started, and has heard of no holder, gives the others
-#: so long to be listed, in seconds: the first one listed would else lead
-#: whatever its machine.  Hosts of a fleet start within some tenths of a
-#: second, and read the list again within half a second.
+#: A host that has just started and knows no leader waits this long before
+#: it contends, in seconds, so that the other hosts are listed first.  Else
+#: the first listed host would lead, whatever its capacity.  Hosts of a fleet
+#: start within some tenths of a second, and reread the list within 0.5 s.
 GATHERING_S = 1.5
-#: What placing one prompt takes of the placing host: seconds of a core, and
-#: bits on its link for the question, the answer and the reports.
+#: Cost of one placement to the leader: CPU seconds, and bits on its network
+#: link for the request, the decision and the reports.
 PLACEMENT_CORE_S = 0.0003
 PLACEMENT_LINK_BITS = 12_000
-#: Each candidate waits this much longer than the one before it, so that
-#: mostly one writes.
+#: A candidate waits this long per rank, in seconds, so that usually only one
+#: writes the key.
 RANK_DELAY_S = 0.12
+#: Rank of the candidates with the longest delay.
 MAX_RANK = 8
-#: Added to the time that two holders' orders are apart, in seconds.  The one
-#: before asks the store whether it still holds the key before each order,
-#: so its last one left within a call's time of the key's change.
+#: Added to the gap between the orders of two leaders, in seconds.  A leader
+#: checks at the store that it still holds the key before each order, so the
+#: previous leader sent its last order at most one call's duration after the
+#: key changed.
 GAP_MARGIN_S = 1.5
 
 
-#: After a restore of the store whoever leads goes on placing, and has this
-#: long to take the key again before others do, in seconds: hosts read the
-#: restored store up to a pause between two calls apart.
+#: After a restore of the store the current leader keeps placing, and the
+#: other hosts wait this much longer before they contend, in seconds.  Hosts
+#: read the restored store up to one retry pause apart.
 REACQUIRE_GRACE_S = 1.5
-#: Terms of holders that are remembered, to know them in a copy of the store.
+#: Number of terms remembered, to recognize a former leader that a restored
+#: copy of the store names.
 MAX_TERMS = 32
 
 
-#: What a call came to.
+#: Outcome of a call to the platform.
 _Outcome = TypeVar('_Outcome')
 
 
 class _Term(NamedTuple):
-    """Who holds the lease, and the revision of the key."""
+    """One process's time as leader, with the revision of its key."""
 
     host: str
     incarnation: int
@@ -92,20 +101,24 @@
 
 
 class Leadership(app.Component, keymirror.Listener):
-    """Takes, keeps and follows the lease.
-
-    :param min_lease_s: shortest lease that the store grants
-    :param order_gap_s: orders of two holders are at least this far apart
-    :param tell: sends a message to all other hosts
-    :ivar contact: knows whether the store is in reach
-    :ivar yielding: this host holds the lease and gives way
-    :ivar yielded: position of a holder that gives way
-    :ivar held: position of the own key, as long as this host holds the lease
-    :ivar holder_position: position of the key of the present holder, or of
-        one that no longer holds it in a copy of the store; ``START`` where
+    """Acquires and renews the leader lease, or follows its holder.
+
+    :param min_lease_s: shortest time to live that the store grants, in
+        seconds
+    :param order_gap_s: minimum time between the last order of one leader and
+        the first order of the next, in seconds
+    :param broadcast: sends a message to all other hosts
+    :ivar contact: follower of the store, which reports whether the store is
+        reachable
+    :ivar yielding: whether this host holds the lease and asks to be replaced
+    :ivar yielded: position of the key of a leader that asks to be replaced
+    :ivar held: position of this host's own key while it holds the lease
+    :ivar holder_position: position of the current leader's key, or of the
+        key of a former leader in a restored copy of the store; ``START`` if
         there is no key
-    :ivar holder_since_s: when this host heard of the present holder
-    :ivar order_from_s: when orders of the holder before have long ended
+    :ivar holder_since_s: when this host learned of the current leader
+    :ivar order_from_s: when this host may send its first order, after those
+        of the previous leader have taken effect
     """
 
     def __init__(
@@ -150,28 +163,31 @@
 
     @property
     def fencing(self) -> int:
-        """Token of this host's orders; grows with each holder and era."""
+        """Fencing token of this host's orders.
+
+        It grows with each leader and with each store epoch.
+        """
         return self.held.packed
 
     def start(self) -> None:
-        """Begin to contend."""
+        """Start to contend for the lease."""
         self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Give the lease up."""
+        """Stop contending and revoke the lease."""
         if self.greenlet is not None:
             self.greenlet.kill()
         self.resign()
 
     def resign(self) -> None:
-        """Let another host take over."""
+        """Revoke the lease so that another host can take over."""
         lease, self.lease = self.lease, None
         self.placer.leading = False
         if lease is not None:
             self.store.revoke(lease)
 
     def may_order(self) -> bool:
-        """Whether an order sent now is certainly under the own lease."""
+        """Whether an order sent now is certainly covered by the lease."""
         return (
             self.lease is not None
             and not self.yielding
@@ -181,37 +197,44 @@
     def confirm(
         self,
     ) -> store.Written | store.Conflict | store.Restored | store.Unavailable:
-        """Ask the store whether the key is still this holder's.
+        """Check at the store that this host still holds the key.
 
-        A transaction that writes nothing: a host that was paused learns so
-        that it has lost the lease before it orders anything.
+        The transaction writes nothing.  With it a host that was suspended
+        detects that it has lost the lease before it sends an order.
 
-        :returns: ``Written`` if it is
+        :returns: ``Written`` if this host still holds the key
         """
         return self.store.commit({LEADER_KEY: self.held})
 
     def call(
         self, make: Callable[[operatorcalls.Caller], _Outcome]
     ) -> _Outcome | operatorcalls.Unreachable:
-        """Make a call that only the holder may make.
+        """Make a call that only the leader may make.
+
+        Checks first at the store that this host still is the leader.
 
-        The store is asked first whether this host still is the holder.
+        :param make: makes the call, given this host's name and fencing token
+        :returns: ``Unreachable`` if the call was not made, else its outcome
         """
         checked = self.confirm()
         if not isinstance(checked, store.Written):
-            return operatorcalls.Unreachable(f'not made: {checked}')
+            return operatorcalls.Unreachable(
+                f'call not made: lease not confirmed: {checked}'
+            )
         if not self.may_order():
-            return operatorcalls.Unreachable('not made: the lease is over')
+            return operatorcalls.Unreachable(
+                'call not made: outside the time for orders under the lease'
+            )
         return make(operatorcalls.Caller(self.own.host, self.fencing))
 
     def absent(self) -> position.Position:
-        """Where a key is expected that is not there."""
+        """Return the expected position of a key that does not exist."""
         return position.Position(self._era(), 0)
 
-    # Word of the store.
+    # Notifications of the store.
 
     def changed(self, item: store.Item) -> None:
-        """A host holds the lease."""
+        """Record the host that the leader key names, and follow it."""
         fields = json.loads(item.value)
         self._record_holder(
             fields['host'], fields['incarnation'], item.position
@@ -221,17 +244,17 @@
             LOG.event('leader', leader=self.holder, position=item.position)
 
     def removed(self, key: str) -> None:
-        """Nobody holds the lease.
+        """Record that the leader key was removed.
 
-        The last holder is asked as before until there is another one: the
-        store may have been away while the holder lives.
+        Placement requests still go to the last leader until there is a new
+        one: the store may have been down while the leader runs.
         """
         self._record_vacancy(position.START)
 
     def _record_vacancy(self, key: position.Position) -> None:
-        """Nobody holds the lease.
+        """Record that no host holds the lease.
 
-        :param key: where the key is that a holder of before has left
+        :param key: position of the key that a former leader left behind
         """
         self.holder = None
         self.holder_position = key
@@ -241,10 +264,10 @@
     def restored(
         self, items: dict[str, store.Item], at: position.Position
     ) -> None:
-        """The store came back from an older copy.
+        """Handle a restore of the store from an older copy.
 
-        The copy may name a holder that has been replaced since.  It leads
-        nobody any more, and is neither followed nor waited for.
+        The copy may name a leader that has been replaced since.  Such a
+        leader is not followed, and contending does not wait for it.
         """
         item = items.get(LEADER_KEY)
         present = _Term(
@@ -254,8 +277,9 @@
         )
         term = None if item is None else _term(item)
         if term == present and self.lease is not None:
-            # Its lease may be gone: no orders before it has been renewed.
-            # Another host may have led since the copy was made.
+            # The lease may be missing from the copy: send no orders before
+            # it has been renewed.  Another host may have led since the copy
+            # was made, so the gap between leaders' orders applies too.
             self.held = self.holder_position = item.position
             self.order_from_s = self._first_order_s()
             self.order_until_s = 0.0
@@ -288,13 +312,13 @@
     def _era(self) -> int:
         return 0 if self.contact is None else self.contact.lag.own_position.era
 
-    # Word of other hosts.
+    # Messages from other hosts.
 
     def handle_announcement(self, message: placing_codec.Leads) -> None:
-        """Another host leads, or gives way.
+        """Handle the announcement of a host that leads or yields.
 
-        A host that the store turns away would otherwise go on placing for
-        itself, beside the one that took over, until its lease ends.
+        Without it a leader that the store rejects would keep placing, beside
+        the host that replaced it, until its lease expires.
         """
         announced = message.position
         if announced < self.holder_position or announced.era < self._era():
@@ -322,7 +346,7 @@
             self.yielding,
         )
 
-    # Holding.
+    # Holding and contending.
 
     def _run(self) -> None:
         while True:
@@ -360,16 +384,17 @@
         if self.vacant_since_s is None:
             self.vacant_since_s = now_s
         vacant_s = now_s - max(self.vacant_since_s, self.gathered_s)
-        # Who leads already knows the engines, and goes first.
+        # A host that already places has the state of the engines, so it
+        # contends first.
         rank = 0 if self.placer.leading else 1 + self._rank()
         if vacant_s >= rank * RANK_DELAY_S:
             self._acquire()
 
     def _holder_is_dead(self) -> bool:
-        """The process that holds the lease is gone, as far as is known.
+        """Whether the leader process has to be replaced, by all evidence.
 
-        Until it is replaced every host places alone, which serves callers
-        far worse than a holder replaced without need.
+        Until a dead leader is replaced every host places alone, which serves
+        callers far worse than a needless change of leader.
         """
         if self.holder == self.own.host:
             return self.holder_incarnation != self.own.incarnation
@@ -385,13 +410,15 @@
         return member.state in (membership.DEAD, membership.LEFT)
 
     def _is_unmet(self) -> bool:
-        """A holder that gossip has never met does not answer either.
-
-        All hosts were killed and the holder's stays away: gossip finds dead
-        only whom it has met, and every host would place alone, and none
-        order an engine, until the lease ends.  A holder that lives is met
-        or answers within this time, and a host that places for nobody has
-        not asked it.
+        """Whether a leader unknown to gossip does not answer either.
+
+        This happens when all hosts were killed and the leader's does not
+        restart.  Gossip declares only known members dead, so without this
+        check every host would place alone, and no host would order an
+        engine, until the lease expires.  A running leader joins gossip or
+        answers a placement request within ``UNMET_TIMEOUT_S``.  A host with
+        no prompts to place has sent no requests, so to it the leader does
+        not count as silent.
         """
         now_s = self.clock.now_s()
         if now_s - self.holder_since_s < UNMET_TIMEOUT_S:
@@ -405,7 +432,10 @@
         )
 
     def _rank(self) -> int:
-        """How many hosts can place more prompts; of equals, by a hash."""
+        """Return how many listed hosts rank before this one.
+
+        Hosts rank by placement capacity, then by a hash of their names.
+        """
         listed = [
             self.members.records[host]
             for host in self.members.listed
@@ -418,8 +448,8 @@
 
     def _acquire(self) -> None:
         asked_s = self.clock.now_s()
-        # Another host may lead by the time that the store has answered; the
-        # key is taken only from the holder that was found to be gone.
+        # Another host may have become leader by the time the store answers:
+        # the key is replaced only if it still is that of the dead leader.
         replaced = self.holder_position
         expected = replaced
         if replaced == position.START:
@@ -438,7 +468,7 @@
         put = store.Put(LEADER_KEY, value, granted.lease)
         match self.store.commit({LEADER_KEY: expected}, (put,)):
             case store.Written() if self.members.leaving:
-                # Told to stop meanwhile.
+                # This host began to shut down during the call.
                 self.store.revoke(granted.lease)
             case store.Written(written):
                 by_force = replaced != position.START
@@ -447,12 +477,12 @@
                 self.vacant_since_s = None
                 self.store.revoke(granted.lease)
             case store.Restored():
-                # It may have replaced a holder that lives.
+                # The write could have replaced a leader that is alive.
                 self.vacant_since_s = self.clock.now_s()
                 self.store.revoke(granted.lease)
             case _:
-                # Whether it was written shows in the watch; without a
-                # renewal the lease ends by itself.
+                # The watch will show whether the key was written.  The lease
+                # is not renewed, so it expires by itself.
                 self.vacant_since_s = self.clock.now_s()
 
     def _record_acquired(
@@ -481,7 +511,7 @@
         )
 
     def _first_order_s(self) -> float:
-        """When orders of a holder before this one have long ended."""
+        """Return when a leader that starts now may send its first order."""
         return self.clock.now_s() + self.order_gap_s + GAP_MARGIN_S
 
     def _renew(self) -> None:
@@ -490,8 +520,8 @@
             case store.Granted(_, ttl_s):
                 self.order_until_s = asked_s + ttl_s * ORDER_SHARE
             case store.NoLease():
-                # It goes on placing until somebody else leads: no one
-                # else knows what the engines have been given.
+                # Keep placing until another host leads: no other host knows
+                # which jobs are in flight at the engines.
                 LOG.warning_event('leadership_lost', fencing=self.fencing)
                 self.lease = None
                 if self.holder == self.own.host:
@@ -504,10 +534,10 @@
 
 
 def placement_capacity(cores: float, link_mbps: float) -> float:
-    """Prompts a second that a machine can place for all.
+    """Return how many prompts per second a machine can place as leader.
 
-    Where its link is narrow the questions of other hosts wait behind the
-    bodies of its own requests, and those hosts place alone.
+    On a slow network link the placement requests of other hosts queue behind
+    the bodies of the machine's own requests, and those hosts place alone.
     """
     return min(cores / PLACEMENT_CORE_S, link_mbps * 1e6 / PLACEMENT_LINK_BITS)
 
