--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -1,4 +1,4 @@
-"""Carries the stage plan out, under the lease."""
+"""Orders engines to change between prefill and decode, as the leader."""
 
 import dataclasses
 import enum
@@ -21,33 +21,35 @@
 
 LOG = logs.get('stages')
 
+#: Interval between planning rounds, in seconds.
 TICK_S = 0.5
-#: An order without an answer may be carried out seconds later, also by the
-#: next process of that name, whose count of orders begins anew; the engine of
-#: that name is left alone for so long.
+#: An engine that did not answer an order gets no other for this long, in
+#: seconds.  The order may still be carried out seconds later, also by a new
+#: process under the same name, whose order count starts again.
 UNANSWERED_COOLDOWN_S = 15.0
-#: While no engine answers, an order without an answer, or one that was
-#: refused, is repeated after this time, in seconds: longer than the engine's
-#: answer is waited for.
+#: Cooldown of an engine after an order that it refused, in seconds.  While no
+#: engine is in the decode stage an unanswered order is repeated after this
+#: time too.  It is longer than the time-out of an order.
 RETRY_INTERVAL_S = 2.0
-#: Orders under way at one time.
+#: Limit on concurrent calls to engines.
 MAX_CONCURRENT_ORDERS = 8
-#: Time beyond the change itself in which running requests end.
+#: Time for running requests to finish, allowed in addition to the duration of
+#: the stage change itself, in seconds.
 DRAIN_ALLOWANCE_S = 8.0
 
 
 class BlockedReason(enum.Enum):
-    """Why no order goes out in a look at a service."""
+    """Why a planning round sent no order for a service."""
 
     NONE = 'none'
-    NO_ENGINE = 'there is no engine to change'
-    LEASE = 'the lease allows no order now'
-    PLAN = 'the plan wants no change'
-    COOLING_DOWN = 'engines are left alone after an order'
+    NO_ENGINE = 'the service has no usable engine'
+    LEASE = 'the leader lease allows no order now'
+    PLAN = 'the stage plan requires no change'
+    COOLING_DOWN = 'all candidate engines are in cooldown after an order'
 
 
 class _Fleet(NamedTuple):
-    """The engines of a service, by what they do."""
+    """The usable engines of a service, by stage."""
 
     prefilling: list[catalog.Endpoint]
     decoding: list[catalog.Endpoint]
@@ -56,9 +58,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Outage:
-    """No engine of a service answers.
+    """A period in which a service has no engine in the decode stage.
 
-    :ivar hindrance: as last logged, None before the first line
+    :ivar hindrance: last logged reason that no order was sent; None if none
+        was logged yet
     """
 
     started_s: float
@@ -66,7 +69,15 @@
 
 
 class Stages(app.Component):
-    """Orders engines to change their stage while this host leads."""
+    """Applies the stage plan of each service while this host leads.
+
+    :ivar changing: target stage of each engine that is changing, and when
+        the change counts as failed, by endpoint id
+    :ivar cooldown_until_s: when an engine may get its next order, by name
+    :ivar retry_from_s: when an engine may get its next order while no engine
+        is in the decode stage, by name
+    :ivar outages: services without an engine in the decode stage
+    """
 
     def __init__(
         self,
@@ -91,11 +102,11 @@
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to plan."""
+        """Start the planning loop."""
         self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Order nothing from now on."""
+        """Stop the planning loop."""
         if self.greenlet is not None:
             self.greenlet.kill()
 
@@ -130,9 +141,9 @@
     def _order_change(
         self, plan: stageplan.StagePlan, fleet: _Fleet, core, now_s: float
     ) -> BlockedReason:
-        """Order what the plan wants.
+        """Order the stage changes that the plan requires.
 
-        :returns: why nothing was ordered
+        :returns: why no order was sent, ``NONE`` if orders were attempted
         """
         if not any(fleet):
             return BlockedReason.NO_ENGINE
@@ -165,12 +176,13 @@
     def _candidates(
         self, change: stageplan.Change, fleet: _Fleet, now_s: float
     ) -> list[catalog.Endpoint]:
-        """Engines that may be given an order now.
+        """Return the engines that may be sent an order now.
 
-        While no engine answers nothing is served, and an order that was lost
-        would keep it so for a quarter of a minute.  It is safe to repeat:
-        both name the same number of orders before them, so the engine
-        carries out one of them at most.
+        Without an engine in the decode stage the service serves no request,
+        and after a lost order it would stay so for
+        ``UNANSWERED_COOLDOWN_S``, so orders are repeated sooner.  This is
+        safe: both orders carry the same count of accepted orders, so the
+        engine carries out at most one of them.
         """
         if change.to_prefill:
             engines, from_s = fleet.decoding, self.cooldown_until_s
@@ -191,10 +203,10 @@
         hindrance: BlockedReason,
         now_s: float,
     ) -> None:
-        """Log that no engine answers, what holds a change back, and the end.
+        """Log start, blocked reason and end of an outage of the decode stage.
 
-        Without an engine that answers no request of the service is served,
-        and what holds the change back tells whose fault that is.
+        Without an engine in the decode stage the service serves no request.
+        The reason that no order was sent shows which component is at fault.
         """
         outage = self.outages.get(service)
         if fleet.decoding:
@@ -217,7 +229,7 @@
         )
 
     def _drop_finished_changes(self, now_s: float) -> None:
-        """Engines that have changed, or will not, are steady again."""
+        """Drop stage changes that finished, timed out or lost their engine."""
         for endpoint_id, (stage, until_s) in list(self.changing.items()):
             endpoint = self.catalog.endpoints.get(endpoint_id)
             if endpoint is None or endpoint.stage is stage or now_s > until_s:
@@ -235,10 +247,10 @@
         stage: catalog.Stage,
         core,
     ) -> None:
-        """Check the lease at the store, then order.
+        """Send orders to engines, after a check of the lease at the store.
 
-        An order of a holder before that is still on its way is refused by
-        the engine: it names the number of orders that it was meant for.
+        A delayed order of a previous leader is rejected by the engine, as
+        the count of accepted orders that it carries is out of date.
         """
         workers = gevent.pool.Pool(MAX_CONCURRENT_ORDERS)
         states = workers.map(
@@ -261,13 +273,18 @@
     def _accepted_orders(
         self, endpoint: catalog.Endpoint, stage: catalog.Stage
     ) -> int | None:
-        """The number of orders before this one; None if none may be given."""
+        """Ask an engine for its count of accepted orders.
+
+        :returns: the count, or None if the engine must not get an order now
+        """
         state = self.control.state(endpoint)
         cause = None
         if isinstance(state, enginecontrol.Unreachable):
             cause = state.reason
         elif state.busy or state.stage is stage:
-            cause = 'the engine is busy with an order or has the stage'
+            cause = (
+                'the engine is carrying out an order or already has the stage'
+            )
         if cause is None:
             return state.orders
         LOG.event('order_put_off', endpoint=endpoint.id, cause=cause)
@@ -315,12 +332,13 @@
 def _spread_over_domains(
     candidates: list[catalog.Endpoint], count: int
 ) -> list[catalog.Endpoint]:
-    """The first ones of each failure domain in turn.
+    """Choose engines, each from the domain with the most candidates left.
 
-    All from one domain would leave its hosts, or those of the others, no
-    engine of that stage near by, and lose them together.
+    If all engines of a stage were in one failure domain, they would fail
+    together, and the hosts of the other domains would have none near by.
 
-    :param candidates: those to be taken first come first
+    :param candidates: engines in order of preference
+    :param count: number of engines to choose
     """
     by_domain: dict[str, list[catalog.Endpoint]] = {}
     for endpoint in candidates:
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -189,7 +189,8 @@
     answer can read as well, at half speed; those that read can't answer, so
     nothing is served until it changes.  The plan had no place for a fleet of
     one: the engine idled, before and after all hosts came back, and the log
-    named neither the lease nor an order but "the plan wants no change".
+    named neither the lease nor an order but "the stage plan requires no
+    change".
     """
     world, node = pair
     client = gatewayworld.Client(node)
