--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -1,4 +1,4 @@
-"""Counts what workspaces use, and reports it where this host leads."""
+"""Counts requests by workspace, and reports them while this host leads."""
 
 from typing import Callable
 from typing import NamedTuple
@@ -24,29 +24,33 @@
 LOG = logs.get('usage')
 
 REPORTS_KEY = 'magnoliadyke/usage'
-#: How often counts are told, in seconds.
+#: Interval between messages with the counts, in seconds.
 SEND_INTERVAL_S = 1.0
-#: Hosts that keep a copy of what the host that leads has counted itself: it
-#: is told to nobody else, and would go with that host.
+#: Number of hosts that keep a copy of the leader's own counts.  The leader
+#: sends these to no other host, so without copies they would be lost with it.
 COPY_HOSTS = 2
-#: Counts in a datagram: it stays whole on networks that carry 1,400 bytes.
+#: Limit on the counts in one datagram, so that it is not fragmented on
+#: networks with an MTU of 1,400 bytes.
 SEND_BATCH = 40
-#: From telling the counts until the answer with the time of day, at most, in
-#: seconds: a later one has waited while this host stood still.
+#: Longest delay between sending the counts and receiving a corrected time of
+#: day, in seconds.  A later correction is out of date: it was queued while
+#: this host was suspended.
 MAX_CORRECTION_DELAY_S = 0.5
+#: Interval between checks for windows to report, in seconds.
 TICK_S = 0.5
-#: From the end of a window until its report is fixed, in seconds: what began
-#: in it has been counted and told twice by then.
+#: Time from the end of a window until its report is made final, in seconds:
+#: by then the hosts have sent their counts for the window twice.
 SETTLE_S = 2.5
-#: Pause after a call that was not accepted, in seconds.
+#: Pause after a failed write or a call that was not accepted, in seconds.
 RETRY_S = 1.0
 
 
 class UsageSettings(NamedTuple):
-    """What the platform asks for.
+    """Windows and due times of the reports that the platform requires.
 
-    :param window_s: length of a window
-    :param due_s: from its end to when its report is due
+    :param window_s: length of a window, in seconds
+    :param due_s: time from the end of a window until its report is due, in
+        seconds
     """
 
     window_s: float
@@ -54,17 +58,19 @@
 
 
 class UsageDuty(app.Component, keymirror.Listener):
-    """The counts of this host, and the reports of all.
+    """Counts this host's requests, and as the leader reports all hosts'.
 
     :param own: host name and incarnation of this process
-    :param calls: takes the reports; None where none are asked for
-    :ivar reports: that have been fixed, as far as is known here
-    :ivar key: the key that they are in, as it was last read
-    :ivar read_for: this host's term for which the key was read
-    :ivar kept: windows there is still something to be done about
-    :ivar sent: windows that this host has reported
-    :ivar copies: what hosts that led have counted themselves
-    :ivar told_s: when this host last told its counts
+    :param calls: sends the reports to the platform; None if it requires none
+    :ivar reports: final reports known to this host
+    :ivar key: store item with the final reports, as last read or written
+    :ivar read_term: position of this host's leader key when it last read the
+        reports as the leader
+    :ivar retained_windows: number of windows whose counts are kept
+    :ivar sent: windows that this host has reported as the leader
+    :ivar copies: counts received while another host leads, such as the
+        leader's own
+    :ivar last_sent_s: when this host last sent its counts to the leader
     """
 
     def __init__(
@@ -102,7 +108,7 @@
         self.greenlets: list[gevent.Greenlet] = []
 
     def start(self) -> None:
-        """Begin to tell and to report."""
+        """Start to send counts and reports, if reports are required."""
         if self.calls is not None:
             self.greenlets = [
                 gevent.spawn(self._run_send_loop),
@@ -110,19 +116,22 @@
             ]
 
     def stop(self, deadline_s: float) -> None:
-        """Tell the counts once more, and nothing from now on."""
+        """Stop both loops, and send the counts a last time."""
         gevent.killall(self.greenlets)
         if self.calls is not None:
             self._send_usage()
 
     def wall_s(self) -> float:
-        """The time of day, though this machine's clock may be set."""
+        """Return the time of day, unaffected by steps of the wall clock."""
         return self.wall.at(self.clock.boot_s())
 
-    # What this host has seen.
+    # This host's counts.
 
     def record_start(self, workspace: str, ago_s: float = 0.0) -> None:
-        """A request of a workspace has begun to run."""
+        """Count a request of a workspace that began to run.
+
+        :param ago_s: time since it began, in seconds
+        """
         if self.calls is not None:
             self.tally.record_start(workspace, self.wall_s() - ago_s)
 
@@ -164,19 +173,26 @@
         ]
 
     def _copy_holders(self) -> list[str]:
-        """The hosts that keep a copy; the same ones as long as they run."""
+        """Return the addresses of the hosts that copy the leader's counts.
+
+        They stay the same as long as these hosts run.
+        """
         return sorted(self.members.listening())[:COPY_HOSTS]
 
-    # What other hosts tell.
+    # Messages from other hosts.
 
     def handle_usage(
         self, message: duty_codec.Usage
     ) -> duty_codec.WallTime | None:
-        """A host tells its counts; one whose clock is off hears the time."""
+        """Merge the counts of a process; as the leader, check its clock.
+
+        :returns: the corrected time of day to send to the host if its clock
+            is off, else None
+        """
         ledger = self.ledger if self.placer.leading else self.copies
         present = self._window(0.0)
         for window, begun in message.windows.items():
-            # A host whose clock is far off would push the others' out.
+            # Windows from a clock that is far off would displace the others.
             if present - self.retained_windows < window <= present + 1:
                 ledger.record_tally(
                     message.host, message.incarnation, window, begun
@@ -196,7 +212,7 @@
         )
 
     def handle_wall_time(self, message: duty_codec.WallTime) -> None:
-        """The host that leads tells the time that most hosts have."""
+        """Set this host's time of day to the median that the leader sent."""
         if self.clock.boot_s() - self.last_sent_s > MAX_CORRECTION_DELAY_S:
             return
         off_s = message.wall_s - self.wall_s()
@@ -204,7 +220,12 @@
         self._shift_tally(off_s)
 
     def _shift_tally(self, by_s: float) -> None:
-        """This host goes by another time of day from now on."""
+        """Shift the tally's windows after a correction of the time of day.
+
+        A correction below the tolerance is ignored.
+
+        :param by_s: seconds by which the time of day was moved
+        """
         if abs(by_s) < walltime.MAX_OFFSET_S:
             return
         LOG.event('wall_time_corrected', by_ms=round(by_s * 1000))
@@ -213,7 +234,7 @@
     # The store.
 
     def changed(self, item: store.Item) -> None:
-        """Reports were fixed."""
+        """Merge final reports that were written to the store."""
         try:
             read = self.reports.parse(item.value)
         except (ValueError, TypeError) as error:
@@ -224,10 +245,10 @@
         self.reports.merge(read)
 
     def restored(self, items: dict[str, store.Item], at) -> None:
-        """The store came back from an older copy.
+        """Merge the reports of a store that was restored from an older copy.
 
-        What is known of the reports outlives it, and is written again with
-        the next one.
+        Final reports that the copy lacks stay in memory, and are written
+        again with the next report.
         """
         self.read_term = position.START
         for item in items.values():
@@ -244,7 +265,10 @@
                 self.clock.sleep(RETRY_S)
 
     def _step(self) -> bool:
-        """Fix what is due, and report it; False if some of it has to wait."""
+        """Write the reports of windows that are over, and send them.
+
+        :returns: False if a read, write or call failed and must be retried
+        """
         done = self.read_term == self.leadership.held or self._read()
         while done and (window := self._due()) is not None:
             done = self._fix(window)
@@ -254,7 +278,10 @@
         return done
 
     def _read(self) -> bool:
-        """Read what holders before this one have fixed."""
+        """Read the reports that previous leaders made final.
+
+        :returns: False if the store is unavailable
+        """
         held = self.leadership.held
         match self.store.read(REPORTS_KEY):
             case store.Item() as item:
@@ -268,7 +295,7 @@
         return True
 
     def _due(self) -> int | None:
-        """The next window to be fixed, if it is over."""
+        """Return the next window to report, None if it is not over yet."""
         over = self._window(SETTLE_S) - 1
         last = self.reports.last
         if last is None:
@@ -286,7 +313,13 @@
         return self.wall_s() > end_s + self.settings.due_s
 
     def _fix(self, window: int) -> bool:
-        """Write a window's report where no other host can write another."""
+        """Make a window's report final by a conditional write to the store.
+
+        The write fails if another host has written reports since they were
+        last read, so a window never gets two different reports.
+
+        :returns: whether the report was written
+        """
         made = self.reports.fix(
             usage.Report(window, self.ledger.counts(window))
         )
@@ -334,5 +367,5 @@
         return False
 
 
-#: Takes the name of a workspace, and how long ago its request began.
+#: Records a request by its workspace name and the seconds since it began.
 StartRecorder = Callable[[str, float], None]
