--- a/magnoliadyke/gateway/autoscaling.py
+++ b/magnoliadyke/gateway/autoscaling.py
@@ -1,4 +1,4 @@
-"""Orders endpoints where this host leads."""
+"""Orders endpoints from the platform by the autoscaler, as the leader."""
 
 import json
 
@@ -19,27 +19,32 @@
 
 LOG = logs.get('fleet')
 
-#: Keys with the number of endpoints that a service is to have, by its name.
+#: Prefix of the keys with the target number of endpoints of a service; the
+#: name of the service follows.
 FLEET_PREFIX = 'magnoliadyke/fleet/'
+#: Interval between scaling rounds, in seconds.
 TICK_S = 0.5
-#: Endpoints of a service that is set up are listed one after the other; their
-#: number counts once it has been the same for so long, in seconds.
+#: The endpoints of a new service are listed one after the other.  Their
+#: number becomes the target once it has been unchanged for this long, in
+#: seconds.
 STABLE_COUNT_S = 2.0
-#: Pause after an order of which nobody can say whether it was taken, in
+#: Pause after an order that was rejected, or whose outcome is unknown, in
 #: seconds.
 RETRY_S = 1.0
 
 
 class AutoscalingDuty(app.Component, keymirror.Listener):
-    """Carries the plans out, under the lease.
+    """Sends the autoscaler's orders to the platform while this host leads.
 
-    A service is to have as many endpoints as it was set up with.  The first
-    host that leads writes that down: later there are others, of another kind
-    and more of them.
+    The target of a service is the number of endpoints that it was set up
+    with.  The first leader writes this number to the store, as later the
+    endpoints differ in kind and can be more.
 
-    :param calls: takes the orders; None where none may be given
-    :ivar wanted: endpoints by service, as the store has it
-    :ivar listed: endpoints of services that are being set up, and since when
+    :param calls: sends the orders to the platform; None if the platform takes
+        no orders from this system
+    :ivar wanted: target number of endpoints by service, as stored
+    :ivar initial_counts: number of listed endpoints, and since when it is
+        unchanged, of services without a target
     """
 
     def __init__(
@@ -63,19 +68,19 @@
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to plan."""
+        """Start the scaling loop, if the platform takes orders."""
         if self.calls is not None:
             self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Order nothing from now on."""
+        """Stop the scaling loop."""
         if self.greenlet is not None:
             self.greenlet.kill()
 
     # The store.
 
     def changed(self, item: store.Item) -> None:
-        """The number of a service's endpoints was written."""
+        """Record a service's target number of endpoints from the store."""
         try:
             wanted = json.loads(item.value)
         except ValueError:
@@ -116,7 +121,10 @@
             self._order(plan, order)
 
     def _record_initial_size(self, service: str, count: int) -> None:
-        """Write down how many endpoints a service was set up with."""
+        """Store a service's target once its endpoint count is stable.
+
+        :param count: number of endpoints listed now
+        """
         now_s = self.clock.now_s()
         before, since_s = self.initial_counts.get(service, (0, now_s))
         if count != before:
