--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -1,4 +1,4 @@
-"""Keeps the proof that this host's configuration is the newest one."""
+"""Renews the proof that this host's configuration is current."""
 
 import math
 import random
@@ -21,26 +21,30 @@
 
 LOG = logs.get('confirming')
 
+#: Interval between checks of the proof's age, in seconds.
 TICK_S = 0.25
-#: Hosts that are asked at one time where the one that leads does not answer,
-#: beside those that watch the store.
+#: Number of random peers to query at once when the leader does not reply, in
+#: addition to the hosts that watch the store.
 PEERS_ASKED = 1
-#: How long a host that starts on a copy of the store waits for the others'
-#: word, in seconds.
+#: How long a host that starts on a restored store waits for the versions of
+#: its peers, in seconds.
 PEER_REPLY_WAIT_S = 1.0
-#: Pause after the store gave no proof, spread by as much again, in seconds.
+#: Shortest pause after a query to the store gave no proof, in seconds; jitter
+#: adds up to as much again.
 RETRY_S = 0.3
 
 
 class ConfigurationConfirmer(app.Component):
-    """Asks the store, or other hosts, by the age of the proof.
+    """Queries the store or other hosts, depending on the age of the proof.
 
-    Only where routes need the key of a workspace, and keys have to end in
-    time.  One host asks the store for all as long as it is reached.
+    It does so only if routes require a workspace key and a revoked key must
+    stop working within a bound.  The leader queries the store on behalf of
+    all hosts that can reach it.
 
     :param bound_s: see :class:`confirmation.Confirmation`
-    :ivar proof: of this host
-    :ivar was_held: whether the proof held when last looked at, for the log
+    :ivar proof: this host's proof that its configuration is current
+    :ivar was_held: whether the proof was valid at the last check, to log
+        changes only
     """
 
     def __init__(
@@ -69,24 +73,24 @@
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start to renew the proof."""
         self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Ask nobody from now on."""
+        """Stop renewing the proof."""
         if self.greenlet is not None:
             self.greenlet.kill()
 
     def holds(self) -> bool:
-        """Whether this host may let keys be used now."""
+        """Whether the proof is recent enough to accept workspace keys."""
         return self.proof.holds(self.clock.boot_s())
 
     def serves(self) -> bool:
-        """Whether this host takes the requests of all routes."""
+        """Whether this host can serve the requests of all routes."""
         return not self.needed() or self.holds()
 
     def needed(self) -> bool:
-        """Whether requests need a proof of this host."""
+        """Whether requests with workspace keys require a valid proof."""
         configuration = self.catalog.configuration
         return (
             self.proof.bound_s is not None
@@ -120,17 +124,21 @@
         return list({*asked, *self.members.watchers()})
 
     def _may_ask_store(self) -> bool:
-        """Whether this host has the store in reach, or has to find out.
+        """Whether this host should query the store for a proof.
 
-        While it is away it is looked for by those that follow it, and what
-        they read first is a proof.
+        During an outage of the store only the leader does.  The follower of
+        each host that watches the store retries it anyway, and its first
+        successful read is a proof.
         """
         if self.placer.leading:
             return True
         return not self.follower.listening and not self.follower.cut_off_s()
 
     def record_full_read(self, asked_s: float) -> None:
-        """All keys were read, and the configuration with them."""
+        """Take a full read of the store as a proof, if one is needed.
+
+        :param asked_s: when the read was sent, in seconds of the boot clock
+        """
         if not self.needed():
             return
         item = self.follower.mirror.items.get(self.decoder.configuration_key)
@@ -150,10 +158,13 @@
             age_ms=round(age_s * 1000) if math.isfinite(age_s) else 'none',
         )
 
-    # The store.
+    # Queries to the store.
 
     def _ask_store(self) -> bool:
-        """Read the configuration; False if that proved nothing."""
+        """Read the configuration from the store.
+
+        :returns: whether the read renewed the proof
+        """
         asked_s = self.clock.boot_s()
         match self.store.read(self.decoder.configuration_key):
             case store.Item() as item:
@@ -161,7 +172,13 @@
         return False
 
     def _prove(self, item: store.Item, asked_s: float) -> bool:
-        """Take the store's configuration for a proof, if it is one."""
+        """Renew the proof if this host has the store's configuration.
+
+        A newer version in the store triggers a read by the follower instead.
+
+        :param asked_s: when the read was sent, in seconds of the boot clock
+        :returns: whether the proof was renewed
+        """
         newest = self.decoder.configuration(item.value)
         if isinstance(newest, catalog.UnusableRecord):
             return False
@@ -175,15 +192,17 @@
         return True
 
     def _has_peer_reply(self) -> bool:
-        """Whether a host that starts on a copy of the store may trust it.
+        """Whether this host may trust a restored store.
 
-        The others may go by a newer configuration than the copy has.
+        Peers may have a newer configuration than the copy that the store was
+        restored from.  So a host that has just started waits for the version
+        of a peer, for at most ``PEER_REPLY_WAIT_S``.
         """
         if self.proof.newest_peer_version >= 0 or not self.members.listening():
             return True
         return self.clock.boot_s() - self.started_s >= PEER_REPLY_WAIT_S
 
-    # Other hosts.
+    # Queries between hosts.
 
     def _ask_peers(self, addresses: list[str]) -> None:
         for address in addresses:
@@ -194,9 +213,9 @@
     def handle_request(
         self, request: duty_codec.ConfirmationRequest
     ) -> duty_codec.ConfirmationReply | None:
-        """Another host asks for a proof; None if this one can tell nothing.
+        """Return the reply to a query for a proof, None if none is needed.
 
-        One that has no proof tells its version all the same.
+        A host without a proof still replies, with its version.
         """
         if not self.needed():
             return None
@@ -207,7 +226,7 @@
         )
 
     def handle_reply(self, reply: duty_codec.ConfirmationReply) -> None:
-        """Another host has told its proof."""
+        """Record the version and the proof's age that a peer replied with."""
         configuration = self.catalog.configuration
         if configuration is None:
             return
