--- a/magnoliadyke/gateway/__init__.py
+++ b/magnoliadyke/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Passes callers' own HTTP requests through to the endpoints."""
+"""Gateway that forwards callers' HTTP requests to the endpoints."""
--- a/magnoliadyke/gateway/duty_codec.py
+++ b/magnoliadyke/gateway/duty_codec.py
@@ -1,4 +1,4 @@
-"""Messages between hosts on confirmations, usage and the time of day."""
+"""Messages between hosts for confirmations, usage and the time of day."""
 
 from typing import NamedTuple
 
@@ -15,18 +15,18 @@
 ]
 
 MILLI = 1000
-#: Largest age that fits the field, in milliseconds.
+#: Largest age that fits the 32-bit field of a reply, in milliseconds.
 MAX_AGE_MS = 2**31 - 1
 
 
 class ConfirmationRequest(NamedTuple):
-    """Asks for a proof that the configuration is the newest."""
+    """Query for a proof that the configuration is current."""
 
     nonce: int
 
 
 class ConfirmationReply(NamedTuple):
-    """The version that a host goes by, and the age of its proof."""
+    """A host's configuration version, and the age of its proof."""
 
     nonce: int
     version: int
@@ -34,11 +34,11 @@
 
 
 class Usage(NamedTuple):
-    """Requests that began to run, as one process has counted so far.
+    """Totals of the requests of one process that began to run.
 
-    :param windows: totals by workspace, by window
-    :param wall_s: what the host takes for the time of day, since the epoch;
-        None where another host tells its counts
+    :param windows: request counts by window and workspace
+    :param wall_s: the host's time of day, in seconds since the Unix epoch;
+        None if another host forwards the counts
     """
 
     host: str
@@ -48,7 +48,7 @@
 
 
 class WallTime(NamedTuple):
-    """The time of day that most hosts have, in seconds since the epoch."""
+    """The hosts' median time of day, in seconds since the Unix epoch."""
 
     wall_s: float
 
@@ -57,7 +57,7 @@
 
 
 def encode(message: Message, datagram: ttypes.Datagram) -> None:
-    """Put a message into a datagram."""
+    """Set the field of a datagram that holds a message of this kind."""
     match message:
         case ConfirmationRequest(nonce):
             datagram.confirmation_request = ttypes.ConfirmationRequest(nonce)
@@ -77,7 +77,7 @@
 
 
 def decode(datagram: ttypes.Datagram) -> Message | None:
-    """Read a message; None if the datagram holds none of these."""
+    """Return the message in a datagram, None if it is of another kind."""
     if datagram.confirmation_request is not None:
         return ConfirmationRequest(datagram.confirmation_request.nonce)
     if datagram.confirmation_reply is not None:
--- a/magnoliadyke/gateway/enginecontrol.py
+++ b/magnoliadyke/gateway/enginecontrol.py
@@ -1,4 +1,4 @@
-"""What a gateway asks of an engine beside running requests."""
+"""Interface to read the state of engines and order stage changes."""
 
 import abc
 from typing import NamedTuple
@@ -9,10 +9,10 @@
 
 
 class EngineState(NamedTuple):
-    """An engine's own word.
+    """State that an engine reports.
 
-    :param orders: orders that it has accepted since its start
-    :param busy: an order is being carried out
+    :param orders: number of orders that it has accepted since its start
+    :param busy: whether it is carrying out an order
     """
 
     stage: catalog.Stage
@@ -21,9 +21,10 @@
 
 
 class Ordered(NamedTuple):
-    """The engine answered an order.
+    """Answer of an engine to an order.
 
-    :param accepted: it is being carried out, or holds already
+    :param accepted: whether the engine is carrying out the order, or already
+        has the stage
     """
 
     accepted: bool
@@ -31,17 +32,17 @@
 
 
 class Unreachable(NamedTuple):
-    """No answer; an order may still be carried out, seconds later."""
+    """The engine gave no answer; it may carry out an order seconds later."""
 
     reason: str
 
 
 class EngineControl(abc.ABC):
-    """Calls to engines; they raise nothing."""
+    """Client of the engines; methods return outcomes and never raise."""
 
     @abc.abstractmethod
     def state(self, endpoint: catalog.Endpoint) -> EngineState | Unreachable:
-        """Ask an engine what it does."""
+        """Request the state of an engine."""
 
     @abc.abstractmethod
     def order_stage(
@@ -52,10 +53,10 @@
         fencing: int,
         orders: int,
     ) -> Ordered | Unreachable:
-        """Have an engine change its stage.
+        """Order an engine to change its stage.
 
-        :param holder: this host
-        :param fencing: grows with each holder of the lease
-        :param orders: number of accepted orders that the engine must have;
-            an order that was delayed is then refused
+        :param holder: name of this host, which holds the leader lease
+        :param fencing: fencing token; grows with each leader
+        :param orders: number of orders that the engine must have accepted
+            before; the engine refuses a delayed order, as its count differs
         """
--- a/magnoliadyke/gateway/operatorcalls.py
+++ b/magnoliadyke/gateway/operatorcalls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that one host makes for all."""
+"""Calls to the platform that the leader makes on behalf of all hosts."""
 
 import abc
 from typing import NamedTuple
@@ -9,9 +9,9 @@
 
 
 class Caller(NamedTuple):
-    """Who makes a call.
+    """Identity of the host that makes a call.
 
-    :param fencing: grows with each holder of the duty
+    :param fencing: fencing token; grows with each leader
     """
 
     host: str
@@ -19,14 +19,14 @@
 
 
 class Done(NamedTuple):
-    """The call was accepted, now or before."""
+    """The platform accepted the call, now or when it was sent before."""
 
 
 class Rejected(NamedTuple):
-    """The call was not accepted.
+    """The platform rejected the call.
 
-    :param scarce: what was ordered can't be had at the moment
-    :param again: the same call may be accepted later
+    :param scarce: whether the ordered capacity is unavailable at the moment
+    :param retryable: whether the same call may be accepted later
     """
 
     reason: str
@@ -35,22 +35,29 @@
 
 
 class Unreachable(NamedTuple):
-    """No answer; the call may be carried out all the same."""
+    """The call was not made or got no answer.
+
+    A call that was sent may still be carried out.
+    """
 
     reason: str
 
 
 class OperatorCalls(abc.ABC):
-    """The calls; methods return outcomes and raise nothing."""
+    """Client of the platform; methods return outcomes and never raise."""
 
     @abc.abstractmethod
     def report_usage(
         self, caller: Caller, window: int, counts: dict[str, int]
     ) -> Done | Rejected | Unreachable:
-        """Report what began to run in a window, by workspace."""
+        """Report the requests that began to run in a window.
+
+        :param window: number of the window
+        :param counts: number of requests by workspace
+        """
 
     @abc.abstractmethod
     def order_endpoints(
         self, caller: Caller, order: autoscaler.ScaleOrder
     ) -> Done | Rejected | Unreachable:
-        """Have a service run so many endpoints in a failure domain."""
+        """Order the number of a service's endpoints in a failure domain."""
