--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -126,9 +126,9 @@
     def _may_ask_store(self) -> bool:
         """Whether this host should query the store for a proof.
 
-        During an outage of the store only the leader does.  The follower of
-        each host that watches the store retries it anyway, and its first
-        successful read is a proof.
+        The leader always does.  Another host does only if it watches the
+        store itself and reaches it.  During an outage its follower retries
+        the store anyway, and the first successful read is a proof.
         """
         if self.placer.leading:
             return True
