--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -141,11 +141,11 @@
         """Headers of an endpoint's answer that the caller gets."""
 
     @abc.abstractmethod
-    def own_headers(self, request: Request) -> http.Headers:
+    def local_response_headers(self, request: Request) -> http.Headers:
         """Headers of an answer that no endpoint gave."""
 
     @abc.abstractmethod
-    def prefilled(self, body: bytes) -> Prefilled | None:
+    def parse_prefilled(self, body: bytes) -> Prefilled | None:
         """Read the answer to a prompt that was read."""
 
     @abc.abstractmethod
--- a/magnoliadyke/gateway/connection.py
+++ b/magnoliadyke/gateway/connection.py
@@ -48,7 +48,7 @@
         self.sock: socket.socket = http.connect(address, timeout_s)
         self.reader = http.AnswerReader(self.sock)
         self.sent = False
-        self.used_s = 0.0
+        self.last_used_s = 0.0
         self.kept = False
         self.idle_limit_s: float | None = None
         self._reusable = False
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -152,11 +152,11 @@
         match outcome:
             case outcomes.Refused(reason, retry_after_s):
                 retry_after = b'%.3f' % max(0.0, retry_after_s)
-                headers = self.parts.codec.own_headers(self.request)
+                headers = self.parts.codec.local_response_headers(self.request)
                 headers.append((b'Retry-After', retry_after))
                 self.caller.answer(503, headers, reason.encode())
             case outcomes.Failed(status, reason) if not self.caller.begun:
-                headers = self.parts.codec.own_headers(self.request)
+                headers = self.parts.codec.local_response_headers(self.request)
                 self.caller.answer(status, headers, reason.encode())
         return outcome
 
--- a/magnoliadyke/gateway/http.py
+++ b/magnoliadyke/gateway/http.py
@@ -34,7 +34,7 @@
 KEEPALIVE_PROBES = 2
 #: Sent bytes that are not acknowledged for this long end the connection; in
 #: milliseconds, above the second that a lost opening packet costs.
-UNACKNOWLEDGED_MS = 3000
+USER_TIMEOUT_MS = 3000
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -220,7 +220,7 @@
     """Requests from one caller's connection."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.begun = False
+        self.message_started = False
         super().__init__(sock)
 
     def _new_parser(self):
@@ -228,11 +228,11 @@
 
     def on_message_begin(self) -> None:
         super().on_message_begin()
-        self.begun = True
+        self.message_started = True
 
     def on_message_complete(self) -> None:
         super().on_message_complete()
-        self.begun = False
+        self.message_started = False
 
     def _head(self) -> Head:
         length, chunked = self._framing()
@@ -294,11 +294,11 @@
     host, _, port = address.rpartition(':')
     sock = socket.create_connection((host, int(port)), timeout_s)
     sock.settimeout(None)
-    tune(sock)
+    set_socket_options(sock)
     return sock
 
 
-def tune(sock: socket.socket) -> None:
+def set_socket_options(sock: socket.socket) -> None:
     """Make a silent connection end by itself, and send without delay."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -308,7 +308,7 @@
     )
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     sock.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
     )
 
 
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -143,7 +143,7 @@
     # One connection.
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        http.tune(sock)
+        http.set_socket_options(sock)
         caller = callers.Caller(sock)
         self.connections[caller] = False
         try:
@@ -205,7 +205,7 @@
                 self._refuse_bytes(caller, error.status, 'over a limit')
                 return
             except http.OutOfTime:
-                if reader.begun:
+                if reader.message_started:
                     self._refuse_bytes(caller, 408, 'the request is late')
                 return
             if caller.broken or (caller.closing and self._may_end(caller)):
@@ -230,10 +230,10 @@
     def _read_head(self, reader: http.RequestReader) -> http.Head | None:
         """Wait for a request's head; None if the connection idled out."""
         limits = self._limits()
-        if not reader.begun and not reader.parts:
+        if not reader.message_started and not reader.parts:
             with gevent.Timeout(limits.idle_s, False):
                 reader.wait_for_bytes()
-            if not reader.begun and not reader.parts:
+            if not reader.message_started and not reader.parts:
                 return None
         with gevent.Timeout(limits.header_s, http.OutOfTime('header')):
             while not reader.parts:
@@ -404,7 +404,7 @@
             caller.broken = True
         else:
             caller.closing = True
-            headers = self.parts.codec.own_headers(request)
+            headers = self.parts.codec.local_response_headers(request)
             caller.answer(500, headers, b'')
         return outcomes.Failed(500, 'an error of this program')
 
@@ -416,7 +416,7 @@
         reason: str,
         retry_after_s: float | None = None,
     ) -> None:
-        headers = self.parts.codec.own_headers(request)
+        headers = self.parts.codec.local_response_headers(request)
         if retry_after_s is not None:
             headers.append((b'Retry-After', b'%.2f' % retry_after_s))
         configuration = self.parts.catalog.configuration
--- a/magnoliadyke/gateway/promptreading.py
+++ b/magnoliadyke/gateway/promptreading.py
@@ -111,7 +111,7 @@
             case outcomes.NotRun(reason) | outcomes.Lost(reason):
                 self.sends += 1
                 return self._not_read(reader.id, reason, True)
-        read = self.parts.codec.prefilled(result.body)
+        read = self.parts.codec.parse_prefilled(result.body)
         if read is None or result.facts.status != 200:
             reason = f'status {result.facts.status}'
             return self._not_read(reader.id, reason, True)
--- a/magnoliadyke/gateway/smallserver.py
+++ b/magnoliadyke/gateway/smallserver.py
@@ -17,7 +17,7 @@
 LOG = logs.get('smallserver')
 
 #: Longest time that a connection may idle, in seconds.
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 
 
 class Reply(NamedTuple):
@@ -53,12 +53,12 @@
             self.server.close()
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        http.tune(sock)
+        http.set_socket_options(sock)
         caller = callers.Caller(sock)
         reader = http.RequestReader(sock)
         try:
             while not caller.closing:
-                with gevent.Timeout(IDLE_S, http.OutOfTime('idle')):
+                with gevent.Timeout(IDLE_TIMEOUT_S, http.OutOfTime('idle')):
                     self._serve_one(caller, reader)
         except http.BrokenMessage as error:
             LOG.repeated('call_unreadable', address[0], reason=str(error))
--- a/magnoliadyke/gateway/upstream.py
+++ b/magnoliadyke/gateway/upstream.py
@@ -73,10 +73,10 @@
             most_s = limit_s
             if kept.idle_limit_s is not None:
                 most_s = min(most_s, kept.idle_limit_s / 2)
-            if now_s - kept.used_s <= most_s and kept.is_quiet():
+            if now_s - kept.last_used_s <= most_s and kept.is_quiet():
                 kept.kept = True
                 return kept
-            if now_s - kept.used_s <= MAX_IDLE_S and kept.is_quiet():
+            if now_s - kept.last_used_s <= MAX_IDLE_S and kept.is_quiet():
                 # Too old for this request, good for another one.
                 idle.append(kept)
                 return None
@@ -105,7 +105,7 @@
         if not used.reusable:
             used.close()
             return
-        used.used_s = self.clock.now_s()
+        used.last_used_s = self.clock.now_s()
         idle = self.idle.setdefault(endpoint.id, collections.deque())
         idle.append(used)
         if len(idle) > MAX_IDLE:
@@ -120,7 +120,7 @@
         """Close connections that have idled for too long."""
         now_s = self.clock.now_s()
         for endpoint_id, idle in list(self.idle.items()):
-            while idle and now_s - idle[0].used_s > MAX_IDLE_S:
+            while idle and now_s - idle[0].last_used_s > MAX_IDLE_S:
                 idle.popleft().close()
             if not idle:
                 del self.idle[endpoint_id]
--- a/magnoliadyke/platform/cloud.py
+++ b/magnoliadyke/platform/cloud.py
@@ -65,11 +65,11 @@
             (b'X-Duty-Holder', caller.host.encode()),
             (b'X-Fence-Token', b'%d' % caller.fencing),
         ]
-        held = None
+        conn = None
         try:
             with gevent.Timeout(CALL_TIMEOUT_S, http.OutOfTime('no answer')):
-                held = connection.Connection(self.address, CONNECT_TIMEOUT_S)
-                answer = held.call(
+                conn = connection.Connection(self.address, CONNECT_TIMEOUT_S)
+                answer = conn.call(
                     b'POST', target, headers, json.dumps(body).encode()
                 )
         except (
@@ -80,8 +80,8 @@
         ) as error:
             return operatorcalls.Unreachable(str(error))
         finally:
-            if held is not None:
-                held.close()
+            if conn is not None:
+                conn.close()
         return _outcome(answer.head.status, answer.body)
 
 
@@ -92,5 +92,7 @@
         return operatorcalls.Done()
     reason = f'status {status}: {body[:120].decode(errors="replace")}'
     scarce = status == STATUS_CONFLICT
-    again = scarce or status == STATUS_RATE_LIMITED or status in SERVER_ERRORS
-    return operatorcalls.Rejected(reason, scarce, again)
+    retryable = (
+        scarce or status == STATUS_RATE_LIMITED or status in SERVER_ERRORS
+    )
+    return operatorcalls.Rejected(reason, scarce, retryable)
--- a/magnoliadyke/platform/codec.py
+++ b/magnoliadyke/platform/codec.py
@@ -19,10 +19,10 @@
 EXPECT_ENDPOINT = b'X-Expect-Instance'
 STAGE = b'X-Stage'
 SOURCE = b'X-Kv-Source'
-FETCH = b'Kv-Fetch'
+FETCH_FROM = b'Kv-Fetch'
 PRIORITY = b'X-Request-Priority'
 WORKSPACE = b'X-Tenant'
-KEY = b'api-key'
+API_KEY = b'api-key'
 
 URGENT = b'1'
 PREFILL = b'prefill'
@@ -58,12 +58,12 @@
         b'x-tenant',
         b'wait-ms',
         # Goes no further than this host.
-        KEY,
+        API_KEY,
     )
 )
 #: Headers of a request that a caller can't have dropped by naming them in
 #: its Connection header.
-KEPT = frozenset(
+UNDROPPABLE_HEADERS = frozenset(
     (
         b'host',
         b'x-request-id',
@@ -75,7 +75,7 @@
     )
 )
 #: Of these a request has at most one, or none could say which one counts.
-SINGLE = (
+SINGLE_HEADERS = (
     b'host',
     b'x-request-id',
     b'x-deadline-ms',
@@ -83,12 +83,12 @@
     b'x-token-counts',
     b'x-prompt-prefix',
     b'last-event-id',
-    KEY,
+    API_KEY,
 )
 STATUS_WRONG_ENDPOINT = 421
 STATUS_UNAVAILABLE = 503
 #: Ids of parts are kept as positive numbers of 64 bits.
-MASK_64 = (1 << 63) - 1
+PART_ID_MASK = (1 << 63) - 1
 
 
 class PlatformCodec(codec.Codec):
@@ -96,15 +96,15 @@
 
     def decode(self, head: http.Head) -> codec.Request | codec.Malformed:
         """Read a caller's head."""
-        known: dict[bytes, bytes] = {}
+        single_values: dict[bytes, bytes] = {}
         for name, value in head.headers:
             lowered = name.lower()
-            if lowered in SINGLE:
-                if lowered in known:
+            if lowered in SINGLE_HEADERS:
+                if lowered in single_values:
                     return codec.Malformed(f'two headers {lowered.decode()}')
-                known[lowered] = value
-        host = known.get(b'host')
-        request_id = known.get(b'x-request-id')
+                single_values[lowered] = value
+        host = single_values.get(b'host')
+        request_id = single_values.get(b'x-request-id')
         if not host:
             return codec.Malformed('no host')
         if not request_id:
@@ -114,8 +114,8 @@
         try:
             path = head.target.split(b'?', 1)[0].decode('ascii')
             name = host.decode('ascii').rsplit(':', 1)[0].lower()
-            wait_s = _wait_s(known.get(b'x-deadline-ms'))
-            prompt = _prompt(known)
+            wait_s = _wait_s(single_values.get(b'x-deadline-ms'))
+            prompt = _prompt(single_values)
         except ValueError as error:
             return codec.Malformed(str(error))
         return codec.Request(
@@ -124,12 +124,12 @@
             target=head.target,
             host=name,
             path=path,
-            headers=_passed_on(head.headers),
+            headers=_forwarded_headers(head.headers),
             body=b'',
             wait_s=wait_s,
             prompt=prompt,
-            resume_after=known.get(b'last-event-id'),
-            key_digest=_key_digest(known.get(KEY)),
+            resume_after=single_values.get(b'last-event-id'),
+            key_digest=_key_digest(single_values.get(API_KEY)),
         )
 
     def run_headers(
@@ -166,7 +166,7 @@
         if options.urgent:
             headers.append((PRIORITY, URGENT))
         if options.fetch_from is not None:
-            headers.append((FETCH, options.fetch_from.encode()))
+            headers.append((FETCH_FROM, options.fetch_from.encode()))
         return headers
 
     def facts(self, head: http.Head) -> codec.AnswerFacts:
@@ -213,11 +213,11 @@
             if name.lower() not in HOP_BY_HOP and name.lower() not in named
         ]
 
-    def own_headers(self, request: codec.Request) -> http.Headers:
+    def local_response_headers(self, request: codec.Request) -> http.Headers:
         """Headers of an answer that no endpoint gave."""
         return [(REQUEST_ID, request.id)]
 
-    def prefilled(self, body: bytes) -> codec.Prefilled | None:
+    def parse_prefilled(self, body: bytes) -> codec.Prefilled | None:
         """Read the answer to a prompt that was read."""
         try:
             fields = json.loads(body)
@@ -243,8 +243,8 @@
     return int(value) / 1000
 
 
-def _prompt(known: dict[bytes, bytes]) -> codec.Prompt | None:
-    value = known.get(PROMPT_PARTS)
+def _prompt(single_values: dict[bytes, bytes]) -> codec.Prompt | None:
+    value = single_values.get(PROMPT_PARTS)
     if not value:
         return None
     parts = []
@@ -252,7 +252,7 @@
         name, _, tokens = entry.strip().partition(b':')
         parts.append(promptcache.PromptPart(_part_id(name), int(tokens)))
     output_tokens = 0
-    counts = known.get(TOKEN_COUNTS)
+    counts = single_values.get(TOKEN_COUNTS)
     if counts:
         output_tokens = int(counts.split(b',')[-1])
     return codec.Prompt(tuple(parts), output_tokens)
@@ -261,13 +261,13 @@
 def _part_id(name: bytes) -> int:
     """Part ids are hexadecimal; any other text is hashed."""
     try:
-        return int(name, 16) & MASK_64
+        return int(name, 16) & PART_ID_MASK
     except ValueError:
         return zlib.crc32(name)
 
 
-def _passed_on(headers: http.Headers) -> http.Headers:
-    named = _named_by_connection(headers) - KEPT
+def _forwarded_headers(headers: http.Headers) -> http.Headers:
+    named = _named_by_connection(headers) - UNDROPPABLE_HEADERS
     return [
         (name, value)
         for name, value in headers
--- a/magnoliadyke/platform/engines.py
+++ b/magnoliadyke/platform/engines.py
@@ -44,7 +44,7 @@
                 ),
                 # Counts accepted orders; the list's field of that name
                 # counts heartbeats.
-                report.whole(fields, 'sequence', 0, 0),
+                report.integer(fields, 'sequence', 0, 0),
                 report.flag(fields, 'busy'),
             )
         except report.BadField as error:
@@ -89,13 +89,13 @@
             (b'Content-Type', b'application/json'),
             (b'X-Expect-Instance', endpoint.name.encode()),
         ]
-        held = None
+        conn = None
         try:
             with gevent.Timeout(CALL_TIMEOUT_S, http.OutOfTime('no answer')):
-                held = connection.Connection(
+                conn = connection.Connection(
                     endpoint.address, CONNECT_TIMEOUT_S
                 )
-                answer = held.call(method, target, headers, data)
+                answer = conn.call(method, target, headers, data)
             fields = report.record(answer.body or b'{}')
         except (
             OSError,
@@ -106,6 +106,6 @@
         ) as error:
             return enginecontrol.Unreachable(str(error))
         finally:
-            if held is not None:
-                held.close()
+            if conn is not None:
+                conn.close()
         return answer.head.status, fields
--- a/magnoliadyke/platform/fields.py
+++ b/magnoliadyke/platform/fields.py
@@ -17,7 +17,7 @@
     'record',
     'records',
     'text',
-    'whole',
+    'integer',
 ]
 
 MAX_PORT = 65535
@@ -71,7 +71,7 @@
 def number(
     fields: dict[str, Any],
     name: str,
-    least: float,
+    minimum: float,
     default: float | None = None,
 ) -> float:
     """A finite number.
@@ -83,19 +83,19 @@
         found = default
     if isinstance(found, bool) or not isinstance(found, int | float):
         raise BadField(f'{name} is no number')
-    if not math.isfinite(found) or not least <= found <= MAX_NUMBER:
+    if not math.isfinite(found) or not minimum <= found <= MAX_NUMBER:
         raise BadField(f'{name} is out of range')
     return found
 
 
-def whole(
+def integer(
     fields: dict[str, Any],
     name: str,
-    least: int,
+    minimum: int,
     default: int | None = None,
 ) -> int:
     """A whole number; 3.0 is none."""
-    found = number(fields, name, least, default)
+    found = number(fields, name, minimum, default)
     if not isinstance(found, int):
         raise BadField(f'{name} is no whole number')
     return found
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -50,8 +50,8 @@
 USAGE = 'usage_report'
 SCALING = 'autoscale'
 #: Where no usage is reported, windows have this length, in seconds.
-UNREPORTED = usageduty.UsageSettings(60.0, 60.0)
-UPKEEP_S = 0.5
+DEFAULT_USAGE_WINDOWS = usageduty.UsageSettings(60.0, 60.0)
+MAINTENANCE_INTERVAL_S = 0.5
 #: How long callers keep an answer of the directory, in seconds: a host that
 #: stops is not asked for longer than this after it said so.
 DIRECTORY_TTL_S = 2.0
@@ -122,7 +122,7 @@
             self.store,
             settings.min_lease_s,
             settings.order_gap_s,
-            self._tell_hosts,
+            self._broadcast,
             clock,
             rng,
         )
@@ -175,8 +175,8 @@
         )
         self.follower.read_whole = self.confirming.listed
         self.follower.untold = frozenset((usageduty.REPORTS_KEY,))
-        self.suspects = suspects.Suspects(clock, self._tell_hosts)
-        self.placer.tell = self._tell_hosts
+        self.suspects = suspects.Suspects(clock, self._broadcast)
+        self.placer.tell = self._broadcast
         self.placer.listeners = {
             placing_codec.Broken: self.suspects.heard,
             placing_codec.Leads: self.leadership.heard,
@@ -264,7 +264,7 @@
         asked = self.settings.duties
         names = () if asked is None else asked.names
         calls = None if asked is None else cloud.PlatformCalls(asked.address)
-        windows = UNREPORTED
+        windows = DEFAULT_USAGE_WINDOWS
         if asked is not None:
             windows = usageduty.UsageSettings(
                 asked.usage_window_s, asked.usage_due_s
@@ -289,7 +289,7 @@
         )
         return usage, fleet
 
-    def _tell_hosts(self, message: placing_codec.Message) -> None:
+    def _broadcast(self, message: placing_codec.Message) -> None:
         for address in self.members.listening():
             self.placer.send(address, message)
 
@@ -320,9 +320,9 @@
             callers=self.settings.callers,
             process_ms=round(time.process_time() * 1000),
         )
-        upkeep = gevent.spawn(self._keep_up)
+        maintenance = gevent.spawn(self._run_maintenance)
         self.stopping.wait()
-        upkeep.kill()
+        maintenance.kill()
         self._drain()
         self.ingress.log_running()
         self.application.stop(shutdown.STOP_S)
@@ -338,10 +338,10 @@
             return
         LOG.event('settings_reloaded')
 
-    def _keep_up(self) -> None:
+    def _run_maintenance(self) -> None:
         ticks = 0
         while True:
-            self.clock.sleep(UPKEEP_S)
+            self.clock.sleep(MAINTENANCE_INTERVAL_S)
             ticks += 1
             hosts = self.members.count()
             self.upstream.hosts = hosts
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -51,7 +51,7 @@
     if not isinstance(limits, dict):
         raise fields.BadField('limits is no object')
     return routes.Configuration(
-        fields.whole(found, 'version', 0),
+        fields.integer(found, 'version', 0),
         tuple(_route(each) for each in fields.records(found, 'routes')),
         {each.name: each for each in services},
         _limits(limits),
@@ -102,8 +102,8 @@
         timeout_s=timeout_s,
         objective_s=objective_ms / 1000 if objective_ms else timeout_s,
         pause_s=pause_ms / 1000 if pause_ms else timeout_s,
-        priority=fields.whole(found, 'priority', 0, 0),
-        max_attempts=max(1, fields.whole(found, 'max_attempts', 0, 1)),
+        priority=fields.integer(found, 'priority', 0, 0),
+        max_attempts=max(1, fields.integer(found, 'max_attempts', 0, 1)),
         # The field's name speaks of sessions; what it marks is requests
         # that come with the headers on their prompt.
         carries_prompt=fields.flag(found, 'sticky'),
@@ -119,7 +119,7 @@
     return routes.Service(
         fields.text(found, 'name'),
         fields.text(found, 'health_path', ''),
-        fields.whole(found, 'max_conns', 0, 0),
+        fields.integer(found, 'max_conns', 0, 0),
         _engine(engine) if engine else None,
         _scaling(found.get('autoscale')),
     )
@@ -134,8 +134,8 @@
     if not isinstance(prices, dict):
         raise fields.BadField('zone_prices is no object')
     return autoscaler.ScalingLimits(
-        min_endpoints=fields.whole(found, 'min_replicas', 0),
-        max_endpoints=fields.whole(found, 'max_replicas', 0),
+        min_endpoints=fields.integer(found, 'min_replicas', 0),
+        max_endpoints=fields.integer(found, 'max_replicas', 0),
         boot_s=fields.number(found, 'boot_s', 0, 0),
         reclaimable_price=fields.number(found, 'spot_price', 0, 1),
         prices={zone: fields.number(prices, zone, 0) for zone in prices},
@@ -144,7 +144,7 @@
 
 def _engine(found: dict[str, Any]) -> routes.EngineTraits:
     return routes.EngineTraits(
-        slots=fields.whole(found, 'slots', 1),
+        slots=fields.integer(found, 'slots', 1),
         cache_tokens=fields.number(found, 'kv_tokens', 1),
         bytes_per_token=fields.number(found, 'token_kv_bytes', 0, 0.0),
         link_bits_s=fields.number(found, 'link_mbps', 0, 0.0) * 1e6,
@@ -156,8 +156,9 @@
 def _limits(found: dict[str, Any]) -> routes.CallerLimits:
     default = routes.CallerLimits()
     return routes.CallerLimits(
-        fields.whole(found, 'max_header_bytes', 0, 0) or default.header_bytes,
-        fields.whole(found, 'max_body_bytes', 0, 0) or default.body_bytes,
+        fields.integer(found, 'max_header_bytes', 0, 0)
+        or default.header_bytes,
+        fields.integer(found, 'max_body_bytes', 0, 0) or default.body_bytes,
         fields.number(found, 'header_timeout_ms', 0, 0) / 1000
         or default.header_s,
         fields.number(found, 'idle_timeout_ms', 0, 0) / 1000 or default.idle_s,
@@ -184,7 +185,7 @@
     stage = fields.text(found, 'stage', '')
     if stage and stage not in STAGES:
         raise fields.BadField('stage is not known')
-    started_ms = fields.whole(found, 'born', 0, 0)
+    started_ms = fields.integer(found, 'born', 0, 0)
     return catalog.Endpoint(
         # What is known of a process is kept by this id: one that starts
         # again under its name is another, which knows and holds nothing.
@@ -192,7 +193,7 @@
         service=fields.text(found, 'service'),
         address=fields.address(found, 'address'),
         failure_domain=fields.text(found, 'zone'),
-        slots=fields.whole(found, 'slots', 1),
+        slots=fields.integer(found, 'slots', 1),
         leaving=state != STATE_READY,
         stage=STAGES.get(stage, catalog.Stage.NONE),
         published=name if started_ms else '',
--- a/magnoliadyke/platform/store.py
+++ b/magnoliadyke/platform/store.py
@@ -28,8 +28,8 @@
 #: Once an answer has begun, it may pause for so long, and take so long as a
 #: whole: many keys take seconds over a narrow link, and a store that is taken
 #: for lost is asked for all of them again.
-PAUSE_S = 0.7
-ANSWER_S = 3.0
+READ_TIMEOUT_S = 0.7
+RESPONSE_TIMEOUT_S = 3.0
 #: A connection that has idled for longer is replaced: a new one costs a
 #: round trip, one that was silently dropped a whole timeout.
 MAX_IDLE_S = 4.0
@@ -66,8 +66,8 @@
         self.era: int | None = None
         self.restores = 0
         self.calls: collections.Counter[str] = collections.Counter()
-        self.idle: connection.Connection | None = None
-        self.watching: connection.Connection | None = None
+        self.idle_connection: connection.Connection | None = None
+        self.watch_connection: connection.Connection | None = None
 
     def list_prefix(self, prefix: str) -> store.Items | store.Unavailable:
         """Read all keys under a prefix, page by page."""
@@ -91,7 +91,9 @@
                 )
             if reply.era != start.era:
                 return store.Unavailable('restored between two pages', False)
-            items += [_item(each, reply.era) for each in reply.fields['items']]
+            items += [
+                _decode_item(each, reply.era) for each in reply.fields['items']
+            ]
             if not reply.fields['more_pages']:
                 return store.Items(tuple(items), start)
             after = items[-1].key
@@ -104,7 +106,7 @@
             return reply
         match reply.status:
             case status if status == STATUS_OK:
-                return _item(reply.fields, reply.era)
+                return _decode_item(reply.fields, reply.era)
             case status if status == STATUS_NOT_FOUND:
                 return store.Absent()
         return _unavailable(reply)
@@ -119,26 +121,28 @@
             f'/api/kv-watch?path_prefix={_quoted(prefix)}'
             f'&after={after.revision}&wait_ms={round(wait_s * 1000)}'
         )
-        held, self.watching = self.watching, None
-        if held is not None and not held.is_quiet():
-            held.close()
-            held = None
-        reply, held = self._exchange(
-            'watch', held, b'GET', path, b'', wait_s + WATCH_GRACE_S
+        conn, self.watch_connection = self.watch_connection, None
+        if conn is not None and not conn.is_quiet():
+            conn.close()
+            conn = None
+        reply, conn = self._exchange(
+            'watch', conn, b'GET', path, b'', wait_s + WATCH_GRACE_S
         )
-        self.watching = held
+        self.watch_connection = conn
         if isinstance(reply, store.Unavailable):
             return reply
         if reply.era > after.era:
             return store.Restored(reply.era)
         if reply.era < after.era:
-            return store.Unavailable(_before(reply.era, after.era), False)
+            return store.Unavailable(
+                _earlier_era_reason(reply.era, after.era), False
+            )
         if reply.status == STATUS_GONE:
             return store.Compacted()
         if reply.status != STATUS_OK:
             return _unavailable(reply)
         changes = tuple(
-            _change(each, reply.era) for each in reply.fields['events']
+            _decode_change(each, reply.era) for each in reply.fields['events']
         )
         return store.Changes(
             changes,
@@ -166,7 +170,7 @@
                 {'key': key, 'revision': each.revision}
                 for key, each in expected.items()
             ],
-            'set_keys': [_put(each) for each in puts],
+            'set_keys': [_encode_put(each) for each in puts],
             'remove': list(removals),
         }
         reply = self._call('commit', b'POST', '/api/kv-txn', body)
@@ -177,7 +181,9 @@
             # chance, in another history.
             return store.Restored(reply.era)
         if any(era > reply.era for era in eras):
-            return store.Unavailable(_before(reply.era, max(eras)), True)
+            return store.Unavailable(
+                _earlier_era_reason(reply.era, max(eras)), True
+            )
         match reply.status:
             case status if status == STATUS_OK:
                 return store.Written(
@@ -186,7 +192,7 @@
             case status if status == STATUS_CONFLICT:
                 items = reply.fields.get('items', ())
                 return store.Conflict(
-                    tuple(_item(each, reply.era) for each in items)
+                    tuple(_decode_item(each, reply.era) for each in items)
                 )
             case status if status == STATUS_NOT_FOUND:
                 return store.NoLease()
@@ -225,11 +231,11 @@
 
     def close(self) -> None:
         """Drop all connections."""
-        for held in (self.idle, self.watching):
-            if held is not None:
-                held.close()
-        self.idle = None
-        self.watching = None
+        for conn in (self.idle_connection, self.watch_connection):
+            if conn is not None:
+                conn.close()
+        self.idle_connection = None
+        self.watch_connection = None
 
     def _call(
         self,
@@ -238,28 +244,28 @@
         path: str,
         body: dict[str, Any] | None = None,
     ) -> _Reply | store.Unavailable:
-        held, self.idle = self.idle, None
-        if held is not None and not self._usable(held):
-            held.close()
-            held = None
+        conn, self.idle_connection = self.idle_connection, None
+        if conn is not None and not self._is_usable(conn):
+            conn.close()
+            conn = None
         data = b'' if body is None else json.dumps(body).encode()
-        reply, held = self._exchange(
-            kind, held, method, path, data, CALL_TIMEOUT_S
+        reply, conn = self._exchange(
+            kind, conn, method, path, data, CALL_TIMEOUT_S
         )
-        if held is not None:
-            if self.idle is not None:
-                self.idle.close()
-            self.idle = held
+        if conn is not None:
+            if self.idle_connection is not None:
+                self.idle_connection.close()
+            self.idle_connection = conn
         return reply
 
-    def _usable(self, held: connection.Connection) -> bool:
-        idle_s = self.clock.now_s() - held.used_s
-        return idle_s < MAX_IDLE_S and held.is_quiet()
+    def _is_usable(self, conn: connection.Connection) -> bool:
+        idle_s = self.clock.now_s() - conn.last_used_s
+        return idle_s < MAX_IDLE_S and conn.is_quiet()
 
     def _exchange(
         self,
         kind: str,
-        held: connection.Connection | None,
+        conn: connection.Connection | None,
         method: bytes,
         path: str,
         body: bytes,
@@ -271,15 +277,15 @@
             with gevent.Timeout(
                 timeout_s, http.OutOfTime('no answer in time')
             ):
-                if held is None:
-                    held = connection.Connection(
+                if conn is None:
+                    conn = connection.Connection(
                         self.address, CONNECT_TIMEOUT_S
                     )
                 sent = True
                 headers = [(b'Host', self.address.encode()), *JSON_HEADERS]
-                held.send(method, path.encode(), headers, body)
-                head = held.head()
-            answer = _body(held)
+                conn.send(method, path.encode(), headers, body)
+                head = conn.head()
+            answer = _body(conn)
             fields = json.loads(answer) if answer else {}
         except (
             OSError,
@@ -287,25 +293,25 @@
             http.OutOfTime,
             http.PeerClosed,
         ) as error:
-            if held is not None:
-                held.close()
+            if conn is not None:
+                conn.close()
             return store.Unavailable(str(error), maybe_applied=sent), None
         except ValueError as error:
-            held.close()
+            conn.close()
             return store.Unavailable(f'not JSON: {error}', sent), None
         except gevent.GreenletExit:
             # Given up: the next call would read the answer to this one.
-            if held is not None:
-                held.close()
+            if conn is not None:
+                conn.close()
             raise
-        if not held.reusable:
-            held.close()
-            held = None
+        if not conn.reusable:
+            conn.close()
+            conn = None
         else:
-            held.used_s = self.clock.now_s()
-        return self._in_era(head, fields), held
+            conn.last_used_s = self.clock.now_s()
+        return self._check_era(head, fields), conn
 
-    def _in_era(
+    def _check_era(
         self, head: http.Head, fields: dict[str, Any]
     ) -> _Reply | store.Unavailable:
         """Take the era of an answer; one of an earlier era is none."""
@@ -314,7 +320,7 @@
         except ValueError:
             return store.Unavailable('the era is no number', True)
         if self.era is not None and era < self.era:
-            reason = _before(era, self.era)
+            reason = _earlier_era_reason(era, self.era)
             LOG.repeated('answer_of_earlier_era', 'store', reason=reason)
             return store.Unavailable(reason, True)
         before, self.era = self.era, era
@@ -326,16 +332,20 @@
         return _Reply(head.status, fields, era)
 
 
-def _body(held: connection.Connection) -> bytes:
+def _body(conn: connection.Connection) -> bytes:
     """Wait for the rest of an answer, as long as it goes on.
 
     :raises http.OutOfTime: it does not
     """
     pieces = []
-    with gevent.Timeout(ANSWER_S, http.OutOfTime('no whole answer in time')):
+    with gevent.Timeout(
+        RESPONSE_TIMEOUT_S, http.OutOfTime('no whole answer in time')
+    ):
         while True:
-            with gevent.Timeout(PAUSE_S, http.OutOfTime('the answer stopped')):
-                part = held.part()
+            with gevent.Timeout(
+                READ_TIMEOUT_S, http.OutOfTime('the answer stopped')
+            ):
+                part = conn.part()
             if isinstance(part, http.End):
                 return b''.join(pieces)
             pieces.append(part.data)
@@ -350,7 +360,7 @@
     )
 
 
-def _before(era: int, known: int) -> str:
+def _earlier_era_reason(era: int, known: int) -> str:
     return f'an answer of era {era}, before era {known}'
 
 
@@ -358,20 +368,22 @@
     return parse.quote(text, safe='')
 
 
-def _item(fields: dict[str, Any], era: int) -> store.Item:
+def _decode_item(fields: dict[str, Any], era: int) -> store.Item:
     value = base64.b64decode(fields.get('value') or '')
     written = position.Position(era, fields['revision'])
     return store.Item(fields['key'], value, written)
 
 
-def _change(fields: dict[str, Any], era: int) -> store.Item | store.Removed:
+def _decode_change(
+    fields: dict[str, Any], era: int
+) -> store.Item | store.Removed:
     if fields.get('tombstone'):
         removed = position.Position(era, fields['revision'])
         return store.Removed(fields['key'], removed)
-    return _item(fields, era)
+    return _decode_item(fields, era)
 
 
-def _put(put: store.Put) -> dict[str, Any]:
+def _encode_put(put: store.Put) -> dict[str, Any]:
     return {
         'key': put.key,
         'value': base64.b64encode(put.value).decode(),
--- a/tests/test_gateway_restart.py
+++ b/tests/test_gateway_restart.py
@@ -139,7 +139,7 @@
     assert leader.members.listening() == [other.own.address]
     word = leader.leadership._word()
     later = _next_term(word)
-    leader._tell_hosts(later)
+    leader._broadcast(later)
     gatewayworld.wait_for(
         lambda: other.leadership.holder_position == later.position,
         'word of the holder',
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -75,7 +75,7 @@
             return NEVER, None
         headers = [(b'Store-Era', b'%d' % self.standin.era)]
         head = http.Head(b'', b'', status, headers, None, False, True)
-        return self._in_era(head, fields), None
+        return self._check_era(head, fields), None
 
 
 class Decoder(keymirror.Decoder):
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -149,7 +149,9 @@
 
 
 def test_prefilled():
-    made = codec.PlatformCodec().prefilled(b'{"kv_handle":"h","tokens":3}')
+    made = codec.PlatformCodec().parse_prefilled(
+        b'{"kv_handle":"h","tokens":3}'
+    )
     assert made == codecs.Prefilled('h', 3)
-    assert codec.PlatformCodec().prefilled(b'{}') is None
-    assert codec.PlatformCodec().prefilled(b'nothing') is None
+    assert codec.PlatformCodec().parse_prefilled(b'{}') is None
+    assert codec.PlatformCodec().parse_prefilled(b'nothing') is None
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -242,6 +242,6 @@
 
 def test_answer_that_never_ends_is_given_up(slow):
     slow.pieces = 100
-    with gevent.Timeout(platform_store.ANSWER_S + 1.0):
+    with gevent.Timeout(platform_store.RESPONSE_TIMEOUT_S + 1.0):
         outcome = call_of(slow).watch('', at(3), 0.0)
     assert isinstance(outcome, store.Unavailable)
