--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -1,4 +1,4 @@
-"""How callers' requests and the endpoints' answers are written down."""
+"""Interface to a platform's headers on requests and responses."""
 
 import abc
 import dataclasses
@@ -20,16 +20,17 @@
 
 
 class Malformed(NamedTuple):
-    """A request that can't be passed on, and why."""
+    """A request that can't be forwarded, with the reason."""
 
     reason: str
 
 
 class Prompt(NamedTuple):
-    """What a request tells of its prompt.
+    """The headers of a request that describe its prompt.
 
-    :param parts: in order; the last one is the request's own
-    :param output_tokens: most tokens of the answer
+    :param parts: parts of the prompt in order; the last one is specific to
+        the request
+    :param output_tokens: maximum length of the output, in tokens
     """
 
     parts: tuple[promptcache.PromptPart, ...]
@@ -38,14 +39,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A caller's request, its own headers stripped of what isn't passed on.
-
-    :param id: names this request; each further try of a caller has its own
-    :param wait_s: how long the caller waits, None if it did not say
-    :param resume_after: last event that the caller has of a stream
-    :param key_digest: of the caller's key, None if it gave none; the key
-        itself is not kept
-    :ivar workspace: that the request runs for, once it has been admitted
+    """A caller's request, with only those headers that are forwarded.
+
+    :param id: request id; a caller's retry has another id
+    :param host: host name of the Host header, in lower case
+    :param wait_s: how long the caller waits, in seconds; None if not given
+    :param prompt: description of the prompt, None if not given
+    :param resume_after: id of the last stream event that the caller received
+    :param key_digest: digest of the caller's API key, None without one; the
+        key itself is not stored
+    :ivar workspace: workspace that the request runs for, set at admission
     """
 
     id: bytes
@@ -63,14 +66,15 @@
 
 
 class RunOptions(NamedTuple):
-    """What the system adds to a request that an endpoint is to run.
-
-    :param endpoint: id of the run of the endpoint's process that is meant
-    :param left_s: time that is left of the caller's
-    :param urgent: to be admitted before others
-    :param source: where the prompt has been read: ``address/handle``
-    :param fetch_from: address of an engine that keeps more of the prompt
-    :param resume_after: last event that the caller has been given
+    """Fields that the gateway adds to a request to an endpoint.
+
+    :param endpoint: id of the endpoint process that must run the request
+    :param left_s: time until the caller's deadline, in seconds
+    :param urgent: whether the endpoint admits the request before others
+    :param source: where the prefilled prompt is held, as ``address/handle``
+    :param fetch_from: address of an engine with more of the prompt in its KV
+        cache
+    :param resume_after: id of the last stream event sent to the caller
     """
 
     endpoint: str
@@ -82,17 +86,20 @@
 
 
 class AnswerFacts(NamedTuple):
-    """What an answer's head says.
-
-    :param request_id: of the request that it answers, None if not told
-    :param not_run: the endpoint has not run the request and will not
-    :param wrong_endpoint: another process has this address now
-    :param sealed: it bears the endpoint's signature
-    :param encoded: the body is not the endpoint's own bytes
-    :param idle_limit_s: how long the connection may idle, None if not told
-    :param leaving: the endpoint will take no new work
-    :param backoff_s: how long it wants nothing from this host, 0 if it did not
-        say so
+    """The fields of a response's head that the gateway uses.
+
+    :param request_id: id of the request that the response belongs to, None if
+        not given
+    :param not_run: whether the endpoint did not run the request and will not
+    :param wrong_endpoint: whether another process now has this address
+    :param sealed: whether the response has the endpoint's signature header
+    :param encoded: whether the body has a Content-Encoding, so that it is not
+        the bytes that the endpoint generated
+    :param idle_limit_s: idle time after which the endpoint closes the
+        connection, in seconds; None if not given
+    :param leaving: whether the endpoint is draining and takes no new work
+    :param backoff_s: how long this host must send it no requests, in seconds;
+        0 if the endpoint asked for no backoff
     """
 
     status: int
@@ -107,47 +114,51 @@
 
 
 class Prefilled(NamedTuple):
-    """A prompt that has been read and waits to be fetched."""
+    """A prefilled prompt whose KV cache waits to be fetched.
+
+    :param handle: id of the KV cache at the prefill engine
+    :param tokens: number of prefilled tokens
+    """
 
     handle: str
     tokens: int
 
 
 class Codec(abc.ABC):
-    """Writes and reads the headers of one platform."""
+    """Encodes and decodes the headers of a platform."""
 
     @abc.abstractmethod
     def decode(self, head: http.Head) -> Request | Malformed:
-        """Read a caller's head; the body is added by the reader."""
+        """Decode a caller's request head; the body is set later."""
 
     @abc.abstractmethod
     def run_headers(
         self, request: Request, options: RunOptions
     ) -> http.Headers:
-        """Headers of a request that an endpoint is to run."""
+        """Return the headers of a request that an endpoint runs."""
 
     @abc.abstractmethod
     def prefill_headers(
         self, request: Request, options: RunOptions
     ) -> http.Headers:
-        """Headers of a request of which only the prompt is to be read."""
+        """Return the headers of a request for prefill only."""
 
     @abc.abstractmethod
     def facts(self, head: http.Head) -> AnswerFacts:
-        """Read an endpoint's head."""
+        """Decode the head of an endpoint's response."""
 
     @abc.abstractmethod
     def answer_headers(self, head: http.Head) -> http.Headers:
-        """Headers of an endpoint's answer that the caller gets."""
+        """Return the headers of a response to forward to the caller."""
 
     @abc.abstractmethod
     def local_response_headers(self, request: Request) -> http.Headers:
-        """Headers of an answer that no endpoint gave."""
+        """Return the headers of a response generated by the gateway."""
 
     @abc.abstractmethod
     def parse_prefilled(self, body: bytes) -> Prefilled | None:
-        """Read the answer to a prompt that was read."""
+        """Decode the response to a prefill request, None if malformed."""
 
     @abc.abstractmethod
     def drop_target(self, handle: str) -> tuple[bytes, bytes]:
-        """Method and target of the call that frees a read prompt."""
+        """Return method and target of the call that frees a handle."""
--- a/magnoliadyke/gateway/connection.py
+++ b/magnoliadyke/gateway/connection.py
@@ -1,4 +1,4 @@
-"""One kept connection to an HTTP server, for one request at a time."""
+"""A persistent HTTP/1.1 client connection, for one request at a time."""
 
 from typing import NamedTuple
 
@@ -9,14 +9,14 @@
 
 __all__ = ['Answer', 'Connection', 'request_bytes']
 
-#: Bodies up to this size are sent before the answer is looked at: they fit
-#: the socket's buffer, so that sending can't block on a server that answers
-#: before it has read them.
+#: Bodies up to this size are sent before the response is read: they fit into
+#: the socket's buffer, so that sending does not block if a server responds
+#: before it has read the body.
 INLINE_BODY_BYTES = 65536
 
 
 class Answer(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     head: http.Head
     body: bytes
@@ -25,7 +25,11 @@
 def request_bytes(
     method: bytes, target: bytes, headers: http.Headers, body: bytes
 ) -> bytes:
-    """A request's head, with the body's length if it has one."""
+    """Return the encoded request line and headers of a request.
+
+    Content-Length is added if there is a body, or if the method usually has
+    one.
+    """
     lines = [b'%s %s HTTP/1.1' % (method, target)]
     lines += [b'%s: %s' % header for header in headers]
     if body or method not in (b'GET', b'HEAD', b'DELETE'):
@@ -34,13 +38,17 @@
 
 
 class Connection:
-    """An open connection.
+    """An open connection to a server.
 
     :param address: numeric ``ip:port``
-    :param timeout_s: longest time to connect
-    :ivar sent: bytes of the present request may have left
-    :ivar used_s: set by the pool when the connection was last given back
-    :raises OSError: it could not be opened
+    :param timeout_s: time limit for connecting, in seconds
+    :ivar sent: whether bytes of the current request may have been sent
+    :ivar last_used_s: when the owner last got the connection back after a
+        request, in monotonic seconds
+    :ivar kept: whether the connection served an earlier request
+    :ivar idle_limit_s: idle time after which the server closes the connection,
+        in seconds; None if the server did not send it
+    :raises OSError: the connection failed or timed out
     """
 
     def __init__(self, address: str, timeout_s: float) -> None:
@@ -62,9 +70,10 @@
         headers: http.Headers,
         body: bytes = b'',
     ) -> None:
-        """Send a request.
+        """Send a request; a large body is sent in the background.
 
-        :raises OSError: the connection broke; bytes may have left
+        :raises OSError: the connection failed; the server may have received
+            part of the request
         """
         self._complete = False
         self._reusable = False
@@ -80,15 +89,15 @@
         try:
             self.sock.sendall(body)
         except OSError:
-            # The reader sees the same end of the connection and reports it.
+            # Reading the response fails too, and that error is reported.
             return False
         return True
 
     def head(self) -> http.Head:
-        """Wait for the answer's head; interim answers are skipped.
+        """Wait for the final response's head; skip interim responses.
 
-        :raises http.BrokenMessage: the bytes are no answer
-        :raises http.PeerClosed: the connection ended before it
+        :raises http.BrokenMessage: the received bytes are not valid HTTP
+        :raises http.PeerClosed: the connection ended before the head
         """
         while True:
             part = self.reader.next_part()
@@ -98,14 +107,14 @@
                     return part
 
     def part(self) -> http.Body | http.End:
-        """Wait for the next part of the answer's body."""
+        """Wait for the next part of the response's body."""
         part = self.reader.next_part()
         if isinstance(part, http.End):
             self._complete = True
         return part
 
     def body(self) -> bytes:
-        """Wait for the rest of the answer."""
+        """Wait for the rest of the response's body and return it."""
         pieces = []
         while True:
             match self.part():
@@ -121,19 +130,19 @@
         headers: http.Headers,
         body: bytes = b'',
     ) -> Answer:
-        """Send a request and read its whole answer."""
+        """Send a request and wait for its complete response."""
         self.send(method, target, headers, body)
         head = self.head()
         return Answer(head, self.body())
 
     @property
     def reusable(self) -> bool:
-        """Another request may be sent on this connection.
+        """Whether another request may be sent on this connection.
 
-        A server may answer before it has read a long body; the rest of the
-        body would then be where it expects the next request.  Bytes after
-        the answer belong to no request, so such a connection is not used
-        again either.
+        It may not while a body is still being sent: a server may respond
+        before it has read the body, and would parse the rest of it as the
+        next request.  Bytes received after the response belong to no request,
+        so they also rule out reuse.
         """
         if not (self._complete and self._reusable):
             return False
@@ -144,11 +153,11 @@
         return self.reader.between_messages and self.reader.error is None
 
     def is_quiet(self) -> bool:
-        """Whether nothing has arrived since the last answer."""
+        """Whether the idle connection is open and has no unread bytes."""
         return http.is_quiet(self.sock)
 
     def close(self) -> None:
-        """Close the connection; a request under way is abandoned."""
+        """Close the connection and abandon a request in flight."""
         if self._sender is not None:
             self._sender.kill(block=False)
         http.drop(self.sock)
--- a/magnoliadyke/gateway/http.py
+++ b/magnoliadyke/gateway/http.py
@@ -1,4 +1,4 @@
-"""Messages of HTTP/1.1 read from a socket, one at a time, by a library."""
+"""Readers of HTTP/1.1 requests and responses, and socket helpers."""
 
 import collections
 import dataclasses
@@ -25,36 +25,35 @@
 ]
 
 READ_BYTES = 65536
-#: Idle seconds after which the kernel asks whether the peer is there, the
-#: seconds between such questions, and how many go unanswered: a connection
-#: that something between the ends has forgotten ends within three seconds,
-#: inside the shortest time in which hosts have to notice (3 s).
+#: TCP keepalive: seconds until the first probe, seconds between probes, and
+#: unanswered probes after which the kernel ends the connection.  A connection
+#: whose state a middlebox has dropped ends within 3 s, the shortest time in
+#: which hosts have to detect a failure.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-#: Sent bytes that are not acknowledged for this long end the connection; in
-#: milliseconds, above the second that a lost opening packet costs.
+#: The kernel ends a connection whose sent bytes stay unacknowledged for this
+#: long; above the 1 s that a lost SYN costs.
 USER_TIMEOUT_MS = 3000
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class BrokenMessage(errors.MagnoliadykeError):
-    """The bytes are no message of the protocol."""
+    """The received bytes are not a valid HTTP/1.1 message."""
 
 
 class OutOfTime(Exception):
-    """Raised by a time limit.
+    """A time limit expired.
 
-    No kind of OSError, so that no handler of broken connections mistakes it
-    for one.
+    Not an OSError, so that handlers of connection errors do not catch it.
     """
 
 
 class PeerClosed(errors.MagnoliadykeError):
-    """The connection ended.
+    """The connection ended before the message was complete.
 
-    :param orderly: the peer closed it, with nothing cut off by a reset
+    :param orderly: whether the peer closed the connection, without a reset
     """
 
     def __init__(self, message: str, orderly: bool) -> None:
@@ -64,14 +63,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Head:
-    """Start of a message.
-
-    :param method: of a request, else empty
-    :param target: of a request, else empty
-    :param status: of an answer, else 0
-    :param length: bytes of the body as declared, None if not declared
-    :param chunked: the body comes in chunks
-    :param reusable: the connection may carry another message after this
+    """Start line and headers of a message.
+
+    :param method: method of a request; empty for a response
+    :param target: target of a request; empty for a response
+    :param status: status of a response; 0 for a request
+    :param length: value of Content-Length in bytes, None without that header
+    :param chunked: whether the message has a Transfer-Encoding
+    :param reusable: whether the connection may be used again afterwards
+    :param http_1_0: whether a request is of HTTP/1.0
     """
 
     method: bytes
@@ -84,14 +84,17 @@
     http_1_0: bool = False
 
     def values(self, name: bytes) -> list[bytes]:
-        """All values of a header.
+        """Return all values of a header.
 
-        :param name: in lower case
+        :param name: name of the header in lower case
         """
         return [v for k, v in self.headers if k.lower() == name]
 
     def value(self, name: bytes) -> bytes | None:
-        """First value of a header, None without one."""
+        """Return the first value of a header, None if it is absent.
+
+        :param name: name of the header in lower case
+        """
         for key, value in self.headers:
             if key.lower() == name:
                 return value
@@ -99,20 +102,25 @@
 
 
 class Body(NamedTuple):
-    """Part of a body."""
+    """A piece of a message's body."""
 
     data: bytes
 
 
 class End(NamedTuple):
-    """The message is complete."""
+    """Marks the end of a message."""
 
 
 Part = Head | Body | End
 
 
 class _Reader:
-    """What both directions share: the socket, the parser and its parts."""
+    """Parses messages from a socket into a queue of parts.
+
+    :ivar parts: parsed parts that the owner has not taken yet
+    :ivar header_bytes: bytes parsed since the end of the last message
+    :ivar error: raised once the parts parsed before the error are taken
+    """
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -126,7 +134,7 @@
     def _new_parser(self):
         raise NotImplementedError
 
-    # Called by the parser.
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
         self.headers = []
@@ -162,17 +170,17 @@
                 chunked = True
         return length, chunked
 
-    # Called by the owner.
+    # The owner's interface.
 
     @property
     def between_messages(self) -> bool:
-        """Nothing of a further message has been parsed."""
+        """Whether no part is queued: nothing follows the last message."""
         return not self.parts
 
     def next_part(self) -> Part:
-        """Wait for the next part.
+        """Return the next part, reading from the socket as needed.
 
-        :raises BrokenMessage: bytes that are no message
+        :raises BrokenMessage: the received bytes are not a valid message
         :raises PeerClosed: the connection ended
         """
         while not self.parts:
@@ -181,43 +189,52 @@
         return self.parts.popleft()
 
     def check(self) -> None:
-        """Say what is wrong with the bytes that came last.
+        """Raise the parser's error, if it found one.
 
-        :raises BrokenMessage: they are no message
+        :raises BrokenMessage: the received bytes are not a valid message
         """
         if self.error is not None:
             raise self.error
 
     def wait_for_bytes(self) -> None:
-        """Wait for bytes and parse them.
+        """Receive bytes from the socket and parse them.
 
         :raises PeerClosed: the connection ended
         """
         try:
             data = self.sock.recv(READ_BYTES)
         except OSError as error:
-            raise PeerClosed(f'reset: {error}', orderly=False) from error
+            raise PeerClosed(
+                f'connection failed: {error}', orderly=False
+            ) from error
         if not data:
             self._closed()
             return
         self.feed(data)
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes; what is wrong shows once the parts before are used."""
+        """Parse bytes and queue their parts.
+
+        A parser error is stored for :meth:`check`, so that the parts before
+        it can still be taken.
+        """
         self.header_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            self.error = BrokenMessage(f'upgrade refused: {error}')
+            self.error = BrokenMessage(f'HTTP upgrade not supported: {error}')
         except httptools.HttpParserError as error:
-            self.error = BrokenMessage(f'no HTTP message: {error}')
+            self.error = BrokenMessage(f'invalid HTTP message: {error}')
 
     def _closed(self) -> None:
-        raise PeerClosed('closed by the peer', orderly=True)
+        raise PeerClosed('the peer closed the connection', orderly=True)
 
 
 class RequestReader(_Reader):
-    """Requests from one caller's connection."""
+    """Reads requests from a caller's connection.
+
+    :ivar message_started: whether a request is partly parsed
+    """
 
     def __init__(self, sock: socket.socket) -> None:
         self.message_started = False
@@ -250,10 +267,12 @@
 
 
 class AnswerReader(_Reader):
-    """Answers on one connection to an endpoint.
+    """Reads responses from a connection to a server.
+
+    A response with neither a length nor chunks ends where the peer closes the
+    connection; after a reset it is incomplete.
 
-    An answer that declares no length ends with its connection; it is only
-    complete if the peer closed it, not if it was reset on the way.
+    :ivar until_close: whether the current response ends with the connection
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -286,10 +305,11 @@
 
 
 def connect(address: str, timeout_s: float) -> socket.socket:
-    """Open a connection.
+    """Open a TCP connection.
 
     :param address: numeric ``ip:port``
-    :raises OSError: it could not be opened in time
+    :param timeout_s: time limit for connecting, in seconds
+    :raises OSError: the connection failed or timed out
     """
     host, _, port = address.rpartition(':')
     sock = socket.create_connection((host, int(port)), timeout_s)
@@ -299,7 +319,7 @@
 
 
 def set_socket_options(sock: socket.socket) -> None:
-    """Make a silent connection end by itself, and send without delay."""
+    """Disable Nagle's algorithm and enable detection of dead peers."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -313,10 +333,10 @@
 
 
 def is_quiet(sock: socket.socket) -> bool:
-    """Whether nothing, not even an end, has arrived on an idle socket."""
+    """Whether an idle socket has neither unread bytes nor been closed."""
     try:
-        # gevent's sockets are non-blocking underneath; the base class's
-        # recv is asked so that no greenlet switches here.
+        # The recv of gevent's socket would switch greenlets; that of the
+        # non-blocking socket below it returns at once.
         sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return True
@@ -326,9 +346,9 @@
 
 
 def drop(sock: socket.socket) -> None:
-    """Close a socket, whatever state it is in."""
+    """Close a socket and ignore errors."""
     try:
         sock.close()
     except OSError:
-        # Closing can only fail for a socket that is gone already.
+        # close() fails only if the connection has already ended.
         return
--- a/magnoliadyke/gateway/smallserver.py
+++ b/magnoliadyke/gateway/smallserver.py
@@ -1,4 +1,4 @@
-"""A listener for short calls that are answered at once."""
+"""HTTP server for short administrative calls."""
 
 from typing import Callable
 from typing import NamedTuple
@@ -16,12 +16,12 @@
 
 LOG = logs.get('smallserver')
 
-#: Longest time that a connection may idle, in seconds.
+#: Maximum time until the next request has been read and answered.
 IDLE_TIMEOUT_S = 30.0
 
 
 class Reply(NamedTuple):
-    """An answer."""
+    """A response."""
 
     status: int
     content_type: bytes = b'text/plain'
@@ -29,9 +29,10 @@
 
 
 class SmallServer(app.Component):
-    """Answers calls by a function of their method and target.
+    """Answers each request with the reply of a handler function.
 
-    :param address: numeric ``ip:port``
+    :param address: numeric ``ip:port`` to listen on
+    :param handle: returns the reply for a method and a target
     """
 
     def __init__(
@@ -42,13 +43,13 @@
         self.server: server.StreamServer | None = None
 
     def start(self) -> None:
-        """Listen."""
+        """Open the listener."""
         host, _, port = self.address.rpartition(':')
         self.server = server.StreamServer((host, int(port)), self._serve)
         self.server.start()
 
     def stop(self, deadline_s: float) -> None:
-        """Stop listening."""
+        """Close the listener; open connections stay."""
         if self.server is not None:
             self.server.close()
 
@@ -63,7 +64,7 @@
         except http.BrokenMessage as error:
             LOG.repeated('call_unreadable', address[0], reason=str(error))
         except (callers.CallerLeft, http.OutOfTime, http.PeerClosed):
-            # A caller that goes away between calls is ordinary.
+            # Callers may disconnect, or leave a connection idle.
             pass
         finally:
             http.drop(sock)
