--- a/magnoliadyke/platform/__init__.py
+++ b/magnoliadyke/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Runs a gateway on the prepared platform: translation only."""
+"""Adapter that runs a gateway on the platform's store and protocols."""
--- a/magnoliadyke/platform/codec.py
+++ b/magnoliadyke/platform/codec.py
@@ -1,4 +1,4 @@
-"""The platform's headers on requests and answers."""
+"""Codec of the platform's headers on requests and responses."""
 
 import json
 import math
@@ -27,7 +27,7 @@
 URGENT = b'1'
 PREFILL = b'prefill'
 
-#: Headers that concern one connection only.
+#: Hop-by-hop headers, and others that are not forwarded as they are.
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -41,8 +41,9 @@
         b'expect',
     )
 )
-#: Headers that the system sets: a caller's own would speak for it, could
-#: take another request's memory or change which endpoint runs a request.
+#: Headers that only the system sets.  From a caller they would impersonate
+#: it, could take the KV cache of another request, or could change which
+#: endpoint runs the request.
 SYSTEM_HEADERS = frozenset(
     (
         b'x-deadline-ms',
@@ -57,12 +58,12 @@
         b'x-request-priority',
         b'x-tenant',
         b'wait-ms',
-        # Goes no further than this host.
+        # API keys are not forwarded to endpoints.
         API_KEY,
     )
 )
-#: Headers of a request that a caller can't have dropped by naming them in
-#: its Connection header.
+#: Request headers that are forwarded even if the caller's Connection header
+#: names them.
 UNDROPPABLE_HEADERS = frozenset(
     (
         b'host',
@@ -74,7 +75,8 @@
         b'x-length-hint',
     )
 )
-#: Of these a request has at most one, or none could say which one counts.
+#: Headers that a request may have only once, since a second value would
+#: make it ambiguous.
 SINGLE_HEADERS = (
     b'host',
     b'x-request-id',
@@ -87,30 +89,35 @@
 )
 STATUS_WRONG_ENDPOINT = 421
 STATUS_UNAVAILABLE = 503
-#: Ids of parts are kept as positive numbers of 64 bits.
+#: Truncates the id of a prompt part to a non-negative signed 64-bit integer.
 PART_ID_MASK = (1 << 63) - 1
 
 
 class PlatformCodec(codec.Codec):
-    """The header names and values of the platform."""
+    """Encodes and decodes the platform's headers."""
 
     def decode(self, head: http.Head) -> codec.Request | codec.Malformed:
-        """Read a caller's head."""
+        """Decode a caller's request head."""
         single_values: dict[bytes, bytes] = {}
         for name, value in head.headers:
             lowered = name.lower()
             if lowered in SINGLE_HEADERS:
                 if lowered in single_values:
-                    return codec.Malformed(f'two headers {lowered.decode()}')
+                    return codec.Malformed(
+                        f'header {lowered.decode()}: expected once, got twice'
+                    )
                 single_values[lowered] = value
         host = single_values.get(b'host')
         request_id = single_values.get(b'x-request-id')
         if not host:
-            return codec.Malformed('no host')
+            return codec.Malformed('header host: missing or empty')
         if not request_id:
-            return codec.Malformed('no request id')
+            return codec.Malformed('header x-request-id: missing or empty')
         if not head.target.startswith(b'/'):
-            return codec.Malformed('the target is no path')
+            return codec.Malformed(
+                f'request target: expected a path that begins with /, '
+                f'got {head.target!r:.80}'
+            )
         try:
             path = head.target.split(b'?', 1)[0].decode('ascii')
             name = host.decode('ascii').rsplit(':', 1)[0].lower()
@@ -135,7 +142,7 @@
     def run_headers(
         self, request: codec.Request, options: codec.RunOptions
     ) -> http.Headers:
-        """Headers of a request that an endpoint is to run."""
+        """Return the headers of a request that an endpoint runs."""
         headers = self._headers(request, options)
         if options.source is not None:
             headers.append((SOURCE, options.source.encode()))
@@ -147,7 +154,7 @@
     def prefill_headers(
         self, request: codec.Request, options: codec.RunOptions
     ) -> http.Headers:
-        """Headers of a request of which only the prompt is to be read."""
+        """Return the headers of a request for prefill only."""
         headers = self._headers(request, options)
         headers.append((STAGE, PREFILL))
         return headers
@@ -170,7 +177,7 @@
         return headers
 
     def facts(self, head: http.Head) -> codec.AnswerFacts:
-        """Read an endpoint's head."""
+        """Decode the head of an endpoint's response."""
         request_id = None
         not_run = sealed = encoded = leaving = False
         idle_limit_s = None
@@ -205,7 +212,7 @@
         )
 
     def answer_headers(self, head: http.Head) -> http.Headers:
-        """Headers of an endpoint's answer that the caller gets."""
+        """Return the headers of a response to forward to the caller."""
         named = _named_by_connection(head.headers) - {b'x-server-seal'}
         return [
             (name, value)
@@ -214,20 +221,20 @@
         ]
 
     def local_response_headers(self, request: codec.Request) -> http.Headers:
-        """Headers of an answer that no endpoint gave."""
+        """Return the headers of a response generated by the gateway."""
         return [(REQUEST_ID, request.id)]
 
     def parse_prefilled(self, body: bytes) -> codec.Prefilled | None:
-        """Read the answer to a prompt that was read."""
+        """Decode the response to a prefill request, None if malformed."""
         try:
             fields = json.loads(body)
             return codec.Prefilled(fields['kv_handle'], fields['tokens'])
         except (ValueError, KeyError, TypeError):
-            # The caller treats it as a prompt that was not read and logs.
+            # The calling function treats this as a failed prefill and logs it.
             return None
 
     def drop_target(self, handle: str) -> tuple[bytes, bytes]:
-        """Method and target of the call that frees a read prompt."""
+        """Return method and target of the call that frees a handle."""
         return b'DELETE', f'/api/kv-handle/{handle}'.encode()
 
 
@@ -239,7 +246,9 @@
     if value is None:
         return None
     if not value.isdigit():
-        raise ValueError('the deadline is no number of milliseconds')
+        raise ValueError(
+            f'header x-deadline-ms: expected milliseconds, got {value!r:.40}'
+        )
     return int(value) / 1000
 
 
@@ -259,7 +268,7 @@
 
 
 def _part_id(name: bytes) -> int:
-    """Part ids are hexadecimal; any other text is hashed."""
+    """Parse a hexadecimal part id; hash a name that is not hexadecimal."""
     try:
         return int(name, 16) & PART_ID_MASK
     except ValueError:
@@ -293,7 +302,7 @@
     try:
         backoff_s = float(value)
     except ValueError:
-        # A moment in place of a time: not what the platform sends.
+        # HTTP also allows a date here, which the platform never sends.
         return 0.0
     return backoff_s if 0 < backoff_s < math.inf else 0.0
 
--- a/magnoliadyke/platform/fields.py
+++ b/magnoliadyke/platform/fields.py
@@ -1,8 +1,4 @@
-"""Reads the fields of a record that anybody may have written.
-
-Each reader returns a value of the type that it names or raises
-:class:`BadField`, whatever the JSON holds.
-"""
+"""Typed reads of untrusted JSON fields; bad ones raise :class:`BadField`."""
 
 import ipaddress
 import json
@@ -22,49 +18,61 @@
 
 MAX_PORT = 65535
 MAX_TEXT = 1024
-#: Largest number that is read as one: 2**53, which all writers of JSON keep.
+#: Largest accepted number; all JSON implementations keep integers exact up
+#: to 2**53.
 MAX_NUMBER = 2.0**53
 
 
 class BadField(ValueError):
-    """A field is missing, or is not what it should be."""
+    """A field is missing, or has a wrong type or value."""
 
 
 def record(value: bytes) -> dict[str, Any]:
     """Parse a JSON object.
 
-    :raises BadField: it is none
+    :raises BadField: the value is not a JSON object
     """
     try:
         found = json.loads(value)
     except (ValueError, RecursionError) as error:
-        raise BadField(f'no JSON: {error}') from error
+        raise BadField(f'invalid JSON: {error}') from error
     if not isinstance(found, dict):
-        raise BadField('no JSON object')
+        raise BadField(f'expected a JSON object, got {type(found).__name__}')
     return found
 
 
 def records(fields: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    """A list of objects; empty if it is missing or null."""
+    """Return a list of objects; empty if the field is missing or null."""
     found = fields.get(name)
     if found is None:
         return []
     if not isinstance(found, list):
-        raise BadField(f'{name} is no list')
+        raise BadField(f'{name}: expected a list, got {type(found).__name__}')
     if not all(isinstance(each, dict) for each in found):
-        raise BadField(f'{name} holds something else than objects')
+        raise BadField(
+            f'{name}: expected objects, got an element of another type'
+        )
     return found
 
 
 def text(fields: dict[str, Any], name: str, default: str | None = None) -> str:
-    """A text that has no control characters."""
+    """Return a string without control characters.
+
+    :param default: value if the field is missing or null; None if the field
+        is required
+    """
     found = fields.get(name)
     if found is None:
         found = default
     if not isinstance(found, str):
-        raise BadField(f'{name} is no text')
+        raise BadField(
+            f'{name}: expected a string, got {type(found).__name__}'
+        )
     if len(found) > MAX_TEXT or not (found.isprintable() or not found):
-        raise BadField(f'{name} is no usable text')
+        raise BadField(
+            f'{name}: expected at most {MAX_TEXT} printable characters, '
+            f'got {len(found)}: {found!r:.80}'
+        )
     return found
 
 
@@ -74,17 +82,24 @@
     minimum: float,
     default: float | None = None,
 ) -> float:
-    """A finite number.
+    """Return a finite number.
 
-    :param least: smallest value that makes sense
+    :param minimum: smallest accepted value
+    :param default: value if the field is missing or null; None if the field
+        is required
     """
     found = fields.get(name)
     if found is None:
         found = default
     if isinstance(found, bool) or not isinstance(found, int | float):
-        raise BadField(f'{name} is no number')
+        raise BadField(
+            f'{name}: expected a number, got {type(found).__name__}'
+        )
     if not math.isfinite(found) or not minimum <= found <= MAX_NUMBER:
-        raise BadField(f'{name} is out of range')
+        raise BadField(
+            f'{name}: expected {minimum} to {MAX_NUMBER:.0f}, '
+            f'got {found!r:.40}'
+        )
     return found
 
 
@@ -94,31 +109,38 @@
     minimum: int,
     default: int | None = None,
 ) -> int:
-    """A whole number; 3.0 is none."""
+    """Return an integer; 3.0 is not accepted.
+
+    :param minimum: smallest accepted value
+    :param default: value if the field is missing or null; None if the field
+        is required
+    """
     found = number(fields, name, minimum, default)
     if not isinstance(found, int):
-        raise BadField(f'{name} is no whole number')
+        raise BadField(f'{name}: expected an integer, got {found!r}')
     return found
 
 
 def flag(fields: dict[str, Any], name: str) -> bool:
-    """True or false; false if it is missing or null."""
+    """Return a boolean; False if the field is missing or null."""
     found = fields.get(name)
     if found is None:
         return False
     if not isinstance(found, bool):
-        raise BadField(f'{name} is neither true nor false')
+        raise BadField(
+            f'{name}: expected true or false, got {type(found).__name__}'
+        )
     return found
 
 
 def address(fields: dict[str, Any], name: str) -> str:
-    """An IP address with a port."""
+    """Return a numeric address with a port, as ``ip:port``."""
     found = text(fields, name)
     host, _, port = found.rpartition(':')
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
-        raise BadField(f'{name} is no ip:port') from error
+        raise BadField(f'{name}: expected ip:port, got {found!r}') from error
     if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
-        raise BadField(f'{name} is no ip:port')
+        raise BadField(f'{name}: expected ip:port, got {found!r}')
     return found
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the endpoints' entries, decoded."""
+"""Decoders of the store's configuration and endpoint entries."""
 
 import re
 from typing import Any
@@ -31,14 +31,14 @@
 
 STATE_READY = 'ready'
 STATES = (STATE_READY, 'draining')
-#: Characters of an endpoint's id, which is sent back to it as a header.
+#: Valid endpoint names; a name is sent to its endpoint in a header.
 ENDPOINT_ID = re.compile('[!-~]{1,200}')
 
 
 def decode_configuration(
     value: bytes,
 ) -> routes.Configuration | catalog.UnusableRecord:
-    """Decode the newest configuration."""
+    """Decode the value of the configuration key."""
     try:
         return _configuration(fields.record(value))
     except fields.BadField as error:
@@ -49,7 +49,9 @@
     services = [_service(each) for each in fields.records(found, 'services')]
     limits = found.get('limits') or {}
     if not isinstance(limits, dict):
-        raise fields.BadField('limits is no object')
+        raise fields.BadField(
+            f'limits: expected an object, got {type(limits).__name__}'
+        )
     return routes.Configuration(
         fields.integer(found, 'version', 0),
         tuple(_route(each) for each in fields.records(found, 'routes')),
@@ -60,7 +62,7 @@
 
 
 def _workspaces(found: dict[str, Any]) -> workspaces.Workspaces | None:
-    """The workspaces; None where the configuration does not speak of any."""
+    """Return the workspaces, None if the configuration has no such list."""
     if found.get('tenants') is None:
         return None
     return workspaces.Workspaces(
@@ -72,9 +74,13 @@
 def _keys(found: dict[str, Any]) -> list[bytes]:
     keys = found.get('api_keys') or []
     if not isinstance(keys, list):
-        raise fields.BadField('api_keys is no list')
+        raise fields.BadField(
+            f'api_keys: expected a list, got {type(keys).__name__}'
+        )
     if not all(isinstance(key, str) for key in keys):
-        raise fields.BadField('api_keys holds something else than texts')
+        raise fields.BadField(
+            'api_keys: expected strings, got an element of another type'
+        )
     return [key.encode('utf-8', 'surrogatepass') for key in keys if key]
 
 
@@ -88,7 +94,9 @@
     if not targets:
         targets = (routes.Target(fields.text(found, 'service'), 1.0),)
     if not any(target.weight for target in targets):
-        raise fields.BadField('traffic_split sends nothing anywhere')
+        raise fields.BadField(
+            'traffic_split: expected a weight above 0, all weights are 0'
+        )
     timeout_s = fields.number(found, 'timeout_ms', 1) / 1000
     objective_ms = fields.number(found, 'target_latency_ms', 0, 0)
     pause_ms = fields.number(found, 'gap_aim_ms', 0, 0)
@@ -96,7 +104,7 @@
         name=fields.text(found, 'name'),
         host=fields.text(found, 'hostname'),
         prefix=fields.text(found, 'path_prefix'),
-        # A kind that is not known is handled as the strictest one.
+        # An unknown kind is treated as UNSAFE, the most restrictive one.
         kind=KINDS.get(fields.text(found, 'kind'), routes.Kind.UNSAFE),
         targets=targets,
         timeout_s=timeout_s,
@@ -104,8 +112,8 @@
         pause_s=pause_ms / 1000 if pause_ms else timeout_s,
         priority=fields.integer(found, 'priority', 0, 0),
         max_attempts=max(1, fields.integer(found, 'max_attempts', 0, 1)),
-        # The field's name speaks of sessions; what it marks is requests
-        # that come with the headers on their prompt.
+        # Despite its name, the field does not mean sticky sessions: it marks
+        # routes whose requests carry the headers on their prompt.
         carries_prompt=fields.flag(found, 'sticky'),
         resumable=fields.flag(found, 'resumable'),
         public=fields.flag(found, 'public'),
@@ -115,7 +123,9 @@
 def _service(found: dict[str, Any]) -> routes.Service:
     engine = found.get('engine') or None
     if engine is not None and not isinstance(engine, dict):
-        raise fields.BadField('engine is no object')
+        raise fields.BadField(
+            f'engine: expected an object, got {type(engine).__name__}'
+        )
     return routes.Service(
         fields.text(found, 'name'),
         fields.text(found, 'health_path', ''),
@@ -129,10 +139,14 @@
     if not found:
         return None
     if not isinstance(found, dict):
-        raise fields.BadField('autoscale is no object')
+        raise fields.BadField(
+            f'autoscale: expected an object, got {type(found).__name__}'
+        )
     prices = found.get('zone_prices') or {}
     if not isinstance(prices, dict):
-        raise fields.BadField('zone_prices is no object')
+        raise fields.BadField(
+            f'zone_prices: expected an object, got {type(prices).__name__}'
+        )
     return autoscaler.ScalingLimits(
         min_endpoints=fields.integer(found, 'min_replicas', 0),
         max_endpoints=fields.integer(found, 'max_replicas', 0),
@@ -168,10 +182,16 @@
 def decode_endpoint(
     key: str, value: bytes
 ) -> catalog.Endpoint | catalog.UnusableRecord:
-    """Decode an endpoint's own entry; others may have written it."""
+    """Decode an endpoint's entry, which any client may have written.
+
+    :param key: key of the entry in the store
+    """
     name = key.removeprefix(ENDPOINT_PREFIX)
     if not ENDPOINT_ID.fullmatch(name):
-        return catalog.UnusableRecord('the key names no endpoint')
+        return catalog.UnusableRecord(
+            f'key {key!r}: expected 1 to 200 printable ASCII characters after '
+            f'{ENDPOINT_PREFIX!r}'
+        )
     try:
         return _endpoint(name, fields.record(value))
     except fields.BadField as error:
@@ -181,14 +201,19 @@
 def _endpoint(name: str, found: dict[str, Any]) -> catalog.Endpoint:
     state = fields.text(found, 'state')
     if state not in STATES:
-        raise fields.BadField('state is not known')
+        raise fields.BadField(
+            f'state: expected one of {STATES}, got {state!r}'
+        )
     stage = fields.text(found, 'stage', '')
     if stage and stage not in STAGES:
-        raise fields.BadField('stage is not known')
+        raise fields.BadField(
+            f'stage: expected one of {tuple(STAGES)}, got {stage!r}'
+        )
     started_ms = fields.integer(found, 'born', 0, 0)
     return catalog.Endpoint(
-        # What is known of a process is kept by this id: one that starts
-        # again under its name is another, which knows and holds nothing.
+        # State about a process is stored under this id.  A process that
+        # restarts under the same name has lost its KV cache and its requests,
+        # so it gets another id.
         id=f'{name}~{started_ms:x}' if started_ms else name,
         service=fields.text(found, 'service'),
         address=fields.address(found, 'address'),
