--- a/magnoliadyke/platform/__main__.py
+++ b/magnoliadyke/platform/__main__.py
@@ -1,9 +1,9 @@
-"""Runs a node on the platform: ``python3 -m magnoliadyke.platform``."""
+"""Runs a host on the platform: ``python3 -m magnoliadyke.platform``."""
 
 import os
 
-# gevent reads these when its hub is first made, so they come before any
-# import that might make one.
+# gevent reads these when its hub is created, so they are set before any
+# import that might create one.
 os.environ.setdefault('GEVENT_LOOP', 'libev-cext')
 os.environ.setdefault('GEVENT_BACKEND', 'epoll')
 os.environ.setdefault('GEVENT_RESOLVER', 'block')
@@ -22,17 +22,18 @@
 
 
 def run(loaded: settings.NodeSettings) -> NoReturn:
-    """Run a node until a signal says to stop; the process ends here."""
+    """Run a host until a signal to stop, then exit the process."""
     clock = clocks.SystemClock()
     logs.setup_stream(sys.stdout, clock, loaded.name)
     node.Node(loaded, clock, random.Random()).run()
-    # All is logged and closed.  The interpreter would go through each of its
-    # objects once more: beside busy processes that outlasts the grace time.
+    # Logs are written and connections closed.  A normal exit would also free
+    # every object, which on a busy machine takes longer than the time between
+    # SIGTERM and SIGKILL.
     os._exit(0)
 
 
 def main() -> int:
-    """Run the node that the environment's settings describe.
+    """Run a host with the settings that the environment names.
 
     :returns: the exit status
     """
--- a/magnoliadyke/platform/cloud.py
+++ b/magnoliadyke/platform/cloud.py
@@ -1,4 +1,4 @@
-"""The platform's own interface: usage reports and orders of endpoints."""
+"""Client of the platform's API for usage reports and scaling."""
 
 import json
 from typing import Any
@@ -12,7 +12,7 @@
 
 __all__ = ['PlatformCalls']
 
-#: Longer than the answers of a platform that is fifty times slower.
+#: Long enough for a platform that responds fifty times slower than usual.
 CALL_TIMEOUT_S = 3.0
 CONNECT_TIMEOUT_S = 1.0
 STATUS_OK = 200
@@ -22,9 +22,9 @@
 
 
 class PlatformCalls(operatorcalls.OperatorCalls):
-    """Each call on a connection of its own; few are made.
+    """Calls the platform, each time on a new connection, as calls are rare.
 
-    :param address: numeric ``ip:port``
+    :param address: numeric ``ip:port`` of the platform's API
     """
 
     def __init__(self, address: str) -> None:
@@ -35,7 +35,7 @@
     ) -> (
         operatorcalls.Done | operatorcalls.Rejected | operatorcalls.Unreachable
     ):
-        """Report what began to run in a window, by workspace."""
+        """Report how many requests started in a window, by workspace."""
         body = {'window_id': window, 'counts': counts}
         return self._call(caller, b'/usage', body)
 
@@ -44,7 +44,7 @@
     ) -> (
         operatorcalls.Done | operatorcalls.Rejected | operatorcalls.Unreachable
     ):
-        """Have a service run so many endpoints in a failure domain."""
+        """Set the number of a service's endpoints in a failure domain."""
         body: dict[str, Any] = {
             'service': order.service,
             'zone': order.failure_domain,
@@ -67,7 +67,10 @@
         ]
         conn = None
         try:
-            with gevent.Timeout(CALL_TIMEOUT_S, http.OutOfTime('no answer')):
+            with gevent.Timeout(
+                CALL_TIMEOUT_S,
+                http.OutOfTime('platform did not respond in time'),
+            ):
                 conn = connection.Connection(self.address, CONNECT_TIMEOUT_S)
                 answer = conn.call(
                     b'POST', target, headers, json.dumps(body).encode()
--- a/magnoliadyke/platform/directory.py
+++ b/magnoliadyke/platform/directory.py
@@ -1,5 +1,4 @@
-"""What callers and the platform ask a host: where to connect, and is it
-ready."""
+"""Handlers of the host directory and of the readiness probe."""
 
 import json
 from typing import Callable
@@ -11,16 +10,16 @@
 RESOLVE = b'/api/resolve'
 READINESS = b'/api/readiness'
 JSON = b'application/json'
-#: Most addresses in an answer; callers pick among them at random.
+#: Maximum number of addresses in a response; callers pick one at random.
 MAX_ADDRESSES = 64
 
 
 class Directory:
-    """Handlers of the two calls.
+    """Serves the directory of hosts and this host's readiness.
 
-    :param addresses: gives the hosts that take requests
-    :param ready: whether this host takes requests
-    :param ttl_s: how long callers keep an answer
+    :param addresses: returns the addresses of hosts that accept requests
+    :param ready: returns whether this host accepts requests
+    :param ttl_s: how long callers may cache a response, in seconds
     """
 
     def __init__(
@@ -34,7 +33,7 @@
         self.ttl_s = ttl_s
 
     def resolve(self, method: bytes, target: bytes) -> smallserver.Reply:
-        """Tell where to connect."""
+        """Return the addresses to connect to; status 503 without any."""
         if target.split(b'?', 1)[0] != RESOLVE:
             return smallserver.Reply(404)
         addresses = self.addresses()[:MAX_ADDRESSES]
@@ -44,7 +43,7 @@
         return smallserver.Reply(200, JSON, json.dumps(body).encode())
 
     def readiness(self, method: bytes, target: bytes) -> smallserver.Reply:
-        """Tell whether this host takes requests."""
+        """Return status 200 if this host accepts requests, else 503."""
         if target.split(b'?', 1)[0] != READINESS:
             return smallserver.Reply(404)
         return smallserver.Reply(200 if self.ready() else 503)
--- a/magnoliadyke/platform/engines.py
+++ b/magnoliadyke/platform/engines.py
@@ -1,4 +1,4 @@
-"""Reports of engines and orders to them."""
+"""HTTP client for the engines' state reports and stage orders."""
 
 import json
 from typing import Any
@@ -21,12 +21,12 @@
 
 
 class PlatformEngines(enginecontrol.EngineControl):
-    """The engines' own calls; each on a connection of its own."""
+    """Calls engines, each time on a new connection."""
 
     def state(
         self, endpoint: catalog.Endpoint
     ) -> enginecontrol.EngineState | enginecontrol.Unreachable:
-        """Ask an engine what it does."""
+        """Return the state that an engine reports."""
         reply = self._call(endpoint, b'GET', b'/api/report', None)
         if isinstance(reply, enginecontrol.Unreachable):
             return reply
@@ -34,16 +34,20 @@
         if status != STATUS_OK:
             return enginecontrol.Unreachable(f'status {status}')
         if endpoint.started_ms and fields.get('born') != endpoint.started_ms:
-            # Its entry is still that of the process before: the number of
-            # orders that it has taken is not that of this one.
-            return enginecontrol.Unreachable('another process answers')
+            # The engine has restarted and its entry in the store is still
+            # that of the former process, so its count of accepted orders
+            # belongs to another process than the entry.
+            return enginecontrol.Unreachable(
+                f'another process responded than the one started at '
+                f'{endpoint.started_ms} ms, which the store entry names'
+            )
         try:
             return enginecontrol.EngineState(
                 records.STAGES.get(
                     report.text(fields, 'stage', ''), catalog.Stage.NONE
                 ),
-                # Counts accepted orders; the list's field of that name
-                # counts heartbeats.
+                # In a report this field counts accepted orders.  The field of
+                # the same name in the store's entries counts heartbeats.
                 report.integer(fields, 'sequence', 0, 0),
                 report.flag(fields, 'busy'),
             )
@@ -58,7 +62,7 @@
         fencing: int,
         orders: int,
     ) -> enginecontrol.Ordered | enginecontrol.Unreachable:
-        """Have an engine change its stage."""
+        """Order an engine to change its stage."""
         body = {
             'op': 'stage',
             'stage': stage.value,
@@ -91,7 +95,10 @@
         ]
         conn = None
         try:
-            with gevent.Timeout(CALL_TIMEOUT_S, http.OutOfTime('no answer')):
+            with gevent.Timeout(
+                CALL_TIMEOUT_S,
+                http.OutOfTime('engine did not respond in time'),
+            ):
                 conn = connection.Connection(
                     endpoint.address, CONNECT_TIMEOUT_S
                 )
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -1,4 +1,4 @@
-"""Joins the parts of a node on the platform."""
+"""Creates, connects and runs the components of a host on the platform."""
 
 import random
 import signal
@@ -46,19 +46,19 @@
 
 LOG = logs.get('node')
 
-#: Names of the calls that one host makes for all.
+#: Names of the singleton tasks that the settings can enable.
 USAGE = 'usage_report'
 SCALING = 'autoscale'
-#: Where no usage is reported, windows have this length, in seconds.
+#: Usage windows if no usage has to be reported.
 DEFAULT_USAGE_WINDOWS = usageduty.UsageSettings(60.0, 60.0)
 MAINTENANCE_INTERVAL_S = 0.5
-#: How long callers keep an answer of the directory, in seconds: a host that
-#: stops is not asked for longer than this after it said so.
+#: Maximum time to live of a directory response.  It is also how long callers
+#: may still connect to a host after it has announced that it stops.
 DIRECTORY_TTL_S = 2.0
 
 
 class RecordDecoder(keymirror.Decoder):
-    """The platform's keys and values."""
+    """Decodes the platform's store entries."""
 
     configuration_key = records.CONFIGURATION_KEY
     endpoint_prefix = records.ENDPOINT_PREFIX
@@ -66,7 +66,7 @@
     def configuration(
         self, value: bytes
     ) -> routes.Configuration | catalog.UnusableRecord:
-        """Decode a configuration."""
+        """Decode the configuration entry."""
         return records.decode_configuration(value)
 
     def endpoint(
@@ -79,7 +79,10 @@
 class Node:
     """One host on the platform.
 
-    :param settings: of this host
+    :param settings: settings of this host
+    :param rng: source of randomness for all components
+    :ivar stopping: set once the host has received a signal to stop
+    :ivar own: entry of this host in the store and in gossip
     """
 
     def __init__(
@@ -260,7 +263,7 @@
         )
 
     def _duties(self) -> tuple[usageduty.UsageDuty, fleetduty.FleetDuty]:
-        """What one host does for all, as far as the platform asks for it."""
+        """Create the singleton tasks; those not enabled make no calls."""
         asked = self.settings.duties
         names = () if asked is None else asked.names
         calls = None if asked is None else cloud.PlatformCalls(asked.address)
@@ -294,7 +297,11 @@
             self.placer.send(address, message)
 
     def _addresses(self) -> list[str]:
-        """Where callers can connect, without this host if it refuses."""
+        """Return the addresses of hosts that accept requests.
+
+        This host's is left out while it lacks proof that its configuration is
+        current.
+        """
         found = self.members.addresses()
         if self.confirming.serves():
             return found
@@ -309,7 +316,7 @@
         )
 
     def run(self) -> None:
-        """Serve until a signal says to stop."""
+        """Serve until SIGTERM or SIGINT, then drain and stop."""
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
         gevent.signal_handler(signal.SIGINT, self.stopping.set)
         gevent.signal_handler(signal.SIGHUP, self._reload)
@@ -330,7 +337,7 @@
         LOG.event('stopped')
 
     def _reload(self) -> None:
-        """Settings of a running node don't change its addresses."""
+        """Read the settings again; components keep those of the start."""
         try:
             self.settings = node_settings.load()
         except node_settings.errors.SettingsError as error:
@@ -353,11 +360,11 @@
                 self.figures.log()
 
     def _drain(self) -> None:
-        """Leave without cutting a request.
+        """Leave the system without aborting requests.
 
-        Callers hear within the time to live of the directory's answers that
-        this host is gone.  Until then it serves, one request a connection;
-        later only what is certain to end before it does.
+        Callers stop using this host once their cached directory responses
+        expire.  Until then it serves one request per connection; afterwards
+        it accepts only requests that end before the process does.
         """
         course = shutdown.Shutdown(
             self.clock.now_s(), self.settings.stop_s, self.directory_ttl_s
@@ -376,8 +383,8 @@
 
     def _wait_until(self, until_s: float, may_end: bool) -> None:
         while self.clock.now_s() < until_s:
-            # First a pause: a connection that has just been taken is not
-            # among the others yet.
+            # Sleep before the check: a connection that was just accepted may
+            # not be counted yet.
             self.clock.sleep(0.05)
             if may_end and not self.ingress.connections:
                 return
--- a/magnoliadyke/platform/settings.py
+++ b/magnoliadyke/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node on the platform, as filled into our template."""
+"""Settings of a host, read from the JSON file that the platform writes."""
 
 import json
 import os
@@ -9,12 +9,16 @@
 
 __all__ = ['DutySettings', 'NodeSettings', 'Problem', 'load', 'parse']
 
-#: Names the settings file; set by the platform.
+#: Environment variable with the path of the settings file.
 VARIABLE = 'MAGNOLIADYKE_SETTINGS'
 
 
 class Problem(NamedTuple):
-    """One thing that is wrong with the settings."""
+    """An error in the settings.
+
+    :param path: the setting, or the file, that has the error
+    :param text: what is wrong, or how to correct it
+    """
 
     path: str
     text: str
@@ -24,12 +28,13 @@
 
 
 class DutySettings(NamedTuple):
-    """Calls to the platform that one host makes for all.
+    """Singleton tasks, each run by one host under a lease.
 
-    :param address: of the platform's own interface
-    :param names: of the calls that are asked for
-    :param usage_window_s: length of a window of usage
-    :param usage_due_s: from its end to when its report is due
+    :param address: numeric ``ip:port`` of the platform's API
+    :param names: names of the enabled tasks
+    :param usage_window_s: length of a usage window, in seconds
+    :param usage_due_s: time from the end of a window until its usage report
+        is due, in seconds
     """
 
     address: str
@@ -39,27 +44,34 @@
 
 
 class NodeSettings(NamedTuple):
-    """What a node is told at its start.
+    """Settings of one host; addresses are ``ip:port``, times in seconds.
 
     :param name: name of this host
-    :param failure_domain: of this host
-    :param callers: address for callers' requests
-    :param readiness: address that the platform asks for readiness
-    :param directory: address at which callers ask for hosts
-    :param peer_ports: first and last port between hosts
-    :param metrics_port: port of the metrics
+    :param ip: address of this host
+    :param failure_domain: failure domain of this host
+    :param callers: address on which callers' requests are served
+    :param readiness: address on which the platform's readiness probe is served
+    :param directory: address on which callers look up hosts
+    :param peer_ports: first and last port for traffic between hosts
+    :param metrics_port: port on which metrics are served
     :param store: address of the platform's store
-    :param drain_s: a leaving endpoint gets no request later than this
-    :param configuration_s: a configuration is in force by then
+    :param min_lease_s: shortest lease that the store grants
+    :param link_mbps: bandwidth of this host's network link, in Mbit/s
+    :param drain_s: maximum time until a draining endpoint gets no more
+        requests
+    :param configuration_s: maximum time until a new configuration is in force
     :param stop_s: time between SIGTERM and SIGKILL
-    :param retry_ratio: repeats allowed for each request of a service
-    :param retry_window_s: time over which repeats are counted
-    :param retry_extra: repeats allowed beside the ratio, in each window
-    :param order_gap_s: orders of two holders are this far apart
-    :param directory_ttl_s: longest time that callers keep an answer
-    :param revoke_s: a key that was taken away is used no later than this at
-        any host; None where only hosts in touch with the store are held to it
-    :param duties: None if no host has to call the platform
+    :param retry_ratio: retries allowed per request of a service
+    :param retry_window_s: time over which requests and retries are counted
+    :param retry_extra: retries allowed beyond the ratio, in each window
+    :param order_gap_s: minimum time between the orders of two successive
+        leaders
+    :param directory_ttl_s: maximum time that callers cache a directory
+        response
+    :param revoke_s: maximum time for which any host accepts an API key after
+        its removal; None if the limit holds only for hosts that can reach the
+        store
+    :param duties: singleton tasks, None if there are none
     """
 
     name: str
@@ -89,14 +101,23 @@
 
 
 def load(path: str | None = None) -> NodeSettings:
-    """Read the settings file.
+    """Read and check the settings file.
 
-    :param path: the file; that of the environment if None
-    :raises errors.SettingsError: it can't be read, or is not complete
+    :param path: path of the file; if None, taken from the environment variable
+        :data:`VARIABLE`
+    :raises errors.SettingsError: the file can't be read, or a setting is
+        missing or invalid
     """
     path = path or os.environ.get(VARIABLE)
     if not path:
-        raise errors.SettingsError([Problem(VARIABLE, 'name a file in it')])
+        raise errors.SettingsError(
+            [
+                Problem(
+                    VARIABLE,
+                    'not set; set it to the path of the settings file',
+                )
+            ]
+        )
     try:
         with open(path, encoding='utf-8') as file:
             fields = json.load(file)
@@ -106,9 +127,9 @@
 
 
 def parse(fields: dict[str, Any]) -> NodeSettings:
-    """Check the fields and type them.
+    """Check the fields of the settings file and convert them.
 
-    :raises errors.SettingsError: lists all that is missing or wrong
+    :raises errors.SettingsError: lists each missing or invalid setting
     """
     problems = []
     for name in NodeSettings._fields:
@@ -119,10 +140,15 @@
     for name in ('callers', 'readiness', 'directory', 'control', 'store'):
         text = fields.get(name)
         if text and not str(text).rpartition(':')[2].isdigit():
-            problems.append(Problem(name, f'{text!r} is no ip:port'))
+            problems.append(Problem(name, f'expected ip:port, got {text!r}'))
     ports = fields.get('peer_ports')
     if ports and (len(ports) != 2 or ports[1] - ports[0] < 2):
-        problems.append(Problem('peer_ports', 'name a range of three ports'))
+        problems.append(
+            Problem(
+                'peer_ports',
+                f'expected first and last of 3 or more ports, got {ports!r}',
+            )
+        )
     if problems:
         raise errors.SettingsError(problems)
     values = {
@@ -144,7 +170,11 @@
     if duties is None:
         return []
     if not isinstance(duties, dict):
-        return [Problem('duties', 'is no object')]
+        return [
+            Problem(
+                'duties', f'expected an object, got {type(duties).__name__}'
+            )
+        ]
     problems = [
         Problem(f'duties.{name}', 'is missing; add it')
         for name in DutySettings._fields
@@ -152,5 +182,10 @@
     ]
     window_s = duties.get('usage_window_s')
     if window_s is not None and not window_s > 0:
-        problems.append(Problem('duties.usage_window_s', 'is not above 0'))
+        problems.append(
+            Problem(
+                'duties.usage_window_s',
+                f'expected more than 0, got {window_s}',
+            )
+        )
     return problems
--- a/magnoliadyke/platform/store.py
+++ b/magnoliadyke/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, as typed outcomes."""
+"""HTTP client of the platform's metadata store."""
 
 import base64
 import collections
@@ -22,19 +22,19 @@
 
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 1.0
-#: A watch that is silent for this long past its own time waits on a
-#: connection that something between the two ends has lost track of.
+#: Added to a watch's wait time to give its time limit.  A watch that gets no
+#: response by then waits on a connection whose state a middlebox has dropped.
 WATCH_GRACE_S = 0.7
-#: Once an answer has begun, it may pause for so long, and take so long as a
-#: whole: many keys take seconds over a narrow link, and a store that is taken
-#: for lost is asked for all of them again.
+#: Time limits for the next part of a response's body and for the whole body.
+#: Many keys take seconds over a slow link, and after a time-out all of them
+#: are read again.
 READ_TIMEOUT_S = 0.7
 RESPONSE_TIMEOUT_S = 3.0
-#: A connection that has idled for longer is replaced: a new one costs a
-#: round trip, one that was silently dropped a whole timeout.
+#: A connection that has been idle for longer is replaced.  A new one costs one
+#: round trip; a call on one that was silently dropped runs into its time-out.
 MAX_IDLE_S = 4.0
 JSON_HEADERS = [(b'Content-Type', b'application/json')]
-#: Rises by one each time that the store comes back from an older copy.
+#: The store's epoch, raised by one at each restore from a backup.
 ERA_HEADER = b'store-era'
 
 STATUS_OK = 200
@@ -52,12 +52,15 @@
 
 
 class PlatformStore(store.Store):
-    """Calls to the store; none is ever repeated by itself.
-
-    :param address: numeric ``ip:port``
-    :ivar era: latest one in which the store has answered, None before the
-        first answer
-    :ivar restores: changes of the era that were seen
+    """Client of the store; it never retries a call by itself.
+
+    :param address: numeric ``ip:port`` of the store
+    :ivar era: latest era in a response of the store, None before the first
+        response
+    :ivar restores: number of era changes that this client has seen
+    :ivar calls: number of calls by kind
+    :ivar idle_connection: open connection for the next call, if any
+    :ivar watch_connection: open connection for the next watch, if any
     """
 
     def __init__(self, address: str, clock: clocks.Clock) -> None:
@@ -70,7 +73,7 @@
         self.watch_connection: connection.Connection | None = None
 
     def list_prefix(self, prefix: str) -> store.Items | store.Unavailable:
-        """Read all keys under a prefix, page by page."""
+        """Read all keys under a prefix, in pages."""
         items: list[store.Item] = []
         after = ''
         start: position.Position | None = None
@@ -84,13 +87,17 @@
             if reply.status != STATUS_OK:
                 return _unavailable(reply)
             if start is None:
-                # Pages are no snapshot: what changes between the first and
-                # the last one is seen by the watch that starts here.
+                # The pages are not one snapshot.  A watch from the first
+                # page's position delivers the changes made in between.
                 start = position.Position(
                     reply.era, reply.fields['store_revision']
                 )
             if reply.era != start.era:
-                return store.Unavailable('restored between two pages', False)
+                return store.Unavailable(
+                    f'restored between two pages: expected era {start.era}, '
+                    f'got {reply.era}',
+                    False,
+                )
             items += [
                 _decode_item(each, reply.era) for each in reply.fields['items']
             ]
@@ -99,7 +106,7 @@
             after = items[-1].key
 
     def read(self, key: str) -> store.Item | store.Absent | store.Unavailable:
-        """Read one key as it is at some moment of this call."""
+        """Read one key, as of some moment during this call."""
         path = f'/api/kv-key?key={_quoted(key)}'
         reply = self._call('read', b'GET', path)
         if isinstance(reply, store.Unavailable):
@@ -114,7 +121,7 @@
     def watch(
         self, prefix: str, after: position.Position, wait_s: float
     ) -> store.Changes | store.Compacted | store.Restored | store.Unavailable:
-        """Wait for changes under a prefix, on a connection of its own."""
+        """Wait for changes under a prefix, on a separate connection."""
         if self.era is not None and self.era > after.era:
             return store.Restored(self.era)
         path = (
@@ -161,7 +168,7 @@
         | store.Restored
         | store.Unavailable
     ):
-        """Write all or nothing, if the keys are at the expected positions."""
+        """Write atomically if the keys are at the expected positions."""
         eras = {each.era for each in expected.values()}
         if self.era is not None and any(era < self.era for era in eras):
             return store.Restored(self.era)
@@ -177,8 +184,9 @@
         if isinstance(reply, store.Unavailable):
             return reply
         if any(era < reply.era for era in eras):
-            # Also where it was done: the keys had the expected revisions by
-            # chance, in another history.
+            # Even if the transaction was applied: the restored store has
+            # another history, in which the keys matched the expected
+            # revisions by chance.
             return store.Restored(reply.era)
         if any(era > reply.era for era in eras):
             return store.Unavailable(
@@ -199,7 +207,7 @@
         return _unavailable(reply)
 
     def grant(self, ttl_s: float) -> store.Granted | store.Unavailable:
-        """Ask for a lease."""
+        """Request a lease."""
         body = {'ttl_ms': round(ttl_s * 1000)}
         reply = self._call('grant', b'POST', '/api/kv-lease', body)
         if isinstance(reply, store.Unavailable):
@@ -212,7 +220,7 @@
     def renew(
         self, lease: int
     ) -> store.Granted | store.NoLease | store.Restored | store.Unavailable:
-        """Renew a lease that was granted in the era known."""
+        """Renew a lease that was granted in the current era."""
         era = self.era
         reply = self._call('renew', b'POST', f'/api/kv-keep/{lease}', {})
         if isinstance(reply, store.Unavailable):
@@ -226,11 +234,11 @@
         return store.Granted(lease, reply.fields['ttl_ms'] / 1000)
 
     def revoke(self, lease: int) -> None:
-        """End a lease; its keys are removed."""
+        """End a lease, which removes its keys."""
         self._call('revoke', b'DELETE', f'/api/kv-lease-end/{lease}')
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         for conn in (self.idle_connection, self.watch_connection):
             if conn is not None:
                 conn.close()
@@ -275,7 +283,7 @@
         sent = False
         try:
             with gevent.Timeout(
-                timeout_s, http.OutOfTime('no answer in time')
+                timeout_s, http.OutOfTime('store did not respond in time')
             ):
                 if conn is None:
                     conn = connection.Connection(
@@ -298,9 +306,12 @@
             return store.Unavailable(str(error), maybe_applied=sent), None
         except ValueError as error:
             conn.close()
-            return store.Unavailable(f'not JSON: {error}', sent), None
+            return store.Unavailable(
+                f'response is not JSON: {error}', sent
+            ), None
         except gevent.GreenletExit:
-            # Given up: the next call would read the answer to this one.
+            # The call was killed.  The next call on this connection would
+            # read the response to this one.
             if conn is not None:
                 conn.close()
             raise
@@ -314,11 +325,15 @@
     def _check_era(
         self, head: http.Head, fields: dict[str, Any]
     ) -> _Reply | store.Unavailable:
-        """Take the era of an answer; one of an earlier era is none."""
+        """Record the era of a response; reject one of an earlier era."""
         try:
             era = int(head.value(ERA_HEADER) or 0)
         except ValueError:
-            return store.Unavailable('the era is no number', True)
+            return store.Unavailable(
+                f'header {ERA_HEADER.decode()}: expected an integer, '
+                f'got {head.value(ERA_HEADER)!r:.40}',
+                True,
+            )
         if self.era is not None and era < self.era:
             reason = _earlier_era_reason(era, self.era)
             LOG.repeated('answer_of_earlier_era', 'store', reason=reason)
@@ -333,17 +348,17 @@
 
 
 def _body(conn: connection.Connection) -> bytes:
-    """Wait for the rest of an answer, as long as it goes on.
+    """Wait for the body of a response.
 
-    :raises http.OutOfTime: it does not
+    :raises http.OutOfTime: a part or the whole body took too long
     """
     pieces = []
     with gevent.Timeout(
-        RESPONSE_TIMEOUT_S, http.OutOfTime('no whole answer in time')
+        RESPONSE_TIMEOUT_S, http.OutOfTime('response body incomplete in time')
     ):
         while True:
             with gevent.Timeout(
-                READ_TIMEOUT_S, http.OutOfTime('the answer stopped')
+                READ_TIMEOUT_S, http.OutOfTime('response body stalled')
             ):
                 part = conn.part()
             if isinstance(part, http.End):
@@ -352,8 +367,8 @@
 
 
 def _unavailable(reply: _Reply) -> store.Unavailable:
-    # A 503 says that nothing was done, a 429 that the rate was exceeded;
-    # of any other status nothing is known.
+    # Calls with status 429 or 503 were not applied.  After any other status
+    # the call may have been applied.
     done_nothing = reply.status in (STATUS_RATE_LIMITED, STATUS_UNAVAILABLE)
     return store.Unavailable(
         f'status {reply.status}', maybe_applied=not done_nothing
@@ -361,7 +376,7 @@
 
 
 def _earlier_era_reason(era: int, known: int) -> str:
-    return f'an answer of era {era}, before era {known}'
+    return f'response of era {era}, expected era {known} or later'
 
 
 def _quoted(text: str) -> str:
