--- a/magnoliadyke/platform/codec.py
+++ b/magnoliadyke/platform/codec.py
@@ -115,7 +115,7 @@
             return codec.Malformed('header x-request-id: missing or empty')
         if not head.target.startswith(b'/'):
             return codec.Malformed(
-                f'request target: expected a path that begins with /, '
+                'request target: expected a path that begins with /, '
                 f'got {head.target!r:.80}'
             )
         try:
--- a/magnoliadyke/platform/engines.py
+++ b/magnoliadyke/platform/engines.py
@@ -34,12 +34,12 @@
         if status != STATUS_OK:
             return enginecontrol.Unreachable(f'status {status}')
         if endpoint.started_ms and fields.get('born') != endpoint.started_ms:
-            # The engine has restarted and its entry in the store is still
-            # that of the former process, so its count of accepted orders
-            # belongs to another process than the entry.
+            # The engine has restarted, but its store entry still describes
+            # the former process.  The count of accepted orders in this report
+            # does not apply to that process.
             return enginecontrol.Unreachable(
-                f'another process responded than the one started at '
-                f'{endpoint.started_ms} ms, which the store entry names'
+                'another process responded; expected the one started at '
+                f'{endpoint.started_ms} ms'
             )
         try:
             return enginecontrol.EngineState(
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -337,7 +337,7 @@
         LOG.event('stopped')
 
     def _reload(self) -> None:
-        """Read the settings again; components keep those of the start."""
+        """Read the settings again; open listeners keep their addresses."""
         try:
             self.settings = node_settings.load()
         except node_settings.errors.SettingsError as error:
