--- a/magnoliadyke/gateway/fleetduty.py
+++ b/magnoliadyke/gateway/autoscaling.py
@@ -1,4 +1,4 @@
-"""Orders endpoints where this host leads."""
+"""Orders endpoints from the platform by the autoscaler, as the leader."""
 
 import json
 
@@ -11,71 +11,76 @@
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import operatorcalls
-from magnoliadyke.gateway import placing
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
-__all__ = ['FLEET_PREFIX', 'FleetDuty']
+__all__ = ['FLEET_PREFIX', 'AutoscalingDuty']
 
 LOG = logs.get('fleet')
 
-#: Keys with the number of endpoints that a service is to have, by its name.
+#: Prefix of the keys with the target number of endpoints of a service; the
+#: name of the service follows.
 FLEET_PREFIX = 'magnoliadyke/fleet/'
+#: Interval between scaling rounds, in seconds.
 TICK_S = 0.5
-#: Endpoints of a service that is set up are listed one after the other; their
-#: number counts once it has been the same for so long, in seconds.
-SET_UP_S = 2.0
-#: Pause after an order of which nobody can say whether it was taken, in
+#: The endpoints of a new service are listed one after the other.  Their
+#: number becomes the target once it has been unchanged for this long, in
+#: seconds.
+STABLE_COUNT_S = 2.0
+#: Pause after an order that was rejected, or whose outcome is unknown, in
 #: seconds.
 RETRY_S = 1.0
 
 
-class FleetDuty(app.Component, keymirror.Listener):
-    """Carries the plans out, under the lease.
+class AutoscalingDuty(app.Component, keymirror.Listener):
+    """Sends the autoscaler's orders to the platform while this host leads.
 
-    A service is to have as many endpoints as it was set up with.  The first
-    host that leads writes that down: later there are others, of another kind
-    and more of them.
+    The target of a service is the number of endpoints that it was set up
+    with.  The first leader writes this number to the store, as later the
+    endpoints differ in kind and can be more.
 
-    :param calls: takes the orders; None where none may be given
-    :ivar wanted: endpoints by service, as the store has it
-    :ivar listed: endpoints of services that are being set up, and since when
+    :param calls: sends the orders to the platform; None if the platform takes
+        no orders from this system
+    :ivar wanted: target number of endpoints by service, as stored
+    :ivar initial_counts: number of listed endpoints, and since when it is
+        unchanged, of services without a target
     """
 
     def __init__(
         self,
         leader: leadership.Leadership,
-        placer: placing.Placer,
+        placer: placementservice.PlacementService,
         known: catalog.Catalog,
-        kept: store.Store,
+        kv_store: store.Store,
         calls: operatorcalls.OperatorCalls | None,
         clock: clocks.Clock,
     ) -> None:
         self.leadership = leader
         self.placer = placer
         self.catalog = known
-        self.store = kept
+        self.store = kv_store
         self.calls = calls
         self.clock = clock
         self.plans: dict[str, autoscaler.Autoscaler] = {}
         self.wanted: dict[str, int] = {}
-        self.listed: dict[str, tuple[int, float]] = {}
+        self.initial_counts: dict[str, tuple[int, float]] = {}
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to plan."""
+        """Start the scaling loop, if the platform takes orders."""
         if self.calls is not None:
             self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Order nothing from now on."""
+        """Stop the scaling loop."""
         if self.greenlet is not None:
             self.greenlet.kill()
 
     # The store.
 
     def changed(self, item: store.Item) -> None:
-        """The number of a service's endpoints was written."""
+        """Record a service's target number of endpoints from the store."""
         try:
             wanted = json.loads(item.value)
         except ValueError:
@@ -101,9 +106,9 @@
                     self._step(service.name, service.scaling)
 
     def _step(self, service: str, limits: autoscaler.ScalingLimits) -> None:
-        present = self._present(service)
+        present = self._available_capacity(service)
         if service not in self.wanted:
-            self._set_up(
+            self._record_initial_size(
                 service, sum(each.on_demand for each in present.values())
             )
             return
@@ -115,14 +120,17 @@
         for order in plan.decide(limits, present, wanted, now_s):
             self._order(plan, order)
 
-    def _set_up(self, service: str, count: int) -> None:
-        """Write down how many endpoints a service was set up with."""
+    def _record_initial_size(self, service: str, count: int) -> None:
+        """Store a service's target once its endpoint count is stable.
+
+        :param count: number of endpoints listed now
+        """
         now_s = self.clock.now_s()
-        before, since_s = self.listed.get(service, (0, now_s))
+        before, since_s = self.initial_counts.get(service, (0, now_s))
         if count != before:
-            self.listed[service] = (count, now_s)
+            self.initial_counts[service] = (count, now_s)
             return
-        if not count or now_s - since_s < SET_UP_S:
+        if not count or now_s - since_s < STABLE_COUNT_S:
             return
         put = store.Put(FLEET_PREFIX + service, json.dumps(count).encode())
         match self.store.commit({put.key: self.leadership.absent()}, (put,)):
@@ -138,18 +146,20 @@
             wanted=self.wanted.get(service, 'unknown'),
         )
 
-    def _present(
+    def _available_capacity(
         self, service: str
     ) -> dict[str, autoscaler.AvailableCapacity]:
         found: dict[str, autoscaler.AvailableCapacity] = {}
         for endpoint in self.catalog.usable(service):
             domain = endpoint.failure_domain
-            there = found.get(domain, autoscaler.AvailableCapacity())
+            capacity = found.get(domain, autoscaler.AvailableCapacity())
             if endpoint.reclaimable:
-                there = there._replace(reclaimable=there.reclaimable + 1)
+                capacity = capacity._replace(
+                    reclaimable=capacity.reclaimable + 1
+                )
             else:
-                there = there._replace(on_demand=there.on_demand + 1)
-            found[domain] = there
+                capacity = capacity._replace(on_demand=capacity.on_demand + 1)
+            found[domain] = capacity
         return found
 
     def _order(
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -1,4 +1,4 @@
-"""Keeps the proof that this host's configuration is the newest one."""
+"""Renews the proof that this host's configuration is current."""
 
 import math
 import random
@@ -13,34 +13,38 @@
 from magnoliadyke.gateway import follower
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import members
-from magnoliadyke.gateway import placing
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
-__all__ = ['Confirming']
+__all__ = ['ConfigurationConfirmer']
 
 LOG = logs.get('confirming')
 
+#: Interval between checks of the proof's age, in seconds.
 TICK_S = 0.25
-#: Hosts that are asked at one time where the one that leads does not answer,
-#: beside those that watch the store.
-ASKED = 1
-#: How long a host that starts on a copy of the store waits for the others'
-#: word, in seconds.
-MEET_S = 1.0
-#: Pause after the store gave no proof, spread by as much again, in seconds.
+#: Number of random peers to query at once when the leader does not reply, in
+#: addition to the hosts that watch the store.
+PEERS_ASKED = 1
+#: How long a host that starts on a restored store waits for the versions of
+#: its peers, in seconds.
+PEER_REPLY_WAIT_S = 1.0
+#: Shortest pause after a query to the store gave no proof, in seconds; jitter
+#: adds up to as much again.
 RETRY_S = 0.3
 
 
-class Confirming(app.Component):
-    """Asks the store, or other hosts, by the age of the proof.
+class ConfigurationConfirmer(app.Component):
+    """Queries the store or other hosts, depending on the age of the proof.
 
-    Only where routes need the key of a workspace, and keys have to end in
-    time.  One host asks the store for all as long as it is reached.
+    It does so only if routes require a workspace key and a revoked key must
+    stop working within a bound.  The leader queries the store on behalf of
+    all hosts that can reach it.
 
     :param bound_s: see :class:`confirmation.Confirmation`
-    :ivar proof: of this host
-    :ivar was_held: whether the proof held when last looked at, for the log
+    :ivar proof: this host's proof that its configuration is current
+    :ivar was_held: whether the proof was valid at the last check, to log
+        changes only
     """
 
     def __init__(
@@ -48,17 +52,17 @@
         bound_s: float | None,
         known: catalog.Catalog,
         decoder: keymirror.Decoder,
-        kept: store.Store,
+        kv_store: store.Store,
         followed: follower.Follower,
         others: members.Members,
-        placer: placing.Placer,
+        placer: placementservice.PlacementService,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self.proof = confirmation.Confirmation(bound_s)
         self.catalog = known
         self.decoder = decoder
-        self.store = kept
+        self.store = kv_store
         self.follower = followed
         self.members = others
         self.placer = placer
@@ -69,24 +73,24 @@
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start to renew the proof."""
         self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Ask nobody from now on."""
+        """Stop renewing the proof."""
         if self.greenlet is not None:
             self.greenlet.kill()
 
     def holds(self) -> bool:
-        """Whether this host may let keys be used now."""
+        """Whether the proof is recent enough to accept workspace keys."""
         return self.proof.holds(self.clock.boot_s())
 
     def serves(self) -> bool:
-        """Whether this host takes the requests of all routes."""
+        """Whether this host can serve the requests of all routes."""
         return not self.needed() or self.holds()
 
     def needed(self) -> bool:
-        """Whether requests need a proof of this host."""
+        """Whether requests with workspace keys require a valid proof."""
         configuration = self.catalog.configuration
         return (
             self.proof.bound_s is not None
@@ -105,32 +109,38 @@
         now_s = self.clock.boot_s()
         match self.proof.source(now_s, self.placer.leading):
             case confirmation.Source.STORE:
-                self._ask_others(self._some_peers())
+                self._ask_peers(self._sample_peers())
                 if self._may_ask_store() and not self._ask_store():
                     self.clock.sleep(RETRY_S * (1 + self.rng.random()))
             case confirmation.Source.PEERS:
-                self._ask_others(self._some_peers())
+                self._ask_peers(self._sample_peers())
             case confirmation.Source.LEADER:
                 leader = self.placer.leader
-                self._ask_others([leader] if leader else self._some_peers())
+                self._ask_peers([leader] if leader else self._sample_peers())
 
-    def _some_peers(self) -> list[str]:
+    def _sample_peers(self) -> list[str]:
         listening = self.members.listening()
-        asked = self.rng.sample(listening, min(ASKED, len(listening)))
+        asked = self.rng.sample(listening, min(PEERS_ASKED, len(listening)))
         return list({*asked, *self.members.watchers()})
 
     def _may_ask_store(self) -> bool:
-        """Whether this host has the store in reach, or has to find out.
+        """Whether this host should query the store for a proof.
 
-        While it is away it is looked for by those that follow it, and what
-        they read first is a proof.
+        The leader always does.  Another host does only if it watches the
+        store itself and reaches it.  During an outage its follower retries
+        the store anyway, and the first successful read is a proof.
         """
         if self.placer.leading:
             return True
-        return not self.follower.listening and not self.follower.cut_off_s()
+        return (
+            not self.follower.listening and not self.follower.unreachable_s()
+        )
+
+    def record_full_read(self, asked_s: float) -> None:
+        """Take a full read of the store as a proof, if one is needed.
 
-    def listed(self, asked_s: float) -> None:
-        """All keys were read, and the configuration with them."""
+        :param asked_s: when the read was sent, in seconds of the boot clock
+        """
         if not self.needed():
             return
         item = self.follower.mirror.items.get(self.decoder.configuration_key)
@@ -150,10 +160,13 @@
             age_ms=round(age_s * 1000) if math.isfinite(age_s) else 'none',
         )
 
-    # The store.
+    # Queries to the store.
 
     def _ask_store(self) -> bool:
-        """Read the configuration; False if that proved nothing."""
+        """Read the configuration from the store.
+
+        :returns: whether the read renewed the proof
+        """
         asked_s = self.clock.boot_s()
         match self.store.read(self.decoder.configuration_key):
             case store.Item() as item:
@@ -161,7 +174,13 @@
         return False
 
     def _prove(self, item: store.Item, asked_s: float) -> bool:
-        """Take the store's configuration for a proof, if it is one."""
+        """Renew the proof if this host has the store's configuration.
+
+        A newer version in the store triggers a read by the follower instead.
+
+        :param asked_s: when the read was sent, in seconds of the boot clock
+        :returns: whether the proof was renewed
+        """
         newest = self.decoder.configuration(item.value)
         if isinstance(newest, catalog.UnusableRecord):
             return False
@@ -169,34 +188,36 @@
         if newest.version > own_version:
             self.follower.behind.set()
             return False
-        if item.position.era and not self._has_met_others():
+        if item.position.era and not self._has_peer_reply():
             return False
         self.proof.record_proof(asked_s, own_version)
         return True
 
-    def _has_met_others(self) -> bool:
-        """Whether a host that starts on a copy of the store may trust it.
+    def _has_peer_reply(self) -> bool:
+        """Whether this host may trust a restored store.
 
-        The others may go by a newer configuration than the copy has.
+        Peers may have a newer configuration than the copy that the store was
+        restored from.  So a host that has just started waits for the version
+        of a peer, for at most ``PEER_REPLY_WAIT_S``.
         """
         if self.proof.newest_peer_version >= 0 or not self.members.listening():
             return True
-        return self.clock.boot_s() - self.started_s >= MEET_S
+        return self.clock.boot_s() - self.started_s >= PEER_REPLY_WAIT_S
 
-    # Other hosts.
+    # Queries between hosts.
 
-    def _ask_others(self, addresses: list[str]) -> None:
+    def _ask_peers(self, addresses: list[str]) -> None:
         for address in addresses:
             nonce = self.rng.getrandbits(62)
             self.proof.record_query(nonce, self.clock.boot_s())
             self.placer.send(address, duty_codec.ConfirmationRequest(nonce))
 
-    def asked(
+    def handle_request(
         self, request: duty_codec.ConfirmationRequest
     ) -> duty_codec.ConfirmationReply | None:
-        """Another host asks for a proof; None if this one can tell nothing.
+        """Return the reply to a query for a proof, None if none is needed.
 
-        One that has no proof tells its version all the same.
+        A host without a proof still replies, with its version.
         """
         if not self.needed():
             return None
@@ -206,8 +227,8 @@
             self.clock.boot_s() - self.proof.proved_s,
         )
 
-    def heard(self, reply: duty_codec.ConfirmationReply) -> None:
-        """Another host has told its proof."""
+    def handle_reply(self, reply: duty_codec.ConfirmationReply) -> None:
+        """Record the version and the proof's age that a peer replied with."""
         configuration = self.catalog.configuration
         if configuration is None:
             return
--- /dev/null
+++ b/magnoliadyke/gateway/crashreports.py
@@ -0,0 +1,119 @@
+"""Shares crash reports between hosts to bar requests that crash endpoints."""
+
+import hashlib
+from typing import Callable
+
+from magnoliadyke import clock as clocks
+from magnoliadyke.core import crashhistory
+from magnoliadyke.gateway import codec as codecs
+from magnoliadyke.gateway import placement_codec
+from magnoliadyke import logs
+
+__all__ = ['CrashReporter']
+
+LOG = logs.get('suspects')
+
+FINGERPRINT_BYTES = 8
+#: Maximum number of crash notifications sent per second.  The crash of a
+#: fully loaded engine fails about a dozen requests of a host.  More failures
+#: at a time are not caused by a single request, and notifying the other
+#: hosts of each would take bandwidth from small links.
+MAX_NOTIFICATIONS_PER_S = 24
+
+
+class CrashReporter:
+    """Records requests that endpoints failed, and notifies the other hosts.
+
+    A caller may retry a failed request at any host, so that all hosts need
+    the request's crash history before the retry.
+
+    :param broadcast: sends a message to all other hosts
+    :ivar window_start_s: start of the current one-second window of
+        :data:`MAX_NOTIFICATIONS_PER_S`
+    :ivar sent_in_window: notifications due in that window, including those
+        over the limit, which are not sent
+    """
+
+    def __init__(
+        self,
+        clock: clocks.Clock,
+        broadcast: Callable[[placement_codec.Message], None],
+    ) -> None:
+        self.clock = clock
+        self.broadcast = broadcast
+        self.history = crashhistory.CrashHistory()
+        self.window_start_s = float('-inf')
+        self.sent_in_window = 0
+
+    def record_crash(self, request: codecs.Request, endpoint: str) -> None:
+        """Record that an endpoint failed a request without an answer.
+
+        The other hosts are notified if the endpoint is a new one.
+        """
+        now_s = self.clock.now_s()
+        fingerprint = _fingerprint(request)
+        if not self.history.record_crash(fingerprint, (endpoint,), now_s):
+            return
+        self._log_barred(fingerprint, now_s)
+        if now_s - self.window_start_s >= 1.0:
+            self.window_start_s = now_s
+            self.sent_in_window = 0
+        self.sent_in_window += 1
+        if self.sent_in_window > MAX_NOTIFICATIONS_PER_S:
+            LOG.repeated(
+                'broken_request_untold', endpoint, told=self.sent_in_window
+            )
+            return
+        known = tuple(self.history.requests[fingerprint].endpoints)
+        self.broadcast(placement_codec.CrashNotification(fingerprint, known))
+
+    def handle_report(
+        self, message: placement_codec.CrashNotification
+    ) -> None:
+        """Record the crashes of a request that another host reports."""
+        now_s = self.clock.now_s()
+        fingerprint, endpoints = message
+        if self.history.record_crash(fingerprint, endpoints, now_s):
+            self._log_barred(fingerprint, now_s)
+
+    def record_success(self, request: codecs.Request) -> None:
+        """Record that a request got a complete answer."""
+        if len(self.history):
+            now_s = self.clock.now_s()
+            self.history.record_success(_fingerprint(request), now_s)
+
+    def barred_s(self, request: codecs.Request) -> float:
+        """Return for how many seconds a request is barred; 0 if it may run.
+
+        The request's content is not hashed while no crash is on record.
+        """
+        if not len(self.history):
+            return 0.0
+        now_s = self.clock.now_s()
+        return self.history.barred_s(_fingerprint(request), now_s)
+
+    def _log_barred(self, fingerprint: bytes, now_s: float) -> None:
+        if self.history.barred_s(fingerprint, now_s):
+            endpoints = self.history.requests[fingerprint].endpoints
+            LOG.warning_event(
+                'request_barred',
+                fingerprint=fingerprint.hex(),
+                endpoints=','.join(sorted(endpoints)),
+            )
+
+
+def _fingerprint(request: codecs.Request) -> bytes:
+    """Return a digest of a request's content.
+
+    A caller's retries have other request ids, but the same content.
+    """
+    digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
+    for part in (
+        request.host.encode(),
+        request.method,
+        request.target,
+        request.body,
+    ):
+        digest.update(len(part).to_bytes(4, 'big'))
+        digest.update(part)
+    return digest.digest()
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its arrival to exactly one outcome."""
+"""Base of exchanges: serves one request, from arrival to its outcome."""
 
 import abc
 import random
@@ -13,10 +13,10 @@
 from magnoliadyke.gateway import caller as callers
 from magnoliadyke.gateway import codec as codecs
 from magnoliadyke.gateway import connection
+from magnoliadyke.gateway import crashreports
 from magnoliadyke.gateway import http
 from magnoliadyke.gateway import outcomes
-from magnoliadyke.gateway import placing
-from magnoliadyke.gateway import suspects
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import upstream
 from magnoliadyke.gateway import usageduty
 from magnoliadyke.gateway import waitlimit
@@ -25,7 +25,7 @@
 __all__ = [
     'BACKOFF',
     'RETRY_AFTER_S',
-    'RETURN_S',
+    'RESPONSE_MARGIN_S',
     'STOPPING',
     'Exchange',
     'Parts',
@@ -33,23 +33,28 @@
 
 LOG = logs.get('exchange')
 
-#: What a refused caller is told when nothing better is known, in seconds.
+#: Retry-After of a refused request if no endpoint's backoff gives one, in
+#: seconds.
 RETRY_AFTER_S = 0.4
-#: Kept of a caller's time for the answer's way back, in seconds: below it a
-#: further try could not be answered in time.
-RETURN_S = 0.02
-#: Reason told for a request that no endpoint wants at present.
+#: Part of a caller's remaining time that is reserved for sending the answer
+#: back, in seconds: with less left, another attempt could not be answered in
+#: time.
+RESPONSE_MARGIN_S = 0.02
+#: Reason of a refusal when all usable endpoints asked this host to back off.
 BACKOFF = 'the endpoint asked to back off'
-#: Reason told for a request that may outlast this host, or did.
+#: Reason of a refusal or failure when a request may not complete, or did not,
+#: before this host stops.
 STOPPING = 'this host is stopping'
-#: Reason told for a request that is not run any more.
+#: Reason of a refusal when a request is blocked because endpoints that ran it
+#: crashed.
 CRASHES = 'endpoints crash when they run it'
 
 
 class Parts(NamedTuple):
-    """What an exchange works with.
+    """Shared components that an exchange uses.
 
-    :param begun: counts a request of a workspace that has begun to run
+    :param budgets: retry budgets by service
+    :param begun: records that a request of a workspace began to run
     """
 
     clock: clocks.Clock
@@ -58,17 +63,24 @@
     upstream: upstream.Upstream
     balancer: balance.Balancer
     budgets: dict[str, retrybudget.RetryBudget]
-    placer: placing.Placer
-    suspects: suspects.Suspects
+    placer: placementservice.PlacementService
+    crashreports: crashreports.CrashReporter
     backoffs: backoffs.Backoffs
     rng: random.Random
-    begun: usageduty.Begun
+    begun: usageduty.StartRecorder
 
 
 class Exchange(abc.ABC):
-    """One request under way.
-
-    :param arrived_s: when its head had been read
+    """One request in flight.
+
+    :param arrived_s: when the head of the request was complete, in monotonic
+        seconds
+    :ivar deadline_s: when the caller gives up, in monotonic seconds
+    :ivar runs: number of attempts that ran the request, or may have
+    :ivar sends: number of attempts, including those that endpoints rejected
+    :ivar tried: ids of endpoints that the request was sent to
+    :ivar endpoint: id of the last endpoint tried, empty if none
+    :ivar start_recorded: whether the request was recorded as usage
     """
 
     def __init__(
@@ -93,7 +105,7 @@
         self.sends = 0
         self.tried: set[str] = set()
         self.endpoint = ''
-        self.counted = False
+        self.start_recorded = False
 
     def _pick_service(self) -> str:
         targets = self.route.targets
@@ -104,17 +116,17 @@
         return chosen.service
 
     @property
-    def waits(self) -> bool:
-        """Whether no endpoint has been asked for anything yet."""
+    def is_waiting(self) -> bool:
+        """Whether the request has not been sent to any endpoint yet."""
         return not self.sends
 
     @property
     def left_s(self) -> float:
-        """Time until the caller gives up."""
+        """Time until the caller gives up, in seconds."""
         return self.deadline_s - self.parts.clock.now_s()
 
     def run(self) -> outcomes.Outcome:
-        """Serve the request; the caller has its answer afterwards."""
+        """Serve the request and send the caller its answer."""
         self._budget().record_request(self.parts.clock.now_s())
         try:
             return self._run()
@@ -124,39 +136,41 @@
 
     def _run(self) -> outcomes.Outcome:
         try:
-            with self.caller.watched():
-                barred_s = self.parts.suspects.barred_s(self.request)
+            with self.caller.watch_disconnect():
+                barred_s = self.parts.crashreports.barred_s(self.request)
                 if barred_s:
                     refused = outcomes.Refused(CRASHES, barred_s)
-                    return self._tell(refused)
+                    return self._respond(refused)
                 outcome = self._serve()
                 if isinstance(outcome, outcomes.Answered):
-                    self.parts.suspects.served(self.request)
-                return self._tell(outcome)
+                    self.parts.crashreports.record_success(self.request)
+                return self._respond(outcome)
         except callers.HostStops:
-            return self._tell(self._give_up())
+            return self._respond(self._end_interrupted())
 
-    def _give_up(self) -> outcomes.Refused | outcomes.Failed:
-        """How a request ends that this process can't finish."""
-        self.caller.broken = self.caller.begun
-        if not (self.runs or self.caller.begun):
+    def _end_interrupted(self) -> outcomes.Refused | outcomes.Failed:
+        """Return the outcome of a request that this host's stop aborts."""
+        self.caller.broken = self.caller.answer_begun
+        if not (self.runs or self.caller.answer_begun):
             return outcomes.Refused(STOPPING, 0.0)
         return outcomes.Failed(504, STOPPING)
 
     @abc.abstractmethod
     def _serve(self) -> outcomes.Outcome:
-        """Have an endpoint run the request."""
+        """Have an endpoint run the request, and return the outcome."""
 
-    def _tell(self, outcome: outcomes.Outcome) -> outcomes.Outcome:
-        """Give the caller what it doesn't have yet."""
+    def _respond(self, outcome: outcomes.Outcome) -> outcomes.Outcome:
+        """Send the answer of a refused or failed request, unless one began."""
         match outcome:
             case outcomes.Refused(reason, retry_after_s):
                 retry_after = b'%.3f' % max(0.0, retry_after_s)
-                headers = self.parts.codec.own_headers(self.request)
+                headers = self.parts.codec.local_response_headers(self.request)
                 headers.append((b'Retry-After', retry_after))
                 self.caller.answer(503, headers, reason.encode())
-            case outcomes.Failed(status, reason) if not self.caller.begun:
-                headers = self.parts.codec.own_headers(self.request)
+            case outcomes.Failed(status, reason) if (
+                not self.caller.answer_begun
+            ):
+                headers = self.parts.codec.local_response_headers(self.request)
                 self.caller.answer(status, headers, reason.encode())
         return outcome
 
@@ -171,27 +185,28 @@
     def _budget(self) -> retrybudget.RetryBudget:
         return self.parts.budgets[self.service]
 
-    def _take(
+    def _acquire_connection(
         self, endpoint: catalog.Endpoint, repeatable: bool
     ) -> connection.Connection:
-        """Get a connection to an endpoint, unless it asked to back off.
+        """Acquire a connection to an endpoint, unless it asked to back off.
 
-        :param repeatable: what it is for may be sent again
-        :raises upstream.NoConnection: there is none; nothing has been sent
+        :param repeatable: whether the request may be sent again
+        :raises upstream.NoConnection: the endpoint asked to back off, or no
+            connection is available; nothing has been sent
         """
         if self._backoff_s(endpoint.id):
             raise upstream.NoConnection(BACKOFF)
-        return self.parts.upstream.take(
+        return self.parts.upstream.acquire(
             endpoint, self._max_connections(), repeatable
         )
 
     def _backoff_s(self, endpoint_id: str) -> float:
-        """How much longer an endpoint wants nothing from this host."""
+        """Return the rest of an endpoint's backoff in seconds, 0 if none."""
         now_s = self.parts.clock.now_s()
         return self.parts.backoffs.remaining_s(endpoint_id, now_s)
 
     def _retry_after_s(self) -> float:
-        """When a request that none takes may come back."""
+        """Return the Retry-After in seconds if all endpoints reject."""
         usable = self.parts.catalog.usable(self.service)
         now_s = self.parts.clock.now_s()
         return (
@@ -200,29 +215,35 @@
         )
 
     def _may_send(self) -> bool:
-        """Count a send that is to run; all but the first are repeats."""
+        """Count an attempt and return whether the retry budget allows it.
+
+        The first attempt of a request is not a retry and always allowed.
+        """
         self.sends += 1
         return self.sends == 1 or self._budget().try_acquire(
             self.parts.clock.now_s()
         )
 
-    def _may_go_on(self) -> bool:
+    def _may_retry(self) -> bool:
         if self.runs >= self.route.max_attempts:
             return False
         if self.sends > self.route.max_attempts:
             return False
-        if self.parts.suspects.barred_s(self.request):
+        if self.parts.crashreports.barred_s(self.request):
             return False
-        return self.left_s >= RETURN_S
+        return self.left_s >= RESPONSE_MARGIN_S
 
-    def _note_begun(self, ago_s: float = 0.0) -> None:
-        """An endpoint has begun to run the request; counted once."""
+    def _record_start(self, ago_s: float = 0.0) -> None:
+        """Record, once per request, that it began to run, as usage.
+
+        :param ago_s: time since it began to run, in seconds
+        """
         workspace = self.request.workspace
-        if workspace is not None and not self.counted:
-            self.counted = True
+        if workspace is not None and not self.start_recorded:
+            self.start_recorded = True
             self.parts.begun(workspace.name, ago_s)
 
-    def _note_try(
+    def _record_crash(
         self,
         result: outcomes.Whole
         | outcomes.NotRun
@@ -230,28 +251,31 @@
         | outcomes.Answered,
         endpoint: str,
     ) -> None:
-        """A try that broke off may have crashed its endpoint."""
+        """Record a possible crash if the endpoint broke off the attempt."""
         if isinstance(result, outcomes.Lost) and result.broke_off:
-            self.parts.suspects.broke(self.request, endpoint)
+            self.parts.crashreports.record_crash(self.request, endpoint)
 
-    def _facts(
+    def _read_facts(
         self, endpoint: catalog.Endpoint, head: http.Head
     ) -> codecs.AnswerFacts:
-        """Read an answer's head, and what it tells of its endpoint.
+        """Parse an answer's head, and record the endpoint's signals in it.
 
-        An answer to another request, or of another process at the same
-        address, tells nothing of the one that was asked.
+        The signals are a backoff and a planned stop. They are ignored in an
+        answer to another request and in one from another process at the
+        same address, which say nothing about this endpoint.
         """
         facts = self.parts.codec.facts(head)
         own = facts.request_id in (None, self.request.id)
         if own and not facts.wrong_endpoint:
             if facts.leaving:
-                self._heard_leaving(endpoint)
+                self._record_leaving(endpoint)
             if facts.backoff_s:
-                self._heard_backoff(endpoint, facts.backoff_s)
+                self._record_backoff(endpoint, facts.backoff_s)
         return facts
 
-    def _heard_backoff(self, endpoint: catalog.Endpoint, for_s: float) -> None:
+    def _record_backoff(
+        self, endpoint: catalog.Endpoint, for_s: float
+    ) -> None:
         now_s = self.parts.clock.now_s()
         self.parts.backoffs.record_backoff(endpoint.id, for_s, now_s)
         LOG.event(
@@ -261,7 +285,7 @@
             for_ms=round(for_s * 1000),
         )
 
-    def _heard_leaving(self, endpoint: catalog.Endpoint) -> None:
+    def _record_leaving(self, endpoint: catalog.Endpoint) -> None:
         if self.parts.catalog.mark_leaving(endpoint.id):
             LOG.event(
                 'endpoint_said_leaving',
@@ -269,7 +293,7 @@
                 endpoint=endpoint.id,
             )
 
-    def _converse(
+    def _send_request(
         self,
         endpoint: catalog.Endpoint,
         used: connection.Connection,
@@ -296,22 +320,22 @@
         except callers.Interrupted:
             used.close()
             raise
-        return self._judge(endpoint, used, head, body)
+        return self._classify(endpoint, used, head, body)
 
-    def _judge(
+    def _classify(
         self,
         endpoint: catalog.Endpoint,
         used: connection.Connection,
         head: http.Head,
         body: bytes,
     ) -> outcomes.Whole | outcomes.NotRun | outcomes.Lost:
-        """Whether an answer is that of this request.
+        """Check an answer against the request, and return the result.
 
-        A second answer to an earlier request may wait on a kept
-        connection; the id tells them apart.  Such a connection is closed:
-        what comes next on it belongs to no one.
+        A reused connection may hold a duplicate answer to an earlier
+        request, which has another request id. That connection is closed:
+        further bytes on it can't be assigned to a request.
         """
-        facts = self._facts(endpoint, head)
+        facts = self._read_facts(endpoint, head)
         if facts.idle_limit_s is not None:
             used.idle_limit_s = facts.idle_limit_s
         if facts.not_run and facts.request_id in (None, self.request.id):
@@ -329,7 +353,7 @@
         self.caller.answer(whole.facts.status, headers, whole.body)
         return outcomes.Answered(whole.facts.status, self.endpoint)
 
-    def _log_try(self, cause: object, meaning: str) -> None:
+    def _log_attempt(self, cause: object, meaning: str) -> None:
         LOG.event(
             'try_ended',
             id=self.request.id.decode('latin-1'),
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -1,4 +1,4 @@
-"""Follows the store's keys, by its own watch or by what others tell."""
+"""Keeps a host's copy of the store's keys current, by watch or relay."""
 
 import abc
 import random
@@ -16,7 +16,7 @@
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import keyupdates
 from magnoliadyke.gateway import peerstate
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
@@ -24,90 +24,105 @@
 
 LOG = logs.get('follower')
 
-#: Longest wait of one watch.  The connection's own probes notice one that
-#: went silent; the end of the wait notices a store that holds it open and
-#: tells nothing.
-WATCH_S = 3.0
-#: Pause between two watches: changes that come together are told together,
-#: which saves most of the calls while a fleet starts.  Well inside the
-#: shortest time in which a change has to be in force (2 s).
-GATHER_S = 0.4
-#: Pause after a failure, spread by as much again; it doubles in a row, as
-#: each call of each host is counted also while the store is away, up to a
-#: pause after which a change is still in force inside the shortest time.
+#: Longest wait of one watch call, in seconds.  The connection's own probes
+#: detect that it is dead; this limit detects a store that keeps it open and
+#: reports no changes.
+WATCH_TIMEOUT_S = 3.0
+#: Pause between two watch calls, in seconds.  It batches changes, which saves
+#: most of the calls while a fleet starts.  Well below the shortest limit for a
+#: change to take effect (2 s).
+BATCH_INTERVAL_S = 0.4
+#: Pause after a failed call, in seconds, with as much random jitter on top.
+#: It doubles with each consecutive failure, since calls count toward the
+#: store's call rate also while it is unavailable.  After a pause of
+#: MAX_RETRY_S a change still takes effect within the shortest limit.
 RETRY_S = 0.25
 MAX_RETRY_S = 0.7
-#: Longest wait of a watch while entries are doubted, in seconds.
-DOUBT_WATCH_S = 0.2
-#: Share of the shortest time in which a change has to be in force: how long
-#: the store may take to tell what other hosts know.  A change reaches the
-#: others within GATHER_S and their word of it within a second.
-LAG_SHARE = 0.15
-#: How often this host compares itself with the others, in seconds.
-LAG_TICK_S = 0.1
-#: More such shares: hosts that watch tell the others at least this often, and
-#: one that has not heard of them twice watches by itself.
+#: Longest wait of one watch call, in seconds, while an endpoint whose entry is
+#: missing is in its grace period.
+GRACE_WATCH_TIMEOUT_S = 0.2
+#: Share of ``bound_s`` within which the store must report to this host a
+#: change that another host has seen.  Other hosts read a change within
+#: BATCH_INTERVAL_S, and gossip carries their position here within a second.
+MAX_LAG_SHARE = 0.15
+#: Interval between checks whether a relay of updates is due, in seconds.
+RELAY_CHECK_INTERVAL_S = 0.1
+#: Shares of ``bound_s``: a watching host sends an update at least every
+#: RELAY_SHARE, and a host that misses two of them (RELAY_TIMEOUT_SHARE)
+#: watches the store itself.
 RELAY_SHARE = 0.15
-RELAY_LOST_SHARE = 0.35
-#: How often a host that does not watch looks what it has missed, in seconds.
-LISTEN_TICK_S = 0.1
-#: Hosts that have missed the same change read it spread over this time, in
+RELAY_TIMEOUT_SHARE = 0.35
+#: Interval at which a host that does not watch checks for missed updates, in
 #: seconds.
+PEER_UPDATES_CHECK_INTERVAL_S = 0.1
+#: Hosts that have missed the same update delay their read of the store by a
+#: random time up to this, in seconds.
 MISSED_SPREAD_S = 0.2
-#: What a host that never lost the store says of how long it has had it.
-MAX_IN_REACH_S = 3600.0
+#: Upper limit of the contact time reported to other hosts, in seconds; a host
+#: that never lost the store reports this value.
+MAX_REACHABLE_S = 3600.0
 
 
 class Others(abc.ABC):
-    """The other hosts, which follow the same store."""
+    """The other hosts that follow the same store."""
 
     @abc.abstractmethod
     def peers(self, first: str) -> list[str]:
-        """Addresses of those that are thought to run.
+        """Return the addresses of the other hosts that gossip lists as alive.
 
-        :param first: name of the host that comes first; the others come in
-            any order
+        :param first: name of the host to put first; the rest are in any order
         """
 
     @abc.abstractmethod
-    def tell_position(self, upto: position.Position) -> None:
-        """Tell them up to where this host has seen the store's keys."""
+    def broadcast_position(self, upto: position.Position) -> None:
+        """Send the position up to which this host has read the store."""
 
     @abc.abstractmethod
-    def watches(self) -> bool:
-        """Whether this host is one of those that watch the store."""
+    def is_watcher(self) -> bool:
+        """Return whether this host watches the store for other hosts."""
 
     @abc.abstractmethod
-    def room(self) -> float:
-        """Most bytes of changes to tell each of those that don't, at once."""
+    def max_relay_bytes(self) -> float:
+        """Return how many bytes of changes one relay may send to each host."""
 
     @abc.abstractmethod
-    def relay(self, told: list[placing_codec.KeyUpdates]) -> None:
-        """Tell changes to those that don't; a host that watches does so."""
+    def relay(self, updates: list[placement_codec.KeyUpdates]) -> None:
+        """Send changes to the hosts that do not watch the store."""
 
 
 class Follower(app.Component):
-    """Reads everything once, then watches.
+    """Reads all keys of the store once, then follows their changes.
 
-    One watch for all keys: each watch is a call that is counted.  In a large
-    fleet a few hosts of each failure domain watch and tell the others, which
-    read only what they have missed.
+    One watch covers all keys, since each watch counts as a call of the store.
+    In a large fleet a few hosts of each failure domain watch the store and
+    relay its changes to the others, which read from the store only what they
+    missed.
 
-    What other hosts have seen earlier makes it read anew, and is taken from
-    them where the store does not answer.
+    If another host reports a later position and this host's watch stays
+    behind, the keys are read again, or fetched from that host if the store
+    does not answer.
 
     :param host: name of this host
-    :param mirror: takes the keys, as of ``lag.own_position``
-    :param bound_s: shortest time in which a change has to be in force
-    :ivar others: the other hosts, None for one that is alone
-    :ivar always_watches: whether this host watches though others would tell it
-    :ivar read_whole: called once all keys were read, with the moment at which
-        they were asked for, by the clock that passes during a suspension
-    :ivar listening: it goes by what others tell
-    :ivar updated_s: when one that watches last relayed something
-    :ivar catch_up: asks other hosts for what this one lacks
-    :ivar untold: keys that other hosts are told nothing of: whoever needs them
-        reads them
+    :param kept: the store
+    :param mirror: applies the keys, as of ``lag.own_position``
+    :param bound_s: shortest limit for a change to take effect, in seconds
+    :ivar others: the other hosts, None for a host that runs alone
+    :ivar is_always_watcher: returns whether this host must watch the store
+        even where other hosts relay changes to it
+    :ivar on_full_read: called after a read of all keys with the time at which
+        the read began, by the clock that also runs during a suspension
+    :ivar listening: whether this host applies relayed updates and does not
+        watch
+    :ivar missed: whether a relayed update was incomplete or left a gap
+    :ivar updated_s: when a watching host last sent an update to this one
+    :ivar relayed_s: when this host last relayed an update
+    :ivar regained_s: when the store last came back after an outage
+    :ivar failing_since_s: when the store's present outage began, None if the
+        store answers
+    :ivar behind: set when all keys have to be read again
+    :ivar catch_up: fetches from other hosts what this one lacks
+    :ivar not_relayed: keys that are not sent to other hosts; the hosts that
+        need them read them
     """
 
     def __init__(
@@ -131,73 +146,79 @@
         self.failures = 0
         self.failing_since_s: float | None = None
         self.regained_s = float('-inf')
-        self.lag = revisionlag.RevisionLag(bound_s * LAG_SHARE)
+        self.lag = revisionlag.RevisionLag(bound_s * MAX_LAG_SHARE)
         self.behind = event.Event()
-        self.always_watches: Callable[[], bool] = lambda: False
-        self.read_whole: Callable[[float], None] = lambda asked_s: None
-        self.untold: frozenset[str] = frozenset()
+        self.is_always_watcher: Callable[[], bool] = lambda: False
+        self.on_full_read: Callable[[float], None] = lambda asked_s: None
+        self.not_relayed: frozenset[str] = frozenset()
         self.listening = False
         self.missed = False
         self.updated_s = float('-inf')
         self.relayed_s = float('-inf')
         self.greenlets: list[gevent.Greenlet] = []
-        self.watch_s = WATCH_S
+        self.watch_s = WATCH_TIMEOUT_S
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to read and watch the store, and to relay its changes."""
         self.greenlets = [
             gevent.spawn(self._run),
-            gevent.spawn(self._relay_all),
+            gevent.spawn(self._run_relay_loop),
             gevent.spawn(self.catch_up.run),
         ]
 
     def stop(self, deadline_s: float) -> None:
-        """Stop following."""
+        """Stop at once; the deadline is not needed."""
         gevent.killall(self.greenlets)
 
-    def cut_off_s(self) -> float:
-        """For how long the store has been out of reach; 0 if it isn't."""
+    def unreachable_s(self) -> float:
+        """Return how long the store has not answered; 0 if it answers."""
         if self.failing_since_s is None:
             return 0.0
         return self.clock.now_s() - self.failing_since_s
 
-    def in_reach_s(self) -> float:
-        """For how long the store has been in reach; 0 if it isn't."""
+    def reachable_s(self) -> float:
+        """Return how long the store has answered; 0 if it does not."""
         if self.failing_since_s is not None:
             return 0.0
         return self.clock.now_s() - self.regained_s
 
     def is_behind(self) -> bool:
-        """Whether others have known for long what this host has not seen."""
+        """Return whether a change seen by another host is overdue here."""
         missed_s = self.lag.missed_s(self.clock.now_s())
-        return missed_s > GATHER_S + self.lag.allowed_s
+        return missed_s > BATCH_INTERVAL_S + self.lag.allowed_s
 
     def state(self, known: position.Position) -> peerstate.PeerState:
-        """What this host has seen, for one that asks.
+        """Return the keys that this host has read, for another host.
 
-        :param known: items up to it are left out if it is of this era
+        :param known: position of the other host; the values of keys written up
+            to it are left out, unless it is of another era
         """
         now_s = self.clock.now_s()
         return peerstate.PeerState(
             tuple(
                 item
                 for item in self.mirror.items.values()
-                if item.key not in self.untold
+                if item.key not in self.not_relayed
                 and (item.position > known or known.era != item.position.era)
             ),
             {
                 key: item.position
                 for key, item in self.mirror.items.items()
-                if key not in self.untold
+                if key not in self.not_relayed
             },
             self.lag.own_position,
-            self._reach(now_s),
+            self._store_contact(now_s),
             self.mirror.expired_entries.since_regained_s(now_s),
             self.mirror.stale_entries.export(now_s),
         )
 
-    def _reach(self, now_s: float) -> expiredentries.StoreContact | None:
-        """Word of the store, its own or that of a host that watches."""
+    def _store_contact(
+        self, now_s: float
+    ) -> expiredentries.StoreContact | None:
+        """Return this host's contact with the store, direct or by relay.
+
+        None during an outage and before the first read.
+        """
         if (
             self.failing_since_s is not None
             or self.lag.own_position == position.START
@@ -209,10 +230,10 @@
             since_s = max(since_s, self.mirror.expired_entries.regained_s)
             age_s = now_s - self.updated_s
         return expiredentries.StoreContact(
-            min(now_s - since_s, MAX_IN_REACH_S), age_s
+            min(now_s - since_s, MAX_REACHABLE_S), age_s
         )
 
-    # The store.
+    # Reading and watching the store.
 
     def _run(self) -> None:
         while True:
@@ -228,39 +249,42 @@
         asked_s = self.clock.boot_s()
         found = self.store.list_prefix('')
         if isinstance(found, store.Unavailable):
-            self._failed(found.reason)
+            self._record_failure(found.reason)
             return False
-        self._answered()
+        self._record_success()
         self.take_all({i.key: i for i in found.items}, found.position)
         self.behind.clear()
-        self.read_whole(asked_s)
+        self.on_full_read(asked_s)
         return True
 
     def _follow(self) -> bool:
-        listening = self._may_listen()
+        listening = self._can_follow_peers()
         if listening is not self.listening:
             self.listening = listening
             by = 'other hosts' if listening else 'its own watch'
             LOG.event('follows', by=by, position=self.lag.own_position)
-        return self._listen() if self.listening else self._watch()
+        return self._follow_peers() if self.listening else self._watch()
 
-    def _may_listen(self) -> bool:
-        """Whether this host hears of changes without a watch of its own."""
+    def _can_follow_peers(self) -> bool:
+        """Return whether other hosts relay the changes to this one."""
         if (
             self.others is None
-            or self.always_watches()
-            or self.others.watches()
+            or self.is_always_watcher()
+            or self.others.is_watcher()
         ):
             return False
         return (
             self.clock.now_s() - self.updated_s
-            < self.bound_s * RELAY_LOST_SHARE
+            < self.bound_s * RELAY_TIMEOUT_SHARE
         )
 
-    def _listen(self) -> bool:
-        """Wait for word of others; False where all has to be read anew."""
-        self.clock.sleep(LISTEN_TICK_S)
-        self.mirror.settle()
+    def _follow_peers(self) -> bool:
+        """Wait one interval for relayed updates; read those missed.
+
+        :returns: False if all keys have to be read again
+        """
+        self.clock.sleep(PEER_UPDATES_CHECK_INTERVAL_S)
+        self.mirror.drop_expired()
         if not self.missed and not self.behind.is_set():
             return True
         self.behind.clear()
@@ -268,37 +292,43 @@
         return self._read_missed()
 
     def _read_missed(self) -> bool:
-        """Read the changes that nobody has told, without waiting for more."""
+        """Read the changes that were not relayed, without waiting for more.
+
+        :returns: False if all keys have to be read again
+        """
         self.missed = False
         base = self.lag.own_position
         match self.store.watch('', base, 0.0):
             case store.Changes(changes, upto):
-                self._answered()
+                self._record_success()
                 if base == self.lag.own_position:
                     self.mirror.change(changes)
-                    self._seen(upto)
+                    self._record_position(upto)
                 return True
             case store.Restored():
                 self.behind.set()
             case store.Unavailable(reason):
-                self._failed(reason)
+                self._record_failure(reason)
         return False
 
     def _watch(self) -> bool:
-        """Take the next changes; False where all has to be read anew."""
-        self.lag.record_poll(self.clock.now_s() + GATHER_S)
-        self.clock.sleep(GATHER_S)
-        self.mirror.settle()
+        """Apply and relay the changes that one watch call returns.
+
+        :returns: False if all keys have to be read again
+        """
+        self.lag.record_poll(self.clock.now_s() + BATCH_INTERVAL_S)
+        self.clock.sleep(BATCH_INTERVAL_S)
+        self.mirror.drop_expired()
         wait_s = self.watch_s
         if self.mirror.expired_entries.grace_until_s:
-            wait_s = min(wait_s, DOUBT_WATCH_S)
+            wait_s = min(wait_s, GRACE_WATCH_TIMEOUT_S)
         base = self.lag.own_position
         match self._watch_unless_behind(base, wait_s):
             case store.Changes(changes, upto):
-                self._answered()
+                self._record_success()
                 if base == self.lag.own_position:
                     self.mirror.change(changes)
-                    self._seen(upto)
+                    self._record_position(upto)
                     self._relay(base, changes)
                 return True
             case store.Compacted():
@@ -307,7 +337,7 @@
                 LOG.warning_event('watch_of_earlier_era', era=era)
                 self.behind.set()
             case store.Unavailable(reason):
-                self._failed(reason)
+                self._record_failure(reason)
             case None:
                 LOG.warning_event('watch_given_up', position=base)
         return False
@@ -321,12 +351,12 @@
         | store.Unavailable
         | None
     ):
-        """Watch, but no longer than until this host is found to be behind.
+        """Watch the store; abandon the call once this host is behind.
 
-        A watch that the store holds open and that tells nothing would else
-        be waited for to its end, longer than a change may take.
+        A watch that the store holds open without reporting changes would
+        otherwise last up to ``wait_s``, longer than a change may take.
 
-        :returns: the watch's outcome, None if it was given up
+        :returns: outcome of the watch, None if it was abandoned
         """
         self.behind.clear()
         call = gevent.spawn(self.store.watch, '', after, wait_s)
@@ -339,10 +369,10 @@
     def take_all(
         self, items: dict[str, store.Item], at: position.Position
     ) -> None:
-        """Take all keys as of a position, unless newer ones are known.
+        """Apply all keys as of a position, unless this host is past it.
 
-        An answer of the store that was under way while another host told of
-        later changes would take them back.
+        A response of the store that was in flight while another host relayed
+        later changes would revert them.
         """
         own = self.lag.own_position
         if at < own:
@@ -353,96 +383,104 @@
             self.mirror.replace(items)
         if own == position.START and at.era:
             self.catch_up.begin()
-        self._seen(at)
+        self._record_position(at)
 
-    def _seen(self, upto: position.Position) -> None:
+    def _record_position(self, upto: position.Position) -> None:
         self.lag.record_own_position(upto)
         if self.others is not None:
-            self.others.tell_position(self.lag.own_position)
+            self.others.broadcast_position(self.lag.own_position)
 
-    # Other hosts.
+    # Updates from and to other hosts.
 
-    def heard(self, host: str, upto: position.Position) -> None:
-        """Another host has told up to where it has seen the keys.
+    def record_peer_position(self, host: str, upto: position.Position) -> None:
+        """Record the position up to which another host has read the store.
 
-        Those that tell this one what has changed may pause as long as any
-        host that watches.
+        A host that follows relayed updates counts the lag one batch interval
+        later, since the watching hosts pause that long between two watches.
         """
         at_s = self.clock.now_s()
         if self.listening:
-            at_s += GATHER_S
+            at_s += BATCH_INTERVAL_S
         self.lag.record_peer_position(host, upto, at_s)
 
-    def take_updates(self, told: placing_codec.KeyUpdates) -> None:
-        """A host that watches the store tells what it has seen.
+    def apply_updates(self, updates: placement_codec.KeyUpdates) -> None:
+        """Apply an update relayed by a host that watches the store.
 
-        One that has not noticed a restore yet tells nothing that holds.
+        Updates of an earlier era are ignored: their sender has not noticed
+        yet that the store was restored.
         """
-        if told.position.era < self.lag.own_position.era:
+        if updates.position.era < self.lag.own_position.era:
             return
         now_s = self.clock.now_s()
         self.updated_s = now_s
         if not self.listening:
             return
         self.mirror.expired_entries.record_peer_regained(
-            told.regained_s, now_s
+            updates.regained_s, now_s
         )
-        if told.position <= self.lag.own_position:
+        if updates.position <= self.lag.own_position:
             return
-        if told.base > self.lag.own_position or not told.complete:
+        if updates.base > self.lag.own_position or not updates.complete:
             self.missed = True
             return
         self.mirror.change(
             tuple(
-                c for c in told.changes if c.position > self.lag.own_position
+                c
+                for c in updates.changes
+                if c.position > self.lag.own_position
             )
         )
-        self._seen(told.position)
+        self._record_position(updates.position)
 
     def _relay(
         self,
         base: position.Position,
         changes: tuple[store.Item | store.Removed, ...] = (),
     ) -> None:
-        """Tell the hosts that do not watch, if this one is to."""
+        """Send changes to the hosts that do not watch, if this one watches."""
         if self.others is None:
             return
-        if not self.always_watches() and not self.others.watches():
+        if not self.is_always_watcher() and not self.others.is_watcher():
             return
         now_s = self.clock.now_s()
         self.relayed_s = now_s
         regained_s = self.mirror.expired_entries.since_regained_s(now_s)
-        told = tuple(each for each in changes if each.key not in self.untold)
+        updates = tuple(
+            each for each in changes if each.key not in self.not_relayed
+        )
         self.others.relay(
             keyupdates.split(
                 self.host,
                 base,
                 self.lag.own_position,
-                told,
+                updates,
                 regained_s,
-                self.others.room(),
+                self.others.max_relay_bytes(),
             )
         )
 
     def _relay_idle(self) -> None:
-        """Tell that nothing has changed, as long as the store is there."""
+        """Send an empty update if no update was sent for RELAY_SHARE.
+
+        It shows the other hosts that this one still reaches the store.
+        """
         if self.listening or self.failing_since_s is not None:
             return
         if self.clock.now_s() - self.relayed_s >= self.bound_s * RELAY_SHARE:
             self._relay(self.lag.own_position)
 
-    def _relay_all(self) -> None:
+    def _run_relay_loop(self) -> None:
         while True:
-            self.clock.sleep(LAG_TICK_S)
+            self.clock.sleep(RELAY_CHECK_INTERVAL_S)
             self._relay_idle()
 
-    # Whether the store is there.
+    # Store outages.
 
     def era_changed(self) -> None:
-        """The store answers in a later era: all has to be read anew."""
+        """Have all keys read again: the store answers in a later era."""
         self.behind.set()
 
-    def _answered(self) -> None:
+    def _record_success(self) -> None:
         now_s = self.clock.now_s()
         self.mirror.catalog.checked_s = now_s
         self.failures = 0
@@ -454,7 +492,7 @@
             self.failing_since_s = None
             self.regained_s = now_s
 
-    def _failed(self, reason: str) -> None:
+    def _record_failure(self, reason: str) -> None:
         self.failures += 1
         if self.failing_since_s is None:
             self.failing_since_s = self.clock.now_s()
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -1,4 +1,4 @@
-"""Which host places prompts and orders stages: the holder of a lease."""
+"""Elects the placement leader through a lease in the store."""
 
 import collections
 import hashlib
@@ -18,73 +18,82 @@
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import members
 from magnoliadyke.gateway import operatorcalls
-from magnoliadyke.gateway import placing
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
-__all__ = ['LEADER_KEY', 'Leadership', 'placing_capacity']
+__all__ = ['LEADER_KEY', 'Leadership', 'placement_capacity']
 
 LOG = logs.get('leadership')
 
 LEADER_KEY = 'magnoliadyke/leader'
-#: Time to live of the lease.  What a holder knows of the engines is lost
-#: with it, so it outlasts the usual cuts between one host and the store; a
-#: holder that dies is replaced sooner, by the word of gossip.
+#: Time to live of the lease, in seconds.  A change of leader loses the
+#: leader's record of jobs at the engines, so the lease outlasts the usual
+#: network interruptions between one host and the store.  A leader that dies
+#: is replaced sooner, once gossip reports it dead.
 LEASE_S = 12.0
+#: Interval between renewals of the lease, in seconds.
 RENEW_S = 2.0
-#: Part of the time to live after which the holder gives no more orders,
-#: counted from before the renewal was sent: its clock and the store's may
-#: run apart by the rest.
+#: Share of the time to live during which the leader may send orders, counted
+#: from before the renewal was sent.  The remainder allows for drift between
+#: its clock and the store's.
 ORDER_SHARE = 0.8
+#: Interval between checks for a vacant lease on other hosts, in seconds.
 TICK_S = 0.1
-#: A holder that the store has not answered for this long gives way, and
-#: another host takes over that has had the store in reach for so long: a
-#: watch that fails is seen within half a second, and a store that nobody
-#: reaches comes back to all hosts within that time.
+#: The leader yields after it has not reached the store for this long, in
+#: seconds.  A failed watch is detected within 0.5 s, and after an outage of
+#: the store all hosts reconnect within that time.
 YIELD_S = 1.5
+#: A host replaces a yielding leader only after the store has been reachable
+#: for this long, in seconds.
 IN_REACH_S = 1.0
-#: A holder that a host has never met, and that answers nothing, counts as gone
-#: this long after the host has heard of it, in seconds: gossip takes as long
-#: to find a host dead.
-UNMET_S = 2.0
-#: How often the holder looks whether it has to give way.
-HOLD_TICK_S = 0.25
-#: Pause after a call to the store that failed, spread by as much again.
+#: A leader that is not a member in gossip, and that does not answer
+#: placement requests, is treated as dead this long after this host learned
+#: of its lease, in seconds: gossip takes as long to declare a host dead.
+UNMET_TIMEOUT_S = 2.0
+#: Interval between the leader's checks of its lease and of its connection
+#: to the store, in seconds.
+HOLD_CHECK_INTERVAL_S = 0.25
+#: Shortest pause after a failed call to the store, in seconds; jitter adds
+#: up to as much again.
 RETRY_S = 0.5
-#: A host that has just started, and has heard of no holder, gives the others
-#: so long to be listed, in seconds: the first one listed would else lead
-#: whatever its machine.  Hosts of a fleet start within some tenths of a
-#: second, and read the list again within half a second.
+#: A host that has just started and knows no leader waits this long before
+#: it contends, in seconds, so that the other hosts are listed first.  Else
+#: the first listed host would lead, whatever its capacity.  Hosts of a fleet
+#: start within some tenths of a second, and reread the list within 0.5 s.
 GATHERING_S = 1.5
-#: What placing one prompt takes of the placing host: seconds of a core, and
-#: bits on its link for the question, the answer and the reports.
-PLACED_CORE_S = 0.0003
-PLACED_BITS = 12_000
-#: Each candidate waits this much longer than the one before it, so that
-#: mostly one writes.
+#: Cost of one placement to the leader: CPU seconds, and bits on its network
+#: link for the request, the decision and the reports.
+PLACEMENT_CORE_S = 0.0003
+PLACEMENT_LINK_BITS = 12_000
+#: A candidate waits this long per rank, in seconds, so that usually only one
+#: writes the key.
 RANK_DELAY_S = 0.12
+#: Rank of the candidates with the longest delay.
 MAX_RANK = 8
-#: Added to the time that two holders' orders are apart, in seconds.  The one
-#: before asks the store whether it still holds the key before each order,
-#: so its last one left within a call's time of the key's change.
+#: Added to the gap between the orders of two leaders, in seconds.  A leader
+#: checks at the store that it still holds the key before each order, so the
+#: previous leader sent its last order at most one call's duration after the
+#: key changed.
 GAP_MARGIN_S = 1.5
 
 
-#: After a restore of the store whoever leads goes on placing, and has this
-#: long to take the key again before others do, in seconds: hosts read the
-#: restored store up to a pause between two calls apart.
-TAKEN_AGAIN_S = 1.5
-#: Terms of holders that are remembered, to know them in a copy of the store.
-MOST_TERMS = 32
+#: After a restore of the store the current leader keeps placing, and the
+#: other hosts wait this much longer before they contend, in seconds.  Hosts
+#: read the restored store up to one retry pause apart.
+REACQUIRE_GRACE_S = 1.5
+#: Number of terms remembered, to recognize a former leader that a restored
+#: copy of the store names.
+MAX_TERMS = 32
 
 
-#: What a call came to.
+#: Outcome of a call to the platform.
 _Outcome = TypeVar('_Outcome')
 
 
 class _Term(NamedTuple):
-    """Who holds the lease, and the revision of the key."""
+    """One process's time as leader, with the revision of its key."""
 
     host: str
     incarnation: int
@@ -92,41 +101,45 @@
 
 
 class Leadership(app.Component, keymirror.Listener):
-    """Takes, keeps and follows the lease.
-
-    :param min_lease_s: shortest lease that the store grants
-    :param order_gap_s: orders of two holders are at least this far apart
-    :param tell: sends a message to all other hosts
-    :ivar contact: knows whether the store is in reach
-    :ivar yielding: this host holds the lease and gives way
-    :ivar yielded: position of a holder that gives way
-    :ivar held: position of the own key, as long as this host holds the lease
-    :ivar holder_position: position of the key of the present holder, or of
-        one that no longer holds it in a copy of the store; ``START`` where
+    """Acquires and renews the leader lease, or follows its holder.
+
+    :param min_lease_s: shortest time to live that the store grants, in
+        seconds
+    :param order_gap_s: minimum time between the last order of one leader and
+        the first order of the next, in seconds
+    :param broadcast: sends a message to all other hosts
+    :ivar contact: follower of the store, which reports whether the store is
+        reachable
+    :ivar yielding: whether this host holds the lease and asks to be replaced
+    :ivar yielded: position of the key of a leader that asks to be replaced
+    :ivar held: position of this host's own key while it holds the lease
+    :ivar holder_position: position of the current leader's key, or of the
+        key of a former leader in a restored copy of the store; ``START`` if
         there is no key
-    :ivar holder_since_s: when this host heard of the present holder
-    :ivar order_from_s: when orders of the holder before have long ended
+    :ivar holder_since_s: when this host learned of the current leader
+    :ivar order_from_s: when this host may send its first order, after those
+        of the previous leader have taken effect
     """
 
     def __init__(
         self,
         own: members.HostRecord,
         others: members.Members,
-        placer: placing.Placer,
-        kept: store.Store,
+        placer: placementservice.PlacementService,
+        kv_store: store.Store,
         min_lease_s: float,
         order_gap_s: float,
-        tell: Callable[[placing_codec.Leads], None],
+        broadcast: Callable[[placement_codec.LeaderAnnouncement], None],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
         self.own = own
         self.members = others
         self.placer = placer
-        self.store = kept
+        self.store = kv_store
         self.lease_s = max(LEASE_S, min_lease_s)
         self.order_gap_s = order_gap_s
-        self.tell = tell
+        self.broadcast = broadcast
         self.contact: follower.Follower | None = None
         self.yielding = False
         self.yielded = position.START
@@ -141,7 +154,7 @@
         self.holder_incarnation = 0
         self.holder_position = position.START
         self.terms: collections.deque[_Term] = collections.deque(
-            maxlen=MOST_TERMS
+            maxlen=MAX_TERMS
         )
         self.holder_since_s = clock.now_s()
         self.vacant_since_s: float | None = clock.now_s()
@@ -150,28 +163,31 @@
 
     @property
     def fencing(self) -> int:
-        """Token of this host's orders; grows with each holder and era."""
+        """Fencing token of this host's orders.
+
+        It grows with each leader and with each store epoch.
+        """
         return self.held.packed
 
     def start(self) -> None:
-        """Begin to contend."""
+        """Start to contend for the lease."""
         self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Give the lease up."""
+        """Stop contending and revoke the lease."""
         if self.greenlet is not None:
             self.greenlet.kill()
         self.resign()
 
     def resign(self) -> None:
-        """Let another host take over."""
+        """Revoke the lease so that another host can take over."""
         lease, self.lease = self.lease, None
         self.placer.leading = False
         if lease is not None:
             self.store.revoke(lease)
 
     def may_order(self) -> bool:
-        """Whether an order sent now is certainly under the own lease."""
+        """Whether an order sent now is certainly covered by the lease."""
         return (
             self.lease is not None
             and not self.yielding
@@ -181,55 +197,64 @@
     def confirm(
         self,
     ) -> store.Written | store.Conflict | store.Restored | store.Unavailable:
-        """Ask the store whether the key is still this holder's.
+        """Check at the store that this host still holds the key.
 
-        A transaction that writes nothing: a host that was paused learns so
-        that it has lost the lease before it orders anything.
+        The transaction writes nothing.  With it a host that was suspended
+        detects that it has lost the lease before it sends an order.
 
-        :returns: ``Written`` if it is
+        :returns: ``Written`` if this host still holds the key
         """
         return self.store.commit({LEADER_KEY: self.held})
 
     def call(
         self, make: Callable[[operatorcalls.Caller], _Outcome]
     ) -> _Outcome | operatorcalls.Unreachable:
-        """Make a call that only the holder may make.
+        """Make a call that only the leader may make.
+
+        Checks first at the store that this host still is the leader.
 
-        The store is asked first whether this host still is the holder.
+        :param make: makes the call, given this host's name and fencing token
+        :returns: ``Unreachable`` if the call was not made, else its outcome
         """
         checked = self.confirm()
         if not isinstance(checked, store.Written):
-            return operatorcalls.Unreachable(f'not made: {checked}')
+            return operatorcalls.Unreachable(
+                f'call not made: lease not confirmed: {checked}'
+            )
         if not self.may_order():
-            return operatorcalls.Unreachable('not made: the lease is over')
+            return operatorcalls.Unreachable(
+                'call not made: outside the time for orders under the lease'
+            )
         return make(operatorcalls.Caller(self.own.host, self.fencing))
 
     def absent(self) -> position.Position:
-        """Where a key is expected that is not there."""
+        """Return the expected position of a key that does not exist."""
         return position.Position(self._era(), 0)
 
-    # Word of the store.
+    # Notifications of the store.
 
     def changed(self, item: store.Item) -> None:
-        """A host holds the lease."""
+        """Record the host that the leader key names, and follow it."""
         fields = json.loads(item.value)
-        self._note_holder(fields['host'], fields['incarnation'], item.position)
+        self._record_holder(
+            fields['host'], fields['incarnation'], item.position
+        )
         if self.holder != self.own.host or self.lease is None:
             self.placer.follow(fields['address'], item.position)
             LOG.event('leader', leader=self.holder, position=item.position)
 
     def removed(self, key: str) -> None:
-        """Nobody holds the lease.
+        """Record that the leader key was removed.
 
-        The last holder is asked as before until there is another one: the
-        store may have been away while the holder lives.
+        Placement requests still go to the last leader until there is a new
+        one: the store may have been down while the leader runs.
         """
-        self._vacate(position.START)
+        self._record_vacancy(position.START)
 
-    def _vacate(self, key: position.Position) -> None:
-        """Nobody holds the lease.
+    def _record_vacancy(self, key: position.Position) -> None:
+        """Record that no host holds the lease.
 
-        :param key: where the key is that a holder of before has left
+        :param key: position of the key that a former leader left behind
         """
         self.holder = None
         self.holder_position = key
@@ -239,10 +264,10 @@
     def restored(
         self, items: dict[str, store.Item], at: position.Position
     ) -> None:
-        """The store came back from an older copy.
+        """Handle a restore of the store from an older copy.
 
-        The copy may name a holder that has been replaced since.  It leads
-        nobody any more, and is neither followed nor waited for.
+        The copy may name a leader that has been replaced since.  Such a
+        leader is not followed, and contending does not wait for it.
         """
         item = items.get(LEADER_KEY)
         present = _Term(
@@ -252,10 +277,11 @@
         )
         term = None if item is None else _term(item)
         if term == present and self.lease is not None:
-            # Its lease may be gone: no orders before it has been renewed.
-            # Another host may have led since the copy was made.
+            # The lease may be missing from the copy: send no orders before
+            # it has been renewed.  Another host may have led since the copy
+            # was made, so the gap between leaders' orders applies too.
             self.held = self.holder_position = item.position
-            self.order_from_s = self._orders_apart_s()
+            self.order_from_s = self._first_order_s()
             self.order_until_s = 0.0
             self.renew_s = 0.0
             return
@@ -266,11 +292,11 @@
         if term is not None and (term == present or term not in self.terms):
             self.changed(item)
             return
-        self._vacate(position.START if item is None else item.position)
+        self._record_vacancy(position.START if item is None else item.position)
         if not self.placer.leading:
-            self.vacant_since_s += TAKEN_AGAIN_S
+            self.vacant_since_s += REACQUIRE_GRACE_S
 
-    def _note_holder(
+    def _record_holder(
         self, host: str, incarnation: int, key: position.Position
     ) -> None:
         if key != self.holder_position:
@@ -286,33 +312,35 @@
     def _era(self) -> int:
         return 0 if self.contact is None else self.contact.lag.own_position.era
 
-    # Word of other hosts.
+    # Messages from other hosts.
 
-    def heard(self, message: placing_codec.Leads) -> None:
-        """Another host leads, or gives way.
+    def handle_announcement(
+        self, message: placement_codec.LeaderAnnouncement
+    ) -> None:
+        """Handle the announcement of a host that leads or yields.
 
-        A host that the store turns away would otherwise go on placing for
-        itself, beside the one that took over, until its lease ends.
+        Without it a leader that the store rejects would keep placing, beside
+        the host that replaced it, until its lease expires.
         """
-        told = message.position
-        if told < self.holder_position or told.era < self._era():
+        announced = message.position
+        if announced < self.holder_position or announced.era < self._era():
             return
         if message.yields:
-            self.yielded = told
-        elif self.yielded == told:
+            self.yielded = announced
+        elif self.yielded == announced:
             self.yielded = position.START
-        if told == self.holder_position:
+        if announced == self.holder_position:
             return
-        self._note_holder(message.host, message.incarnation, told)
+        self._record_holder(message.host, message.incarnation, announced)
         if self.lease is not None:
             LOG.warning_event('leadership_taken', by=message.host)
             self.lease = None
             self.yielding = False
-        self.placer.follow(message.address, told)
-        LOG.event('leader', leader=self.holder, position=told)
+        self.placer.follow(message.address, announced)
+        LOG.event('leader', leader=self.holder, position=announced)
 
-    def _word(self) -> placing_codec.Leads:
-        return placing_codec.Leads(
+    def _announcement(self) -> placement_codec.LeaderAnnouncement:
+        return placement_codec.LeaderAnnouncement(
             self.own.host,
             self.own.address,
             self.own.incarnation,
@@ -320,13 +348,13 @@
             self.yielding,
         )
 
-    # Holding.
+    # Holding and contending.
 
     def _run(self) -> None:
         while True:
             if self.lease is not None:
                 self._hold()
-                self.clock.sleep(HOLD_TICK_S)
+                self.clock.sleep(HOLD_CHECK_INTERVAL_S)
             else:
                 self.clock.sleep(TICK_S)
                 self._contend()
@@ -337,12 +365,12 @@
             self.renew_s = self.clock.now_s() + RENEW_S
         if self.lease is None or self.contact is None:
             return
-        cut_off = self.contact.cut_off_s() >= YIELD_S
+        cut_off = self.contact.unreachable_s() >= YIELD_S
         if cut_off or self.yielding:
             if cut_off != self.yielding:
                 LOG.event('yielding', yields=cut_off, fencing=self.fencing)
             self.yielding = cut_off
-            self.tell(self._word())
+            self.broadcast(self._announcement())
 
     def _contend(self) -> None:
         if self.members.leaving:
@@ -358,16 +386,17 @@
         if self.vacant_since_s is None:
             self.vacant_since_s = now_s
         vacant_s = now_s - max(self.vacant_since_s, self.gathered_s)
-        # Who leads already knows the engines, and goes first.
+        # A host that already places has the state of the engines, so it
+        # contends first.
         rank = 0 if self.placer.leading else 1 + self._rank()
         if vacant_s >= rank * RANK_DELAY_S:
-            self._take()
+            self._acquire()
 
     def _holder_is_dead(self) -> bool:
-        """The process that holds the lease is gone, as far as is known.
+        """Whether the leader process has to be replaced, by all evidence.
 
-        Until it is replaced every host places alone, which serves callers
-        far worse than a holder replaced without need.
+        Until a dead leader is replaced every host places alone, which serves
+        callers far worse than a needless change of leader.
         """
         if self.holder == self.own.host:
             return self.holder_incarnation != self.own.incarnation
@@ -379,43 +408,50 @@
         if member.incarnation > self.holder_incarnation:
             return True
         if member.state == membership.SUSPECT:
-            return self.clock.now_s() < self.placer.silent_until_s
+            return self.clock.now_s() < self.placer.leader_retry_at_s
         return member.state in (membership.DEAD, membership.LEFT)
 
     def _is_unmet(self) -> bool:
-        """A holder that gossip has never met does not answer either.
-
-        All hosts were killed and the holder's stays away: gossip finds dead
-        only whom it has met, and every host would place alone, and none
-        order an engine, until the lease ends.  A holder that lives is met
-        or answers within this time, and a host that places for nobody has
-        not asked it.
+        """Whether a leader unknown to gossip does not answer either.
+
+        This happens when all hosts were killed and the leader's does not
+        restart.  Gossip declares only known members dead, so without this
+        check every host would place alone, and no host would order an
+        engine, until the lease expires.  A running leader joins gossip or
+        answers a placement request within ``UNMET_TIMEOUT_S``.  A host with
+        no prompts to place has sent no requests, so to it the leader does
+        not count as silent.
         """
         now_s = self.clock.now_s()
-        if now_s - self.holder_since_s < UNMET_S:
+        if now_s - self.holder_since_s < UNMET_TIMEOUT_S:
             return False
-        return now_s < self.placer.silent_until_s
+        return now_s < self.placer.leader_retry_at_s
 
     def _in_reach(self) -> bool:
         return (
             self.contact is not None
-            and self.contact.in_reach_s() >= IN_REACH_S
+            and self.contact.reachable_s() >= IN_REACH_S
         )
 
     def _rank(self) -> int:
-        """How many hosts can place more prompts; of equals, by a hash."""
+        """Return how many listed hosts rank before this one.
+
+        Hosts rank by placement capacity, then by a hash of their names.
+        """
         listed = [
             self.members.records[host]
             for host in self.members.listed
             if host in self.members.records
         ]
-        own = _order(self.own)
-        return min(MAX_RANK, sum(1 for each in listed if _order(each) < own))
+        own = _rank_key(self.own)
+        return min(
+            MAX_RANK, sum(1 for each in listed if _rank_key(each) < own)
+        )
 
-    def _take(self) -> None:
+    def _acquire(self) -> None:
         asked_s = self.clock.now_s()
-        # Another host may lead by the time that the store has answered; the
-        # key is taken only from the holder that was found to be gone.
+        # Another host may have become leader by the time the store answers:
+        # the key is replaced only if it still is that of the dead leader.
         replaced = self.holder_position
         expected = replaced
         if replaced == position.START:
@@ -434,24 +470,24 @@
         put = store.Put(LEADER_KEY, value, granted.lease)
         match self.store.commit({LEADER_KEY: expected}, (put,)):
             case store.Written() if self.members.leaving:
-                # Told to stop meanwhile.
+                # This host began to shut down during the call.
                 self.store.revoke(granted.lease)
             case store.Written(written):
                 by_force = replaced != position.START
-                self._taken(granted, written, asked_s, by_force)
+                self._record_acquired(granted, written, asked_s, by_force)
             case store.Conflict():
                 self.vacant_since_s = None
                 self.store.revoke(granted.lease)
             case store.Restored():
-                # It may have replaced a holder that lives.
+                # The write could have replaced a leader that is alive.
                 self.vacant_since_s = self.clock.now_s()
                 self.store.revoke(granted.lease)
             case _:
-                # Whether it was written shows in the watch; without a
-                # renewal the lease ends by itself.
+                # The watch will show whether the key was written.  The lease
+                # is not renewed, so it expires by itself.
                 self.vacant_since_s = self.clock.now_s()
 
-    def _taken(
+    def _record_acquired(
         self,
         granted: store.Granted,
         written: position.Position,
@@ -461,13 +497,13 @@
         now_s = self.clock.now_s()
         self.lease = granted.lease
         self.held = written
-        self._note_holder(self.own.host, self.own.incarnation, written)
-        self.order_from_s = self._orders_apart_s()
+        self._record_holder(self.own.host, self.own.incarnation, written)
+        self.order_from_s = self._first_order_s()
         self.order_until_s = asked_s + granted.ttl_s * ORDER_SHARE
         self.yielding = False
         self.renew_s = now_s + RENEW_S
         self.placer.lead()
-        self.tell(self._word())
+        self.broadcast(self._announcement())
         LOG.event(
             'leading',
             fencing=self.fencing,
@@ -476,8 +512,8 @@
             by_force=by_force,
         )
 
-    def _orders_apart_s(self) -> float:
-        """When orders of a holder before this one have long ended."""
+    def _first_order_s(self) -> float:
+        """Return when a leader that starts now may send its first order."""
         return self.clock.now_s() + self.order_gap_s + GAP_MARGIN_S
 
     def _renew(self) -> None:
@@ -486,8 +522,8 @@
             case store.Granted(_, ttl_s):
                 self.order_until_s = asked_s + ttl_s * ORDER_SHARE
             case store.NoLease():
-                # It goes on placing until somebody else leads: no one
-                # else knows what the engines have been given.
+                # Keep placing until another host leads: no other host knows
+                # which jobs are in flight at the engines.
                 LOG.warning_event('leadership_lost', fencing=self.fencing)
                 self.lease = None
                 if self.holder == self.own.host:
@@ -499,15 +535,15 @@
     return _Term(fields['host'], fields['incarnation'], item.position.revision)
 
 
-def placing_capacity(cores: float, link_mbps: float) -> float:
-    """Prompts a second that a machine can place for all.
+def placement_capacity(cores: float, link_mbps: float) -> float:
+    """Return how many prompts per second a machine can place as leader.
 
-    Where its link is narrow the questions of other hosts wait behind the
-    bodies of its own requests, and those hosts place alone.
+    On a slow network link the placement requests of other hosts queue behind
+    the bodies of the machine's own requests, and those hosts place alone.
     """
-    return min(cores / PLACED_CORE_S, link_mbps * 1e6 / PLACED_BITS)
+    return min(cores / PLACEMENT_CORE_S, link_mbps * 1e6 / PLACEMENT_LINK_BITS)
 
 
-def _order(record: members.HostRecord) -> tuple[float, bytes]:
+def _rank_key(record: members.HostRecord) -> tuple[float, bytes]:
     digest = hashlib.blake2b(record.host.encode(), digest_size=8).digest()
     return (-record.capacity, digest)
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -1,7 +1,8 @@
-"""The store's keys as a host has seen them, told to other hosts.
+"""Transfer of the store's keys, as one host has read them, to another.
 
-A host that the store tells nothing, or does not answer, learns from another
-one which endpoints have left and which configuration is in force.
+A host whose watch reports nothing, or that cannot reach the store, fetches
+from another host which endpoints have left and which configuration is in
+force.
 """
 
 from typing import Callable
@@ -29,51 +30,56 @@
 
 LOG = logs.get('peerstate')
 
-#: A host that has not answered by then is not waited for, in seconds: a
-#: configuration of a megabyte over a link of 20 Mbit/s.
-FETCH_S = 0.5
-#: Hosts that are answered at one time; more wait for their turn.
+#: Time limit of a fetch, in seconds: enough to transfer a configuration of one
+#: megabyte over a link of 20 Mbit/s.
+FETCH_TIMEOUT_S = 0.5
+#: Maximum number of connections served at a time; further ones wait.
 MAX_CONNECTIONS = 64
-#: A connection carries one call; it is closed after this time, in seconds.
-IDLE_S = 2.0
+#: Longest wait for data on a connection, in seconds.  A connection carries one
+#: call and is then closed.
+CONNECTION_TIMEOUT_S = 2.0
 
 
 class PeerState(NamedTuple):
-    """All keys that a host has seen.
-
-    :param items: those that were asked for, with their values
-    :param positions: of all keys, also of those without a value here
-    :param position: up to which it has seen them
-    :param reach: its word of the store, None if it has none at present
-    :param regained_s: how long ago the store came back to it, or to the host
-        that it heard from; None if entries may have lapsed no more
-    :param passed_over: entries of an older copy that it does not go by
+    """All keys of the store that a host has read.
+
+    :param items: keys with their values, of those written after the position
+        asked for
+    :param positions: positions of all keys, including those without an item
+    :param position: position up to which the host has read the store
+    :param store_contact: the host's contact with the store, None if it has
+        none at present
+    :param regained_s: how long ago, in seconds, the store came back for this
+        host or for the one that relays to it; None if the grace period after
+        that outage is over
+    :param passed_over: stale entries of a restored store that it ignores
     """
 
     items: tuple[store.Item, ...]
     positions: dict[str, position.Position]
     position: position.Position
-    reach: expiredentries.StoreContact | None
+    store_contact: expiredentries.StoreContact | None
     regained_s: float | None
     passed_over: tuple[staleentries.StaleEntry, ...] = ()
 
 
 class StateServer(app.Component):
-    """Tells other hosts what this one has seen.
+    """Serves this host's state to other hosts.
 
-    :param address: numeric ``ip:port``
-    :param tell: gives the state, with the items after a position
+    :param address: numeric ``ip:port`` to listen at
+    :param get_state: returns the state, with the items written after a
+        position
     """
 
     def __init__(
-        self, address: str, tell: Callable[[position.Position], PeerState]
+        self, address: str, get_state: Callable[[position.Position], PeerState]
     ) -> None:
         self.address = address
-        self.tell = tell
+        self.get_state = get_state
         self.server: server.StreamServer | None = None
 
     def start(self) -> None:
-        """Listen."""
+        """Start to accept connections."""
         host, _, port = self.address.rpartition(':')
         self.server = server.StreamServer(
             (host, int(port)), self._serve, spawn=pool.Pool(MAX_CONNECTIONS)
@@ -81,15 +87,17 @@
         self.server.start()
 
     def stop(self, deadline_s: float) -> None:
-        """Stop listening."""
+        """Stop accepting; wait briefly for the calls in flight."""
         if self.server is not None:
-            self.server.stop(min(deadline_s, FETCH_S))
+            self.server.stop(min(deadline_s, FETCH_TIMEOUT_S))
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        sock.settimeout(IDLE_S)
+        sock.settimeout(CONNECTION_TIMEOUT_S)
         protocol = peer.protocol_over(sock)
         try:
-            State.Processor(_Handler(self.tell)).process(protocol, protocol)
+            State.Processor(_Handler(self.get_state)).process(
+                protocol, protocol
+            )
         except peer.FAILURES as error:
             LOG.repeated('state_not_told', address[0], error=str(error))
         finally:
@@ -97,21 +105,29 @@
 
 
 class _Handler(State.Iface):
-    """Writes a state as it travels."""
+    """Handles the thrift calls of one connection."""
 
-    def __init__(self, tell: Callable[[position.Position], PeerState]) -> None:
-        self.tell = tell
+    def __init__(
+        self, get_state: Callable[[position.Position], PeerState]
+    ) -> None:
+        self.get_state = get_state
 
     def fetch(
         self, version: int, known_revision: int, known_era: int | None
     ) -> ttypes.StateReply:
-        """Tell all keys, with the values written after a position."""
+        """Return all keys, with the values written after a position.
+
+        :param version: version of the caller's protocol; not checked
+        :param known_revision: revision of the position
+        :param known_era: era of the position, None if the caller sent none
+        :raises TTransportException: the request has no era
+        """
         if known_era is None:
             raise TTransport.TTransportException(
-                message='the question names no era'
+                message='state request has no era'
             )
         known = position.Position(known_era, known_revision)
-        state = self.tell(known)
+        state = self.get_state(known)
         values = {item.key: item.value for item in state.items}
         entries = [
             ttypes.Entry(key, written.revision, values.get(key))
@@ -121,9 +137,9 @@
             constants.VERSION,
             state.position.revision,
             entries,
-            _milliseconds(state.reach and state.reach.for_s),
+            _milliseconds(state.store_contact and state.store_contact.for_s),
             _milliseconds(state.regained_s),
-            _milliseconds(state.reach and state.reach.age_s),
+            _milliseconds(state.store_contact and state.store_contact.age_s),
             state.position.era,
             [
                 ttypes.PassedOver(
@@ -139,15 +155,18 @@
 
 
 def fetch(address: str, known: position.Position) -> PeerState | None:
-    """Ask a host what it has seen.
+    """Fetch the state of another host.
 
     :param address: numeric ``ip:port``
-    :param known: values up to it are not sent
-    :returns: None if it does not answer in time, or not in this form
+    :param known: position up to which values need not be sent
+    :returns: None if the host does not answer in time or the reply is
+        malformed
     """
     sock = None
     try:
-        with gevent.Timeout(FETCH_S, TimeoutError('no answer in time')):
+        with gevent.Timeout(
+            FETCH_TIMEOUT_S, TimeoutError('state not fetched in time')
+        ):
             sock = peer.connect(address)
             client = State.Client(peer.protocol_over(sock))
             reply = client.fetch(constants.VERSION, known.revision, known.era)
@@ -162,10 +181,10 @@
 
 def _decode(reply: ttypes.StateReply) -> PeerState:
     if reply.era is None:
-        raise errors.ProtocolError('a state without its era')
-    reach = None
+        raise errors.ProtocolError('state reply has no era')
+    store_contact = None
     if reply.in_reach_ms is not None and reply.word_age_ms is not None:
-        reach = expiredentries.StoreContact(
+        store_contact = expiredentries.StoreContact(
             reply.in_reach_ms / 1000, reply.word_age_ms / 1000
         )
     return PeerState(
@@ -183,7 +202,7 @@
             for entry in reply.entries
         },
         position.Position(reply.era, reply.revision),
-        reach,
+        store_contact,
         _seconds(reply.regained_ms),
         tuple(
             staleentries.StaleEntry(
--- a/magnoliadyke/gateway/placing_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways and the placing host as compact thrift."""
+"""Encodes datagrams between hosts as compact thrift."""
 
 import enum
 from typing import NamedTuple
@@ -19,28 +19,28 @@
 from magnoliadyke.wire.placement import ttypes
 
 __all__ = [
-    'Ask',
-    'Broken',
+    'PlacementRequest',
+    'CrashNotification',
     'Event',
-    'Leads',
-    'Learned',
-    'Memory',
+    'LeaderAnnouncement',
+    'CostUpdate',
+    'CacheContents',
     'KeyUpdates',
-    'Recall',
+    'CacheSnapshot',
     'Report',
-    'Silent',
-    'Told',
-    'Waits',
+    'EngineStalled',
+    'PlacementDecision',
+    'PlacementQueued',
     'decode',
     'encode',
 ]
 
-#: A text or value fills a datagram at most.
+#: Maximum length of a string or binary field: the size of a datagram.
 MAX_STRING_BYTES = 1400
 MAX_ITEMS = 256
 MICRO = 1_000_000
 PERMILLE = 1000
-#: Longest time that fits the field, in microseconds.
+#: Longest duration that fits a 32-bit field, in microseconds.
 MAX_US = 2**31 - 1
 
 FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
@@ -51,7 +51,11 @@
 
 
 class Event(enum.IntEnum):
-    """What has become of a job."""
+    """An event in the life of a job that hosts report to the leader.
+
+    READ is the end of its prefill, LAPSED the rejection of a prefilled job by
+    its decode engine, MOVED the transfer of its KV cache.
+    """
 
     READ = ttypes.Event.READ
     ENDED = ttypes.Event.ENDED
@@ -61,42 +65,55 @@
     MOVED = ttypes.Event.MOVED
 
 
-class Ask(NamedTuple):
-    """Place this job; its times are relative to when this was sent."""
+class PlacementRequest(NamedTuple):
+    """Asks the leader to place a job.
+
+    :param job: its moments are relative to when the request was sent
+    """
 
     service: str
     job: promptjobs.Job
 
 
-class Waits(NamedTuple):
-    """The job is in the queue."""
+class PlacementQueued(NamedTuple):
+    """Acknowledges a request whose job is queued at the leader.
+
+    :param job: id of the job
+    """
 
     job: int
 
 
-class Told(NamedTuple):
-    """What was decided of a job."""
+class PlacementDecision(NamedTuple):
+    """The leader's decision on a job."""
 
     decision: promptjobs.Decision
 
 
 class Report(NamedTuple):
-    """What has become of a job that was placed."""
+    """Reports an event of a placed job to the leader.
+
+    :param job: id of the job
+    :param endpoint: engine of the event, empty where it concerns none
+    :param took_s: duration of a KV cache transfer
+    :param decode_engine: the engine that rejected a prefilled job
+    """
 
     service: str
     job: int
     event: Event
     endpoint: str
     took_s: float = 0.0
-    runner: str = ''
+    decode_engine: str = ''
 
 
-class Memory(NamedTuple):
-    """Parts of a prompt that an engine was given.
+class CacheContents(NamedTuple):
+    """Parts of a prompt that an engine is estimated to cache.
 
-    :param job: the job, while engines work on it
-    :param read_tokens: still to be read there, None if it has been
-    :param answers: the job holds a slot there
+    :param job: id of the job, None if no engine works on it any longer
+    :param read_tokens: tokens that the engine has to prefill, None if it has
+        no prefill of the job to do
+    :param answers: whether the job holds a decode slot of the engine
     """
 
     engine: str
@@ -106,15 +123,15 @@
     answers: bool = False
 
 
-class Recall(NamedTuple):
-    """What engines were given lately, for a host that begins to place."""
+class CacheSnapshot(NamedTuple):
+    """Sends a new leader the recent cache contents of a service's engines."""
 
     service: str
-    memories: tuple[Memory, ...]
+    cache_contents: tuple[CacheContents, ...]
 
 
-class Broken(NamedTuple):
-    """A request that endpoints broke off, perhaps since they crashed.
+class CrashNotification(NamedTuple):
+    """A request that endpoints failed without an answer, as in a crash.
 
     :param fingerprint: digest of the request's content
     """
@@ -123,12 +140,14 @@
     endpoints: tuple[str, ...]
 
 
-class Leads(NamedTuple):
-    """A host places for all.
+class LeaderAnnouncement(NamedTuple):
+    """Announces the placement leader to the other hosts.
 
-    :param incarnation: of its process
-    :param position: of its key in the store; later holders have larger ones
-    :param yields: the store is out of its reach, and another host may lead
+    :param incarnation: incarnation of the leader's process
+    :param position: position of the leader's key in the store; a later leader
+        has a larger one
+    :param yields: whether the leader cannot reach the store, so that another
+        host may take over
     """
 
     host: str
@@ -138,28 +157,28 @@
     yields: bool = False
 
 
-class Silent(NamedTuple):
-    """An engine reads nothing of the prompts that it was given."""
+class EngineStalled(NamedTuple):
+    """Announces that an engine makes no progress with its prefills."""
 
     endpoint: str
 
 
-class Learned(NamedTuple):
-    """What prompts were found to take, for the host that places next."""
+class CostUpdate(NamedTuple):
+    """Sends fitted prefill costs to the hosts, one of which may lead next."""
 
     service: str
-    figures: prefillcost.CostCoefficients
+    costs: prefillcost.CostCoefficients
 
 
 class KeyUpdates(NamedTuple):
-    """Changes of the store's keys, for hosts that do not watch it.
-
-    :param host: that has seen them
-    :param base: position after which they are
-    :param position: up to which they are, in the same era
-    :param complete: none of them was too large to be told
-    :param regained_s: how long ago the store came back to that host, None
-        where it has not been away
+    """Changes of the store's keys, for hosts that do not watch the store.
+
+    :param host: the host that sends the changes
+    :param base: position after which the changes begin
+    :param position: position of the last change, of the same store epoch
+    :param complete: whether all changes fit into the message
+    :param regained_s: time since the store was reachable again from the
+        sender, None if there was no outage
     """
 
     host: str
@@ -171,42 +190,47 @@
 
 
 Message = (
-    Ask
-    | Waits
-    | Told
+    PlacementRequest
+    | PlacementQueued
+    | PlacementDecision
     | Report
-    | Recall
-    | Broken
-    | Leads
-    | Silent
-    | Learned
+    | CacheSnapshot
+    | CrashNotification
+    | LeaderAnnouncement
+    | EngineStalled
+    | CostUpdate
     | KeyUpdates
     | duty_codec.Message
 )
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message as a datagram."""
     datagram = ttypes.Datagram(version=constants.VERSION)
     match message:
-        case Ask():
-            datagram.ask = _encode_ask(message)
-        case Waits(job):
+        case PlacementRequest():
+            datagram.ask = _encode_request(message)
+        case PlacementQueued(job):
             datagram.decision = ttypes.Decision(job=job)
-        case Told(decision):
+        case PlacementDecision(decision):
             datagram.decision = _encode_decision(decision)
-        case Report(service, job, event, endpoint, took_s, runner):
+        case Report(service, job, event, endpoint, took_s, decode_engine):
             datagram.report = ttypes.Report(
-                job, service, event, endpoint, _micro(took_s), runner or None
+                job,
+                service,
+                event,
+                endpoint,
+                _micro(took_s),
+                decode_engine or None,
             )
-        case Recall(service, memories):
+        case CacheSnapshot(service, cache_contents):
             datagram.recall = ttypes.Recall(
                 service,
-                [_encode_memory(each) for each in memories],
+                [_encode_contents(each) for each in cache_contents],
             )
-        case Broken(fingerprint, endpoints):
+        case CrashNotification(fingerprint, endpoints):
             datagram.broken = ttypes.Broken(fingerprint, list(endpoints))
-        case Leads(host, address, incarnation, written, yields):
+        case LeaderAnnouncement(host, address, incarnation, written, yields):
             datagram.leader = ttypes.Leader(
                 host,
                 address,
@@ -215,15 +239,15 @@
                 yields or None,
                 written.era,
             )
-        case Silent(endpoint):
+        case EngineStalled(endpoint):
             datagram.silent = ttypes.Silent(endpoint)
-        case Learned(service, figures):
+        case CostUpdate(service, costs):
             datagram.learned = ttypes.Learned(
                 service,
-                _micro(figures.latency_s),
-                _micro(figures.thousand_tokens_s),
-                _micro(figures.million_pairs_s),
-                round(figures.decode_stage_factor * PERMILLE),
+                _micro(costs.latency_s),
+                _micro(costs.thousand_tokens_s),
+                _micro(costs.million_pairs_s),
+                round(costs.decode_stage_factor * PERMILLE),
             )
         case KeyUpdates():
             datagram.updates = _encode_updates(message)
@@ -233,15 +257,16 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read a message.
+    """Decode a datagram.
 
-    :raises errors.ProtocolError: the bytes are none of these messages
+    :raises errors.ProtocolError: the datagram is malformed or holds no known
+        message
     """
     datagram = ttypes.Datagram()
     try:
         TSerialization.deserialize(datagram, data, FACTORY)
         if datagram.ask is not None:
-            return _decode_ask(datagram.ask)
+            return _decode_request(datagram.ask)
         if datagram.decision is not None:
             return _decode_decision(datagram.decision)
         if datagram.report is not None:
@@ -256,16 +281,18 @@
             )
         if datagram.recall is not None:
             recall = datagram.recall
-            return Recall(
+            return CacheSnapshot(
                 recall.pool,
-                tuple(_decode_memory(each) for each in recall.memories),
+                tuple(_decode_contents(each) for each in recall.memories),
             )
         if datagram.broken is not None:
             broken = datagram.broken
-            return Broken(broken.fingerprint, tuple(broken.endpoints))
+            return CrashNotification(
+                broken.fingerprint, tuple(broken.endpoints)
+            )
         if datagram.leader is not None:
             leader = datagram.leader
-            return Leads(
+            return LeaderAnnouncement(
                 leader.host,
                 leader.address,
                 leader.incarnation,
@@ -273,9 +300,9 @@
                 bool(leader.yields),
             )
         if datagram.silent is not None:
-            return Silent(datagram.silent.endpoint)
+            return EngineStalled(datagram.silent.endpoint)
         if datagram.learned is not None:
-            return _decode_learned(datagram.learned)
+            return _decode_cost_update(datagram.learned)
         if datagram.updates is not None:
             return _decode_updates(datagram.updates)
         found = duty_codec.decode(datagram)
@@ -289,11 +316,13 @@
         TypeError,
         ValueError,
     ) as error:
-        raise errors.ProtocolError(f'no placement message: {error}') from error
-    raise errors.ProtocolError('an empty placement message')
+        raise errors.ProtocolError(
+            f'malformed placement datagram: {error}'
+        ) from error
+    raise errors.ProtocolError('placement datagram without a known message')
 
 
-def _encode_ask(ask: Ask) -> ttypes.Ask:
+def _encode_request(ask: PlacementRequest) -> ttypes.Ask:
     job = ask.job
     return ttypes.Ask(
         job=job.id,
@@ -309,7 +338,7 @@
     )
 
 
-def _decode_ask(ask: ttypes.Ask) -> Ask:
+def _decode_request(ask: ttypes.Ask) -> PlacementRequest:
     job = promptjobs.Job(
         id=ask.job,
         parts=_decode_parts(ask.parts),
@@ -321,7 +350,7 @@
         resumed=ask.resumed,
         avoid=tuple(ask.avoid),
     )
-    return Ask(ask.pool, job)
+    return PlacementRequest(ask.pool, job)
 
 
 def _encode_decision(decision: promptjobs.Decision) -> ttypes.Decision:
@@ -342,7 +371,9 @@
             )
 
 
-def _decode_decision(decision: ttypes.Decision) -> Told | Waits:
+def _decode_decision(
+    decision: ttypes.Decision,
+) -> PlacementDecision | PlacementQueued:
     if decision.run is not None:
         placed = promptjobs.Placed(
             decision.job,
@@ -353,19 +384,19 @@
             (decision.expected_us or 0) / MICRO,
             bool(decision.tell_end),
         )
-        return Told(placed)
+        return PlacementDecision(placed)
     if decision.retry_after_us is not None:
         refused = promptjobs.Refused(
             decision.job,
             decision.retry_after_us / MICRO,
             decision.reason or '',
         )
-        return Told(refused)
-    return Waits(decision.job)
+        return PlacementDecision(refused)
+    return PlacementQueued(decision.job)
 
 
-def _decode_learned(learned: ttypes.Learned) -> Learned:
-    return Learned(
+def _decode_cost_update(learned: ttypes.Learned) -> CostUpdate:
+    return CostUpdate(
         learned.pool,
         prefillcost.CostCoefficients(
             learned.latency_us / MICRO,
@@ -392,13 +423,14 @@
 
 def _era(era: int | None) -> int:
     if era is None:
-        raise errors.ProtocolError('a position without its era')
+        raise errors.ProtocolError('store position without its field era')
     return era
 
 
 def _encode_changes(updates: KeyUpdates) -> list[ttypes.KeyChange]:
     if not updates.complete:
-        # A change without its value says that there is more to read.
+        # A change without its value marks the update as incomplete: the
+        # receiver has to read the store.
         return [ttypes.KeyChange('', updates.position.revision)]
     return [_encode_change(each) for each in updates.changes]
 
@@ -436,23 +468,23 @@
     )
 
 
-def _encode_memory(memory: Memory) -> ttypes.Memory:
+def _encode_contents(contents: CacheContents) -> ttypes.Memory:
     return ttypes.Memory(
-        memory.engine,
-        _encode_parts(memory.parts),
-        memory.job,
-        memory.read_tokens,
-        memory.answers or None,
+        contents.engine,
+        _encode_parts(contents.parts),
+        contents.job,
+        contents.read_tokens,
+        contents.answers or None,
     )
 
 
-def _decode_memory(memory: ttypes.Memory) -> Memory:
-    return Memory(
-        memory.engine,
-        _decode_parts(memory.parts),
-        memory.job,
-        memory.read_tokens,
-        bool(memory.answers),
+def _decode_contents(contents: ttypes.Memory) -> CacheContents:
+    return CacheContents(
+        contents.engine,
+        _decode_parts(contents.parts),
+        contents.job,
+        contents.read_tokens,
+        bool(contents.answers),
     )
 
 
--- /dev/null
+++ b/magnoliadyke/gateway/placementservice.py
@@ -0,0 +1,704 @@
+"""Places requests on engines: as the placement leader or as its client.
+
+One host, the leader, places the requests of all hosts, so that it accounts
+for all work at the engines.  Its decisions are soft state: when the leader
+does not answer, each host places its own requests, without knowing what the
+other hosts send to the same engines.
+"""
+
+import collections
+from collections.abc import Iterator
+import contextlib
+import random
+from typing import Any
+from typing import Callable
+from typing import NamedTuple
+
+import gevent
+from gevent import event
+from gevent import socket
+
+from magnoliadyke import app
+from magnoliadyke import clock as clocks
+from magnoliadyke.core import catalog
+from magnoliadyke.core import medianestimator
+from magnoliadyke.core import placement
+from magnoliadyke.core import position
+from magnoliadyke.core import prefillcost
+from magnoliadyke.core import promptjobs
+from magnoliadyke import errors
+from magnoliadyke.gateway import inflightjobs
+from magnoliadyke.gateway import placement_codec
+from magnoliadyke.gateway import waitlimit
+from magnoliadyke import logs
+
+__all__ = ['SHORT_TOKENS', 'PlacementService']
+
+LOG = logs.get('placing')
+
+#: Prompts up to this length, in tokens, take precedence at an engine.
+SHORT_TOKENS = placement.PlacementSettings().short_tokens
+#: An unanswered request is sent again after this time.  It is several
+#: round-trip times, so that only a lost datagram or a busy leader exceeds it.
+REQUEST_TIMEOUT_S = 0.02
+#: Bytes that may be queued on this host's link ahead of a placement request
+#: or its answer: the body of a long request.  On a narrow link they take
+#: longer to send than the leader takes to answer; without this allowance each
+#: long request would make the leader look dead.
+QUEUED_BODY_BYTES = 64 * 1024
+#: Consecutive unanswered requests after which this host places a job itself.
+MAX_UNANSWERED_REQUESTS = 2
+#: Time for which a leader that did not answer gets no requests.
+LEADER_COOLDOWN_S = 0.6
+#: The request for a job that is queued at the leader is repeated this often.
+RESEND_INTERVAL_S = 0.2
+#: Maximum number of prompts in a datagram, so that it does not exceed the
+#: 1,400 bytes of a network packet.
+MAX_PROMPTS_PER_DATAGRAM = 16
+#: Maximum number of decisions kept to answer duplicate requests.
+MAX_CACHED_DECISIONS = 4096
+MAX_DATAGRAM_BYTES = 65535
+#: Initial estimate of the time from the end of a prefill to the first event,
+#: in seconds: a KV transfer of some milliseconds and one or two decode steps.
+INITIAL_TRANSFER_S = 0.015
+#: One of this many KV transfers is reported to the leader.
+TRANSFER_SAMPLE_INTERVAL = 3
+#: The leader sends the fitted prefill costs to all hosts this often, in
+#: seconds.  A message has about 40 bytes, and a new leader starts with costs
+#: of the last second.
+COST_SEND_INTERVAL_S = 1.0
+#: The leader checks for stalled engines this often, in seconds: a fifth of
+#: the time after which an engine counts as stalled.
+STALL_CHECK_INTERVAL_S = 0.1
+
+
+class _Waiting(NamedTuple):
+    """A job of this host that waits for a decision.
+
+    :ivar acknowledged: set when the leader has answered the latest request
+    """
+
+    decided: event.AsyncResult
+    acknowledged: event.Event
+
+
+class _Pool:
+    """The placement of one service, with its timer.
+
+    :ivar generation: catalog generation of the engines that it places on
+    """
+
+    def __init__(self, core: placement.Placement) -> None:
+        self.core = core
+        self.generation = -1
+        self.timer = None
+
+
+class PlacementService(app.Component):
+    """Places the prompts of this host's callers.
+
+    :param address: address of this host at which it receives datagrams
+    :param port: UDP port, the same on all hosts
+    :param link_mbps: bandwidth of this host's link, in Mbit/s
+    :ivar leader: address of the leader, None if none is known
+    :ivar term: term of the leader; each later leader has a larger one
+    :ivar leading: whether this host is the leader
+    :ivar hosts: number of live hosts
+    :ivar leader_retry_at_s: the leader gets no requests until then
+    :ivar served: placement of all hosts' jobs by service, used as the leader
+    :ivar local: placement of this host's jobs by service, used without an
+        answering leader
+    :ivar placed_by: address of the leader that placed a job, by job id; None
+        for jobs that this host placed
+    :ivar requesters: address of the host that waits for a decision, by job id
+    :ivar decided: the latest decisions sent to other hosts, by job id
+    :ivar counts: number of jobs by how they were placed, for the metrics
+    :ivar listeners: handlers of the messages that do not concern placement,
+        by message type; a handler's result is sent back as the reply
+    :ivar prefill_waits: wait limits of the prefills in flight, by engine
+    :ivar learned_costs: prefill costs fitted by the leader, by service; a new
+        leader without them would have to learn the costs again, and would
+        admit too many or too few requests for seconds
+    :ivar broadcast: sends a message to all other hosts
+    :ivar transfer_s: estimated time from the end of a prefill to the first
+        event, which placement has to leave within the latency objective
+    """
+
+    def __init__(
+        self,
+        address: str,
+        port: int,
+        known: catalog.Catalog,
+        clock: clocks.Clock,
+        rng: random.Random,
+        link_mbps: float,
+    ) -> None:
+        self.address = address
+        self.port = port
+        self.catalog = known
+        self.clock = clock
+        self.rng = rng
+        self.request_timeout_s = request_timeout_s(link_mbps)
+        self.leader: str | None = None
+        self.term = position.START
+        self.leading = False
+        self.transfer_s = medianestimator.MedianEstimator(INITIAL_TRANSFER_S)
+        self.hosts = 1
+        self.leader_retry_at_s = 0.0
+        self.served: dict[str, _Pool] = {}
+        self.local: dict[str, _Pool] = {}
+        self.waiting: dict[int, _Waiting] = {}
+        self.placed_by: dict[int, str | None] = {}
+        self.requesters: dict[int, str] = {}
+        self.decided: collections.OrderedDict[int, promptjobs.Decision] = (
+            collections.OrderedDict()
+        )
+        self.counts: collections.Counter[str] = collections.Counter()
+        self.in_flight_jobs = inflightjobs.InFlightJobs()
+        self.listeners: dict[
+            type, Callable[[Any], placement_codec.Message | None]
+        ] = {}
+        self.prefill_waits: collections.defaultdict[
+            str, set[waitlimit.WaitLimit]
+        ] = collections.defaultdict(set)
+        self.learned_costs: dict[str, prefillcost.CostCoefficients] = {}
+        self.broadcast: Callable[[placement_codec.Message], None] | None = None
+        self.socket: socket.socket | None = None
+        self.greenlets: list[gevent.Greenlet] = []
+
+    # Life cycle.
+
+    def start(self) -> None:
+        """Receive datagrams from other hosts, and start the periodic tasks."""
+        self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.socket.bind((self.address, self.port))
+        self.greenlets = [
+            gevent.spawn(self._receive_all),
+            gevent.spawn(self._run_stall_checks),
+            gevent.spawn(self._run_cost_updates),
+        ]
+
+    def stop(self, deadline_s: float) -> None:
+        """Stop receiving datagrams and end the periodic tasks."""
+        gevent.killall(self.greenlets)
+        if self.socket is not None:
+            self.socket.close()
+
+    # Calls from exchanges.
+
+    def place(self, service: str, job: promptjobs.Job) -> promptjobs.Decision:
+        """Wait until a job is placed or refused."""
+        waiting = _Waiting(event.AsyncResult(), event.Event())
+        self.waiting[job.id] = waiting
+        try:
+            decision = self._place(service, job, waiting)
+            if isinstance(decision, promptjobs.Placed):
+                short = job.resumed or job.tokens <= SHORT_TOKENS
+                now_s = self.clock.now_s()
+                self.in_flight_jobs.record_placement(
+                    service, job, decision, short, now_s
+                )
+                if self._is_local_fallback(job.id) and not short:
+                    contents = self.in_flight_jobs.prefill_cache_contents(job)
+                    snapshot = placement_codec.CacheSnapshot(
+                        service, (contents,)
+                    )
+                    self.send(self.leader, snapshot)
+            return decision
+        except BaseException:
+            # The caller has left: the slot is released for other jobs.
+            self._report(service, job.id, placement_codec.Event.WITHDRAWN, '')
+            self.placed_by.pop(job.id, None)
+            raise
+        finally:
+            del self.waiting[job.id]
+
+    def _is_local_fallback(self, job_id: int) -> bool:
+        """Whether a job was placed here although another host leads.
+
+        The leader may still answer other hosts, or answer again at any
+        moment.  Work that is not reported to it delays the engines, so that
+        it would estimate them as slow, or as stalled and fail their prefills.
+        """
+        return (
+            not self.leading
+            and self.leader is not None
+            and self.placed_by.get(job_id) is None
+        )
+
+    def follow(self, leader: str, term: position.Position) -> None:
+        """Follow another host as the leader, and send it this host's jobs.
+
+        Later events of the jobs in flight are reported to it as well.
+
+        :param leader: address of the leader
+        :param term: term of the leader, which grows with each new leader,
+            also if that is a later process of the same host
+        """
+        if (leader, term) == (self.leader, self.term) and not self.leading:
+            return
+        self.term = term
+        self.leading = False
+        self.leader = leader
+        self.leader_retry_at_s = 0.0
+        now_s = self.clock.now_s()
+        self._hand_over(leader, now_s)
+        for service, cache_contents in self.in_flight_jobs.cache_contents(
+            now_s
+        ).items():
+            for start in range(
+                0, len(cache_contents), MAX_PROMPTS_PER_DATAGRAM
+            ):
+                chunk = cache_contents[
+                    start : start + MAX_PROMPTS_PER_DATAGRAM
+                ]
+                self.send(
+                    leader, placement_codec.CacheSnapshot(service, chunk)
+                )
+
+    def lead(self) -> None:
+        """Become the leader."""
+        now_s = self.clock.now_s()
+        if not self.leading:
+            # The state of an earlier term of this host is out of date.
+            self.served = {}
+        self.leading = True
+        self._hand_over(None, now_s)
+        for service, cache_contents in self.in_flight_jobs.cache_contents(
+            now_s
+        ).items():
+            self._restore_snapshot(
+                placement_codec.CacheSnapshot(service, cache_contents)
+            )
+
+    def _hand_over(self, leader: str | None, now_s: float) -> None:
+        """Report further events of this host's jobs to another leader.
+
+        Jobs that this host placed itself are removed from its local
+        placement.  They would otherwise occupy the engines there, and the
+        local placement is used again when no leader answers.
+
+        :param leader: address of the leader, None if this host leads
+        """
+        for job_id in self.in_flight_jobs.in_flight:
+            if self.placed_by.get(job_id) is None:
+                for pool in self.local.values():
+                    self._publish(pool, pool.core.hand_over(job_id, now_s))
+            self.placed_by[job_id] = leader
+
+    def _run_stall_checks(self) -> None:
+        """Check for stalled engines, and notify all hosts of them.
+
+        Only the leader checks.  A host that places only its own jobs sees no
+        other prompts, and a former leader gets no more prefill reports.  To
+        both an engine that prefills for other hosts looks stalled, and its
+        prefills would be aborted one after the other.
+        """
+        while True:
+            self.clock.sleep(STALL_CHECK_INTERVAL_S)
+            if not self.leading:
+                continue
+            now_s = self.clock.now_s()
+            for pool in list(self.served.values()):
+                for engine in pool.core.find_stalled(now_s):
+                    self._abort_prefill_waits(engine)
+                    if self.broadcast is not None:
+                        self.broadcast(placement_codec.EngineStalled(engine))
+
+    def _run_cost_updates(self) -> None:
+        """Send the fitted prefill costs to the other hosts as the leader."""
+        while True:
+            self.clock.sleep(COST_SEND_INTERVAL_S)
+            if not self.leading:
+                continue
+            for service, pool in list(self.served.items()):
+                costs = pool.core.pool.learned_costs()
+                if costs is None:
+                    continue
+                self.learned_costs[service] = costs
+                if self.broadcast is not None:
+                    self.broadcast(placement_codec.CostUpdate(service, costs))
+
+    def _abort_prefill_waits(self, engine: str) -> None:
+        """Abort this host's waits for prefills of a stalled engine."""
+        waits = self.prefill_waits.get(engine, ())
+        LOG.event('engine_silent', endpoint=engine, waits=len(waits))
+        for limit in waits:
+            limit.end('the engine reads nothing')
+
+    def _restore_snapshot(
+        self, snapshot: placement_codec.CacheSnapshot
+    ) -> None:
+        if not self._is_model_service(snapshot.service):
+            return
+        core = self._pool(self.served, snapshot.service).core
+        now_s = self.clock.now_s()
+        for (
+            engine,
+            parts,
+            job,
+            read_tokens,
+            answers,
+        ) in snapshot.cache_contents:
+            core.restore_cache(engine, parts)
+            if job is not None:
+                core.adopt(job, engine, read_tokens, answers, now_s)
+
+    def _place(
+        self, service: str, job: promptjobs.Job, waiting: _Waiting
+    ) -> promptjobs.Decision:
+        if self.leading:
+            self.counts['own'] += 1
+            return self._place_at(self.served, service, job, waiting)
+        leader = self.leader
+        if leader is not None and self.clock.now_s() >= self.leader_retry_at_s:
+            self.placed_by[job.id] = leader
+            decision = self._place_remotely(leader, service, job, waiting)
+            if decision is not None:
+                self.counts['remote'] += 1
+                return decision
+        self.counts['alone'] += 1
+        return self._place_at(self.local, service, job, waiting)
+
+    def _place_at(
+        self,
+        pools: dict[str, _Pool],
+        service: str,
+        job: promptjobs.Job,
+        waiting: _Waiting,
+    ) -> promptjobs.Decision:
+        self.placed_by[job.id] = None
+        pool = self._pool(pools, service)
+        now_s = self.clock.now_s()
+        self._publish(pool, pool.core.submit(job, now_s))
+        return waiting.decided.get()
+
+    def _place_remotely(
+        self,
+        leader: str,
+        service: str,
+        job: promptjobs.Job,
+        waiting: _Waiting,
+    ) -> promptjobs.Decision | None:
+        """Request a decision from the leader; None if it does not answer."""
+        unanswered = 0
+        while unanswered < MAX_UNANSWERED_REQUESTS:
+            waiting.acknowledged.clear()
+            self.send(
+                leader,
+                placement_codec.PlacementRequest(
+                    service, self._with_relative_times(job)
+                ),
+            )
+            if not waiting.acknowledged.wait(self.request_timeout_s):
+                unanswered += 1
+                continue
+            unanswered = 0
+            with gevent.Timeout(RESEND_INTERVAL_S, False):
+                return waiting.decided.get()
+        self.leader_retry_at_s = self.clock.now_s() + LEADER_COOLDOWN_S
+        self.counts['silent'] += 1
+        LOG.repeated('placing_host_silent', leader, leader=leader)
+        return None
+
+    def _with_relative_times(self, job: promptjobs.Job) -> promptjobs.Job:
+        """Return a copy of a job whose moments are relative to now."""
+        now_s = self.clock.now_s()
+        return promptjobs.Job(
+            job.id,
+            job.parts,
+            job.output_tokens,
+            job.objective_s - now_s,
+            job.deadline_s - now_s,
+            job.failure_domain,
+            job.returning,
+            job.resumed,
+            job.avoid,
+        )
+
+    def decided_by(self, job_id: int) -> str:
+        """Return who decided on a job, for the log.
+
+        :returns: the leader's address, ``self`` if this host leads, ``alone``
+            if it placed the job without a leader
+        """
+        leader = self.placed_by.get(job_id)
+        if leader is not None:
+            return leader
+        return 'self' if self.leading else 'alone'
+
+    def record_prefill_done(
+        self, service: str, job_id: int, endpoint: str
+    ) -> None:
+        """Record that an engine has prefilled a job's prompt."""
+        self.in_flight_jobs.record_prefill_done(job_id)
+        self._report(service, job_id, placement_codec.Event.READ, endpoint)
+
+    def record_failure(self, service: str, job_id: int, endpoint: str) -> None:
+        """Record that an engine failed a job."""
+        self.in_flight_jobs.record_prefill_done(job_id)
+        self._report(service, job_id, placement_codec.Event.FAILED, endpoint)
+
+    @contextlib.contextmanager
+    def track_prefill(
+        self, endpoint: str, limit: waitlimit.WaitLimit
+    ) -> Iterator[None]:
+        """Abort a wait for an engine's prefill if the engine is stalled.
+
+        :param limit: the wait; it is tracked inside the ``with`` block
+        """
+        self.prefill_waits[endpoint].add(limit)
+        try:
+            yield
+        finally:
+            waits = self.prefill_waits[endpoint]
+            waits.discard(limit)
+            if not waits:
+                del self.prefill_waits[endpoint]
+
+    def record_rejection(
+        self,
+        service: str,
+        job_id: int,
+        prefill_engine: str,
+        decode_engine: str,
+    ) -> None:
+        """Record that a decode engine rejected a prefilled request."""
+        lapsed = placement_codec.Event.LAPSED
+        self._report(
+            service,
+            job_id,
+            lapsed,
+            prefill_engine,
+            decode_engine=decode_engine,
+        )
+
+    def record_kv_transfer(
+        self, service: str, job_id: int, endpoint: str, took_s: float
+    ) -> None:
+        """Record the KV transfer of a job that has its first event.
+
+        One in :data:`TRANSFER_SAMPLE_INTERVAL` is reported: that shows engines
+        with slow transfers within a second or two, at a tenth of the
+        messages.
+
+        :param took_s: time from the end of the prefill to the first event
+        """
+        self.transfer_s.add(took_s)
+        if job_id % TRANSFER_SAMPLE_INTERVAL == 0:
+            moved = placement_codec.Event.MOVED
+            self._report(service, job_id, moved, endpoint, took_s)
+
+    def record_end(self, service: str, job_id: int, must_report: bool) -> None:
+        """Record that a job holds no decode slot any longer.
+
+        :param must_report: whether the end is to be reported to whoever
+            placed the job
+        """
+        self.in_flight_jobs.record_end(job_id)
+        if must_report:
+            self._report(service, job_id, placement_codec.Event.ENDED, '')
+        self.placed_by.pop(job_id, None)
+
+    def _report(
+        self,
+        service: str,
+        job_id: int,
+        what: placement_codec.Event,
+        endpoint: str,
+        took_s: float = 0.0,
+        decode_engine: str = '',
+    ) -> None:
+        report = placement_codec.Report(
+            service, job_id, what, endpoint, took_s, decode_engine
+        )
+        leader = self.placed_by.get(job_id)
+        if leader is not None and not self.leading:
+            self.send(leader, report)
+            return
+        if self._is_local_fallback(job_id):
+            self.send(self.leader, report)
+        for pools in (self.served, self.local):
+            if service in pools:
+                self._apply_report(self._pool(pools, service), report)
+
+    # Calls from other hosts, and the placement itself.
+
+    def _pool(self, pools: dict[str, _Pool], service: str) -> _Pool:
+        pool = pools.get(service)
+        if pool is None:
+            traits = self.catalog.configuration.services[service].engine
+            core = placement.Placement(traits, self.rng)
+            if service in self.learned_costs:
+                core.pool.restore_costs(self.learned_costs[service])
+            pool = pools[service] = _Pool(core)
+        pool.core.sharers = 1 if pools is self.served else self.hosts
+        if pool.generation != self.catalog.generation:
+            pool.generation = self.catalog.generation
+            engines = self.catalog.usable(service)
+            if pools is self.local:
+                # Of equal engines the first one is chosen: without a leader
+                # all hosts would send their jobs to the same one.
+                self.rng.shuffle(engines)
+            pool.core.set_engines(engines)
+        return pool
+
+    def _receive_all(self) -> None:
+        while True:
+            data, sender = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
+            try:
+                message = placement_codec.decode(data)
+            except errors.ProtocolError as error:
+                LOG.repeated('datagram_ignored', sender[0], reason=str(error))
+                continue
+            self._receive(message, sender[0])
+
+    def _receive(self, message: placement_codec.Message, sender: str) -> None:
+        match message:
+            case placement_codec.PlacementRequest(service, job):
+                self._handle_request(service, job, sender)
+            case placement_codec.Report(service=service):
+                if self.leading and service in self.served:
+                    pool = self._pool(self.served, service)
+                    self._apply_report(pool, message)
+            case placement_codec.CacheSnapshot():
+                if self.leading:
+                    self._restore_snapshot(message)
+            case placement_codec.EngineStalled(engine):
+                self._abort_prefill_waits(engine)
+            case placement_codec.CostUpdate(service, costs):
+                self._handle_cost_update(service, costs)
+            case placement_codec.PlacementQueued(job):
+                waiting = self.waiting.get(job)
+                if waiting is not None:
+                    waiting.acknowledged.set()
+            case placement_codec.PlacementDecision(decision):
+                waiting = self.waiting.get(decision.job)
+                if waiting is not None:
+                    waiting.acknowledged.set()
+                    waiting.decided.set(decision)
+            case _:
+                self._pass_on(message, sender)
+
+    def _pass_on(self, message: placement_codec.Message, sender: str) -> None:
+        listener = self.listeners.get(type(message))
+        reply = listener(message) if listener is not None else None
+        if reply is not None:
+            self.send(sender, reply)
+
+    def _handle_cost_update(
+        self, service: str, costs: prefillcost.CostCoefficients
+    ) -> None:
+        if self.leading:
+            return
+        self.learned_costs[service] = costs
+        if service in self.local:
+            self.local[service].core.pool.restore_costs(costs)
+
+    def _handle_request(
+        self, service: str, job: promptjobs.Job, sender: str
+    ) -> None:
+        if not self.leading or not self._is_model_service(service):
+            # Without an answer the requesting host places the job itself.
+            return
+        decided = self.decided.get(job.id)
+        if decided is not None:
+            self.send(sender, placement_codec.PlacementDecision(decided))
+            return
+        pool = self._pool(self.served, service)
+        waits = placement_codec.PlacementQueued(job.id)
+        if pool.core.is_waiting(job.id):
+            self.send(sender, waits)
+            return
+        now_s = self.clock.now_s()
+        job.objective_s += now_s
+        job.deadline_s += now_s
+        self.requesters[job.id] = sender
+        self._publish(pool, pool.core.submit(job, now_s))
+        if job.id not in self.decided:
+            self.send(sender, waits)
+
+    def _is_model_service(self, service: str) -> bool:
+        configuration = self.catalog.configuration
+        if configuration is None:
+            return False
+        known = configuration.services.get(service)
+        return known is not None and known.engine is not None
+
+    def _apply_report(
+        self, pool: _Pool, report: placement_codec.Report
+    ) -> None:
+        now_s = self.clock.now_s()
+        core = pool.core
+        match report.event:
+            case placement_codec.Event.READ:
+                decisions = core.record_prefill_done(
+                    report.job, report.endpoint, now_s
+                )
+            case placement_codec.Event.ENDED:
+                decisions = core.record_end(report.job, now_s)
+            case placement_codec.Event.FAILED:
+                decisions = core.record_failure(
+                    report.job, report.endpoint, now_s
+                )
+            case placement_codec.Event.LAPSED:
+                decisions = core.record_rejection(
+                    report.job, report.endpoint, report.decode_engine, now_s
+                )
+            case placement_codec.Event.MOVED:
+                decisions = core.record_kv_transfer(
+                    report.endpoint, report.took_s, now_s
+                )
+            case placement_codec.Event.WITHDRAWN:
+                decisions = core.withdraw(report.job, now_s)
+        self._publish(pool, decisions)
+
+    def _publish(
+        self, pool: _Pool, decisions: list[promptjobs.Decision]
+    ) -> None:
+        for decision in decisions:
+            waiting = self.waiting.get(decision.job)
+            if waiting is not None:
+                waiting.decided.set(decision)
+            requester = self.requesters.pop(decision.job, None)
+            if requester is None:
+                continue
+            self.decided[decision.job] = decision
+            if len(self.decided) > MAX_CACHED_DECISIONS:
+                self.decided.popitem(last=False)
+            self.send(requester, placement_codec.PlacementDecision(decision))
+        self._arm(pool)
+
+    def _arm(self, pool: _Pool) -> None:
+        """Start a timer for when an engine is expected to be available."""
+        if pool.timer is not None:
+            return
+        now_s = self.clock.now_s()
+        wake_s = pool.core.wake_s(now_s)
+        if wake_s is None:
+            return
+        timer = gevent.get_hub().loop.timer(wake_s - now_s)
+        pool.timer = timer
+
+        def fire() -> None:
+            pool.timer = None
+            timer.close()
+            self._publish(pool, pool.core.pump(self.clock.now_s()))
+
+        timer.start(fire)
+
+    def send(self, address: str, message: placement_codec.Message) -> None:
+        """Send a datagram without blocking.
+
+        It is also called from the event loop, where nothing may block.
+        """
+        data = placement_codec.encode(message)
+        try:
+            self.socket._sock.sendto(data, (address, self.port))
+        except OSError as error:
+            LOG.repeated('send_failed', address, error=str(error))
+
+
+def request_timeout_s(link_mbps: float) -> float:
+    """Return the timeout of a placement request, in seconds."""
+    return REQUEST_TIMEOUT_S + QUEUED_BODY_BYTES * 8 / (link_mbps * 1e6)
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -1,4 +1,4 @@
-"""Carries the stage plan out, under the lease."""
+"""Orders engines to change between prefill and decode, as the leader."""
 
 import dataclasses
 import enum
@@ -13,7 +13,7 @@
 from magnoliadyke.core import stageplan
 from magnoliadyke.gateway import enginecontrol
 from magnoliadyke.gateway import leadership
-from magnoliadyke.gateway import placing
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import store
 from magnoliadyke import logs
 
@@ -21,58 +21,69 @@
 
 LOG = logs.get('stages')
 
+#: Interval between planning rounds, in seconds.
 TICK_S = 0.5
-#: An order without an answer may be carried out seconds later, also by the
-#: next process of that name, whose count of orders begins anew; the engine of
-#: that name is left alone for so long.
-UNANSWERED_S = 15.0
-#: While no engine answers, an order without an answer, or one that was
-#: refused, is repeated after this time, in seconds: longer than the engine's
-#: answer is waited for.
-REPEAT_S = 2.0
-#: Orders under way at one time.
-ORDERED_AT_ONCE = 8
-#: Time beyond the change itself in which running requests end.
-SETTLE_S = 8.0
-
-
-class Hindrance(enum.Enum):
-    """Why no order goes out in a look at a service."""
+#: An engine that did not answer an order gets no other for this long, in
+#: seconds.  The order may still be carried out seconds later, also by a new
+#: process under the same name, whose order count starts again.
+UNANSWERED_COOLDOWN_S = 15.0
+#: Cooldown of an engine after an order that it refused, in seconds.  While no
+#: engine is in the decode stage an unanswered order is repeated after this
+#: time too.  It is longer than the time-out of an order.
+RETRY_INTERVAL_S = 2.0
+#: Limit on concurrent calls to engines.
+MAX_CONCURRENT_ORDERS = 8
+#: Time for running requests to finish, allowed in addition to the duration of
+#: the stage change itself, in seconds.
+DRAIN_ALLOWANCE_S = 8.0
+
+
+class BlockedReason(enum.Enum):
+    """Why a planning round sent no order for a service."""
 
     NONE = 'none'
-    NO_ENGINE = 'there is no engine to change'
-    LEASE = 'the lease allows no order now'
-    PLAN = 'the plan wants no change'
-    LEFT_ALONE = 'engines are left alone after an order'
+    NO_ENGINE = 'the service has no usable engine'
+    LEASE = 'the leader lease allows no order now'
+    PLAN = 'the stage plan requires no change'
+    COOLING_DOWN = 'all candidate engines are in cooldown after an order'
 
 
 class _Fleet(NamedTuple):
-    """The engines of a service, by what they do."""
+    """The usable engines of a service, by stage."""
 
-    reading: list[catalog.Endpoint]
-    answering: list[catalog.Endpoint]
+    prefilling: list[catalog.Endpoint]
+    decoding: list[catalog.Endpoint]
     changing: list[catalog.Endpoint]
 
 
 @dataclasses.dataclass(slots=True)
 class _Outage:
-    """No engine of a service answers.
+    """A period in which a service has no engine in the decode stage.
 
-    :ivar hindrance: as last logged, None before the first line
+    :ivar hindrance: last logged reason that no order was sent; None if none
+        was logged yet
     """
 
-    begun_s: float
-    hindrance: Hindrance | None = None
+    started_s: float
+    hindrance: BlockedReason | None = None
 
 
 class Stages(app.Component):
-    """Orders engines to change their stage while this host leads."""
+    """Applies the stage plan of each service while this host leads.
+
+    :ivar changing: target stage of each engine that is changing, and when
+        the change counts as failed, by endpoint id
+    :ivar cooldown_until_s: when an engine may get its next order, by name
+    :ivar retry_from_s: when an engine may get its next order while no engine
+        is in the decode stage, by name
+    :ivar outages: services without an engine in the decode stage
+    """
 
     def __init__(
         self,
         host: str,
         leader: leadership.Leadership,
-        placer: placing.Placer,
+        placer: placementservice.PlacementService,
         known: catalog.Catalog,
         control: enginecontrol.EngineControl,
         clock: clocks.Clock,
@@ -85,17 +96,17 @@
         self.clock = clock
         self.plans: dict[str, stageplan.StagePlan] = {}
         self.changing: dict[str, tuple[catalog.Stage, float]] = {}
-        self.alone_until_s: dict[str, float] = {}
-        self.repeat_from_s: dict[str, float] = {}
+        self.cooldown_until_s: dict[str, float] = {}
+        self.retry_from_s: dict[str, float] = {}
         self.outages: dict[str, _Outage] = {}
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to plan."""
+        """Start the planning loop."""
         self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Order nothing from now on."""
+        """Stop the planning loop."""
         if self.greenlet is not None:
             self.greenlet.kill()
 
@@ -112,11 +123,11 @@
     def _plan(self, service: str, core) -> None:
         now_s = self.clock.now_s()
         plan = self.plans.setdefault(service, stageplan.StagePlan())
-        self._settle(now_s)
+        self._drop_finished_changes(now_s)
         fleet = self._fleet(service)
         plan.record_load(core.load(now_s), self._sizes(fleet, core), now_s)
-        hindrance = self._change(plan, fleet, core, now_s)
-        self._note_outage(service, fleet, hindrance, now_s)
+        hindrance = self._order_change(plan, fleet, core, now_s)
+        self._log_outage(service, fleet, hindrance, now_s)
 
     def _fleet(self, service: str) -> _Fleet:
         engines = self.catalog.usable(service)
@@ -127,74 +138,81 @@
             [e for e in engines if e.id in self.changing],
         )
 
-    def _change(
+    def _order_change(
         self, plan: stageplan.StagePlan, fleet: _Fleet, core, now_s: float
-    ) -> Hindrance:
-        """Order what the plan wants.
+    ) -> BlockedReason:
+        """Order the stage changes that the plan requires.
 
-        :returns: why nothing was ordered
+        :returns: why no order was sent, ``NONE`` if orders were attempted
         """
         if not any(fleet):
-            return Hindrance.NO_ENGINE
+            return BlockedReason.NO_ENGINE
         if not self.leadership.may_order():
-            return Hindrance.LEASE
+            return BlockedReason.LEASE
         change = plan.decide(self._sizes(fleet, core), now_s)
         if change is None:
-            return Hindrance.PLAN
+            return BlockedReason.PLAN
         candidates = self._candidates(change, fleet, now_s)
         if not candidates:
-            return Hindrance.LEFT_ALONE
+            return BlockedReason.COOLING_DOWN
         candidates.sort(key=lambda e: core.load_order(e.id, now_s))
         target = catalog.Stage.DECODE
         if change.to_prefill:
             target = catalog.Stage.PREFILL
-        self._order(_spread(candidates, change.count), target, core)
-        return Hindrance.NONE
+        self._order(
+            _spread_over_domains(candidates, change.count), target, core
+        )
+        return BlockedReason.NONE
 
     def _sizes(self, fleet: _Fleet, core) -> stageplan.Fleet:
         return stageplan.Fleet(
-            len(fleet.reading),
-            len(fleet.answering),
+            len(fleet.prefilling),
+            len(fleet.decoding),
             len(fleet.changing),
-            self._to_answering(fleet),
+            self._to_decode(fleet),
             core.traits.stage_change_s,
         )
 
     def _candidates(
         self, change: stageplan.Change, fleet: _Fleet, now_s: float
     ) -> list[catalog.Endpoint]:
-        """Engines that may be given an order now.
+        """Return the engines that may be sent an order now.
 
-        While no engine answers nothing is served, and an order that was lost
-        would keep it so for a quarter of a minute.  It is safe to repeat:
-        both name the same number of orders before them, so the engine
-        carries out one of them at most.
+        Without an engine in the decode stage the service serves no request,
+        and after a lost order it would stay so for
+        ``UNANSWERED_COOLDOWN_S``, so orders are repeated sooner.  This is
+        safe: both orders carry the same count of accepted orders, so the
+        engine carries out at most one of them.
         """
         if change.to_prefill:
-            engines, from_s = fleet.answering, self.alone_until_s
-        elif fleet.answering:
-            engines, from_s = fleet.reading, self.alone_until_s
+            engines, from_s = fleet.decoding, self.cooldown_until_s
+        elif fleet.decoding:
+            engines, from_s = fleet.prefilling, self.cooldown_until_s
         else:
-            engines, from_s = fleet.reading, self.repeat_from_s
+            engines, from_s = fleet.prefilling, self.retry_from_s
         return [e for e in engines if from_s.get(e.name, 0.0) <= now_s]
 
-    def _to_answering(self, fleet: _Fleet) -> int:
+    def _to_decode(self, fleet: _Fleet) -> int:
         wanted = [self.changing[each.id][0] for each in fleet.changing]
         return wanted.count(catalog.Stage.DECODE)
 
-    def _note_outage(
-        self, service: str, fleet: _Fleet, hindrance: Hindrance, now_s: float
+    def _log_outage(
+        self,
+        service: str,
+        fleet: _Fleet,
+        hindrance: BlockedReason,
+        now_s: float,
     ) -> None:
-        """Log that no engine answers, what holds a change back, and the end.
+        """Log start, blocked reason and end of an outage of the decode stage.
 
-        Without an engine that answers no request of the service is served,
-        and what holds the change back tells whose fault that is.
+        Without an engine in the decode stage the service serves no request.
+        The reason that no order was sent shows which component is at fault.
         """
         outage = self.outages.get(service)
-        if fleet.answering:
+        if fleet.decoding:
             if outage is not None:
                 del self.outages[service]
-                after_s = now_s - outage.begun_s
+                after_s = now_s - outage.started_s
                 LOG.event('engine_answers', service=service, after_s=after_s)
             return
         if outage is None:
@@ -205,13 +223,13 @@
         LOG.warning_event(
             'no_engine_answers',
             service=service,
-            reading=len(fleet.reading),
+            reading=len(fleet.prefilling),
             changing=len(fleet.changing),
             hindrance=hindrance.value,
         )
 
-    def _settle(self, now_s: float) -> None:
-        """Engines that have changed, or will not, are steady again."""
+    def _drop_finished_changes(self, now_s: float) -> None:
+        """Drop stage changes that finished, timed out or lost their engine."""
         for endpoint_id, (stage, until_s) in list(self.changing.items()):
             endpoint = self.catalog.endpoints.get(endpoint_id)
             if endpoint is None or endpoint.stage is stage or now_s > until_s:
@@ -229,13 +247,15 @@
         stage: catalog.Stage,
         core,
     ) -> None:
-        """Check the lease at the store, then order.
+        """Send orders to engines, after a check of the lease at the store.
 
-        An order of a holder before that is still on its way is refused by
-        the engine: it names the number of orders that it was meant for.
+        A delayed order of a previous leader is rejected by the engine, as
+        the count of accepted orders that it carries is out of date.
         """
-        asked = gevent.pool.Pool(ORDERED_AT_ONCE)
-        states = asked.map(lambda e: self._orders_so_far(e, stage), endpoints)
+        workers = gevent.pool.Pool(MAX_CONCURRENT_ORDERS)
+        states = workers.map(
+            lambda e: self._accepted_orders(e, stage), endpoints
+        )
         ready = [
             (endpoint, orders)
             for endpoint, orders in zip(endpoints, states, strict=True)
@@ -248,18 +268,23 @@
             LOG.event('orders_put_off', count=len(ready), cause=checked)
             return
         if self.leadership.may_order():
-            asked.map(lambda one: self._send(*one, stage, core), ready)
+            workers.map(lambda one: self._send(*one, stage, core), ready)
 
-    def _orders_so_far(
+    def _accepted_orders(
         self, endpoint: catalog.Endpoint, stage: catalog.Stage
     ) -> int | None:
-        """The number of orders before this one; None if none may be given."""
+        """Ask an engine for its count of accepted orders.
+
+        :returns: the count, or None if the engine must not get an order now
+        """
         state = self.control.state(endpoint)
         cause = None
         if isinstance(state, enginecontrol.Unreachable):
             cause = state.reason
         elif state.busy or state.stage is stage:
-            cause = 'the engine is busy with an order or has the stage'
+            cause = (
+                'the engine is carrying out an order or already has the stage'
+            )
         if cause is None:
             return state.orders
         LOG.event('order_put_off', endpoint=endpoint.id, cause=cause)
@@ -287,28 +312,33 @@
         )
         match outcome:
             case enginecontrol.Ordered(accepted=True):
-                until_s = now_s + core.traits.stage_change_s + SETTLE_S
+                until_s = (
+                    now_s + core.traits.stage_change_s + DRAIN_ALLOWANCE_S
+                )
                 self.changing[endpoint.id] = (stage, until_s)
                 core.change_stage(endpoint.id, stage, until_s)
             case enginecontrol.Unreachable():
-                self._leave_alone(endpoint.name, UNANSWERED_S, now_s)
+                self._start_cooldown(
+                    endpoint.name, UNANSWERED_COOLDOWN_S, now_s
+                )
             case _:
-                self._leave_alone(endpoint.name, REPEAT_S, now_s)
+                self._start_cooldown(endpoint.name, RETRY_INTERVAL_S, now_s)
 
-    def _leave_alone(self, name: str, for_s: float, now_s: float) -> None:
-        self.alone_until_s[name] = now_s + for_s
-        self.repeat_from_s[name] = now_s + REPEAT_S
+    def _start_cooldown(self, name: str, for_s: float, now_s: float) -> None:
+        self.cooldown_until_s[name] = now_s + for_s
+        self.retry_from_s[name] = now_s + RETRY_INTERVAL_S
 
 
-def _spread(
+def _spread_over_domains(
     candidates: list[catalog.Endpoint], count: int
 ) -> list[catalog.Endpoint]:
-    """The first ones of each failure domain in turn.
+    """Choose engines, each from the domain with the most candidates left.
 
-    All from one domain would leave its hosts, or those of the others, no
-    engine of that stage near by, and lose them together.
+    If all engines of a stage were in one failure domain, they would fail
+    together, and the hosts of the other domains would have none near by.
 
-    :param candidates: those to be taken first come first
+    :param candidates: engines in order of preference
+    :param count: number of engines to choose
     """
     by_domain: dict[str, list[catalog.Endpoint]] = {}
     for endpoint in candidates:
--- a/magnoliadyke/platform/engines.py
+++ b/magnoliadyke/platform/engines.py
@@ -1,4 +1,4 @@
-"""Reports of engines and orders to them."""
+"""HTTP client for the engines' state reports and stage orders."""
 
 import json
 from typing import Any
@@ -21,12 +21,12 @@
 
 
 class PlatformEngines(enginecontrol.EngineControl):
-    """The engines' own calls; each on a connection of its own."""
+    """Calls engines, each time on a new connection."""
 
     def state(
         self, endpoint: catalog.Endpoint
     ) -> enginecontrol.EngineState | enginecontrol.Unreachable:
-        """Ask an engine what it does."""
+        """Return the state that an engine reports."""
         reply = self._call(endpoint, b'GET', b'/api/report', None)
         if isinstance(reply, enginecontrol.Unreachable):
             return reply
@@ -34,17 +34,21 @@
         if status != STATUS_OK:
             return enginecontrol.Unreachable(f'status {status}')
         if endpoint.started_ms and fields.get('born') != endpoint.started_ms:
-            # Its entry is still that of the process before: the number of
-            # orders that it has taken is not that of this one.
-            return enginecontrol.Unreachable('another process answers')
+            # The engine has restarted, but its store entry still describes
+            # the former process.  The count of accepted orders in this report
+            # does not apply to that process.
+            return enginecontrol.Unreachable(
+                'another process responded; expected the one started at '
+                f'{endpoint.started_ms} ms'
+            )
         try:
             return enginecontrol.EngineState(
                 records.STAGES.get(
                     report.text(fields, 'stage', ''), catalog.Stage.NONE
                 ),
-                # Counts accepted orders; the list's field of that name
-                # counts heartbeats.
-                report.whole(fields, 'sequence', 0, 0),
+                # In a report this field counts accepted orders.  The field of
+                # the same name in the store's entries counts heartbeats.
+                report.integer(fields, 'sequence', 0, 0),
                 report.flag(fields, 'busy'),
             )
         except report.BadField as error:
@@ -58,7 +62,7 @@
         fencing: int,
         orders: int,
     ) -> enginecontrol.Ordered | enginecontrol.Unreachable:
-        """Have an engine change its stage."""
+        """Order an engine to change its stage."""
         body = {
             'op': 'stage',
             'stage': stage.value,
@@ -89,13 +93,16 @@
             (b'Content-Type', b'application/json'),
             (b'X-Expect-Instance', endpoint.name.encode()),
         ]
-        held = None
+        conn = None
         try:
-            with gevent.Timeout(CALL_TIMEOUT_S, http.OutOfTime('no answer')):
-                held = connection.Connection(
+            with gevent.Timeout(
+                CALL_TIMEOUT_S,
+                http.OutOfTime('engine did not respond in time'),
+            ):
+                conn = connection.Connection(
                     endpoint.address, CONNECT_TIMEOUT_S
                 )
-                answer = held.call(method, target, headers, data)
+                answer = conn.call(method, target, headers, data)
             fields = report.record(answer.body or b'{}')
         except (
             OSError,
@@ -106,6 +113,6 @@
         ) as error:
             return enginecontrol.Unreachable(str(error))
         finally:
-            if held is not None:
-                held.close()
+            if conn is not None:
+                conn.close()
         return answer.head.status, fields
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -1,4 +1,4 @@
-"""Joins the parts of a node on the platform."""
+"""Creates, connects and runs the components of a host on the platform."""
 
 import random
 import signal
@@ -15,22 +15,22 @@
 from magnoliadyke.core import retrybudget
 from magnoliadyke.core import routes
 from magnoliadyke.core import shutdown
+from magnoliadyke.gateway import autoscaling
 from magnoliadyke.gateway import confirming
+from magnoliadyke.gateway import crashreports
 from magnoliadyke.gateway import duty_codec
 from magnoliadyke.gateway import exchange
-from magnoliadyke.gateway import figures
-from magnoliadyke.gateway import fleetduty
 from magnoliadyke.gateway import follower
 from magnoliadyke.gateway import ingress
 from magnoliadyke.gateway import keymirror
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import members
+from magnoliadyke.gateway import metricscollector
 from magnoliadyke.gateway import peerstate
-from magnoliadyke.gateway import placing
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
+from magnoliadyke.gateway import placementservice
 from magnoliadyke.gateway import smallserver
 from magnoliadyke.gateway import stages
-from magnoliadyke.gateway import suspects
 from magnoliadyke.gateway import upstream
 from magnoliadyke.gateway import usageduty
 from magnoliadyke import logs
@@ -46,19 +46,19 @@
 
 LOG = logs.get('node')
 
-#: Names of the calls that one host makes for all.
+#: Names of the singleton tasks that the settings can enable.
 USAGE = 'usage_report'
 SCALING = 'autoscale'
-#: Where no usage is reported, windows have this length, in seconds.
-UNREPORTED = usageduty.UsageSettings(60.0, 60.0)
-UPKEEP_S = 0.5
-#: How long callers keep an answer of the directory, in seconds: a host that
-#: stops is not asked for longer than this after it said so.
+#: Usage windows if no usage has to be reported.
+DEFAULT_USAGE_WINDOWS = usageduty.UsageSettings(60.0, 60.0)
+MAINTENANCE_INTERVAL_S = 0.5
+#: Maximum time to live of a directory response.  It is also how long callers
+#: may still connect to a host after it has announced that it stops.
 DIRECTORY_TTL_S = 2.0
 
 
 class RecordDecoder(keymirror.Decoder):
-    """The platform's keys and values."""
+    """Decodes the platform's store entries."""
 
     configuration_key = records.CONFIGURATION_KEY
     endpoint_prefix = records.ENDPOINT_PREFIX
@@ -66,7 +66,7 @@
     def configuration(
         self, value: bytes
     ) -> routes.Configuration | catalog.UnusableRecord:
-        """Decode a configuration."""
+        """Decode the configuration entry."""
         return records.decode_configuration(value)
 
     def endpoint(
@@ -79,7 +79,10 @@
 class Node:
     """One host on the platform.
 
-    :param settings: of this host
+    :param settings: settings of this host
+    :param rng: source of randomness for all components
+    :ivar stopping: set once the host has received a signal to stop
+    :ivar own: entry of this host in the store and in gossip
     """
 
     def __init__(
@@ -92,7 +95,7 @@
         self.clock = clock
         self.rng = rng
         self.stopping = event.Event()
-        self.figures = figures.Figures(clock)
+        self.metrics = metricscollector.MetricsCollector(clock)
         self.catalog = catalog.Catalog()
         self.store = platform_store.PlatformStore(settings.store, clock)
         self.upstream = upstream.Upstream(clock)
@@ -107,7 +110,7 @@
         self.members = members.Members(
             self.own, self.store, clock, rng, settings.link_mbps
         )
-        self.placer = placing.Placer(
+        self.placer = placementservice.PlacementService(
             settings.ip,
             first_port + 1,
             self.catalog,
@@ -122,7 +125,7 @@
             self.store,
             settings.min_lease_s,
             settings.order_gap_s,
-            self._tell_hosts,
+            self._broadcast,
             clock,
             rng,
         )
@@ -143,7 +146,7 @@
                 members.HOST_PREFIX: members.HostListener(self.members),
                 leadership.LEADER_KEY: self.leadership,
                 usageduty.REPORTS_KEY: self.usage,
-                fleetduty.FLEET_PREFIX: self.fleet,
+                autoscaling.FLEET_PREFIX: self.fleet,
             },
             self.upstream.drop_endpoint,
             clock,
@@ -158,11 +161,11 @@
             self.members,
         )
         self.store.era_changed = self.follower.era_changed
-        self.members.position_heard = self.follower.heard
+        self.members.on_peer_position = self.follower.record_peer_position
         self.members.send_updates = self.placer.send
-        self.follower.always_watches = lambda: self.placer.leading
+        self.follower.is_always_watcher = lambda: self.placer.leading
         self.leadership.contact = self.follower
-        self.confirming = confirming.Confirming(
+        self.confirming = confirming.ConfigurationConfirmer(
             settings.revoke_s,
             self.catalog,
             decoder,
@@ -173,18 +176,20 @@
             clock,
             rng,
         )
-        self.follower.read_whole = self.confirming.listed
-        self.follower.untold = frozenset((usageduty.REPORTS_KEY,))
-        self.suspects = suspects.Suspects(clock, self._tell_hosts)
-        self.placer.tell = self._tell_hosts
+        self.follower.on_full_read = self.confirming.record_full_read
+        self.follower.not_relayed = frozenset((usageduty.REPORTS_KEY,))
+        self.crashreports = crashreports.CrashReporter(clock, self._broadcast)
+        self.placer.broadcast = self._broadcast
         self.placer.listeners = {
-            placing_codec.Broken: self.suspects.heard,
-            placing_codec.Leads: self.leadership.heard,
-            placing_codec.KeyUpdates: self.follower.take_updates,
-            duty_codec.ConfirmationRequest: self.confirming.asked,
-            duty_codec.ConfirmationReply: self.confirming.heard,
-            duty_codec.Usage: self.usage.heard,
-            duty_codec.WallTime: self.usage.corrected,
+            placement_codec.CrashNotification: self.crashreports.handle_report,
+            placement_codec.LeaderAnnouncement: (
+                self.leadership.handle_announcement
+            ),
+            placement_codec.KeyUpdates: self.follower.apply_updates,
+            duty_codec.ConfirmationRequest: self.confirming.handle_request,
+            duty_codec.ConfirmationReply: self.confirming.handle_reply,
+            duty_codec.Usage: self.usage.handle_usage,
+            duty_codec.WallTime: self.usage.handle_wall_time,
         }
         parts = exchange.Parts(
             clock,
@@ -194,22 +199,22 @@
             self.balancer,
             self.budgets,
             self.placer,
-            self.suspects,
+            self.crashreports,
             backoffs.Backoffs(),
             rng,
-            self.usage.begun,
+            self.usage.record_start,
         )
         self.ingress = ingress.Ingress(
             settings.callers,
             parts,
-            self.figures.record,
-            self.figures.measures.record_early,
+            self.metrics.record,
+            self.metrics.registry.record_early,
             self.confirming.holds,
             self.follower.is_behind,
             clock,
             rng,
         )
-        self.figures.watched = figures.Watched(
+        self.metrics.sources = metricscollector.MetricSources(
             self.catalog,
             self.confirming,
             self.fleet,
@@ -240,7 +245,7 @@
             self.fleet,
             smallserver.SmallServer(settings.readiness, answers.readiness),
             smallserver.SmallServer(settings.directory, answers.resolve),
-            smallserver.SmallServer(metrics_address, self.figures.answer),
+            smallserver.SmallServer(metrics_address, self.metrics.answer),
             self.ingress,
         ):
             self.application.add(component)
@@ -254,17 +259,19 @@
             callers=settings.callers,
             gossip_port=settings.peer_ports[0],
             failure_domain=settings.failure_domain,
-            capacity=leadership.placing_capacity(
+            capacity=leadership.placement_capacity(
                 settings.cores, settings.link_mbps
             ),
         )
 
-    def _duties(self) -> tuple[usageduty.UsageDuty, fleetduty.FleetDuty]:
-        """What one host does for all, as far as the platform asks for it."""
+    def _duties(
+        self,
+    ) -> tuple[usageduty.UsageDuty, autoscaling.AutoscalingDuty]:
+        """Create the singleton tasks; those not enabled make no calls."""
         asked = self.settings.duties
         names = () if asked is None else asked.names
         calls = None if asked is None else cloud.PlatformCalls(asked.address)
-        windows = UNREPORTED
+        windows = DEFAULT_USAGE_WINDOWS
         if asked is not None:
             windows = usageduty.UsageSettings(
                 asked.usage_window_s, asked.usage_due_s
@@ -279,7 +286,7 @@
             calls if USAGE in names else None,
             self.clock,
         )
-        fleet = fleetduty.FleetDuty(
+        fleet = autoscaling.AutoscalingDuty(
             self.leadership,
             self.placer,
             self.catalog,
@@ -289,12 +296,16 @@
         )
         return usage, fleet
 
-    def _tell_hosts(self, message: placing_codec.Message) -> None:
+    def _broadcast(self, message: placement_codec.Message) -> None:
         for address in self.members.listening():
             self.placer.send(address, message)
 
     def _addresses(self) -> list[str]:
-        """Where callers can connect, without this host if it refuses."""
+        """Return the addresses of hosts that accept requests.
+
+        This host's is left out while it lacks proof that its configuration is
+        current.
+        """
         found = self.members.addresses()
         if self.confirming.serves():
             return found
@@ -309,7 +320,7 @@
         )
 
     def run(self) -> None:
-        """Serve until a signal says to stop."""
+        """Serve until SIGTERM or SIGINT, then drain and stop."""
         gevent.signal_handler(signal.SIGTERM, self.stopping.set)
         gevent.signal_handler(signal.SIGINT, self.stopping.set)
         gevent.signal_handler(signal.SIGHUP, self._reload)
@@ -320,9 +331,9 @@
             callers=self.settings.callers,
             process_ms=round(time.process_time() * 1000),
         )
-        upkeep = gevent.spawn(self._keep_up)
+        maintenance = gevent.spawn(self._run_maintenance)
         self.stopping.wait()
-        upkeep.kill()
+        maintenance.kill()
         self._drain()
         self.ingress.log_running()
         self.application.stop(shutdown.STOP_S)
@@ -330,7 +341,7 @@
         LOG.event('stopped')
 
     def _reload(self) -> None:
-        """Settings of a running node don't change its addresses."""
+        """Read the settings again; open listeners keep their addresses."""
         try:
             self.settings = node_settings.load()
         except node_settings.errors.SettingsError as error:
@@ -338,10 +349,10 @@
             return
         LOG.event('settings_reloaded')
 
-    def _keep_up(self) -> None:
+    def _run_maintenance(self) -> None:
         ticks = 0
         while True:
-            self.clock.sleep(UPKEEP_S)
+            self.clock.sleep(MAINTENANCE_INTERVAL_S)
             ticks += 1
             hosts = self.members.count()
             self.upstream.hosts = hosts
@@ -350,14 +361,14 @@
             self.upstream.trim()
             self.balancer.forget(set(self.catalog.endpoints))
             if ticks % 10 == 0:
-                self.figures.log()
+                self.metrics.log()
 
     def _drain(self) -> None:
-        """Leave without cutting a request.
+        """Leave the system without aborting requests.
 
-        Callers hear within the time to live of the directory's answers that
-        this host is gone.  Until then it serves, one request a connection;
-        later only what is certain to end before it does.
+        Callers stop using this host once their cached directory responses
+        expire.  Until then it serves one request per connection; afterwards
+        it accepts only requests that end before the process does.
         """
         course = shutdown.Shutdown(
             self.clock.now_s(), self.settings.stop_s, self.directory_ttl_s
@@ -371,13 +382,13 @@
         self._wait_until(course.closes_s, False)
         self.ingress.close_idle()
         self._wait_until(course.ends_s, True)
-        self.ingress.give_up()
+        self.ingress.interrupt_all()
         self._wait_until(course.exits_s, True)
 
     def _wait_until(self, until_s: float, may_end: bool) -> None:
         while self.clock.now_s() < until_s:
-            # First a pause: a connection that has just been taken is not
-            # among the others yet.
+            # Sleep before the check: a connection that was just accepted may
+            # not be counted yet.
             self.clock.sleep(0.05)
             if may_end and not self.ingress.connections:
                 return
--- a/tests/test_gateway_restart.py
+++ b/tests/test_gateway_restart.py
@@ -113,12 +113,12 @@
     node.members.core.members.pop(first.own.host, None)
     node.members.core._view = None
     now_s = node.clock.now_s()
-    node.placer.silent_until_s = now_s + 60
+    node.placer.leader_retry_at_s = now_s + 60
     led.holder_since_s = now_s
     assert not led._holder_is_dead()
-    led.holder_since_s = now_s - leadership.UNMET_S
+    led.holder_since_s = now_s - leadership.UNMET_TIMEOUT_S
     assert led._holder_is_dead()
-    node.placer.silent_until_s = 0.0
+    node.placer.leader_retry_at_s = 0.0
     assert not led._holder_is_dead()
 
 
@@ -137,9 +137,9 @@
     met.pop(other.own.host, None)
     leader.members.core._view = None
     assert leader.members.listening() == [other.own.address]
-    word = leader.leadership._word()
+    word = leader.leadership._announcement()
     later = _next_term(word)
-    leader._tell_hosts(later)
+    leader._broadcast(later)
     gatewayworld.wait_for(
         lambda: other.leadership.holder_position == later.position,
         'word of the holder',
@@ -160,12 +160,12 @@
     gatewayworld.wait_for(
         lambda: other.placer.leader == leader.own.address, 'the holder'
     )
-    other.placer.silent_until_s = other.clock.now_s() + 60.0
-    word = leader.leadership._word()
-    other.leadership.heard(word)
-    assert other.placer.silent_until_s > 0.0
-    other.leadership.heard(_next_term(word))
-    assert other.placer.silent_until_s == 0.0
+    other.placer.leader_retry_at_s = other.clock.now_s() + 60.0
+    word = leader.leadership._announcement()
+    other.leadership.handle_announcement(word)
+    assert other.placer.leader_retry_at_s > 0.0
+    other.leadership.handle_announcement(_next_term(word))
+    assert other.placer.leader_retry_at_s == 0.0
 
 
 def _next_term(word):
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -5,7 +5,7 @@
 
 from magnoliadyke.core import catalog
 from magnoliadyke.gateway import enginecontrol
-from magnoliadyke.gateway import figures
+from magnoliadyke.gateway import metricscollector
 from magnoliadyke.gateway import stages
 
 from tests import gatewayworld
@@ -113,7 +113,7 @@
     world.endpoints['d1'].stop()
     core = press(node)
     node.stages._send(engine, 0, catalog.Stage.PREFILL, core)
-    assert node.stages.alone_until_s['d1'] > node.clock.now_s() + 10
+    assert node.stages.cooldown_until_s['d1'] > node.clock.now_s() + 10
 
 
 @pytest.fixture
@@ -134,8 +134,8 @@
 @pytest.mark.parametrize(
     ('may_order', 'left_alone', 'hindrance'),
     [
-        (False, False, stages.Hindrance.LEASE),
-        (True, True, stages.Hindrance.LEFT_ALONE),
+        (False, False, stages.BlockedReason.LEASE),
+        (True, True, stages.BlockedReason.COOLING_DOWN),
     ],
 )
 def test_log_tells_why_no_engine_is_made_to_answer(
@@ -151,7 +151,7 @@
     node.stages.leadership.may_order = lambda: may_order
     if left_alone:
         for name in ('p0', 'p1'):
-            node.stages.repeat_from_s[name] = node.clock.now_s() + 60
+            node.stages.retry_from_s[name] = node.clock.now_s() + 60
     for name in ('d0', 'd1', 'd2'):
         world.store.remove(f'servers/{name}')
     gatewayworld.wait_for(lambda: lines(logged, 'no_engine_answers'), 'line')
@@ -173,7 +173,9 @@
     gatewayworld.wait_for(
         lambda: len(node.catalog.usable('model')) == 2, 'that they left'
     )
-    text = node.figures.answer(b'GET', figures.METRICS_PATH).body.decode()
+    text = node.metrics.answer(
+        b'GET', metricscollector.METRICS_PATH
+    ).body.decode()
     count = 'magnoliadyke_engines{service="model",stage="%s"} %.1f'
     assert count % ('decode', 0) in text
     assert count % ('prefill', 2) in text
@@ -189,7 +191,8 @@
     answer can read as well, at half speed; those that read can't answer, so
     nothing is served until it changes.  The plan had no place for a fleet of
     one: the engine idled, before and after all hosts came back, and the log
-    named neither the lease nor an order but "the plan wants no change".
+    named neither the lease nor an order but "the stage plan requires no
+    change".
     """
     world, node = pair
     client = gatewayworld.Client(node)
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -130,7 +130,7 @@
     monkeypatch.setattr(
         stopping.node.placer, 'place', lambda *job: place.wait() or waits(*job)
     )
-    monkeypatch.setattr(stopping.node.ingress, 'give_up', lambda: None)
+    monkeypatch.setattr(stopping.node.ingress, 'interrupt_all', lambda: None)
     client = gatewayworld.Client(stopping.node)
     ask(client, 'early')
     gatewayworld.wait_for(lambda: stopping.node.ingress.running, 'the request')
@@ -213,7 +213,7 @@
     stopping = Stopping(world)
 
     def serve(one):
-        one.caller.begun = True
+        one.caller.answer_begun = True
         gevent.sleep(gatewayworld.WAIT_S)
 
     monkeypatch.setattr(plainexchange.PlainExchange, '_serve', serve)
@@ -363,7 +363,7 @@
     gevent.sleep(0.05)
     stopping.begin()
     stopping.end()
-    assert stopping.node.figures.outcomes == {'left': 1}
+    assert stopping.node.metrics.outcomes == {'left': 1}
 
 
 def test_host_that_stops_does_not_begin_to_lead(world, monkeypatch):
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -75,7 +75,7 @@
             return NEVER, None
         headers = [(b'Store-Era', b'%d' % self.standin.era)]
         head = http.Head(b'', b'', status, headers, None, False, True)
-        return self._in_era(head, fields), None
+        return self._check_era(head, fields), None
 
 
 class Decoder(keymirror.Decoder):
@@ -88,7 +88,7 @@
 
     def __init__(self):
         self.leading = False
-        self.silent_until_s = 0.0
+        self.leader_retry_at_s = 0.0
 
     def follow(self, leader, term):
         self.leading = False
@@ -127,13 +127,13 @@
     def peers(self, first):
         return self.addresses
 
-    def tell_position(self, seen):
+    def broadcast_position(self, seen):
         pass
 
-    def watches(self):
+    def is_watcher(self):
         return True
 
-    def room(self):
+    def max_relay_bytes(self):
         return 0.0
 
     def relay(self, told):
@@ -312,7 +312,7 @@
 
     @stateful.rule(pick=picks, other=picks)
     def ask_host(self, pick, other):
-        self.hosts[pick].follower.catch_up.take_from_others(f'host-{other}')
+        self.hosts[pick].follower.catch_up.fetch_from_peers(f'host-{other}')
 
     @stateful.rule(pick=picks)
     def contend(self, pick):
@@ -333,7 +333,7 @@
         host = self.hosts[pick]
         before = host.leadership.holder
         message = data.draw(strategies.sampled_from(self.told))
-        host.leadership.heard(message)
+        host.leadership.handle_announcement(message)
         if message.position.era < host.position.era:
             assert host.leadership.holder == before
 
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -9,7 +9,7 @@
 from magnoliadyke.gateway import leadership
 from magnoliadyke.gateway import members
 from magnoliadyke.gateway import peerstate
-from magnoliadyke.gateway import placing_codec
+from magnoliadyke.gateway import placement_codec
 from magnoliadyke.gateway import store
 from tests import gatewayworld
 from tests import test_follower
@@ -182,7 +182,7 @@
     leave(world, 'p2')
     advance_until(clock, lambda: known_leaving(world, 'p2'))
     test_follower.refuse_calls(world, clock, old)
-    old.members.position_heard = None
+    old.members.on_peer_position = None
     write_on(world)
     lost = position.Position(world.store.era, world.store.revision + 500)
     world.store.restore(copy)
@@ -192,13 +192,13 @@
         lambda: all(n.follower.lag.own_position.era == 2 for n in others),
     )
     gone = store.Removed('servers/p1', lost)
-    told = placing_codec.KeyUpdates(old.own.host, lost, lost, (gone,))
+    told = placement_codec.KeyUpdates(old.own.host, lost, lost, (gone,))
     for node in others:
         node.follower.listening = True
         updated_s = node.follower.updated_s
-        node.follower.take_updates(told)
+        node.follower.apply_updates(told)
         assert node.follower.updated_s == updated_s
-        node.follower.heard(old.own.host, lost)
+        node.follower.record_peer_position(old.own.host, lost)
         state = peerstate.fetch(
             f'{old.own.address}:{old.own.gossip_port}',
             node.follower.lag.own_position,
@@ -207,11 +207,11 @@
         node.members.peers = lambda first: [
             f'{old.own.address}:{old.own.gossip_port}'
         ]
-        assert not node.follower.catch_up.take_from_others(old.own.host)
+        assert not node.follower.catch_up.fetch_from_peers(old.own.host)
         del node.members.peers
         assert node.follower.lag.behind(clock.now_s() + 9.0) is None
         assert 'p1' in node.catalog.endpoints
-    old.members.position_heard = old.follower.heard
+    old.members.on_peer_position = old.follower.record_peer_position
     test_follower.answer_calls(old)
     leave(world, 'p1')
     took_s = advance_until(clock, lambda: known_leaving(world, 'p1'))
@@ -392,22 +392,24 @@
 
 
 def test_word_without_an_era_is_refused():
-    told = placing_codec.KeyUpdates(
+    told = placement_codec.KeyUpdates(
         'h', position.Position(1, 3), position.Position(1, 4)
     )
-    leads = placing_codec.Leads('h', '127.0.0.1', 1, position.Position(1, 4))
+    leads = placement_codec.LeaderAnnouncement(
+        'h', '127.0.0.1', 1, position.Position(1, 4)
+    )
     for message in (told, leads):
-        with pytest.raises(placing_codec.errors.ProtocolError):
-            placing_codec.decode(_without_era(message))
+        with pytest.raises(placement_codec.errors.ProtocolError):
+            placement_codec.decode(_without_era(message))
 
 
 def _without_era(message):
-    datagram = placing_codec.ttypes.Datagram()
-    serialization = placing_codec.TSerialization
+    datagram = placement_codec.ttypes.Datagram()
+    serialization = placement_codec.TSerialization
     serialization.deserialize(
-        datagram, placing_codec.encode(message), placing_codec.FACTORY
+        datagram, placement_codec.encode(message), placement_codec.FACTORY
     )
     for each in (datagram.updates, datagram.leader):
         if each is not None:
             each.era = None
-    return serialization.serialize(datagram, placing_codec.FACTORY)
+    return serialization.serialize(datagram, placement_codec.FACTORY)
