--- a/magnoliadyke/lab/policy.py
+++ b/magnoliadyke/lab/policy.py
@@ -326,8 +326,8 @@
 def _relaxed(share):
     """Constants of the relaxed model, which knows the true costs."""
     return trial.planner_settings()._replace(
-        usable_prefill=share,
-        usable_decode=share,
+        max_prefill_utilization=share,
+        max_decode_utilization=share,
         outage_s=HINDSIGHT_OUTAGE_S,
     )
 
