--- a/magnoliadyke/gateway/caller.py
+++ b/magnoliadyke/gateway/caller.py
@@ -28,7 +28,7 @@
 
 
 class Interrupted(Exception):
-    """A request in flight is to be aborted."""
+    """Raised in a request's greenlet to abort the request."""
 
 
 class CallerLeft(Interrupted):
@@ -114,7 +114,7 @@
             return True
         return not data
 
-    # Answers.
+    # Sending answers to the caller.
 
     def answer(self, status: int, headers: http.Headers, body: bytes) -> None:
         """Send a complete answer.
--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -1,4 +1,4 @@
-"""Detects that a host lags behind others and fetches what it lacks."""
+"""Detects that a host's copy of the store is behind, and updates it."""
 
 import collections
 import typing
@@ -31,7 +31,7 @@
 
 
 class CatchUp:
-    """Brings a host that lags behind up to the other hosts' position.
+    """Brings this host's copy of the store up to the other hosts' position.
 
     :param follower: this host's follower of the store
     :ivar caught_up: how often this host lagged, by the source that ended it:
@@ -46,7 +46,7 @@
         self.stale_query_until_s = float('-inf')
 
     def begin(self) -> None:
-        """Start to ask for stale entries; called after the first read."""
+        """Ask other hosts for stale entries; called after the first read."""
         self.stale_query_until_s = (
             self.follower.clock.now_s() + STALE_QUERY_TIMEOUT_S
         )
@@ -94,7 +94,7 @@
         return self.follower.others.peers(first)[:MAX_PEERS_QUERIED]
 
     def fetch_from_peers(self, host: str) -> bool:
-        """Apply the state of a host that is ahead of this one.
+        """Apply the store keys of a host that has read later changes.
 
         :param host: name of the host to ask first
         :returns: False if none of those asked is ahead and sent all keys
--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -161,4 +161,4 @@
 
     @abc.abstractmethod
     def drop_target(self, handle: str) -> tuple[bytes, bytes]:
-        """Return method and target of the call that frees a handle."""
+        """Return method and target of the call that frees a KV cache."""
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -73,16 +73,19 @@
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start to renew the proof."""
+        """Start to renew the proof that the configuration is current."""
         self.greenlet = gevent.spawn(self._run)
 
     def stop(self, deadline_s: float) -> None:
-        """Stop renewing the proof."""
+        """Stop renewing the proof that the configuration is current."""
         if self.greenlet is not None:
             self.greenlet.kill()
 
     def holds(self) -> bool:
-        """Whether the proof is recent enough to accept workspace keys."""
+        """Whether this host's configuration is proven to be current.
+
+        Workspace keys are accepted only with a proof that is recent enough.
+        """
         return self.proof.holds(self.clock.boot_s())
 
     def serves(self) -> bool:
--- a/magnoliadyke/gateway/crashreports.py
+++ b/magnoliadyke/gateway/crashreports.py
@@ -1,4 +1,4 @@
-"""Shares crash reports between hosts to bar requests that crash endpoints."""
+"""Shares crash reports between hosts; blocks requests that crash endpoints."""
 
 import hashlib
 from typing import Callable
@@ -83,7 +83,7 @@
             self.history.record_success(_fingerprint(request), now_s)
 
     def barred_s(self, request: codecs.Request) -> float:
-        """Return for how many seconds a request is barred; 0 if it may run.
+        """Return for how many seconds a request is blocked; 0 if it may run.
 
         The request's content is not hashed while no crash is on record.
         """
--- a/magnoliadyke/gateway/events.py
+++ b/magnoliadyke/gateway/events.py
@@ -6,7 +6,7 @@
 
 
 class Event(NamedTuple):
-    """One complete event.
+    """One complete server-sent event.
 
     :param id: value of the event's ``id`` field, None if it has none
     :param data: bytes of the event, with its terminating blank line
@@ -17,7 +17,7 @@
 
 
 class EventSplitter:
-    """Buffers the bytes of a stream and returns complete events.
+    """Buffers the bytes of a stream and returns complete server-sent events.
 
     An endpoint may break off in the middle of an event. Only complete events
     are relayed to the caller, so that another endpoint can resume the stream.
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -29,8 +29,8 @@
 #: reports no changes.
 WATCH_TIMEOUT_S = 3.0
 #: Pause between two watch calls, in seconds.  It batches changes, which saves
-#: most of the calls while a fleet starts.  Well below the shortest limit for a
-#: change to take effect (2 s).
+#: most of the calls while a fleet starts.  It is well below the shortest limit
+#: for a change to take effect (2 s).
 BATCH_INTERVAL_S = 0.4
 #: Pause after a failed call, in seconds, with as much random jitter on top.
 #: It doubles with each consecutive failure, since calls count toward the
@@ -351,7 +351,7 @@
         | store.Unavailable
         | None
     ):
-        """Watch the store; abandon the call once this host is behind.
+        """Watch the store; abandon the call if all keys must be read again.
 
         A watch that the store holds open without reporting changes would
         otherwise last up to ``wait_s``, longer than a change may take.
@@ -369,7 +369,7 @@
     def take_all(
         self, items: dict[str, store.Item], at: position.Position
     ) -> None:
-        """Apply all keys as of a position, unless this host is past it.
+        """Apply all keys as of a position, unless a later one is applied.
 
         A response of the store that was in flight while another host relayed
         later changes would revert them.
@@ -460,7 +460,7 @@
         )
 
     def _relay_idle(self) -> None:
-        """Send an empty update if no update was sent for RELAY_SHARE.
+        """Send an empty update if none was sent for bound_s * RELAY_SHARE.
 
         It shows the other hosts that this one still reaches the store.
         """
--- a/magnoliadyke/gateway/http.py
+++ b/magnoliadyke/gateway/http.py
@@ -170,7 +170,7 @@
                 chunked = True
         return length, chunked
 
-    # The owner's interface.
+    # Interface for the connection that owns the reader.
 
     @property
     def between_messages(self) -> bool:
--- a/magnoliadyke/gateway/inflightjobs.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -117,7 +117,7 @@
     def prefill_cache_contents(
         self, job: promptjobs.Job
     ) -> placement_codec.CacheContents:
-        """Return what a job adds to the cache of its prefill engine."""
+        """Return the cache contents that a job adds at its prefill engine."""
         return self._cache_contents(
             job.id, self.in_flight[job.id].prefill_engine_id, job.parts
         )
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -169,8 +169,8 @@
         except callers.CallerLeft:
             caller.broken = True
         finally:
-            # Marked as busy, so that close_idle does not drop the connection
-            # while its last answer is still being delivered.
+            # The connection is marked as busy, so that close_idle does not
+            # drop it while its last answer is still being delivered.
             self.connections[caller] = True
             self._close(caller)
             del self.connections[caller]
@@ -358,8 +358,8 @@
         """Return whether a request will end before this host stops."""
         if self.shutdown is None:
             return True
-        # Checked against the current time, since the body may have arrived
-        # long after the head.
+        # The deadline is checked against the current time, since the body may
+        # have arrived long after the head.
         return self.shutdown.accepts(self.clock.now_s(), active.deadline_s)
 
     def _admit(
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -184,9 +184,10 @@
             )
 
     def change(self, changes: tuple[store.Item | store.Removed, ...]) -> None:
-        """Apply changes; entries removed among them count as one group.
+        """Apply changes, and start grace periods for removed endpoint entries.
 
-        An endpoint that was removed and written again is not missing.
+        All entries that the changes remove are judged as one group.  An
+        endpoint that was removed and written again is not missing.
         """
         missing = []
         prefix = self.decoder.endpoint_prefix
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -93,7 +93,7 @@
 
 
 class _Term(NamedTuple):
-    """One process's time as leader, with the revision of its key."""
+    """Term of one process as leader, with the revision of its leader key."""
 
     host: str
     incarnation: int
@@ -348,7 +348,7 @@
             self.yielding,
         )
 
-    # Holding and contending.
+    # Renewing the lease and contending for it.
 
     def _run(self) -> None:
         while True:
@@ -412,7 +412,7 @@
         return member.state in (membership.DEAD, membership.LEFT)
 
     def _is_unmet(self) -> bool:
-        """Whether a leader unknown to gossip does not answer either.
+        """Whether a leader unknown to gossip leaves requests unanswered.
 
         This happens when all hosts were killed and the leader's does not
         restart.  Gossip declares only known members dead, so without this
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -280,7 +280,7 @@
         self.core.add_seed(_member(record))
 
     def remove_listed_host(self, host: str) -> None:
-        """Remove a host from the listed ones.
+        """Remove a host from those that the store lists.
 
         Gossip decides whether it runs: after an outage the store may remove
         the keys of hosts that do.
@@ -310,7 +310,7 @@
             self._register, RESTORED_SPREAD_S * self.rng.random()
         )
 
-    # This host's key.
+    # Writing and renewing this host's key in the store.
 
     def _register(self, after_s: float) -> None:
         self.clock.sleep(after_s)
--- a/magnoliadyke/gateway/outcomes.py
+++ b/magnoliadyke/gateway/outcomes.py
@@ -35,7 +35,7 @@
 
 
 class Failed(NamedTuple):
-    """The request may have run.
+    """The request failed and may have run.
 
     The caller received an error status, or an answer that breaks off.
     """
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -83,7 +83,7 @@
 
 
 class _Pool:
-    """The placement of one service, with its timer.
+    """Placement of one service, with a timer for its next available engine.
 
     :ivar generation: catalog generation of the engines that it places on
     """
@@ -272,7 +272,7 @@
             )
 
     def _hand_over(self, leader: str | None, now_s: float) -> None:
-        """Report further events of this host's jobs to another leader.
+        """Have further events of this host's jobs reported to another leader.
 
         Jobs that this host placed itself are removed from its local
         placement.  They would otherwise occupy the engines there, and the
@@ -402,7 +402,7 @@
         return None
 
     def _with_relative_times(self, job: promptjobs.Job) -> promptjobs.Job:
-        """Return a copy of a job whose moments are relative to now."""
+        """Return a copy of a job with times relative to the current time."""
         now_s = self.clock.now_s()
         return promptjobs.Job(
             job.id,
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -27,10 +27,10 @@
 #: Silence after which a resumable stream is resumed at another engine, as a
 #: multiple of the pause between events that the route allows.
 STALL_FACTOR = 5.0
-#: Minimum of that silence, in seconds.
+#: Minimum of the stall timeout between events, in seconds.
 MIN_STALL_S = 0.5
-#: Minimum of it before the first event, in seconds: the request may have to
-#: wait for a decode slot.
+#: Minimum of the stall timeout before the first event, in seconds: the request
+#: may have to wait for a decode slot.
 FIRST_STALL_S = 1.2
 #: Number of rejections by engines that a request tolerates; after one more it
 #: is refused with a Retry-After. An engine that is down refuses a connection
@@ -154,14 +154,14 @@
                 )
 
     def _engine_in_backoff(self, placed: promptjobs.Placed) -> str | None:
-        """Return an engine of the placement that this host backs off from."""
+        """Return an assigned engine in backoff on this host, None if none."""
         for engine in (placed.prefill, placed.run):
             if engine is not None and self._backoff_s(engine):
                 return engine
         return None
 
     def _decode_engines_backoff_s(self) -> float:
-        """Return when the first decode engine is available, in seconds.
+        """Return the shortest backoff of the decode engines, in seconds.
 
         0 if one is available now, or if there is none.
         """
@@ -175,7 +175,7 @@
         return self.parts.backoffs.shortest_remaining_s(decode_engines, now_s)
 
     def _unavailable_engines(self) -> list[str]:
-        """Return ids of engines that the leader may not see as unavailable.
+        """Return ids of unavailable engines that the leader may not know of.
 
         Backoffs apply to this host alone, and an engine may have announced
         its planned stop only to this host so far.
@@ -210,7 +210,7 @@
         return failure
 
     def _job(self, avoid: tuple[str, ...], resumed: bool) -> promptjobs.Job:
-        """Return the job to place.
+        """Return the placement job for this request.
 
         The objective of a retry is earlier by the time already lost, so that
         it is placed first.
@@ -257,8 +257,8 @@
             if isinstance(source, outcomes.NotRun):
                 self.endpoint = placed.prefill
                 return source
-        # Looked up after the prefill: an engine that has announced its stop
-        # in the meantime accepts no more work.
+        # The engine is looked up after the prefill: one that has announced its
+        # stop in the meantime accepts no more work.
         engine = self._find_staying_engine(placed.run)
         if engine is None and source is not None:
             engine = self._alternative_engine(placed.run)
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -22,7 +22,8 @@
 #: by failing connections or by the leader's stall checks.  An engine that is
 #: only busy goes on with the prefill, which a retry would repeat elsewhere.
 PREFILL_TIMEOUT_SHARE = 0.5
-#: Lower limit of that timeout, as a multiple of the expected prefill time.
+#: Lower limit of the timeout of one prefill, as a multiple of the expected
+#: prefill time.
 MIN_PREFILL_TIMEOUT_FACTOR = 3.0
 #: Failure reason of a request whose engine has left or is leaving.
 ENGINE_LEFT = 'the engine has left'
--- a/magnoliadyke/gateway/smallserver.py
+++ b/magnoliadyke/gateway/smallserver.py
@@ -21,7 +21,7 @@
 
 
 class Reply(NamedTuple):
-    """A response."""
+    """A response to an administrative call."""
 
     status: int
     content_type: bytes = b'text/plain'
--- a/magnoliadyke/gateway/store.py
+++ b/magnoliadyke/gateway/store.py
@@ -150,7 +150,7 @@
         puts: tuple[Put, ...] = (),
         removals: tuple[str, ...] = (),
     ) -> Written | Conflict | NoLease | Restored | Unavailable:
-        """Write and remove keys atomically if others are as expected.
+        """Write and remove keys atomically if ``expected`` positions match.
 
         :param expected: positions at which keys must be, by key; revision 0
             for a key that must not exist
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -265,7 +265,7 @@
                 self.clock.sleep(RETRY_S)
 
     def _step(self) -> bool:
-        """Write the reports of windows that are over, and send them.
+        """Store the reports of past windows, and send them to the platform.
 
         :returns: False if a read, write or call failed and must be retried
         """
--- a/magnoliadyke/platform/cloud.py
+++ b/magnoliadyke/platform/cloud.py
@@ -12,7 +12,8 @@
 
 __all__ = ['PlatformCalls']
 
-#: Long enough for a platform that responds fifty times slower than usual.
+#: Timeout of a call, in seconds: enough for a platform that responds fifty
+#: times slower than usual.
 CALL_TIMEOUT_S = 3.0
 CONNECT_TIMEOUT_S = 1.0
 STATUS_OK = 200
--- a/magnoliadyke/platform/codec.py
+++ b/magnoliadyke/platform/codec.py
@@ -234,7 +234,7 @@
             return None
 
     def drop_target(self, handle: str) -> tuple[bytes, bytes]:
-        """Return method and target of the call that frees a handle."""
+        """Return method and target of the call that frees a KV cache."""
         return b'DELETE', f'/api/kv-handle/{handle}'.encode()
 
 
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -211,7 +211,7 @@
         )
     started_ms = fields.integer(found, 'born', 0, 0)
     return catalog.Endpoint(
-        # State about a process is stored under this id.  A process that
+        # The process's state is stored under this id.  A process that
         # restarts under the same name has lost its KV cache and its requests,
         # so it gets another id.
         id=f'{name}~{started_ms:x}' if started_ms else name,
--- a/magnoliadyke/platform/store.py
+++ b/magnoliadyke/platform/store.py
@@ -168,7 +168,7 @@
         | store.Restored
         | store.Unavailable
     ):
-        """Write atomically if the keys are at the expected positions."""
+        """Write and remove keys atomically if ``expected`` positions match."""
         eras = {each.era for each in expected.values()}
         if self.era is not None and any(era < self.era for era in eras):
             return store.Restored(self.era)
