--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -46,7 +46,10 @@
         self.stale_query_until_s = float('-inf')
 
     def begin(self) -> None:
-        """Ask other hosts for stale entries; called after the first read."""
+        """Start to ask other hosts which entries of the store are stale.
+
+        Called after the first read of the store.
+        """
         self.stale_query_until_s = (
             self.follower.clock.now_s() + STALE_QUERY_TIMEOUT_S
         )
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -72,7 +72,7 @@
 RANK_DELAY_S = 0.12
 #: Rank of the candidates with the longest delay.
 MAX_RANK = 8
-#: Added to the gap between the orders of two leaders, in seconds.  A leader
+#: Margin added to the gap between two leaders' orders, in seconds.  A leader
 #: checks at the store that it still holds the key before each order, so the
 #: previous leader sent its last order at most one call's duration after the
 #: key changed.
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -35,7 +35,8 @@
 DEPLOYMENT = 'gateway/eras'
 TICK_S = 0.1
 #: Time to live of a host's key, in seconds.  Gossip detects a dead host
-#: sooner; the key serves hosts that have just started, so few renewals do.
+#: sooner; the key only lists hosts for those that have just started, so few
+#: renewals are enough.
 LEASE_S = 10.0
 RENEW_S = 4.0
 #: Number of hosts in each failure domain that watch the store for the others.
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -64,7 +64,7 @@
 
 
 class StateServer(app.Component):
-    """Serves this host's state to other hosts.
+    """Serves the store keys that this host has read to other hosts.
 
     :param address: numeric ``ip:port`` to listen at
     :param get_state: returns the state, with the items written after a
@@ -155,7 +155,7 @@
 
 
 def fetch(address: str, known: position.Position) -> PeerState | None:
-    """Fetch the state of another host.
+    """Fetch the store keys that another host has read.
 
     :param address: numeric ``ip:port``
     :param known: position up to which values need not be sent
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -183,7 +183,7 @@
         else:
             return
         if self._backoff_s(endpoint.id):
-            # The engine drops the KV cache when it expires there.
+            # The engine drops the KV cache when its lifetime ends.
             return
         method, target = self.parts.codec.drop_target(handle)
         try:
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -192,7 +192,7 @@
         ledger = self.ledger if self.placer.leading else self.copies
         present = self._window(0.0)
         for window, begun in message.windows.items():
-            # Windows from a clock that is far off would displace the others.
+            # Windows of a clock far off would displace other hosts' windows.
             if present - self.retained_windows < window <= present + 1:
                 ledger.record_tally(
                     message.host, message.incarnation, window, begun
