--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -103,7 +103,7 @@
     does not answer.
 
     :param host: name of this host
-    :param kept: the store
+    :param kept: client of the store
     :param mirror: applies the keys, as of ``lag.own_position``
     :param bound_s: shortest limit for a change to take effect, in seconds
     :ivar others: the other hosts, None for a host that runs alone
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -58,7 +58,7 @@
 #: Shortest pause after a failed call to the store, in seconds; jitter adds
 #: up to as much again.
 RETRY_S = 0.5
-#: A host that has just started and knows no leader waits this long before
+#: A host that has just started and has found no leader waits this long before
 #: it contends, in seconds, so that the other hosts are listed first.  Else
 #: the first listed host would lead, whatever its capacity.  Hosts of a fleet
 #: start within some tenths of a second, and reread the list within 0.5 s.
@@ -522,8 +522,8 @@
             case store.Granted(_, ttl_s):
                 self.order_until_s = asked_s + ttl_s * ORDER_SHARE
             case store.NoLease():
-                # Keep placing until another host leads: no other host knows
-                # which jobs are in flight at the engines.
+                # Keep placing until another host leads: no other host has a
+                # record of the jobs in flight at the engines.
                 LOG.warning_event('leadership_lost', fencing=self.fencing)
                 self.lease = None
                 if self.holder == self.own.host:
