--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -58,7 +58,7 @@
 #: Shortest pause after a failed call to the store, in seconds; jitter adds
 #: up to as much again.
 RETRY_S = 0.5
-#: A host that has just started and knows no leader waits this long before
+#: A host that has just started and has found no leader waits this long before
 #: it contends, in seconds, so that the other hosts are listed first.  Else
 #: the first listed host would lead, whatever its capacity.  Hosts of a fleet
 #: start within some tenths of a second, and reread the list within 0.5 s.
@@ -72,7 +72,7 @@
 RANK_DELAY_S = 0.12
 #: Rank of the candidates with the longest delay.
 MAX_RANK = 8
-#: Added to the gap between the orders of two leaders, in seconds.  A leader
+#: Margin added to the gap between two leaders' orders, in seconds.  A leader
 #: checks at the store that it still holds the key before each order, so the
 #: previous leader sent its last order at most one call's duration after the
 #: key changed.
@@ -93,7 +93,7 @@
 
 
 class _Term(NamedTuple):
-    """One process's time as leader, with the revision of its key."""
+    """Term of one process as leader, with the revision of its leader key."""
 
     host: str
     incarnation: int
@@ -348,7 +348,7 @@
             self.yielding,
         )
 
-    # Holding and contending.
+    # Renewing the lease and contending for it.
 
     def _run(self) -> None:
         while True:
@@ -412,7 +412,7 @@
         return member.state in (membership.DEAD, membership.LEFT)
 
     def _is_unmet(self) -> bool:
-        """Whether a leader unknown to gossip does not answer either.
+        """Whether a leader unknown to gossip leaves requests unanswered.
 
         This happens when all hosts were killed and the leader's does not
         restart.  Gossip declares only known members dead, so without this
@@ -522,8 +522,8 @@
             case store.Granted(_, ttl_s):
                 self.order_until_s = asked_s + ttl_s * ORDER_SHARE
             case store.NoLease():
-                # Keep placing until another host leads: no other host knows
-                # which jobs are in flight at the engines.
+                # Keep placing until another host leads: no other host has a
+                # record of the jobs in flight at the engines.
                 LOG.warning_event('leadership_lost', fencing=self.fencing)
                 self.lease = None
                 if self.holder == self.own.host:
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -35,7 +35,8 @@
 DEPLOYMENT = 'gateway/eras'
 TICK_S = 0.1
 #: Time to live of a host's key, in seconds.  Gossip detects a dead host
-#: sooner; the key serves hosts that have just started, so few renewals do.
+#: sooner; the key only lists hosts for those that have just started, so few
+#: renewals are enough.
 LEASE_S = 10.0
 RENEW_S = 4.0
 #: Number of hosts in each failure domain that watch the store for the others.
@@ -99,7 +100,7 @@
     """The hosts of the system and the state of each.
 
     :param own: record of this host
-    :param kept: the store
+    :param kept: client of the store
     :param link_mbps: bandwidth of this host's link, in Mbit/s
     :ivar on_peer_position: called with another host's name and the position
         up to which it has read the store
@@ -280,7 +281,7 @@
         self.core.add_seed(_member(record))
 
     def remove_listed_host(self, host: str) -> None:
-        """Remove a host from the listed ones.
+        """Remove a host from those that the store lists.
 
         Gossip decides whether it runs: after an outage the store may remove
         the keys of hosts that do.
@@ -310,7 +311,7 @@
             self._register, RESTORED_SPREAD_S * self.rng.random()
         )
 
-    # This host's key.
+    # Writing and renewing this host's key in the store.
 
     def _register(self, after_s: float) -> None:
         self.clock.sleep(after_s)
