--- a/magnoliadyke/core/admission.py
+++ b/magnoliadyke/core/admission.py
@@ -27,7 +27,7 @@
 
 
 class AdmissionSettings(NamedTuple):
-    """Constants of admission.
+    """Constants of admission control.
 
     :param reserve_share: an objective counts as reachable if service on
         idle engines leaves more than this share of it
@@ -145,7 +145,7 @@
         self.value = 0.0
 
     def add(self, error):
-        """Move the estimate towards an observed error.
+        """Update the quantile estimate with an observed prediction error.
 
         :param error: in seconds, above 0 when the prediction was too early
         """
--- a/magnoliadyke/core/backoffs.py
+++ b/magnoliadyke/core/backoffs.py
@@ -7,12 +7,13 @@
 
 __all__ = ['Backoffs']
 
-#: Number of backoffs kept from which a new one first removes those that ended.
+#: From this number of backoffs on, those that ended are removed first when a
+#: new one is added.
 MAX_BACKOFFS = 1024
 
 
 class Backoffs:
-    """Until when endpoints accept no requests from this host.
+    """Backoffs of the endpoints that rejected requests of this host.
 
     :ivar until_s: end of the backoff in monotonic seconds, by endpoint id
     """
@@ -25,7 +26,7 @@
     ) -> None:
         """Record that an endpoint rejected a request and asked to back off.
 
-        A later end that is already recorded stays.
+        A recorded backoff that ends later is kept.
 
         :param for_s: how long to back off, in seconds
         """
@@ -35,7 +36,7 @@
         self.until_s[endpoint_id] = until_s
 
     def remaining_s(self, endpoint_id: str, now_s: float) -> float:
-        """Return the rest of an endpoint's backoff in seconds, 0 if none."""
+        """Return the time left of an endpoint's backoff in seconds, or 0."""
         return max(0.0, self.until_s.get(endpoint_id, now_s) - now_s)
 
     def available(
--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -114,7 +114,7 @@
         self._update_failure_rate(stats, failed)
 
     def record_cancel(self, endpoint_id: str) -> None:
-        """Record that the caller left before the response.
+        """Record that the caller disconnected before the response.
 
         Only the requests in flight change: it shows nothing of the endpoint.
         """
--- a/magnoliadyke/core/budget.py
+++ b/magnoliadyke/core/budget.py
@@ -69,7 +69,7 @@
 class Later:
     """The call may not be made yet.
 
-    :param after_s: when to ask again, in seconds from now
+    :param after_s: when to request the call again, in seconds from now
     """
 
     after_s: float
--- a/magnoliadyke/core/burn.py
+++ b/magnoliadyke/core/burn.py
@@ -48,7 +48,7 @@
 #: requests), and a customer whose every request fails would raise no alert.
 MAX_THRESHOLD_SHARE = 0.8
 
-#: Queueing times of up to this many seconds count as none.
+#: Queueing times up to this one, in seconds, are treated as 0.
 MIN_QUEUED_S = 1e-9
 
 
--- a/magnoliadyke/core/claims.py
+++ b/magnoliadyke/core/claims.py
@@ -140,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The claim failed: no request may run under it.
+    """The claim failed: no request with the key may run.
 
     :param reason: ``claims_unavailable`` or ``claims_full``
     """
@@ -162,7 +162,7 @@
     :ivar revision: revision of ``entries``
     :ivar entries: cached :class:`Entry` by digest
     :ivar known: whether ``entries`` were read from the store
-    :ivar busy: whether a call for the bucket is in flight or put off
+    :ivar busy: whether a call for the bucket is in flight or postponed
     :ivar waiting: claims for the next call, by digest
     :ivar written: claims of the write in flight, by digest
     :ivar doubtful: claims whose write got no answer, by digest; the store
@@ -180,7 +180,7 @@
 
 
 class ClaimTable:
-    """Settles many claims with few calls to the store.
+    """Batches claims, so that many claims need few calls to the store.
 
     Claims are batched until :meth:`flush`. At most one call per bucket is in
     flight; claims that are added meanwhile share the next one. Methods that
@@ -268,8 +268,8 @@
     def settle(self, bucket):
         """Settle the waiting claims whose keys already have an owner.
 
-        An entry of this node whose write got no answer counts as won: no
-        request has run under it yet.
+        A claim whose entry is of this node, but whose write got no answer,
+        succeeds: no request with the key has run yet.
         """
         actions = []
         for digest, claim in list(bucket.waiting.items()):
@@ -331,7 +331,7 @@
         return self.write(bucket, wall_s)
 
     def record_postponed(self, name):
-        """Return the claims of a call that was put off to the waiting ones.
+        """Add the claims of a postponed store call to the waiting ones.
 
         Claims that are added before :meth:`retry_call` share the call.
         """
@@ -341,7 +341,7 @@
         return []
 
     def retry_call(self, name, wall_s):
-        """Return the actions of a call that was put off."""
+        """Return the actions of a postponed store call."""
         bucket = self.buckets[name]
         if not bucket.known:
             return [Read(name)]
--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -4,7 +4,7 @@
 its generation, so repeating it is harmless.  An engine that checks fencing
 numbers rejects commands of a former lease holder once it has received the
 number of the new one; so a new holder first commands the role that the engine
-already has.  For an engine that ignores fencing numbers
+already has.  For an engine that ignores fencing tokens
 
 * the intent is written to the store by compare-and-swap before the command
   is sent, so that two holders cannot both order the next change,
@@ -95,7 +95,7 @@
 class Intent(NamedTuple):
     """The last change ordered, kept in the store.
 
-    It is stored only for engines that ignore fencing numbers.
+    It is stored only for engines that ignore fencing tokens.
     """
 
     generation: int
@@ -279,7 +279,7 @@
     At most one call to the store or the engine is outstanding at a time.
 
     :param checks_fencing: whether the engine rejects commands with a
-        fencing number lower than one it has received.
+        fencing token lower than one it has received.
     """
 
     def __init__(
@@ -290,7 +290,7 @@
         self.settings = settings
         self.state: EngineState | None = None
         self.intent: Intent | None = None
-        #: The last role change intended, also after a later model load.
+        #: The last intended role change; kept through later model loads.
         self.role: Change | None = None
         self.corrections = 0
         self._intent_revision = 0
@@ -314,15 +314,15 @@
 
     @property
     def highest_fencing(self) -> int:
-        """The highest fencing number seen in the intent or from the engine."""
+        """The highest fencing token seen in the intent or from the engine."""
         stored = self.intent.fencing if self.intent is not None else 0
         return max(self._highest_fencing, stored)
 
     @property
     def is_superseded(self) -> bool:
-        """Whether the engine has accepted a higher fencing number.
+        """Whether the engine has accepted a higher fencing token.
 
-        A store restored from an older backup can assign a fencing number
+        A store restored from an older backup can assign a fencing token
         that is too low; the holder then releases the lease and acquires it
         again with a higher number.
         """
@@ -450,9 +450,10 @@
         return self._advance(now_s, authority)
 
     def _intent_matches(self, change: Change) -> bool:
-        """Whether no intent for another change is stored.
+        """Whether the stored intent, if there is one, is for this change.
 
-        Such an intent would later be commanded again and reverse the change.
+        An intent for another change would later be commanded again and
+        reverse this change.
         """
         return self.intent is None or self.intent.change == change
 
@@ -666,7 +667,7 @@
 
         :param code: '' if the command was accepted, else 'stale_fencing' or
             'changing'.
-        :param highest_fencing: highest fencing number that the engine has
+        :param highest_fencing: highest fencing token that the engine has
             received, if the code is 'stale_fencing'.
         """
         if not self._accept_reply():
@@ -677,7 +678,7 @@
             self._next_s = now_s + self.settings.compare_s
             self._highest_fencing = max(self._highest_fencing, highest_fencing)
             return self._fail(
-                step, 'the engine has received a higher fencing number'
+                step, 'the engine has received a higher fencing token'
             )
         return []
 
--- a/magnoliadyke/core/confirmation.py
+++ b/magnoliadyke/core/confirmation.py
@@ -14,13 +14,13 @@
 
 __all__ = ['Confirmation', 'Source']
 
-#: Ages of a proof, as shares of the bound: from the first one the leader
+#: Ages of a proof, as shares of ``bound_s``: from the first one the leader
 #: queries the store and the other hosts query the leader, from the second one
 #: a host queries any other host, from the third one the store.
 RENEW_SHARE = 0.2
 ASK_PEERS_SHARE = 0.4
 ASK_STORE_SHARE = 0.55
-#: Margin subtracted from the bound for clock drift, in seconds.
+#: Margin for clock drift, subtracted from ``bound_s``, in seconds.
 MARGIN_S = 0.1
 #: Maximum number of queries kept while they wait for a reply.
 MAX_PENDING_QUERIES = 64
--- a/magnoliadyke/core/credits.py
+++ b/magnoliadyke/core/credits.py
@@ -9,7 +9,7 @@
 
 #: Retention of local load; must exceed the delay of load reports.
 HISTORY_S = 15.0
-#: Engine-seconds of peers' prompts below which they count as none.
+#: Peers' prompts of fewer engine-seconds than this are neglected.
 MIN_PEER_PREFILL_S = 0.01
 
 
@@ -49,7 +49,7 @@
         return self.values[0] if self.values else self.local
 
     def report(self, total, at_s):
-        """Update the peers' load from a report.
+        """Update the peers' load from a load report of the endpoint.
 
         :param total: load of all nodes at ``at_s``
         """
--- a/magnoliadyke/core/decodeengines.py
+++ b/magnoliadyke/core/decodeengines.py
@@ -15,9 +15,9 @@
 #: Weight of a new sample in the average time from the end of prefill to the
 #: first event.
 TRANSFER_WEIGHT = 0.15
-#: Consecutive failures from which on an engine is taken for down.
+#: Consecutive failures from which on an engine is regarded as down.
 DOWN_FAILURES = 2
-#: Interval in which an engine that is taken for down is probed with one
+#: Interval in which an engine that is regarded as down is probed with one
 #: request, in seconds, until it serves one.  It equals the connect time-out,
 #: which is the time that the probing request loses.
 PROBE_S = 1.0
@@ -134,7 +134,7 @@
     ) -> None:
         """Record that a request is sent to an engine.
 
-        For an engine that is taken for down, the request is the probe.
+        For an engine that is regarded as down, the request is the probe.
         """
         if engine.failures >= DOWN_FAILURES:
             engine.probe_until_s = now_s + PROBE_S
--- a/magnoliadyke/core/deferral.py
+++ b/magnoliadyke/core/deferral.py
@@ -44,7 +44,7 @@
         queue: promptjobs.JobQueue,
         now_s: float,
     ) -> bool:
-        """Defer a job if it is expected to be served clearly sooner for it.
+        """Defer a job if the deferral is expected to serve it clearly sooner.
 
         The end of the awaited prefill is an estimate: jobs that were
         deferred for as long as a second prefill takes would be late too
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -32,9 +32,9 @@
 #: to the common cost model.
 NORMAL_SLOWNESS = 1.5
 #: One-way network time between a host and an engine, and between hosts, in
-#: seconds, as usual within an area.
+#: seconds; a typical value within an area.
 HOP_S = 0.001
-#: A job whose end was not reported is taken for lost after this multiple of
+#: A job whose end was not reported is regarded as lost after this multiple of
 #: its expected duration, and not before this many seconds.
 LOST_FACTOR = 5.0
 LOST_S = 0.5
@@ -230,7 +230,7 @@
         return until_s
 
     def record_prefill_done(self, job: int, now_s: float) -> None:
-        """Record that a prompt is prefilled, and learn from its time.
+        """Record that a prompt is prefilled, and update the estimates.
 
         :param now_s: when the report of the prompt's host arrived
         """
@@ -259,7 +259,7 @@
         """Drop prompts whose end was never reported.
 
         The host that sent them died, or its report was lost.  Without this
-        the engine would count as busy for good.
+        the engine would be regarded as busy forever.
 
         :returns: ids of the dropped jobs
         """
@@ -314,7 +314,7 @@
     def _learn_from_idle(
         self, prefill: PendingPrefill, whole_s: float, now_s: float
     ) -> None:
-        """Learn from a prompt that was sent to the idle engine.
+        """Update the estimates from a prompt sent to the idle engine.
 
         Its time includes the latency.  The excess over the usual latency is
         kept per engine, so that an engine that has become slow is noticed
@@ -333,8 +333,8 @@
     def _bound_slowness(self, prefill: PendingPrefill, whole_s: float) -> None:
         """Lower the slowness if a prompt sent to the idle engine disproves it.
 
-        An engine that is taken for slow gets few prompts, and is idle when
-        they arrive.  Without this it would be taken for slow long after its
+        An engine that is regarded as slow gets few prompts, and is idle when
+        they arrive.  Without this it would be regarded as slow long after its
         recovery, and with several such engines nearly all requests would be
         refused while the engines are idle.
 
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -55,7 +55,7 @@
 COOLDOWN_S = 0.5
 MAX_COOLDOWN_S = 4.0
 #: An engine that has served a request within this time, in seconds, is not
-#: taken for down when it fails another.
+#: regarded as down when it fails another.
 RECENT_SUCCESS_S = 0.4
 #: No cached parts are fetched for this long, in seconds, from an engine whose
 #: transfers hang.
@@ -67,7 +67,8 @@
 #: A stalled engine is reported again after this time, in seconds, while
 #: prompts are queued there: the first report may have been lost.
 STALL_REPORT_INTERVAL_S = 0.5
-#: Measured prompts from which on the cost coefficients count as learned.
+#: Number of measured prompts from which on the learned cost coefficients are
+#: handed to the next placement leader.
 MIN_PROMPTS = 40
 #: Prompt length at which the speeds of two engines are compared, in tokens.
 TYPICAL_TOKENS = 4000
@@ -145,7 +146,7 @@
     def set_engines(self, endpoints: list[catalog.Endpoint]) -> None:
         """Replace the list of engines that requests may be placed on.
 
-        The cache of a removed engine is taken for lost: an engine that
+        The cache of a removed engine is regarded as lost: an engine that
         returns has been restarted.
         """
         listed = {each.id: each for each in endpoints}
@@ -193,8 +194,8 @@
         """Record that an engine refused a job, timed out or was unreachable.
 
         The engine gets a cooldown, unless it has just served other requests:
-        then the fault is taken for the job's, as an unneeded cooldown costs
-        capacity.
+        then the failure is attributed to the job, as an unneeded cooldown
+        costs capacity.
         """
         self.caches.abandon(job)
         engine = self.engines.get(engine_id)
@@ -206,8 +207,8 @@
             return
         if now_s - engine.last_stalled_s < STALL_REPORT_INTERVAL_S:
             # The engine was found stalled, and all its prompts fail at once.
-            # They count as one failure: counted singly, an engine that was
-            # busy for a moment would get a cooldown of seconds.
+            # They count as one failure: counted separately, they would give
+            # an engine that was busy for a moment a cooldown of seconds.
             return
         engine.failures += 1
         cooldown_s = COOLDOWN_S * 2 ** min(engine.failures - 1, 3)
--- a/magnoliadyke/core/expiredentries.py
+++ b/magnoliadyke/core/expiredentries.py
@@ -22,7 +22,7 @@
 #: 2 s after which a leaving endpoint must get no more work.
 MASS_EXPIRY_GRACE_S = 0.8
 #: Share of a service's entries from which a joint disappearance counts as a
-#: possible outage: so many endpoints do not leave at one moment.
+#: possible outage: a share this large does not leave at one moment.
 MASS_EXPIRY_SHARE = 0.5
 
 
@@ -77,7 +77,7 @@
         self.outage_unresolved = False
 
     def since_regained_s(self, now_s: float) -> float | None:
-        """Return how long ago the store came back, in seconds.
+        """Return the time since the store recovered or was restored.
 
         None if the grace period after that outage is over.
         """
@@ -130,7 +130,7 @@
         self.grace_until_s.pop(endpoint_id, None)
 
     def needs_peer_reports(self) -> bool:
-        """Return whether to ask other hosts if they had the outage too."""
+        """Return whether to query other hosts about the store outage."""
         return self.outage_unresolved and bool(self.grace_until_s)
 
     def is_local_outage(
@@ -142,7 +142,7 @@
         their entries again has a correct list, whatever outages it had
         before.
 
-        :param reports: one per host that was asked, None if it has none
+        :param reports: reports of the queried hosts, None if a host has none
         :returns: None if the reports do not decide it
         """
         enough_s = min(now_s - self.outage_began_s, ENTRY_GRACE_S)
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -25,7 +25,7 @@
 
 
 class FreshnessSettings(NamedTuple):
-    """Timeouts of the freshness rule; the same on all nodes.
+    """Timeouts of the table's freshness checks; the same on all nodes.
 
     :param stale_s: age at which evidence expires.
     :param join_s: maximum time that a starting node waits for a first peer,
@@ -82,8 +82,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Blocked:
-    """Too many hosts are missing: they may form a quorum and serve.
+    """The edit can't be accepted: the missing hosts may serve without it.
 
+    There are enough of them to form a quorum.
     :param missing: hosts that have not acknowledged the edit.
     """
 
@@ -114,10 +115,10 @@
 
 
 class Freshness:
-    """The freshness rule of one node.
+    """Decides on one node whether its table is fresh.
 
-    Both sides of a partition apply this rule, so that every node that takes
-    work on one side knows the edits that the other side has accepted.
+    Both sides of a partition apply the same rule, so that every node that
+    takes work on one side has the edits that the other side has accepted.
 
     A node is *fresh* while, within the last ``stale_s``, either
 
--- a/magnoliadyke/core/health.py
+++ b/magnoliadyke/core/health.py
@@ -128,7 +128,7 @@
         self.probation_left = self.settings.probation_successes
 
     def is_out(self):
-        """Whether the endpoint is out by any source and gets no new work."""
+        """Whether the observed, reported or table state excludes new work."""
         return (
             self.observed in OUT_STATES
             or self.reported in OUT_STATES
--- a/magnoliadyke/core/leases.py
+++ b/magnoliadyke/core/leases.py
@@ -4,7 +4,7 @@
 lease by writing a higher serial.  A host that contends for the duty polls the
 value and claims the lease once the value has not changed for its time to
 live, by the contender's own clock.  The store's clock is not used and the
-value stays when the lease expires, so its fencing number only increases.
+value stays when the lease expires, so its fencing token only increases.
 
 The holder stops acting ``margin_share`` of the time to live before a
 contender can claim the lease, counted from *before* the renewal was sent.
@@ -168,7 +168,7 @@
         """Return the actions that are due.
 
         :param contending: whether the host contends for the duty.
-        :param fencing_floor: smallest fencing number to claim the lease
+        :param fencing_floor: smallest fencing token to claim the lease
             with: the larger of the wall-clock time in milliseconds and the
             highest known number plus one.  Without it, a store restored
             from an older backup would assign the same number twice.
--- a/magnoliadyke/core/limits.py
+++ b/magnoliadyke/core/limits.py
@@ -20,7 +20,7 @@
 
 
 class LimitSettings(NamedTuple):
-    """Constants of the split.
+    """Constants of the split of limits between the nodes.
 
     :param fresh_s: age up to which a peer's digest counts
     :param settle_s: delay after which a rise of this node's demand counts;
@@ -162,7 +162,7 @@
             self.lower_since_s = now_s
 
     def tick(self, now_s):
-        """Apply a lasting fall of the node count; drop stale digests."""
+        """Lower the node count after ``node_hold_s``; drop stale digests."""
         held_s = now_s - self.lower_since_s
         if self.lower_nodes < self.nodes:
             if held_s >= self.settings.node_hold_s:
@@ -274,7 +274,7 @@
         return usage
 
     def admit(self, customer, tokens, now_s):
-        """Take a new request from the customer's token buckets.
+        """Charge a new request to the customer's token buckets.
 
         A refused request leaves the buckets unchanged, but counts as demand.
 
@@ -311,7 +311,7 @@
         return None
 
     def correct_tokens(self, customer, tokens):
-        """Correct the token bucket for a job's estimate.
+        """Charge the tokens that a job used beyond its estimate.
 
         :param tokens: tokens used beyond the estimate; negative to refund
         """
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -47,7 +47,8 @@
     for short answers, and long answers queue for the others.
 
     :param long_run_s: duration above which an answer counts as long
-    :ivar expiry_heap: when to give up each answer, with its job
+    :ivar expiry_heap: when to release the slot of each answer whose end was
+        not reported, with its job
     :ivar output_s: average decode time per token
     :ivar waiting: queue of the jobs that wait for a slot
     """
@@ -89,7 +90,7 @@
             self.output_s += OUTPUT_WEIGHT * (took_s - self.output_s)
 
     def release(self, job_id: int, now_s: float) -> _Run | None:
-        """Release the slot of an answer without learning from it.
+        """Release the slot of an answer without updating the estimates.
 
         :returns: the answer, or None if it was not tracked
         """
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -307,7 +307,7 @@
         self.accepts = False
 
     def survey(self, now_s: float) -> list[Action]:
-        """Probe many peers at once to learn which table each of them holds.
+        """Probe many peers at once for the table revisions that they hold.
 
         With one probe a period this would take one period per host.  Edits
         of the table are rare enough for the additional datagrams.
@@ -601,7 +601,7 @@
         return []
 
     def _clear_own_suspicion(self, source: Member) -> None:
-        """End a suspicion that only this node holds: the peer answered.
+        """End a suspicion that only this node has raised: the peer answered.
 
         Suspicions by other hosts are refuted by the peer itself.
         """
@@ -754,9 +754,9 @@
         return tuple(chosen + self._random_update(chosen))
 
     def _random_update(self, chosen: list[Member]) -> list[Member]:
-        """A random further member if there is space for one.
+        """A random further member if the datagram has space for one.
 
-        A host that has just joined thus learns of all members in time.
+        A host that has just joined thus receives all members in time.
         """
         if len(chosen) >= min(self.settings.updates, len(self._hosts)):
             return []
--- a/magnoliadyke/core/notices.py
+++ b/magnoliadyke/core/notices.py
@@ -25,7 +25,7 @@
 class EngineNotice(NamedTuple):
     """A planner's announcement that an engine is in or out of use.
 
-    :param fencing: the planner's fencing number; a notice with a lower
+    :param fencing: the planner's fencing token; a notice with a lower
         number than an earlier one is ignored
     :param changing: whether the engine is out of use
     :param for_s: time after which the notice expires
@@ -61,7 +61,7 @@
     """The notices in force at one node.
 
     :ivar until_s: when the notice of an engine out of use expires
-    :ivar fencing: highest fencing number received, by engine
+    :ivar fencing: highest fencing token received, by engine
     """
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
     def apply(self, notice: EngineNotice, now_s: float) -> list[EngineUse]:
         """Apply a notice.
 
-        A notice with a lower fencing number is ignored: a planner that lost
+        A notice with a lower fencing token is ignored: a planner that lost
         its lease while its process was paused would otherwise put an engine
         back into use during a change by its successor.
 
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -529,7 +529,7 @@
                 decisions.append(refused)
 
     def _late_share_factor(self) -> float:
-        """Return the factor by which turns of late jobs lengthen a wait."""
+        """Return the factor by which late jobs' placements lengthen a wait."""
         if len(self.late) or len(self.resubmitted):
             return 1 + 1 / (self.settings.late_turn - 1)
         return 1.0
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -8,10 +8,10 @@
 
 __all__ = ['PoolQueue']
 
-#: Time constant of the reported demand, in seconds.
+#: Time constant of the average demand that is reported, in seconds.
 DEMAND_MEMORY_S = 2.0
-#: Time constant of the demand by which the pool is shared, in seconds; long
-#: enough that a few simultaneous arrivals don't count as a flood.
+#: Time constant of the average demand by which the pool is shared, in seconds;
+#: long enough that a few simultaneous arrivals don't count as a flood.
 FLOOD_MEMORY_S = 10.0
 #: Customers with a lower demand than this, in engine-seconds per second, are
 #: dropped.
@@ -144,7 +144,7 @@
         )
 
     def fair_shares(self, capacity, now_s):
-        """Return the largest share of its demand each customer may be served.
+        """Return, by customer, the share of its demand that may be served.
 
         It is 1 while the total demand is within the capacity.  Beyond that
         the capacity is shared by weight, and what some customers leave
--- a/magnoliadyke/core/prefixes.py
+++ b/magnoliadyke/core/prefixes.py
@@ -12,7 +12,7 @@
 MAX_HOLDERS = 8
 #: Size of the holder index, as a multiple of the blocks of one engine.
 INDEX_FACTOR = 4
-#: Lower bound of the trust in an engine's estimate, of 1.
+#: Lower bound of the trust in an engine's estimate; its maximum is 1.
 MIN_TRUST = 0.2
 #: Factor on the trust in an engine's estimate after lost cache events.
 GAP_TRUST_FACTOR = 0.7
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -122,7 +122,7 @@
         return SUSPECT if self.blames else CLEAR
 
     def clear(self, now_s):
-        """Mark the crashes it is blamed for as not caused by it."""
+        """Mark the crashes blamed on this request as not caused by it."""
         self.cleared_blames = [*self.cleared_blames, *self.blames][
             -MAX_CLEARED_BLAMES:
         ]
@@ -252,7 +252,7 @@
         """Return (fingerprint, entry) pairs to send, the most important first.
 
         A digest holds a limited number. If the suspects of a large batch
-        filled it, no peer would learn that one of them completed, and all
+        filled it, no peer would be notified that one completed, and all
         would wait for it.
 
         :param count: maximum number of pairs
--- a/magnoliadyke/core/records.py
+++ b/magnoliadyke/core/records.py
@@ -321,7 +321,7 @@
             heapq.heappush(self.expiry, entry)
 
     def needed_until_s(self, record, now_s):
-        """Return until when a record is kept beyond its expiry."""
+        """Return until when a record has to be kept even if it has expired."""
         if record.state in ('running', 'away'):
             return now_s + self.settings.accept_s
         finished_s = self.answered.get(record.key)
--- a/magnoliadyke/core/retries.py
+++ b/magnoliadyke/core/retries.py
@@ -37,7 +37,7 @@
         self.saved[customer] = min(MAX_SAVED_RETRIES, saved + retry_share)
 
     def withdraw(self, customer, attempts):
-        """Take one retry from a customer's budget, if it may have one.
+        """Take one retry from a customer's budget, if any is left.
 
         :param attempts: attempts that the job has had
         :returns: whether the job may be retried
--- a/magnoliadyke/core/revisionlag.py
+++ b/magnoliadyke/core/revisionlag.py
@@ -45,7 +45,7 @@
     :ivar own_position: position up to which this host has read the store
     :ivar unseen: positions of other hosts that this one has not reached, in
         ascending order
-    :ivar polled_s: when the store is next asked for changes
+    :ivar polled_s: when the store is next polled for changes
     """
 
     def __init__(self, allowed_s: float) -> None:
@@ -61,7 +61,7 @@
             self.unseen.popleft()
 
     def record_poll(self, at_s: float) -> None:
-        """Record when the store is next asked for changes.
+        """Record when the store is next polled for changes.
 
         The pause until then does not count as lag.
         """
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -444,7 +444,7 @@
 
     It is found by dynamic programming.  As the sequence may hold further
     changes, a change that would soon have to be undone does not gain its
-    price, and a change that gains more later is put off.
+    price, and a change that gains more later is postponed.
 
     :param before: numbers of (prefill, decode) engines now
     :param cells: (prefill, decode) demand in each cell
@@ -487,8 +487,9 @@
         return known
 
     def _change(self, cell, start, after):
-        """Return the tokens served from a cell on if a change begins in it.
+        """Return the tokens served from a cell to the end of the horizon.
 
+        The role change begins in that cell.
         :param start: prefill engines before the change
         :param after: prefill engines after the change
         """
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -159,7 +159,7 @@
         self.undisturbed = False
 
     def joins(self, seconds):
-        """Whether a prompt ended in the same step as the previous one.
+        """Whether two consecutive prefills ended in the same engine step.
 
         :param seconds: time between the ends of the two prefills
         """
--- a/magnoliadyke/core/shutdown.py
+++ b/magnoliadyke/core/shutdown.py
@@ -22,7 +22,7 @@
 class Shutdown(NamedTuple):
     """Schedule of a shutdown, in monotonic seconds.
 
-    :param begun_s: when this host was told to stop
+    :param begun_s: when this host received the request to stop
     :param grace_s: time from then until the platform kills the process
     :param directory_ttl_s: how long callers may cache a response of the
         directory
--- a/magnoliadyke/core/staleentries.py
+++ b/magnoliadyke/core/staleentries.py
@@ -1,4 +1,4 @@
-"""Entries of a restored store that are older than what hosts know.
+"""Entries of a restored store that are older than the hosts' records.
 
 A store restored from a backup lists endpoints as they were some seconds ago,
 until they write their entries again: one that is leaving is listed as ready,
--- a/magnoliadyke/core/usage.py
+++ b/magnoliadyke/core/usage.py
@@ -90,7 +90,7 @@
     def shift(self, by_s: float) -> None:
         """Move the counts to other windows after a correction of the clock.
 
-        :param by_s: the correction in seconds, positive if it was behind
+        :param by_s: correction in seconds, positive if the clock was behind
         """
         by = round(by_s / self.length_s)
         self.windows = {
@@ -176,7 +176,7 @@
         return max(self.fixed, default=None)
 
     def merge(self, other: 'Reports') -> None:
-        """Add reports read from the store; those already known stay."""
+        """Add reports read from the store; those already present are kept."""
         self.fixed = other.fixed | self.fixed
         self._trim()
 
--- a/magnoliadyke/core/walltime.py
+++ b/magnoliadyke/core/walltime.py
@@ -57,7 +57,7 @@
     def record_peer_time(
         self, host: str, wall_s: float, now_s: float
     ) -> float | None:
-        """Record a host's time, and correct this host's if it is off.
+        """Record a host's time; correct this host's if it deviates too far.
 
         :returns: the corrected time to send to that host, None if its time
             is within the tolerance
@@ -70,8 +70,8 @@
         ahead_s = sample[0]
         median_s = self._median_s(now_s)
         if abs(median_s) > MAX_OFFSET_S:
-            # This host is off: correct it, and express the samples relative
-            # to the new time.
+            # This host's time deviates too far: correct it, and express the
+            # samples relative to the new time.
             self.own_clock.set(self.own_clock.at(now_s) + median_s, now_s)
             self._samples = {
                 each: (ahead - median_s, at_s)
--- a/magnoliadyke/core/workspaces.py
+++ b/magnoliadyke/core/workspaces.py
@@ -93,7 +93,7 @@
     key_digest: bytes | None,
     confirmed: bool,
 ) -> Allowed | UnknownKey | Unconfirmed:
-    """Authorize a request under a configuration.
+    """Authorize a request by the keys of a configuration.
 
     Without proof that the configuration is current, the result is
     :class:`Unconfirmed` for every key: an unknown key may have been added
