--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -97,7 +97,7 @@
         return self._value / self._weight if self._weight else 0.0
 
     def forecast(self):
-        """Fit the line.
+        """Fit a line to the weighted samples.
 
         The slope is shrunk by the share of its square that its own squared
         standard error makes up, to zero if that is all of it.
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -333,7 +333,7 @@
         return min(free, key=lambda engine: engine.load, default=None)
 
     def _gains(self, state):
-        """Return the tokens gained by changing now instead of a cell later.
+        """Return the tokens gained by a role change now, not a cell later.
 
         :returns: by role to change to, the weighted mean over the sigma
             points of the forecast error
@@ -392,7 +392,7 @@
         ]
 
     def _add_backlog(self, cells):
-        """Return the cells with the queued work added to the first ones."""
+        """Return the cells, with the queued demand added to the first ones."""
         backlog_s = self.settings.backlog_s
         first = math.ceil(backlog_s / self.settings.cell_s)
         prefill = self.demand.queued_prefill_s / backlog_s
@@ -464,7 +464,9 @@
         self._best = self._solve()
 
     def gain(self, role):
-        """Return the tokens gained by changing now, not a cell or more later.
+        """Return the tokens gained by a role change now, not a cell later.
+
+        The gain is over the best sequence without a change in the first cell.
 
         :param role: role that one engine would change to
         """
