--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -12,7 +12,8 @@
     """Feeds measurements to cost models, cache estimates and predictions.
 
     :param models: :class:`magnoliadyke.core.costs.CostModels`
-    :param beliefs: :class:`magnoliadyke.core.prefixes.PrefixBeliefs`
+    :param cache_estimate:
+        :class:`magnoliadyke.core.prefixes.PrefixCacheEstimate`
     :param router: :class:`magnoliadyke.core.routing.Router`
     """
 
--- a/magnoliadyke/core/routes.py
+++ b/magnoliadyke/core/routes.py
@@ -101,7 +101,7 @@
         from all hosts together
     :param engine: properties of its engines, None for a plain service
     :param scaling: limits of the number of endpoints that may be ordered, a
-        :class:`magnoliadyke.core.fleetplan.Limits`; None if none may
+        :class:`magnoliadyke.core.autoscaler.ScalingLimits`; None if none may
     """
 
     name: str
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""How many endpoints of which kind run where."""
+"""Tests of the autoscaler: endpoints by kind and failure domain."""
 
 import hypothesis
 from hypothesis import strategies
--- a/tests/test_crashhistory.py
+++ b/tests/test_crashhistory.py
@@ -1,4 +1,4 @@
-"""Requests after which endpoints die: who is barred, who is not."""
+"""Tests of the crash history: which requests are barred."""
 
 from magnoliadyke.core import crashhistory
 
@@ -24,7 +24,7 @@
     assert not made.barred_s(b'r', 1.0)
 
 
-def test_only_news_is_told():
+def test_only_new_crashes_are_reported():
     made = record((b'r', 'e1', 0.0))
     assert made.record_crash(b'r', ('e1', 'e2'), 0.1)
     assert not made.record_crash(b'r', ('e2',), 0.2)
--- a/tests/test_digestexchange.py
+++ b/tests/test_digestexchange.py
@@ -1,4 +1,4 @@
-"""Tests of digests out and in."""
+"""Tests of the digest exchange between peers."""
 
 import random
 
--- a/tests/test_expiredentries.py
+++ b/tests/test_expiredentries.py
@@ -1,4 +1,4 @@
-"""Endpoints whose entries have vanished."""
+"""Tests of endpoints whose entries have expired in the store."""
 
 import pytest
 
@@ -25,11 +25,11 @@
     return expiredentries.ExpiredEntries(known)
 
 
-def test_one_that_vanishes_is_gone(lapsed):
+def test_endpoint_with_an_expired_entry_is_gone(lapsed):
     assert lapsed.record_missing(['e0', 'unknown'], 10.0) == ['e0']
 
 
-def test_one_that_vanishes_after_an_outage_may_be_back(lapsed):
+def test_endpoint_whose_entry_expires_after_an_outage_may_be_back(lapsed):
     lapsed.record_store_regained(10.0, outage_began_s=4.0)
     assert lapsed.record_missing(['e0'], 11.0) == []
     assert lapsed.pop_expired(10.0 + expiredentries.ENTRY_GRACE_S - 0.1) == []
@@ -57,7 +57,7 @@
     assert sorted(gone) == ['e0', 'e1', 'e2']
 
 
-def test_outage_of_this_host_alone_makes_no_entry_lapse(lapsed):
+def test_outage_of_this_host_alone_makes_no_entry_expire(lapsed):
     """The store turned this host away, and an endpoint left meanwhile.
 
     All others dropped it when it left; kept here for two seconds more, it
@@ -71,7 +71,7 @@
     assert lapsed.record_missing(['e1'], 10.5) == ['e1']
 
 
-def test_outage_of_all_lets_entries_lapse(lapsed):
+def test_outage_of_all_lets_entries_expire(lapsed):
     lapsed.record_store_regained(10.0, outage_began_s=4.0)
     lapsed.record_missing(['e0'], 10.0)
     lapsed.record_shared_outage()
--- a/tests/test_hostdiscovery.py
+++ b/tests/test_hostdiscovery.py
@@ -1,4 +1,4 @@
-"""What a node makes of the platform's lagging list of hosts."""
+"""Tests of host discovery from the platform's lagging host list."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     return hostdiscovery.parse_host_list({'hosts': rows, 'at_s': at_s})
 
 
-def test_only_live_hosts_that_nobody_knows_are_knocked_at():
+def test_only_live_unknown_hosts_are_probed():
     hosts = listed(1.0, h1='live', h2='live', h3='leaving', h4='odd')
     (found,) = hostdiscovery.hosts_to_probe(hosts, ['h1'], OWN)
     assert (found.host, found.address, found.peer_port) == ('h2', 'a-h2', 2)
@@ -49,6 +49,6 @@
         hostdiscovery.parse_host_list(document)
 
 
-def test_large_fleets_read_rarely():
+def test_large_fleets_poll_rarely():
     intervals = [hostdiscovery.poll_interval_s(n) for n in (1, 8, 60, 420)]
     assert intervals == [2.0, 10.0, 60.0, 60.0]
--- a/tests/test_inflightjobs.py
+++ b/tests/test_inflightjobs.py
@@ -1,4 +1,4 @@
-"""What a host that begins to place is told of the jobs under way."""
+"""Tests of the in-flight jobs that a new leader receives."""
 
 import random
 
@@ -28,7 +28,7 @@
     return set(given.cache_contents(now_s).get('model', ()))
 
 
-def test_prompt_that_is_being_read_is_told_of_as_such():
+def test_prompt_in_prefill_is_reported_as_such():
     given = inflightjobs.InFlightJobs()
     given.record_placement('model', job(7), placed(7), False, 0.5)
     assert cache_contents(given) == {
@@ -48,7 +48,7 @@
     }
 
 
-def test_long_answer_is_told_of_however_old_it_is():
+def test_long_answer_is_reported_however_old_it_is():
     """A stream has held a slot for a minute when the placing host changes.
 
     Unknown to the next one, the slot would be given away again, and the
@@ -64,7 +64,7 @@
     }
 
 
-def test_short_prompt_is_not_accounted_as_reading():
+def test_short_prompt_is_not_counted_as_prefill():
     given = inflightjobs.InFlightJobs()
     given.record_placement('model', job(7), placed(7, prefill=None), True, 0.5)
     assert cache_contents(given) == {
--- a/tests/test_migrationtarget.py
+++ b/tests/test_migrationtarget.py
@@ -1,4 +1,4 @@
-"""Where streams go on; pools and runs are reduced to what is looked at."""
+"""Tests of the choice of a migration target, with reduced pools and runs."""
 
 import types
 
@@ -40,5 +40,5 @@
     assert chosen(HERE) == ''
 
 
-def test_a_job_that_has_ended_needs_no_place():
+def test_a_job_that_has_ended_needs_no_target():
     assert migrationtarget.choose_target({}, {}, 'j', 0.0) == ''
--- a/tests/test_peerload.py
+++ b/tests/test_peerload.py
@@ -1,11 +1,11 @@
-"""Tests of what is believed of other nodes' prompts on an engine."""
+"""Tests of the estimated load of peers' prompts on an engine."""
 
 import pytest
 
 from magnoliadyke.core import peerload
 
 
-def test_a_report_alone_fades_into_the_mean():
+def test_a_report_alone_decays_to_the_mean():
     others = peerload.PeerPrompts()
     others.report(2.0, 0.0)
     assert others.wait_s(0.0, False) == pytest.approx(2.0)
@@ -13,7 +13,7 @@
     assert others.unreported_s(30.0) == others.mean_s
 
 
-def test_what_is_told_after_a_report_is_added_and_read_in_time():
+def test_peer_prompts_after_a_report_are_added_and_prefilled_in_time():
     # Eight nodes see an idle engine in one report, and all but the first
     # would queue behind one another there while another engine idles. Each
     # now hears of the others' prompts before it places its own.
@@ -27,7 +27,7 @@
     assert others.unreported_s(11.0) == 0.0
 
 
-def test_a_later_report_replaces_what_was_told_before_it():
+def test_a_later_report_replaces_earlier_peer_prompts():
     others = peerload.PeerPrompts()
     others.record_peer_prompt(0.4, 10.1)
     others.record_peer_prompt(0.4, 10.6)
@@ -35,14 +35,14 @@
     assert others.wait_s(10.6, False) == pytest.approx(0.5)
 
 
-def test_an_engine_that_reads_ours_too_reads_theirs_more_slowly():
+def test_an_engine_that_prefills_ours_too_prefills_theirs_more_slowly():
     others = peerload.PeerPrompts()
     others.report(0.0, 10.0)
     others.record_peer_prompt(1.0, 10.0)
     assert others.wait_s(10.4, True) == pytest.approx(0.8)
 
 
-def test_word_that_stops_is_not_relied_on():
+def test_peer_notifications_that_stop_are_not_relied_on():
     others = peerload.PeerPrompts()
     others.record_peer_prompt(1.0, 10.0)
     others.report(0.5, 20.5)
--- a/tests/test_prefillcost.py
+++ b/tests/test_prefillcost.py
@@ -1,4 +1,4 @@
-"""What reading a prompt takes, learned from prompts of all sizes."""
+"""Tests of the prefill cost, learned from prompts of all sizes."""
 
 import random
 
@@ -44,7 +44,7 @@
     assert_close(cost, 0.1)
 
 
-def test_guess_is_mended_by_the_first_prompts():
+def test_initial_cost_is_corrected_by_the_first_prompts():
     cost = taught(60)
     assert abs(cost.latency_s - LATENCY_S) < 0.25 * LATENCY_S
     assert_close(cost, 0.35)
@@ -59,7 +59,7 @@
     assert_close(cost, 0.2, least_s=0.012)
 
 
-def test_prompts_that_waited_behind_others_teach_little():
+def test_prompts_queued_behind_others_have_little_weight():
     """A place begins while engines still read what they were given before.
 
     The first prompts of all engines take ten times as long.  Believed, that
@@ -72,7 +72,7 @@
     assert cost.latency_s < 0.012
 
 
-def test_engine_that_answers_is_taken_for_half_as_fast_at_first():
+def test_decode_engine_is_assumed_half_as_fast_at_first():
     reference = taught(300)
     cost = prefillcost.DecodeStagePrefillCost(reference)
     size = prefillcost.PromptSize(5000, 2000)
--- a/tests/test_staleentries.py
+++ b/tests/test_staleentries.py
@@ -1,4 +1,4 @@
-"""Entries of an older copy of the store."""
+"""Tests of stale entries from an older copy of the store."""
 
 import pytest
 
@@ -46,13 +46,13 @@
     assert not old.entries
 
 
-def test_leave_that_only_the_copy_has_is_believed(known, old):
+def test_leave_that_only_the_copy_has_is_applied(known, old):
     known.put(endpoint())
     old.record_restored(endpoint(leaving=True), COPIED, NOW_S)
     assert not is_old(old)
 
 
-def test_stage_of_a_copy_is_believed_after_a_time(known, old):
+def test_stage_of_a_copy_is_applied_after_a_delay(known, old):
     known.put(endpoint(stage=catalog.Stage.DECODE))
     old.record_restored(endpoint(), COPIED, NOW_S)
     assert is_old(old)
@@ -83,7 +83,7 @@
     assert not is_old(old, written=position.Position(3, 20))
 
 
-def test_what_is_passed_over_can_be_told(known, old):
+def test_skipped_entries_can_be_reported(known, old):
     known.put(endpoint(leaving=True))
     old.record_removal('f', NOW_S)
     old.record_restored(endpoint(), COPIED, NOW_S)
