--- a/tests/test_digestexchange.py
+++ b/tests/test_digestexchange.py
@@ -14,7 +14,7 @@
     plan = scheduler.Scheduler([info], random.Random(seed))
     rows = {name: table.CustomerRow() for name in customers}
     plan.set_table(table.View(1, rows, {}, {}, {}), 0.0)
-    plan.set_peers(2, 0.0)
+    plan.set_node_count(2, 0.0)
     return plan
 
 
@@ -72,7 +72,7 @@
 def test_a_node_that_hears_a_few_peers_takes_the_rest_to_be_like_them():
     plans = [make_plan(seed) for seed in range(4)]
     for plan in plans:
-        plan.set_peers(41, 0.0)
+        plan.set_node_count(41, 0.0)
         job = jobs.Job('j', 'lease', 'p', 'model', 'm', 100, 500)
         plan.submit(job, 0.0)
     one = plans[0].demand('p', 0.0).decode_s_per_s
