--- a/tests/test_digestexchange.py
+++ b/tests/test_digestexchange.py
@@ -25,10 +25,10 @@
 def test_service_told_twice_is_counted_once():
     first, second = make_plan(1), make_plan(2)
     serve(first, 'lease', 1.0)
-    second.peer_digest('h1', first.digest(0.0), 0.0)
+    second.merge_peer_digest('h1', first.digest(0.0), 0.0)
     serve(first, 'lease', 2.0)
     for now_s in (1.0, 2.0, 3.0):
-        second.peer_digest('h1', first.digest(now_s), now_s)
+        second.merge_peer_digest('h1', first.digest(now_s), now_s)
     assert second.pools['p'].queue.counters['lease'] == 2.0
 
 
@@ -37,12 +37,12 @@
     # would give its customers back what they were served.
     first, second = make_plan(1), make_plan(2)
     serve(first, 'lease', 1.0)
-    second.peer_digest('h1', first.digest(0.0), 0.0)
+    second.merge_peer_digest('h1', first.digest(0.0), 0.0)
     serve(first, 'lease', 5.0)
-    second.peer_digest('h1', first.digest(1.0), 1.0)
+    second.merge_peer_digest('h1', first.digest(1.0), 1.0)
     again = make_plan(3)
     serve(again, 'lease', 0.5)
-    second.peer_digest('h1', again.digest(2.0), 2.0)
+    second.merge_peer_digest('h1', again.digest(2.0), 2.0)
     assert second.pools['p'].queue.counters['lease'] == 5.0
 
 
@@ -64,7 +64,7 @@
     first, second = make_plan(1), make_plan(2)
     job = jobs.Job('j', 'lease', 'p', 'model', 'm', 100, 500)
     first.submit(job, 0.0)
-    second.peer_digest('h1', first.digest(0.1), 0.1)
+    second.merge_peer_digest('h1', first.digest(0.1), 0.1)
     assert second.demand('p', 0.2).decode_s_per_s > 0
     assert second.demand('p', 60.0).decode_s_per_s == 0
 
@@ -77,7 +77,7 @@
         plan.submit(job, 0.0)
     one = plans[0].demand('p', 0.0).decode_s_per_s
     for number, plan in enumerate(plans[1:]):
-        plans[0].peer_digest(f'h{number}', plan.digest(0.0), 0.0)
+        plans[0].merge_peer_digest(f'h{number}', plan.digest(0.0), 0.0)
     total = plans[0].demand('p', 0.0).decode_s_per_s
     assert abs(total - 41 * one) < 0.01 * total
 
@@ -100,7 +100,7 @@
             for sender, data in enumerate(told):
                 if sender != receiver:
                     digest = digests.Digest.from_bytes(data)
-                    plan.peer_digest(f'h{sender}', digest, second + 0.95)
+                    plan.merge_peer_digest(f'h{sender}', digest, second + 0.95)
     waiting_s = judges[0].settings.waiting_s
     assert not judges[0].is_trial_due(next_one, 0.0, 8.0 + waiting_s)
     for judge in judges:
@@ -122,7 +122,7 @@
     second.quarantine.record_running(last, 9.0)
     first.quarantine.record_success(last, 10.0)
     data = first.digest(10.0).to_bytes()
-    second.peer_digest('h1', digests.Digest.from_bytes(data), 10.1)
+    second.merge_peer_digest('h1', digests.Digest.from_bytes(data), 10.1)
     assert second.quarantine.verdict(last, 10.1) == quarantine.CLEAR
 
 
@@ -138,5 +138,5 @@
     job = jobs.Job('j', 'lease', 'p', 'model', 'm', 100, 50)
     first.submit(job._replace(fingerprint=texts[last]), 11.0)
     data = first.digest(12.0).to_bytes()
-    second.peer_digest('h1', digests.Digest.from_bytes(data), 12.1)
+    second.merge_peer_digest('h1', digests.Digest.from_bytes(data), 12.1)
     assert second.quarantine.entries[last].waiting_s > 0.0
