--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -78,7 +78,7 @@
             for_s=round(behind.for_s, 3),
         )
         if self.follower.failing_since_s is None:
-            self.follower.behind.set()
+            self.follower.reread_needed.set()
             self.follower.clock.sleep(self.follower.bound_s * READ_SHARE)
         source = 'store'
         if self.follower.lag.own_position < behind.position:
@@ -120,7 +120,7 @@
                 state.regained_s, self.follower.clock.now_s()
             )
             self.follower.take_all(items, state.position)
-            self.follower.mirror.merge_stale_entries(state.passed_over)
+            self.follower.mirror.merge_stale_entries(state.stale_entries)
             return True
         return False
 
@@ -133,7 +133,7 @@
                 or state.position.era != self.follower.lag.own_position.era
             ):
                 continue
-            self.follower.mirror.merge_stale_entries(state.passed_over)
+            self.follower.mirror.merge_stale_entries(state.stale_entries)
             self.stale_query_until_s = float('-inf')
             return
         self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -9,7 +9,7 @@
 from magnoliadyke.gateway import http
 
 __all__ = [
-    'AnswerFacts',
+    'ResponseFacts',
     'Codec',
     'Malformed',
     'Prefilled',
@@ -85,7 +85,7 @@
     resume_after: bytes | None = None
 
 
-class AnswerFacts(NamedTuple):
+class ResponseFacts(NamedTuple):
     """The fields of a response's head that the gateway uses.
 
     :param request_id: id of the request that the response belongs to, None if
@@ -107,7 +107,7 @@
     not_run: bool
     wrong_endpoint: bool
     sealed: bool
-    encoded: bool
+    has_content_encoding: bool
     idle_limit_s: float | None
     leaving: bool
     backoff_s: float
@@ -144,7 +144,7 @@
         """Return the headers of a request for prefill only."""
 
     @abc.abstractmethod
-    def facts(self, head: http.Head) -> AnswerFacts:
+    def facts(self, head: http.Head) -> ResponseFacts:
         """Decode the head of an endpoint's response."""
 
     @abc.abstractmethod
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -68,7 +68,7 @@
         self.placer = placer
         self.clock = clock
         self.rng = rng
-        self.was_held = True
+        self.was_valid = True
         self.started_s = clock.boot_s()
         self.greenlet: gevent.Greenlet | None = None
 
@@ -81,18 +81,18 @@
         if self.greenlet is not None:
             self.greenlet.kill()
 
-    def holds(self) -> bool:
+    def is_proof_valid(self) -> bool:
         """Whether this host's configuration is proven to be current.
 
         Workspace keys are accepted only with a proof that is recent enough.
         """
         return self.proof.holds(self.clock.boot_s())
 
-    def serves(self) -> bool:
+    def can_serve_all_routes(self) -> bool:
         """Whether this host can serve the requests of all routes."""
-        return not self.needed() or self.holds()
+        return not self.is_proof_required() or self.is_proof_valid()
 
-    def needed(self) -> bool:
+    def is_proof_required(self) -> bool:
         """Whether requests with workspace keys require a valid proof."""
         configuration = self.catalog.configuration
         return (
@@ -104,7 +104,7 @@
     def _run(self) -> None:
         while True:
             self.clock.sleep(TICK_S)
-            if self.needed():
+            if self.is_proof_required():
                 self._renew()
                 self._log_change()
 
@@ -122,7 +122,7 @@
                 self._ask_peers([leader] if leader else self._sample_peers())
 
     def _sample_peers(self) -> list[str]:
-        listening = self.members.listening()
+        listening = self.members.reachable_addresses()
         asked = self.rng.sample(listening, min(PEERS_ASKED, len(listening)))
         return list({*asked, *self.members.watchers()})
 
@@ -144,17 +144,17 @@
 
         :param asked_s: when the read was sent, in seconds of the boot clock
         """
-        if not self.needed():
+        if not self.is_proof_required():
             return
         item = self.follower.mirror.items.get(self.decoder.configuration_key)
         if item is not None:
             self._prove(item, asked_s)
 
     def _log_change(self) -> None:
-        held = self.holds()
-        if held is self.was_held:
+        held = self.is_proof_valid()
+        if held is self.was_valid:
             return
-        self.was_held = held
+        self.was_valid = held
         age_s = self.clock.boot_s() - self.proof.proved_s
         LOG.event(
             'confirmation',
@@ -189,7 +189,7 @@
             return False
         own_version = self.catalog.configuration.version
         if newest.version > own_version:
-            self.follower.behind.set()
+            self.follower.reread_needed.set()
             return False
         if item.position.era and not self._has_peer_reply():
             return False
@@ -203,7 +203,10 @@
         restored from.  So a host that has just started waits for the version
         of a peer, for at most ``PEER_REPLY_WAIT_S``.
         """
-        if self.proof.newest_peer_version >= 0 or not self.members.listening():
+        if (
+            self.proof.newest_peer_version >= 0
+            or not self.members.reachable_addresses()
+        ):
             return True
         return self.clock.boot_s() - self.started_s >= PEER_REPLY_WAIT_S
 
@@ -222,7 +225,7 @@
 
         A host without a proof still replies, with its version.
         """
-        if not self.needed():
+        if not self.is_proof_required():
             return None
         return duty_codec.ConfirmationReply(
             request.nonce,
@@ -244,4 +247,4 @@
                 version=configuration.version,
                 told=version,
             )
-            self.follower.behind.set()
+            self.follower.reread_needed.set()
--- a/magnoliadyke/gateway/connection.py
+++ b/magnoliadyke/gateway/connection.py
@@ -57,7 +57,7 @@
         self.reader = http.AnswerReader(self.sock)
         self.sent = False
         self.last_used_s = 0.0
-        self.kept = False
+        self.is_reused = False
         self.idle_limit_s: float | None = None
         self._reusable = False
         self._complete = False
@@ -106,10 +106,10 @@
                     self._reusable = part.reusable
                     return part
 
-    def part(self) -> http.Body | http.End:
+    def part(self) -> http.Body | http.MessageEnd:
         """Wait for the next part of the response's body."""
         part = self.reader.next_part()
-        if isinstance(part, http.End):
+        if isinstance(part, http.MessageEnd):
             self._complete = True
         return part
 
@@ -120,7 +120,7 @@
             match self.part():
                 case http.Body(data):
                     pieces.append(data)
-                case http.End():
+                case http.MessageEnd():
                     return b''.join(pieces)
 
     def call(
--- a/magnoliadyke/gateway/crashreports.py
+++ b/magnoliadyke/gateway/crashreports.py
@@ -54,7 +54,7 @@
         fingerprint = _fingerprint(request)
         if not self.history.record_crash(fingerprint, (endpoint,), now_s):
             return
-        self._log_barred(fingerprint, now_s)
+        self._log_blocked(fingerprint, now_s)
         if now_s - self.window_start_s >= 1.0:
             self.window_start_s = now_s
             self.sent_in_window = 0
@@ -74,7 +74,7 @@
         now_s = self.clock.now_s()
         fingerprint, endpoints = message
         if self.history.record_crash(fingerprint, endpoints, now_s):
-            self._log_barred(fingerprint, now_s)
+            self._log_blocked(fingerprint, now_s)
 
     def record_success(self, request: codecs.Request) -> None:
         """Record that a request got a complete answer."""
@@ -82,7 +82,7 @@
             now_s = self.clock.now_s()
             self.history.record_success(_fingerprint(request), now_s)
 
-    def barred_s(self, request: codecs.Request) -> float:
+    def block_remaining_s(self, request: codecs.Request) -> float:
         """Return for how many seconds a request is blocked; 0 if it may run.
 
         The request's content is not hashed while no crash is on record.
@@ -92,7 +92,7 @@
         now_s = self.clock.now_s()
         return self.history.barred_s(_fingerprint(request), now_s)
 
-    def _log_barred(self, fingerprint: bytes, now_s: float) -> None:
+    def _log_blocked(self, fingerprint: bytes, now_s: float) -> None:
         if self.history.barred_s(fingerprint, now_s):
             endpoints = self.history.requests[fingerprint].endpoints
             LOG.warning_event(
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -23,7 +23,7 @@
 from magnoliadyke import logs
 
 __all__ = [
-    'BACKOFF',
+    'BACKOFF_REASON',
     'RETRY_AFTER_S',
     'RESPONSE_MARGIN_S',
     'STOPPING',
@@ -41,13 +41,13 @@
 #: time.
 RESPONSE_MARGIN_S = 0.02
 #: Reason of a refusal when all usable endpoints asked this host to back off.
-BACKOFF = 'the endpoint asked to back off'
+BACKOFF_REASON = 'the endpoint asked to back off'
 #: Reason of a refusal or failure when a request may not complete, or did not,
 #: before this host stops.
 STOPPING = 'this host is stopping'
 #: Reason of a refusal when a request is blocked because endpoints that ran it
 #: crashed.
-CRASHES = 'endpoints crash when they run it'
+CRASH_REASON = 'endpoints crash when they run it'
 
 
 class Parts(NamedTuple):
@@ -137,9 +137,11 @@
     def _run(self) -> outcomes.Outcome:
         try:
             with self.caller.watch_disconnect():
-                barred_s = self.parts.crashreports.barred_s(self.request)
-                if barred_s:
-                    refused = outcomes.Refused(CRASHES, barred_s)
+                block_remaining_s = self.parts.crashreports.block_remaining_s(
+                    self.request
+                )
+                if block_remaining_s:
+                    refused = outcomes.Refused(CRASH_REASON, block_remaining_s)
                     return self._respond(refused)
                 outcome = self._serve()
                 if isinstance(outcome, outcomes.Answered):
@@ -195,7 +197,7 @@
             connection is available; nothing has been sent
         """
         if self._backoff_s(endpoint.id):
-            raise upstream.NoConnection(BACKOFF)
+            raise upstream.NoConnection(BACKOFF_REASON)
         return self.parts.upstream.acquire(
             endpoint, self._max_connections(), repeatable
         )
@@ -229,7 +231,7 @@
             return False
         if self.sends > self.route.max_attempts:
             return False
-        if self.parts.crashreports.barred_s(self.request):
+        if self.parts.crashreports.block_remaining_s(self.request):
             return False
         return self.left_s >= RESPONSE_MARGIN_S
 
@@ -257,7 +259,7 @@
 
     def _read_facts(
         self, endpoint: catalog.Endpoint, head: http.Head
-    ) -> codecs.AnswerFacts:
+    ) -> codecs.ResponseFacts:
         """Parse an answer's head, and record the endpoint's signals in it.
 
         The signals are a backoff and a planned stop. They are ignored in an
@@ -339,11 +341,11 @@
         if facts.idle_limit_s is not None:
             used.idle_limit_s = facts.idle_limit_s
         if facts.not_run and facts.request_id in (None, self.request.id):
-            return outcomes.NotRun(f'status {facts.status}', arrived=True)
+            return outcomes.NotRun(f'status {facts.status}', was_received=True)
         if facts.request_id != self.request.id:
             used.close()
             return outcomes.Lost('answer to another request', False)
-        if facts.encoded:
+        if facts.has_content_encoding:
             used.close()
             return outcomes.Lost("not the endpoint's own answer", False)
         return outcomes.Whole(head, facts, body)
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -128,7 +128,7 @@
     def __init__(
         self,
         host: str,
-        kept: store.Store,
+        kv_store: store.Store,
         mirror: keymirror.KeyMirror,
         clock: clocks.Clock,
         rng: random.Random,
@@ -136,7 +136,7 @@
         others: Others | None = None,
     ) -> None:
         self.host = host
-        self.store = kept
+        self.store = kv_store
         self.mirror = mirror
         self.clock = clock
         self.rng = rng
@@ -147,7 +147,7 @@
         self.failing_since_s: float | None = None
         self.regained_s = float('-inf')
         self.lag = revisionlag.RevisionLag(bound_s * MAX_LAG_SHARE)
-        self.behind = event.Event()
+        self.reread_needed = event.Event()
         self.is_always_watcher: Callable[[], bool] = lambda: False
         self.on_full_read: Callable[[float], None] = lambda asked_s: None
         self.not_relayed: frozenset[str] = frozenset()
@@ -240,7 +240,7 @@
             if self._read_all():
                 while self._follow():
                     pass
-                if self.behind.is_set():
+                if self.reread_needed.is_set():
                     continue
             pause_s = min(MAX_RETRY_S, RETRY_S * 2 ** min(self.failures, 4))
             self.clock.sleep(pause_s * (1 + self.rng.random()))
@@ -253,7 +253,7 @@
             return False
         self._record_success()
         self.take_all({i.key: i for i in found.items}, found.position)
-        self.behind.clear()
+        self.reread_needed.clear()
         self.on_full_read(asked_s)
         return True
 
@@ -285,9 +285,9 @@
         """
         self.clock.sleep(PEER_UPDATES_CHECK_INTERVAL_S)
         self.mirror.drop_expired()
-        if not self.missed and not self.behind.is_set():
+        if not self.missed and not self.reread_needed.is_set():
             return True
-        self.behind.clear()
+        self.reread_needed.clear()
         self.clock.sleep(MISSED_SPREAD_S * self.rng.random())
         return self._read_missed()
 
@@ -306,7 +306,7 @@
                     self._record_position(upto)
                 return True
             case store.Restored():
-                self.behind.set()
+                self.reread_needed.set()
             case store.Unavailable(reason):
                 self._record_failure(reason)
         return False
@@ -335,7 +335,7 @@
                 LOG.warning_event('watch_compacted', position=base)
             case store.Restored(era):
                 LOG.warning_event('watch_of_earlier_era', era=era)
-                self.behind.set()
+                self.reread_needed.set()
             case store.Unavailable(reason):
                 self._record_failure(reason)
             case None:
@@ -358,10 +358,10 @@
 
         :returns: outcome of the watch, None if it was abandoned
         """
-        self.behind.clear()
+        self.reread_needed.clear()
         call = gevent.spawn(self.store.watch, '', after, wait_s)
         try:
-            gevent.wait([call, self.behind], count=1)
+            gevent.wait([call, self.reread_needed], count=1)
             return call.get() if call.ready() else None
         finally:
             call.kill()
@@ -478,7 +478,7 @@
 
     def era_changed(self) -> None:
         """Have all keys read again: the store answers in a later era."""
-        self.behind.set()
+        self.reread_needed.set()
 
     def _record_success(self) -> None:
         now_s = self.clock.now_s()
--- a/magnoliadyke/gateway/http.py
+++ b/magnoliadyke/gateway/http.py
@@ -13,7 +13,7 @@
     'AnswerReader',
     'Body',
     'BrokenMessage',
-    'End',
+    'MessageEnd',
     'Head',
     'Headers',
     'OutOfTime',
@@ -107,11 +107,11 @@
     data: bytes
 
 
-class End(NamedTuple):
+class MessageEnd(NamedTuple):
     """Marks the end of a message."""
 
 
-Part = Head | Body | End
+Part = Head | Body | MessageEnd
 
 
 class _Reader:
@@ -154,7 +154,7 @@
 
     def on_message_complete(self) -> None:
         self.header_bytes = 0
-        self.parts.append(End())
+        self.parts.append(MessageEnd())
 
     def _head(self) -> Head:
         raise NotImplementedError
@@ -301,7 +301,7 @@
         if not self.until_close:
             super()._closed()
         self.until_close = False
-        self.parts.append(End())
+        self.parts.append(MessageEnd())
 
 
 def connect(address: str, timeout_s: float) -> socket.socket:
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -289,7 +289,7 @@
                         if size > limits.body_bytes:
                             raise TooLarge(413)
                         pieces.append(data)
-                    case http.End():
+                    case http.MessageEnd():
                         return b''.join(pieces)
 
     def _reject_unreadable(
@@ -347,7 +347,7 @@
             LOG.error_event(
                 'request_error', error, id=request.id.decode('latin-1')
             )
-            outcome = self._answer_fault(caller, request)
+            outcome = self._answer_internal_error(caller, request)
         finally:
             del self.running[caller]
         took_s = self.clock.now_s() - arrived_s
@@ -428,7 +428,7 @@
             kind = promptexchange.PromptExchange
         return kind(self.parts, request, route, caller, arrived_s)
 
-    def _answer_fault(
+    def _answer_internal_error(
         self, caller: callers.Caller, request: codecs.Request
     ) -> outcomes.Failed:
         if caller.answer_begun:
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -147,7 +147,7 @@
         self.clock = clock
         self.rng = rng
         self.lease: int | None = None
-        self.held = position.START
+        self.held_position = position.START
         self.order_from_s = 0.0
         self.order_until_s = 0.0
         self.holder: str | None = None
@@ -167,7 +167,7 @@
 
         It grows with each leader and with each store epoch.
         """
-        return self.held.packed
+        return self.held_position.packed
 
     def start(self) -> None:
         """Start to contend for the lease."""
@@ -204,7 +204,7 @@
 
         :returns: ``Written`` if this host still holds the key
         """
-        return self.store.commit({LEADER_KEY: self.held})
+        return self.store.commit({LEADER_KEY: self.held_position})
 
     def call(
         self, make: Callable[[operatorcalls.Caller], _Outcome]
@@ -280,7 +280,7 @@
             # The lease may be missing from the copy: send no orders before
             # it has been renewed.  Another host may have led since the copy
             # was made, so the gap between leaders' orders applies too.
-            self.held = self.holder_position = item.position
+            self.held_position = self.holder_position = item.position
             self.order_from_s = self._first_order_s()
             self.order_until_s = 0.0
             self.renew_s = 0.0
@@ -344,7 +344,7 @@
             self.own.host,
             self.own.address,
             self.own.incarnation,
-            self.held,
+            self.held_position,
             self.yielding,
         )
 
@@ -353,13 +353,13 @@
     def _run(self) -> None:
         while True:
             if self.lease is not None:
-                self._hold()
+                self._maintain_lease()
                 self.clock.sleep(HOLD_CHECK_INTERVAL_S)
             else:
                 self.clock.sleep(TICK_S)
                 self._contend()
 
-    def _hold(self) -> None:
+    def _maintain_lease(self) -> None:
         if self.clock.now_s() >= self.renew_s:
             self._renew()
             self.renew_s = self.clock.now_s() + RENEW_S
@@ -401,17 +401,17 @@
         if self.holder == self.own.host:
             return self.holder_incarnation != self.own.incarnation
         if self.yielded and self.yielded == self.holder_position:
-            return self._in_reach()
-        member = self.members.core.view().members.get(self.holder)
+            return self._is_store_reachable()
+        member = self.members.membership.view().members.get(self.holder)
         if member is None:
-            return self._is_unmet()
+            return self._is_unknown_and_silent()
         if member.incarnation > self.holder_incarnation:
             return True
         if member.state == membership.SUSPECT:
             return self.clock.now_s() < self.placer.leader_retry_at_s
         return member.state in (membership.DEAD, membership.LEFT)
 
-    def _is_unmet(self) -> bool:
+    def _is_unknown_and_silent(self) -> bool:
         """Whether a leader unknown to gossip leaves requests unanswered.
 
         This happens when all hosts were killed and the leader's does not
@@ -427,7 +427,7 @@
             return False
         return now_s < self.placer.leader_retry_at_s
 
-    def _in_reach(self) -> bool:
+    def _is_store_reachable(self) -> bool:
         return (
             self.contact is not None
             and self.contact.reachable_s() >= IN_REACH_S
@@ -496,7 +496,7 @@
     ) -> None:
         now_s = self.clock.now_s()
         self.lease = granted.lease
-        self.held = written
+        self.held_position = written
         self._record_holder(self.own.host, self.own.incarnation, written)
         self.order_from_s = self._first_order_s()
         self.order_until_s = asked_s + granted.ttl_s * ORDER_SHARE
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -114,13 +114,13 @@
     def __init__(
         self,
         own: HostRecord,
-        kept: store.Store,
+        kv_store: store.Store,
         clock: clocks.Clock,
         rng: random.Random,
         link_mbps: float,
     ) -> None:
         self.own = own
-        self.store = kept
+        self.store = kv_store
         self.link_bytes_s = link_mbps * 1e6 / 8
         self.clock = clock
         self.rng = rng
@@ -132,7 +132,7 @@
         self.socket: socket.socket | None = None
         self.greenlets: list[gevent.Greenlet] = []
         self.registering: gevent.Greenlet | None = None
-        self.core = membership.Membership(
+        self.membership = membership.Membership(
             _member(own),
             membership.MembershipSettings(),
             rng,
@@ -162,7 +162,7 @@
     def leave(self) -> None:
         """Announce by gossip that this host leaves, and remove its key."""
         self.leaving = True
-        self._act(self.core.leave('', self.clock.now_s()))
+        self._act(self.membership.leave('', self.clock.now_s()))
         gevent.spawn(self._deregister)
 
     def stop(self, deadline_s: float) -> None:
@@ -178,7 +178,7 @@
     def addresses(self) -> list[str]:
         """Return the ``ip:port`` addresses at which hosts serve callers."""
         found = []
-        for member in self.core.view().alive():
+        for member in self.membership.view().alive():
             if member.caller_port:
                 found.append(f'{member.address}:{member.caller_port}')
         return found
@@ -187,20 +187,20 @@
         """Return the other hosts' addresses; see :class:`follower.Others`."""
         others = [
             member
-            for member in self.core.view().alive()
+            for member in self.membership.view().alive()
             if member.host != self.own.host
         ]
         self.rng.shuffle(others)
         others.sort(key=lambda member: member.host != first)
         return [f'{each.address}:{each.peer_port}' for each in others]
 
-    def listening(self) -> list[str]:
+    def reachable_addresses(self) -> list[str]:
         """Return the addresses of all other hosts that may run.
 
         Includes hosts that the store lists and gossip has not met yet: a host
         that has just started has met few, but its messages concern all.
         """
-        members = self.core.view().members
+        members = self.membership.view().members
         found = [m.address for m in members.values() if _may_run(m)]
         found += [
             self.records[host].address
@@ -242,7 +242,7 @@
         Empty in a small fleet.  While hosts disagree on the order, more hosts
         than necessary watch, or a host gets no updates and starts to watch.
         """
-        members = self.core.view().members
+        members = self.membership.view().members
         running = [self.own]
         for host in self.listed:
             member = members.get(host)
@@ -261,11 +261,11 @@
 
         It is added to the gossip datagrams, at no message of its own.
         """
-        self.core.set_table(upto.packed, 0)
+        self.membership.set_table(upto.packed, 0)
 
     def count(self) -> int:
         """Return the number of hosts that gossip lists as alive."""
-        return max(1, len(self.core.view().alive()))
+        return max(1, len(self.membership.view().alive()))
 
     # Changes of the hosts' keys in the store.
 
@@ -278,7 +278,7 @@
             return
         self.records[record.host] = record
         self.listed.add(record.host)
-        self.core.add_seed(_member(record))
+        self.membership.add_seed(_member(record))
 
     def remove_listed_host(self, host: str) -> None:
         """Remove a host from those that the store lists.
@@ -360,7 +360,7 @@
             except errors.ProtocolError as error:
                 LOG.repeated('datagram_ignored', 'gossip', reason=str(error))
                 continue
-            self._act(self.core.receive(message, self.clock.now_s()))
+            self._act(self.membership.receive(message, self.clock.now_s()))
             self._log_changes()
             if self.on_peer_position is not None:
                 for seen in message.sightings:
@@ -372,7 +372,7 @@
     def _tick_all(self) -> None:
         while True:
             self.clock.sleep(TICK_S)
-            self._act(self.core.tick(self.clock.now_s()))
+            self._act(self.membership.tick(self.clock.now_s()))
             self._log_changes()
 
     def _act(self, actions: list[Any]) -> None:
@@ -398,7 +398,7 @@
         self.sent_bytes += len(data)
 
     def _log_changes(self) -> None:
-        members = self.core.view().members
+        members = self.membership.view().members
         for host, member in members.items():
             if self.states.get(host) != member.state:
                 LOG.event(
--- a/magnoliadyke/gateway/metricscollector.py
+++ b/magnoliadyke/gateway/metricscollector.py
@@ -83,7 +83,7 @@
             gauges.unusable.labels(kind).set(count)
         for source, count in parts.follower.catch_up.caught_up.items():
             gauges.caught_up.labels(source).set(count)
-        if parts.confirming.needed():
+        if parts.confirming.is_proof_required():
             age_s = self.clock.boot_s() - parts.confirming.proof.proved_s
             gauges.proof_age.set(age_s)
         if parts.usage.reports.last is not None:
--- a/magnoliadyke/gateway/outcomes.py
+++ b/magnoliadyke/gateway/outcomes.py
@@ -57,7 +57,7 @@
     """An endpoint's complete answer to one attempt."""
 
     head: http.Head
-    facts: codec.AnswerFacts
+    facts: codec.ResponseFacts
     body: bytes
 
 
@@ -70,7 +70,7 @@
     """
 
     reason: str
-    arrived: bool
+    was_received: bool
 
 
 class Lost(NamedTuple):
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -60,7 +60,7 @@
     position: position.Position
     store_contact: expiredentries.StoreContact | None
     regained_s: float | None
-    passed_over: tuple[staleentries.StaleEntry, ...] = ()
+    stale_entries: tuple[staleentries.StaleEntry, ...] = ()
 
 
 class StateServer(app.Component):
@@ -148,7 +148,7 @@
                     each.gone,
                     _milliseconds(each.for_s),
                 )
-                for each in state.passed_over
+                for each in state.stale_entries
             ]
             or None,
         )
--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -38,12 +38,12 @@
 #: Maximum length of a string or binary field: the size of a datagram.
 MAX_STRING_BYTES = 1400
 MAX_ITEMS = 256
-MICRO = 1_000_000
+MICROSECONDS_PER_S = 1_000_000
 PERMILLE = 1000
 #: Longest duration that fits a 32-bit field, in microseconds.
 MAX_US = 2**31 - 1
 
-FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
+PROTOCOL_FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
     string_length_limit=MAX_STRING_BYTES,
     container_length_limit=MAX_ITEMS,
     fallback=True,
@@ -220,7 +220,7 @@
                 service,
                 event,
                 endpoint,
-                _micro(took_s),
+                _to_microseconds(took_s),
                 decode_engine or None,
             )
         case CacheSnapshot(service, cache_contents):
@@ -244,16 +244,16 @@
         case CostUpdate(service, costs):
             datagram.learned = ttypes.Learned(
                 service,
-                _micro(costs.latency_s),
-                _micro(costs.thousand_tokens_s),
-                _micro(costs.million_pairs_s),
+                _to_microseconds(costs.latency_s),
+                _to_microseconds(costs.thousand_tokens_s),
+                _to_microseconds(costs.million_pairs_s),
                 round(costs.decode_stage_factor * PERMILLE),
             )
         case KeyUpdates():
             datagram.updates = _encode_updates(message)
         case _:
             duty_codec.encode(message, datagram)
-    return TSerialization.serialize(datagram, FACTORY)
+    return TSerialization.serialize(datagram, PROTOCOL_FACTORY)
 
 
 def decode(data: bytes) -> Message:
@@ -264,7 +264,7 @@
     """
     datagram = ttypes.Datagram()
     try:
-        TSerialization.deserialize(datagram, data, FACTORY)
+        TSerialization.deserialize(datagram, data, PROTOCOL_FACTORY)
         if datagram.ask is not None:
             return _decode_request(datagram.ask)
         if datagram.decision is not None:
@@ -276,7 +276,7 @@
                 report.job,
                 Event(report.event),
                 report.endpoint,
-                (report.took_us or 0) / MICRO,
+                (report.took_us or 0) / MICROSECONDS_PER_S,
                 report.runner or '',
             )
         if datagram.recall is not None:
@@ -329,8 +329,8 @@
         pool=ask.service,
         parts=_encode_parts(job.parts),
         output_tokens=job.output_tokens,
-        objective_us=_micro(job.objective_s),
-        deadline_us=_micro(job.deadline_s),
+        objective_us=_to_microseconds(job.objective_s),
+        deadline_us=_to_microseconds(job.deadline_s),
         returning=job.returning,
         resumed=job.resumed,
         failure_domain=job.failure_domain,
@@ -343,8 +343,8 @@
         id=ask.job,
         parts=_decode_parts(ask.parts),
         output_tokens=ask.output_tokens,
-        objective_s=ask.objective_us / MICRO,
-        deadline_s=ask.deadline_us / MICRO,
+        objective_s=ask.objective_us / MICROSECONDS_PER_S,
+        deadline_s=ask.deadline_us / MICROSECONDS_PER_S,
         failure_domain=ask.failure_domain,
         returning=ask.returning,
         resumed=ask.resumed,
@@ -362,12 +362,14 @@
                 run=decision.run,
                 fetch_from=decision.fetch_from,
                 read_tokens=decision.read_tokens,
-                expected_us=_micro(decision.expected_s),
+                expected_us=_to_microseconds(decision.expected_s),
                 tell_end=decision.tell_end,
             )
         case promptjobs.Refused(job, retry_after_s, reason):
             return ttypes.Decision(
-                job=job, retry_after_us=_micro(retry_after_s), reason=reason
+                job=job,
+                retry_after_us=_to_microseconds(retry_after_s),
+                reason=reason,
             )
 
 
@@ -381,14 +383,14 @@
             decision.run,
             decision.fetch_from,
             decision.read_tokens or 0,
-            (decision.expected_us or 0) / MICRO,
+            (decision.expected_us or 0) / MICROSECONDS_PER_S,
             bool(decision.tell_end),
         )
         return PlacementDecision(placed)
     if decision.retry_after_us is not None:
         refused = promptjobs.Refused(
             decision.job,
-            decision.retry_after_us / MICRO,
+            decision.retry_after_us / MICROSECONDS_PER_S,
             decision.reason or '',
         )
         return PlacementDecision(refused)
@@ -399,9 +401,9 @@
     return CostUpdate(
         learned.pool,
         prefillcost.CostCoefficients(
-            learned.latency_us / MICRO,
-            learned.thousand_tokens_us / MICRO,
-            learned.million_pairs_us / MICRO,
+            learned.latency_us / MICROSECONDS_PER_S,
+            learned.thousand_tokens_us / MICROSECONDS_PER_S,
+            learned.million_pairs_us / MICROSECONDS_PER_S,
             learned.answering_permille / PERMILLE,
         ),
     )
@@ -502,5 +504,5 @@
     )
 
 
-def _micro(seconds: float) -> int:
-    return max(-MAX_US, min(MAX_US, round(seconds * MICRO)))
+def _to_microseconds(seconds: float) -> int:
+    return max(-MAX_US, min(MAX_US, round(seconds * MICROSECONDS_PER_S)))
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -72,7 +72,7 @@
 STALL_CHECK_INTERVAL_S = 0.1
 
 
-class _Waiting(NamedTuple):
+class _WaitingJob(NamedTuple):
     """A job of this host that waits for a decision.
 
     :ivar acknowledged: set when the leader has answered the latest request
@@ -82,7 +82,7 @@
     acknowledged: event.Event
 
 
-class _Pool:
+class _ServicePlacement:
     """Placement of one service, with a timer for its next available engine.
 
     :ivar generation: catalog generation of the engines that it places on
@@ -145,9 +145,9 @@
         self.transfer_s = medianestimator.MedianEstimator(INITIAL_TRANSFER_S)
         self.hosts = 1
         self.leader_retry_at_s = 0.0
-        self.served: dict[str, _Pool] = {}
-        self.local: dict[str, _Pool] = {}
-        self.waiting: dict[int, _Waiting] = {}
+        self.served: dict[str, _ServicePlacement] = {}
+        self.local: dict[str, _ServicePlacement] = {}
+        self.waiting: dict[int, _WaitingJob] = {}
         self.placed_by: dict[int, str | None] = {}
         self.requesters: dict[int, str] = {}
         self.decided: collections.OrderedDict[int, promptjobs.Decision] = (
@@ -188,7 +188,7 @@
 
     def place(self, service: str, job: promptjobs.Job) -> promptjobs.Decision:
         """Wait until a job is placed or refused."""
-        waiting = _Waiting(event.AsyncResult(), event.Event())
+        waiting = _WaitingJob(event.AsyncResult(), event.Event())
         self.waiting[job.id] = waiting
         try:
             decision = self._place(service, job, waiting)
@@ -345,7 +345,7 @@
                 core.adopt(job, engine, read_tokens, answers, now_s)
 
     def _place(
-        self, service: str, job: promptjobs.Job, waiting: _Waiting
+        self, service: str, job: promptjobs.Job, waiting: _WaitingJob
     ) -> promptjobs.Decision:
         if self.leading:
             self.counts['own'] += 1
@@ -362,10 +362,10 @@
 
     def _place_at(
         self,
-        pools: dict[str, _Pool],
+        pools: dict[str, _ServicePlacement],
         service: str,
         job: promptjobs.Job,
-        waiting: _Waiting,
+        waiting: _WaitingJob,
     ) -> promptjobs.Decision:
         self.placed_by[job.id] = None
         pool = self._pool(pools, service)
@@ -378,7 +378,7 @@
         leader: str,
         service: str,
         job: promptjobs.Job,
-        waiting: _Waiting,
+        waiting: _WaitingJob,
     ) -> promptjobs.Decision | None:
         """Request a decision from the leader; None if it does not answer."""
         unanswered = 0
@@ -524,14 +524,16 @@
 
     # Calls from other hosts, and the placement itself.
 
-    def _pool(self, pools: dict[str, _Pool], service: str) -> _Pool:
+    def _pool(
+        self, pools: dict[str, _ServicePlacement], service: str
+    ) -> _ServicePlacement:
         pool = pools.get(service)
         if pool is None:
             traits = self.catalog.configuration.services[service].engine
             core = placement.Placement(traits, self.rng)
             if service in self.learned_costs:
                 core.pool.restore_costs(self.learned_costs[service])
-            pool = pools[service] = _Pool(core)
+            pool = pools[service] = _ServicePlacement(core)
         pool.core.sharers = 1 if pools is self.served else self.hosts
         if pool.generation != self.catalog.generation:
             pool.generation = self.catalog.generation
@@ -626,7 +628,7 @@
         return known is not None and known.engine is not None
 
     def _apply_report(
-        self, pool: _Pool, report: placement_codec.Report
+        self, pool: _ServicePlacement, report: placement_codec.Report
     ) -> None:
         now_s = self.clock.now_s()
         core = pool.core
@@ -654,7 +656,7 @@
         self._publish(pool, decisions)
 
     def _publish(
-        self, pool: _Pool, decisions: list[promptjobs.Decision]
+        self, pool: _ServicePlacement, decisions: list[promptjobs.Decision]
     ) -> None:
         for decision in decisions:
             waiting = self.waiting.get(decision.job)
@@ -667,9 +669,9 @@
             if len(self.decided) > MAX_CACHED_DECISIONS:
                 self.decided.popitem(last=False)
             self.send(requester, placement_codec.PlacementDecision(decision))
-        self._arm(pool)
+        self._start_timer(pool)
 
-    def _arm(self, pool: _Pool) -> None:
+    def _start_timer(self, pool: _ServicePlacement) -> None:
         """Start a timer for when an engine is expected to be available."""
         if pool.timer is not None:
             return
@@ -680,12 +682,12 @@
         timer = gevent.get_hub().loop.timer(wake_s - now_s)
         pool.timer = timer
 
-        def fire() -> None:
+        def on_timer() -> None:
             pool.timer = None
             timer.close()
             self._publish(pool, pool.core.pump(self.clock.now_s()))
 
-        timer.start(fire)
+        timer.start(on_timer)
 
     def send(self, address: str, message: placement_codec.Message) -> None:
         """Send a datagram without blocking.
--- a/magnoliadyke/gateway/plainexchange.py
+++ b/magnoliadyke/gateway/plainexchange.py
@@ -59,7 +59,7 @@
 
     def _unavailable_reason(self) -> str:
         if self.parts.catalog.usable(self.service):
-            return exchange.BACKOFF
+            return exchange.BACKOFF_REASON
         return 'no endpoint is known'
 
     def _refused(self, reason: str) -> outcomes.Refused:
@@ -109,7 +109,7 @@
             case outcomes.Whole(facts=facts):
                 failed = facts.status >= 500
                 balancer.record_answer(endpoint.id, now_s - begun_s, failed)
-            case outcomes.NotRun(arrived=True):
+            case outcomes.NotRun(was_received=True):
                 balancer.record_answer(endpoint.id, now_s - begun_s, True)
             case _:
                 balancer.record_failure(endpoint.id, now_s)
@@ -132,13 +132,13 @@
         replaced by the answer of another endpoint.
         """
         if timeout_s <= 0:
-            return outcomes.NotRun('no time is left', arrived=False)
+            return outcomes.NotRun('no time is left', was_received=False)
         options = codecs.RunOptions(endpoint.name, self.left_s)
         headers = self.parts.codec.run_headers(self.request, options)
         try:
             used = self._acquire_connection(endpoint, self.route.repeatable)
         except upstream.NoConnection as error:
-            return outcomes.NotRun(str(error), arrived=False)
+            return outcomes.NotRun(str(error), was_received=False)
         if not self._may_send():
             self.parts.upstream.release(endpoint, used)
             return outcomes.NotRun('the retry budget is spent', False)
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -55,7 +55,7 @@
     def __init__(self, *args) -> None:
         super().__init__(*args)
         self.last_event: bytes | None = None
-        self.unknown: outcomes.Failed | None = None
+        self.possibly_run_failure: outcomes.Failed | None = None
         self.rejections = 0
 
     def _serve(self) -> outcomes.Outcome:
@@ -64,7 +64,7 @@
         while True:
             backoff_s = self._decode_engines_backoff_s()
             if backoff_s:
-                return self._refused(exchange.BACKOFF, backoff_s)
+                return self._refused(exchange.BACKOFF_REASON, backoff_s)
             job = self._job(avoid, resume_after is not None)
             decision = self.parts.placer.place(self.service, job)
             self._log_decision(job, decision)
@@ -79,7 +79,7 @@
                     or self.rejections > MAX_ENGINE_REJECTIONS
                 ):
                     backoff_s = self._backoff_s(excluded)
-                    return self._refused(exchange.BACKOFF, backoff_s)
+                    return self._refused(exchange.BACKOFF_REASON, backoff_s)
                 continue
             report_end = True
             try:
@@ -115,7 +115,9 @@
                 case outcomes.Lost(reason, timed_out):
                     self._log_attempt(reason, 'unknown')
                     status = 504 if timed_out else 502
-                    failure = self.unknown = outcomes.Failed(status, reason)
+                    failure = self.possibly_run_failure = outcomes.Failed(
+                        status, reason
+                    )
                     if not self.route.repeatable or not self._may_retry():
                         return self._break_off(failure)
                     if self.last_event is not None:
@@ -199,8 +201,8 @@
         may have run, the outcome is the failure of that attempt instead; in
         the middle of a stream, a refusal could not be sent.
         """
-        if self.unknown is not None:
-            return self._break_off(self.unknown)
+        if self.possibly_run_failure is not None:
+            return self._break_off(self.possibly_run_failure)
         return outcomes.Refused(reason, retry_after_s)
 
     def _break_off(self, failure: outcomes.Failed) -> outcomes.Failed:
@@ -265,7 +267,9 @@
         if engine is None:
             if source is not None:
                 self._release_kv_cache(source)
-            return outcomes.NotRun(remoteprefill.ENGINE_LEFT, arrived=False)
+            return outcomes.NotRun(
+                remoteprefill.ENGINE_LEFT, was_received=False
+            )
         self.endpoint = engine.id
         options = codecs.RunOptions(
             endpoint=engine.name,
@@ -309,7 +313,7 @@
         reported alone: its failure says nothing about the prefill engine.
         """
         placer = self.parts.placer
-        if result.arrived:
+        if result.was_received:
             placer.record_rejection(
                 self.service, job.id, placed.prefill, placed.run
             )
@@ -350,7 +354,7 @@
         try:
             used = self._acquire_connection(engine, self.route.repeatable)
         except upstream.NoConnection as error:
-            return outcomes.NotRun(str(error), arrived=False)
+            return outcomes.NotRun(str(error), was_received=False)
         if not self._may_send():
             self.parts.upstream.release(engine, used)
             return outcomes.NotRun(remoteprefill.BUDGET_SPENT, False)
@@ -421,7 +425,7 @@
             return self._classify(engine, used, head, used.body())
         if facts.request_id != self.request.id:
             return outcomes.Lost('answer to another request', False)
-        if not facts.sealed or facts.encoded:
+        if not facts.sealed or facts.has_content_encoding:
             return outcomes.Lost("not the endpoint's own answer", False)
         if facts.idle_limit_s is not None:
             used.idle_limit_s = facts.idle_limit_s
@@ -449,7 +453,7 @@
         while True:
             min_stall_s = FIRST_STALL_S if first else MIN_STALL_S
             part = self._wait_for_engine(used.part, min_stall_s)
-            if isinstance(part, http.End):
+            if isinstance(part, http.MessageEnd):
                 break
             complete = splitter.feed(part.data)
             if not complete:
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -157,7 +157,7 @@
         return f'{prefill_engine.address}/{read.handle}'
 
     def _record_prefill_failure(
-        self, prefill_engine: str, reason: str, arrived: bool
+        self, prefill_engine: str, reason: str, was_received: bool
     ) -> outcomes.NotRun:
         LOG.event(
             'prefill_failed',
@@ -166,7 +166,7 @@
             cause=reason,
             left_ms=round(self.left_s * 1000),
         )
-        return outcomes.NotRun(reason, arrived)
+        return outcomes.NotRun(reason, was_received)
 
     def _release_kv_cache(self, source: str) -> None:
         """Release the KV cache of a request that will not be decoded.
--- a/magnoliadyke/gateway/smallserver.py
+++ b/magnoliadyke/gateway/smallserver.py
@@ -73,7 +73,7 @@
         self, caller: callers.Caller, reader: http.RequestReader
     ) -> None:
         head = reader.next_part()
-        while not isinstance(reader.next_part(), http.End):
+        while not isinstance(reader.next_part(), http.MessageEnd):
             pass
         caller.closing = not head.reusable
         reply = self.handle(head.method, head.target)
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -177,7 +177,7 @@
 
         They stay the same as long as these hosts run.
         """
-        return sorted(self.members.listening())[:COPY_HOSTS]
+        return sorted(self.members.reachable_addresses())[:COPY_HOSTS]
 
     # Messages from other hosts.
 
@@ -269,9 +269,9 @@
 
         :returns: False if a read, write or call failed and must be retried
         """
-        done = self.read_term == self.leadership.held or self._read()
-        while done and (window := self._due()) is not None:
-            done = self._fix(window)
+        done = self.read_term == self.leadership.held_position or self._read()
+        while done and (window := self._next_due_window()) is not None:
+            done = self._finalize(window)
         for each in sorted(self.reports.fixed):
             if each not in self.sent and not self._is_overdue(each):
                 done &= self._report_window(self.reports.fixed[each])
@@ -282,7 +282,7 @@
 
         :returns: False if the store is unavailable
         """
-        held = self.leadership.held
+        held = self.leadership.held_position
         match self.store.read(REPORTS_KEY):
             case store.Item() as item:
                 self.changed(item)
@@ -294,7 +294,7 @@
         self.read_term = held
         return True
 
-    def _due(self) -> int | None:
+    def _next_due_window(self) -> int | None:
         """Return the next window to report, None if it is not over yet."""
         over = self._window(SETTLE_S) - 1
         last = self.reports.last
@@ -312,7 +312,7 @@
         end_s = (window + 1) * self.settings.window_s
         return self.wall_s() > end_s + self.settings.due_s
 
-    def _fix(self, window: int) -> bool:
+    def _finalize(self, window: int) -> bool:
         """Make a window's report final by a conditional write to the store.
 
         The write fails if another host has written reports since they were
--- a/magnoliadyke/platform/codec.py
+++ b/magnoliadyke/platform/codec.py
@@ -176,10 +176,10 @@
             headers.append((FETCH_FROM, options.fetch_from.encode()))
         return headers
 
-    def facts(self, head: http.Head) -> codec.AnswerFacts:
+    def facts(self, head: http.Head) -> codec.ResponseFacts:
         """Decode the head of an endpoint's response."""
         request_id = None
-        not_run = sealed = encoded = leaving = False
+        not_run = sealed = has_content_encoding = leaving = False
         idle_limit_s = None
         backoff_s = 0.0
         for name, value in head.headers:
@@ -191,7 +191,7 @@
                 case b'x-server-seal':
                     sealed = True
                 case b'content-encoding':
-                    encoded = value.lower() != b'identity'
+                    has_content_encoding = value.lower() != b'identity'
                 case b'retry-after' if head.status == STATUS_UNAVAILABLE:
                     backoff_s = _backoff_s(value)
                 case b'server-leaving':
@@ -199,13 +199,13 @@
                 case b'keep-alive':
                     idle_limit_s = _idle_limit_s(value)
         wrong = head.status == STATUS_WRONG_ENDPOINT
-        return codec.AnswerFacts(
+        return codec.ResponseFacts(
             head.status,
             request_id,
             not_run or wrong,
             wrong,
             sealed,
-            encoded,
+            has_content_encoding,
             idle_limit_s,
             leaving,
             backoff_s,
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -209,7 +209,7 @@
             parts,
             self.metrics.record,
             self.metrics.registry.record_early,
-            self.confirming.holds,
+            self.confirming.is_proof_valid,
             self.follower.is_behind,
             clock,
             rng,
@@ -297,7 +297,7 @@
         return usage, fleet
 
     def _broadcast(self, message: placement_codec.Message) -> None:
-        for address in self.members.listening():
+        for address in self.members.reachable_addresses():
             self.placer.send(address, message)
 
     def _addresses(self) -> list[str]:
@@ -307,7 +307,7 @@
         current.
         """
         found = self.members.addresses()
-        if self.confirming.serves():
+        if self.confirming.can_serve_all_routes():
             return found
         return [each for each in found if each != self.settings.callers]
 
@@ -316,7 +316,7 @@
             not self.stopping.is_set()
             and self.catalog.configuration is not None
             and bool(self.catalog.endpoints)
-            and self.confirming.serves()
+            and self.confirming.can_serve_all_routes()
         )
 
     def run(self) -> None:
--- a/magnoliadyke/platform/store.py
+++ b/magnoliadyke/platform/store.py
@@ -361,7 +361,7 @@
                 READ_TIMEOUT_S, http.OutOfTime('response body stalled')
             ):
                 part = conn.part()
-            if isinstance(part, http.End):
+            if isinstance(part, http.MessageEnd):
                 return b''.join(pieces)
             pieces.append(part.data)
 
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -178,7 +178,7 @@
 
 def strict_node(world, **fields):
     node = world.node(revoke_s=BOUND_S, **fields)
-    gatewayworld.wait_for(node.confirming.holds, 'a proof')
+    gatewayworld.wait_for(node.confirming.is_proof_valid, 'a proof')
     return node
 
 
@@ -274,7 +274,7 @@
     gevent.sleep(3.0)
     calls = world.store.calls.count('/api/kv-key') - before
     assert 3 <= calls <= 3.0 / (0.2 * BOUND_S) + 2
-    assert all(n.confirming.holds() for n in world.nodes)
+    assert all(n.confirming.is_proof_valid() for n in world.nodes)
 
 
 def duty_settings(cloud, window_s=1.0, due_s=5.0):
@@ -482,5 +482,5 @@
     other.key = None
     other.reports = usage.Reports(other.retained_windows)
     other.ledger.record_tally('front-9', 1, window, {'small': 99})
-    assert not other._fix(window)
+    assert not other._finalize(window)
     assert other.reports.fixed[window] == fixed
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -33,7 +33,7 @@
 
 def parts(reader):
     found = []
-    while not isinstance(part := reader.next_part(), http.End):
+    while not isinstance(part := reader.next_part(), http.MessageEnd):
         found.append(part)
     return found
 
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -193,7 +193,7 @@
     gatewayworld.wait_for(
         lambda: (
             left.leadership.holder == dead.own.host
-            and dead.own.host in left.members.core.members
+            and dead.own.host in left.members.membership.members
         ),
         'the word of the leader',
     )
--- a/tests/test_gateway_restart.py
+++ b/tests/test_gateway_restart.py
@@ -110,8 +110,8 @@
     led = node.leadership
     gatewayworld.wait_for(lambda: led.holder == first.own.host, 'its word')
     led.greenlet.kill()
-    node.members.core.members.pop(first.own.host, None)
-    node.members.core._view = None
+    node.members.membership.members.pop(first.own.host, None)
+    node.members.membership._view = None
     now_s = node.clock.now_s()
     node.placer.leader_retry_at_s = now_s + 60
     led.holder_since_s = now_s
@@ -133,10 +133,10 @@
         lambda: any(each.placer.leading for each in nodes), 'the new holder'
     )
     leader, other = sorted(nodes, key=lambda each: not each.placer.leading)
-    met = leader.members.core.members
+    met = leader.members.membership.members
     met.pop(other.own.host, None)
-    leader.members.core._view = None
-    assert leader.members.listening() == [other.own.address]
+    leader.members.membership._view = None
+    assert leader.members.reachable_addresses() == [other.own.address]
     word = leader.leadership._announcement()
     later = _next_term(word)
     leader._broadcast(later)
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -316,7 +316,7 @@
     kept = client.reader.next_part()
     assert kept.value(b'connection') is None
     stopping.begin()
-    while not isinstance(client.reader.next_part(), http.End):
+    while not isinstance(client.reader.next_part(), http.MessageEnd):
         pass
     head, _ = client.call('GET', '/safe/x', 'next')
     assert head.value(b'connection') == b'close'
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -115,7 +115,7 @@
         self.leaving = False
         self.listed = {own.host}
         self.records = {own.host: own}
-        self.core = View()
+        self.membership = View()
 
 
 class Others(follower.Others):
@@ -277,7 +277,7 @@
     def gossip(self, pick, of, dead):
         member = membership.Member(f'host-{of}', 0, '', 0, 0, 'd')
         state = membership.DEAD if dead else membership.ALIVE
-        view = self.hosts[pick].members.core
+        view = self.hosts[pick].members.membership
         view.members[f'host-{of}'] = member._replace(state=state)
 
     # What hosts do.
@@ -444,7 +444,7 @@
     machine.lead_and_order(1)
     first, second = (host.leadership for host in machine.hosts[:2])
     assert first.may_order()
-    assert first.held.revision == second.held.revision
+    assert first.held_position.revision == second.held_position.revision
     machine.check_and_order(0)
     assert ordered(machine) == ['host-0', 'host-1']
 
--- a/tests/test_platform_codec.py
+++ b/tests/test_platform_codec.py
@@ -90,7 +90,7 @@
             status=200,
         )
     )
-    assert facts == codecs.AnswerFacts(
+    assert facts == codecs.ResponseFacts(
         200, b'r1', False, False, True, False, 5.0, False, 0.0
     )
     shed = codec.PlatformCodec().facts(
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -278,7 +278,7 @@
 def test_order_is_put_off_when_its_revision_was_given_out_again(world, clock):
     """Another host's key has the revision that the holder's had before."""
     node = leader(world)
-    held = node.leadership.held
+    held = node.leadership.held_position
     copy = world.store.copy()
     world.store.restore(copy._replace(items={}, revision=held.revision - 1))
     revision = world.store.put(
@@ -407,9 +407,11 @@
     datagram = placement_codec.ttypes.Datagram()
     serialization = placement_codec.TSerialization
     serialization.deserialize(
-        datagram, placement_codec.encode(message), placement_codec.FACTORY
+        datagram,
+        placement_codec.encode(message),
+        placement_codec.PROTOCOL_FACTORY,
     )
     for each in (datagram.updates, datagram.leader):
         if each is not None:
             each.era = None
-    return serialization.serialize(datagram, placement_codec.FACTORY)
+    return serialization.serialize(datagram, placement_codec.PROTOCOL_FACTORY)
