--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -151,14 +151,14 @@
             self._prove(item, asked_s)
 
     def _log_change(self) -> None:
-        held = self.is_proof_valid()
-        if held is self.was_valid:
+        is_valid = self.is_proof_valid()
+        if is_valid is self.was_valid:
             return
-        self.was_valid = held
+        self.was_valid = is_valid
         age_s = self.clock.boot_s() - self.proof.proved_s
         LOG.event(
             'confirmation',
-            holds=held,
+            holds=is_valid,
             version=self.catalog.configuration.version,
             age_ms=round(age_s * 1000) if math.isfinite(age_s) else 'none',
         )
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -77,7 +77,7 @@
         record: Callable[[outcomes.Outcome, routes.Route, float], None],
         record_early: Callable[[int], None],
         confirmed: Callable[[], bool],
-        behind: Callable[[], bool],
+        is_behind: Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -86,7 +86,7 @@
         self.record = record
         self.record_early = record_early
         self.confirmed = confirmed
-        self.behind = behind
+        self.is_behind = is_behind
         self.clock = clock
         self.rng = rng
         self.shutdown: shutdown.Shutdown | None = None
@@ -397,7 +397,7 @@
         While this host has missed configuration changes, which may allow
         the request, the answer is a 503 with Retry-After instead.
         """
-        if self.behind():
+        if self.is_behind():
             reason = 'changes of the configuration may have been missed'
             self._answer_early(
                 caller, request, 503, reason, UNCONFIRMED_RETRY_S
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -47,14 +47,14 @@
 YIELD_S = 1.5
 #: A host replaces a yielding leader only after the store has been reachable
 #: for this long, in seconds.
-IN_REACH_S = 1.0
+MIN_REACHABLE_S = 1.0
 #: A leader that is not a member in gossip, and that does not answer
 #: placement requests, is treated as dead this long after this host learned
 #: of its lease, in seconds: gossip takes as long to declare a host dead.
-UNMET_TIMEOUT_S = 2.0
+UNKNOWN_LEADER_TIMEOUT_S = 2.0
 #: Interval between the leader's checks of its lease and of its connection
 #: to the store, in seconds.
-HOLD_CHECK_INTERVAL_S = 0.25
+LEASE_CHECK_INTERVAL_S = 0.25
 #: Shortest pause after a failed call to the store, in seconds; jitter adds
 #: up to as much again.
 RETRY_S = 0.5
@@ -354,7 +354,7 @@
         while True:
             if self.lease is not None:
                 self._maintain_lease()
-                self.clock.sleep(HOLD_CHECK_INTERVAL_S)
+                self.clock.sleep(LEASE_CHECK_INTERVAL_S)
             else:
                 self.clock.sleep(TICK_S)
                 self._contend()
@@ -423,14 +423,14 @@
         not count as silent.
         """
         now_s = self.clock.now_s()
-        if now_s - self.holder_since_s < UNMET_TIMEOUT_S:
+        if now_s - self.holder_since_s < UNKNOWN_LEADER_TIMEOUT_S:
             return False
         return now_s < self.placer.leader_retry_at_s
 
     def _is_store_reachable(self) -> bool:
         return (
             self.contact is not None
-            and self.contact.reachable_s() >= IN_REACH_S
+            and self.contact.reachable_s() >= MIN_REACHABLE_S
         )
 
     def _rank(self) -> int:
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -414,8 +414,8 @@
 class HostListener(keymirror.Listener):
     """Passes changes of the hosts' keys to the membership."""
 
-    def __init__(self, joined: Members) -> None:
-        self.members = joined
+    def __init__(self, host_members: Members) -> None:
+        self.members = host_members
 
     def changed(self, item: store.Item) -> None:
         """Add the host whose key was written."""
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -101,7 +101,7 @@
                 case outcomes.Whole(facts=facts) if self.caller.answer_begun:
                     # An error answer can't be sent in the middle of a stream.
                     reason = f'status {facts.status} on resume'
-                    return self._break_off(outcomes.Failed(502, reason))
+                    return self._mark_incomplete(outcomes.Failed(502, reason))
                 case outcomes.Whole():
                     return self._deliver(result)
                 case outcomes.NotRun(reason):
@@ -119,7 +119,7 @@
                         status, reason
                     )
                     if not self.route.repeatable or not self._may_retry():
-                        return self._break_off(failure)
+                        return self._mark_incomplete(failure)
                     if self.last_event is not None:
                         resume_after = self.last_event
             avoid = (*avoid, self.endpoint)
@@ -202,10 +202,10 @@
         the middle of a stream, a refusal could not be sent.
         """
         if self.possibly_run_failure is not None:
-            return self._break_off(self.possibly_run_failure)
+            return self._mark_incomplete(self.possibly_run_failure)
         return outcomes.Refused(reason, retry_after_s)
 
-    def _break_off(self, failure: outcomes.Failed) -> outcomes.Failed:
+    def _mark_incomplete(self, failure: outcomes.Failed) -> outcomes.Failed:
         """Mark a begun stream to end without its last chunk, as incomplete."""
         if self.caller.answer_begun:
             self.caller.broken = True
--- a/tests/test_gateway_restart.py
+++ b/tests/test_gateway_restart.py
@@ -116,7 +116,7 @@
     node.placer.leader_retry_at_s = now_s + 60
     led.holder_since_s = now_s
     assert not led._holder_is_dead()
-    led.holder_since_s = now_s - leadership.UNMET_TIMEOUT_S
+    led.holder_since_s = now_s - leadership.UNKNOWN_LEADER_TIMEOUT_S
     assert led._holder_is_dead()
     node.placer.leader_retry_at_s = 0.0
     assert not led._holder_is_dead()
