--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -93,8 +93,8 @@
     :param not_run: whether the endpoint did not run the request and will not
     :param wrong_endpoint: whether another process now has this address
     :param sealed: whether the response has the endpoint's signature header
-    :param encoded: whether the body has a Content-Encoding, so that it is not
-        the bytes that the endpoint generated
+    :param has_content_encoding: whether the body has a Content-Encoding, so
+        that it is not the bytes that the endpoint generated
     :param idle_limit_s: idle time after which the endpoint closes the
         connection, in seconds; None if not given
     :param leaving: whether the endpoint is draining and takes no new work
--- a/magnoliadyke/gateway/connection.py
+++ b/magnoliadyke/gateway/connection.py
@@ -45,7 +45,7 @@
     :ivar sent: whether bytes of the current request may have been sent
     :ivar last_used_s: when the owner last got the connection back after a
         request, in monotonic seconds
-    :ivar kept: whether the connection served an earlier request
+    :ivar is_reused: whether the connection served an earlier request
     :ivar idle_limit_s: idle time after which the server closes the connection,
         in seconds; None if the server did not send it
     :raises OSError: the connection failed or timed out
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -103,7 +103,7 @@
     does not answer.
 
     :param host: name of this host
-    :param kept: client of the store
+    :param kv_store: client of the store
     :param mirror: applies the keys, as of ``lag.own_position``
     :param bound_s: shortest limit for a change to take effect, in seconds
     :ivar others: the other hosts, None for a host that runs alone
@@ -119,7 +119,7 @@
     :ivar regained_s: when the store last came back after an outage
     :ivar failing_since_s: when the store's present outage began, None if the
         store answers
-    :ivar behind: set when all keys have to be read again
+    :ivar reread_needed: set when all keys have to be read again
     :ivar catch_up: fetches from other hosts what this one lacks
     :ivar not_relayed: keys that are not sent to other hosts; the hosts that
         need them read them
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -60,8 +60,8 @@
         without an exchange
     :param confirmed: returns whether the configuration is confirmed to be
         current
-    :param behind: returns whether other hosts have changes that this host has
-        missed
+    :param is_behind: returns whether other hosts have changes that this host
+        has missed
     :ivar open_requests: number of requests of which the head has been read and
         that are not answered yet
     :ivar connections: open connections, and whether each has a request or is
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -112,7 +112,8 @@
         reachable
     :ivar yielding: whether this host holds the lease and asks to be replaced
     :ivar yielded: position of the key of a leader that asks to be replaced
-    :ivar held: position of this host's own key while it holds the lease
+    :ivar held_position: position of this host's own key while it holds the
+        lease
     :ivar holder_position: position of the current leader's key, or of the
         key of a former leader in a restored copy of the store; ``START`` if
         there is no key
@@ -418,9 +419,9 @@
         restart.  Gossip declares only known members dead, so without this
         check every host would place alone, and no host would order an
         engine, until the lease expires.  A running leader joins gossip or
-        answers a placement request within ``UNMET_TIMEOUT_S``.  A host with
-        no prompts to place has sent no requests, so to it the leader does
-        not count as silent.
+        answers a placement request within ``UNKNOWN_LEADER_TIMEOUT_S``.  A
+        host with no prompts to place has sent no requests, so to it the
+        leader does not count as silent.
         """
         now_s = self.clock.now_s()
         if now_s - self.holder_since_s < UNKNOWN_LEADER_TIMEOUT_S:
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -100,7 +100,7 @@
     """The hosts of the system and the state of each.
 
     :param own: record of this host
-    :param kept: client of the store
+    :param kv_store: client of the store
     :param link_mbps: bandwidth of this host's link, in Mbit/s
     :ivar on_peer_position: called with another host's name and the position
         up to which it has read the store
--- a/magnoliadyke/gateway/outcomes.py
+++ b/magnoliadyke/gateway/outcomes.py
@@ -66,7 +66,8 @@
 
     Nothing was sent, or the endpoint answered that it has not run it.
 
-    :param arrived: whether the endpoint received the request and rejected it
+    :param was_received: whether the endpoint received the request and
+        rejected it
     """
 
     reason: str
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -52,7 +52,7 @@
     :param regained_s: how long ago, in seconds, the store came back for this
         host or for the one that relays to it; None if the grace period after
         that outage is over
-    :param passed_over: stale entries of a restored store that it ignores
+    :param stale_entries: stale entries of a restored store that it ignores
     """
 
     items: tuple[store.Item, ...]
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -48,8 +48,8 @@
     :ivar last_event: id of the last event that was relayed to the caller
     :ivar rejections: number of times that an engine did not accept the
         request
-    :ivar unknown: failure of the last attempt that may have run the request,
-        None if there is none
+    :ivar possibly_run_failure: failure of the last attempt that may have run
+        the request, None if there is none
     """
 
     def __init__(self, *args) -> None:
