--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -514,7 +514,7 @@
 
 def inventory_of(settings):
     """Names that cross-row checks of the table need."""
-    return table.Inventory(
+    return table.ConfiguredNames(
         pools={
             pool.name: tuple(each.name for each in pool.endpoints)
             for pool in settings.pools
--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -28,14 +28,14 @@
 class EndpointStats:
     """Statistics of one endpoint.
 
-    :ivar outstanding: requests in flight
+    :ivar in_flight: requests in flight
     :ivar response_s: moving average of the response time, in seconds
     :ivar failure_rate: moving average of failures, 0 to 1
     :ivar unreachable: attempts without a response, in a row
     :ivar cooldown_until_s: when its cooldown ends, in monotonic seconds
     """
 
-    outstanding: int = 0
+    in_flight: int = 0
     response_s: float = INITIAL_RESPONSE_S
     failure_rate: float = 0.0
     unreachable: int = 0
@@ -85,7 +85,7 @@
 
     def _cost(self, endpoint: catalog.Endpoint) -> float:
         stats = self.stats_by_id.get(endpoint.id) or EndpointStats()
-        waiting = stats.outstanding / max(1, endpoint.slots)
+        waiting = stats.in_flight / max(1, endpoint.slots)
         cost = stats.response_s * (1 + waiting)
         cost *= 1 + FAILURE_COST * stats.failure_rate
         if endpoint.failure_domain != self.failure_domain:
@@ -97,7 +97,7 @@
 
     def record_sent(self, endpoint_id: str) -> None:
         """Record that a request is sent to an endpoint."""
-        self._stats(endpoint_id).outstanding += 1
+        self._stats(endpoint_id).in_flight += 1
 
     def record_answer(
         self, endpoint_id: str, took_s: float, failed: bool
@@ -108,7 +108,7 @@
         :param failed: whether it reports a failure of the endpoint itself
         """
         stats = self._stats(endpoint_id)
-        stats.outstanding -= 1
+        stats.in_flight -= 1
         stats.unreachable = 0
         stats.response_s += RESPONSE_WEIGHT * (took_s - stats.response_s)
         self._update_failure_rate(stats, failed)
@@ -118,12 +118,12 @@
 
         Only the requests in flight change: it shows nothing of the endpoint.
         """
-        self._stats(endpoint_id).outstanding -= 1
+        self._stats(endpoint_id).in_flight -= 1
 
     def record_failure(self, endpoint_id: str, now_s: float) -> None:
         """Record that an endpoint did not respond or was unreachable."""
         stats = self._stats(endpoint_id)
-        stats.outstanding -= 1
+        stats.in_flight -= 1
         stats.unreachable += 1
         self._update_failure_rate(stats, True)
         if stats.unreachable >= 2:
@@ -138,7 +138,7 @@
         :param listed: ids of the listed endpoints
         """
         for endpoint_id in [e for e in self.stats_by_id if e not in listed]:
-            if self.stats_by_id[endpoint_id].outstanding <= 0:
+            if self.stats_by_id[endpoint_id].in_flight <= 0:
                 del self.stats_by_id[endpoint_id]
 
     def _update_failure_rate(self, stats: EndpointStats, failed: bool) -> None:
--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -51,8 +51,8 @@
 
     :param life_s: longest time from the start of sending a command to the
         closing of its connection.
-    :param drift_share: share of ``life_s`` added for clocks that run at
-        different rates.
+    :param max_clock_drift_share: share of ``life_s`` added for clocks that run
+        at different rates.
     :param change_s: longest time that an engine may take for a change.
     :param poll_s: interval between reads of the state during a change.
     :param retry_s: delay after a failed read or write.
@@ -60,7 +60,7 @@
     """
 
     life_s: float = 1.0
-    drift_share: float = 0.1
+    max_clock_drift_share: float = 0.1
     change_s: float = 15.0
     poll_s: float = 0.25
     retry_s: float = 0.5
@@ -136,8 +136,8 @@
 class Prepare:
     """Take the engine out of use and let its streams end.
 
-    Then call :meth:`EngineCommands.prepared`; until then no intent is
-    written and no command is sent.
+    Then call :meth:`EngineCommands.record_engine_drained`; until then no
+    intent is written and no command is sent.
     """
 
     change: Change
@@ -373,7 +373,7 @@
 
     def _wait_until_s(self, authority: leases.Authority) -> float:
         """Return when no command of the former holder can take effect."""
-        share = 1 + self.settings.drift_share
+        share = 1 + self.settings.max_clock_drift_share
         return authority.since_s + self.settings.life_s * share
 
     def _check_authority(
@@ -457,7 +457,7 @@
         """
         return self.intent is None or self.intent.change == change
 
-    def prepared(self, now_s: float) -> list[Action]:
+    def record_engine_drained(self, now_s: float) -> list[Action]:
         """Continue with the change once the engine is out of use."""
         step = self._step
         if not isinstance(step, _Preparing) or self._authority is None:
--- a/magnoliadyke/core/costs.py
+++ b/magnoliadyke/core/costs.py
@@ -301,7 +301,7 @@
         self.max_streams = max_streams
         self.models = {}
 
-    def of(self, name):
+    def cost_model(self, name):
         """Return a model's or service pool's costs, created if missing."""
         model = self.models.get(name)
         if model is None:
@@ -309,6 +309,6 @@
             self.models[name] = model
         return model
 
-    def of_job(self, job):
+    def job_cost_model(self, job):
         """Return the costs of the model or service pool of a job."""
-        return self.of(job.model or job.pool)
+        return self.cost_model(job.model or job.pool)
--- a/magnoliadyke/core/digestexchange.py
+++ b/magnoliadyke/core/digestexchange.py
@@ -201,8 +201,10 @@
         if last_sent is None:
             return float('inf')
         served_s = digests.served_since_s(last_sent.served_ms, usage.served_ms)
-        wanted = abs(usage.wanted - last_sent.wanted)
-        return abs(served_s) + wanted * 0.1
+        active_requests = abs(
+            usage.active_requests - last_sent.active_requests
+        )
+        return abs(served_s) + active_requests * 0.1
 
     def register_name(self, customer, pool_name):
         """Register the checksum by which digests name a customer and pool.
@@ -221,7 +223,7 @@
         row = self.limits.rows.get(customer)
         if row is not None and (row.requests_s or row.tokens_s):
             demands[customer, 'rate'] = report.tokens_s
-        demands[customer, 'concurrency'] = report.wanted
+        demands[customer, 'concurrency'] = report.active_requests
         previous_ms = peer_state.served.pop(report.customer, None)
         peer_state.served[report.customer] = report.served_ms
         if len(peer_state.served) > MAX_TOTALS_PER_PEER:
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -79,13 +79,13 @@
     :param customer: checksum of 'customer/pool'
     :param served_ms: engine-milliseconds served, modulo 2**32
     :param tokens_s: tokens per second that the customer requests of the node
-    :param wanted: its running and waiting requests at the node
+    :param active_requests: its running and waiting requests at the node
     """
 
     customer: int
     served_ms: int
     tokens_s: float
-    wanted: int
+    active_requests: int
 
 
 class SuspectReport(NamedTuple):
@@ -153,8 +153,8 @@
             POOL.pack(*_with_capped_counts(report)) for report in pools
         )
         for report in customers:
-            wanted = min(report.wanted, MAX_UINT16)
-            parts.append(CUSTOMER.pack(*report[:3], wanted))
+            active_requests = min(report.active_requests, MAX_UINT16)
+            parts.append(CUSTOMER.pack(*report[:3], active_requests))
         for report in suspects:
             parts.append(_encode_suspect(report))
         return b''.join(parts)
--- a/magnoliadyke/core/fairness.py
+++ b/magnoliadyke/core/fairness.py
@@ -77,7 +77,7 @@
             del self.heaps[customer]
         return True
 
-    def customers_by_service(self):
+    def customers_by_counter(self):
         """Customers with queued jobs, the lowest counter first."""
         return sorted(self.heaps, key=self.counters.__getitem__)
 
--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -54,13 +54,14 @@
     Sums are kept relative to the time of the newest sample, so that adding
     a sample takes constant time.
 
-    :param memory_s: time constant with which the weight of samples decays
+    :param time_constant_s: time constant with which the weight of samples
+        decays
     :param overlap: number of consecutive samples that are means over
         overlapping times; the fit treats them as one independent sample
     """
 
-    def __init__(self, memory_s, overlap=1.0):
-        self.memory_s = memory_s
+    def __init__(self, time_constant_s, overlap=1.0):
+        self.time_constant_s = time_constant_s
         self.overlap = overlap
         self.at_s = None
         self._weight = 0.0
@@ -82,7 +83,7 @@
         self._value2 += value * value
 
     def _decay(self, elapsed_s):
-        keep = math.exp(-elapsed_s / self.memory_s)
+        keep = math.exp(-elapsed_s / self.time_constant_s)
         # The time of a sample is its negative age.
         self._time2 += elapsed_s * (elapsed_s * self._weight - 2 * self._time)
         self._time -= elapsed_s * self._weight
@@ -275,11 +276,12 @@
 class ForecastErrors:
     """Standard errors of past forecasts, by lead time.
 
-    :param memory_s: time constant with which the weight of errors decays
+    :param time_constant_s: time constant with which the weight of errors
+        decays
     """
 
-    def __init__(self, memory_s):
-        self.memory_s = memory_s
+    def __init__(self, time_constant_s):
+        self.time_constant_s = time_constant_s
         self._due = collections.deque()
         self._squares = {}
 
@@ -313,7 +315,7 @@
         if previous is None:
             self._squares[lead_s] = now_s, squares
             return
-        keep = math.exp((previous[0] - now_s) / self.memory_s)
+        keep = math.exp((previous[0] - now_s) / self.time_constant_s)
         mixed = [
             keep * old + (1 - keep) * new
             for old, new in zip(previous[1], squares, strict=True)
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -12,7 +12,7 @@
     'Blocked',
     'Freshness',
     'FreshnessSettings',
-    'Sighting',
+    'HostState',
     'Wait',
     'quorum_of',
 ]
@@ -36,7 +36,7 @@
     join_s: float = 1.0
 
 
-class Sighting(NamedTuple):
+class HostState(NamedTuple):
     """State of a host at one moment, as gossip carries it.
 
     :param age_s: time from that moment to the encoding of the datagram.
@@ -95,7 +95,7 @@
 
 class _Evidence(NamedTuple):
     at_s: float
-    sighting: Sighting
+    sighting: HostState
 
 
 def quorum_of(failure_domains: Mapping[str, str]) -> int:
@@ -188,7 +188,7 @@
             self.rooted = True
 
     def handle_probe_answer(
-        self, sent_s: float, now_s: float, sightings: Iterable[Sighting]
+        self, sent_s: float, now_s: float, sightings: Iterable[HostState]
     ) -> None:
         """Record the evidence in the answer to a probe.
 
@@ -204,18 +204,20 @@
                 self.first_peer_s = min(self.first_peer_s, now_s)
                 self._adopt_store_confirmation(sent_s, sighting)
 
-    def _record_evidence(self, at_s: float, sighting: Sighting) -> None:
+    def _record_evidence(self, at_s: float, sighting: HostState) -> None:
         known = self.evidence.get(sighting.host)
         if known is None or self._is_newer(at_s, sighting, known):
             self.evidence[sighting.host] = _Evidence(at_s, sighting)
 
     @staticmethod
-    def _is_newer(at_s: float, sighting: Sighting, known: _Evidence) -> bool:
+    def _is_newer(at_s: float, sighting: HostState, known: _Evidence) -> bool:
         if sighting.incarnation != known.sighting.incarnation:
             return sighting.incarnation > known.sighting.incarnation
         return at_s > known.at_s
 
-    def _adopt_store_confirmation(self, sent_s: float, peer: Sighting) -> None:
+    def _adopt_store_confirmation(
+        self, sent_s: float, peer: HostState
+    ) -> None:
         """Adopt the store's confirmation of a peer without a newer table."""
         if not self._holds(peer.table_revision, peer.staged_revision):
             return
@@ -321,9 +323,9 @@
         """
         return self.store_age_s(now_s) > self.settings.stale_s
 
-    def sighting(self, now_s: float) -> Sighting:
+    def sighting(self, now_s: float) -> HostState:
         """The sighting that this node sends of itself."""
-        return Sighting(
+        return HostState(
             self.host,
             self.incarnation,
             0.0,
@@ -337,7 +339,7 @@
 
     def relayed_sightings(
         self, now_s: float, max_hosts: int, rng: Any
-    ) -> list[Sighting]:
+    ) -> list[HostState]:
         """Sightings of other hosts to relay, chosen at random.
 
         :param max_hosts: maximum number of sightings.
--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -36,7 +36,7 @@
         split = run.prefill_endpoint is not run.stream_at
         if not prefill_reported or not split or run.stream_at is None:
             return
-        model = self.models.of_job(run.job)
+        model = self.models.job_cost_model(run.job)
         streams = run.stream_at.load.streams.total()
         if streams < self.models.max_streams:
             took_s = run.first_token_s - run.prefill_done_s
@@ -49,7 +49,7 @@
         :returns: engine-seconds that the job actually took
         """
         job = run.job
-        model = self.models.of_job(job)
+        model = self.models.job_cost_model(job)
         if run.stream_at is not None:
             run.stream_at.health.record_success()
         if job.kind == 'service':
@@ -82,11 +82,11 @@
         took_s = max(0.0, now_s - since_s)
         tokens = max(1.0, run.job.prompt_tokens - run.estimated_cached_tokens)
         sample = endpoint.prefill_sample
-        if sample.joins(took_s):
+        if sample.is_same_step(took_s):
             sample.tokens += tokens
             return
         if sample.undisturbed:
-            model = self.models.of_job(run.job)
+            model = self.models.job_cost_model(run.job)
             model.observe_prefill(
                 endpoint.role, sample.tokens, sample.seconds, sample.streams
             )
--- a/magnoliadyke/core/limits.py
+++ b/magnoliadyke/core/limits.py
@@ -50,25 +50,25 @@
 class Rate:
     """Exponentially weighted moving rate per second.
 
-    :param memory_s: time constant
+    :param time_constant_s: time constant
     """
 
-    __slots__ = ('at_s', 'memory_s', 'per_s')
+    __slots__ = ('at_s', 'per_s', 'time_constant_s')
 
-    def __init__(self, memory_s, now_s):
-        self.memory_s = memory_s
+    def __init__(self, time_constant_s, now_s):
+        self.time_constant_s = time_constant_s
         self.at_s = now_s
         self.per_s = 0.0
 
     def add(self, amount, now_s):
         """Add an amount that arrived now."""
-        self.per_s = self.now(now_s) + amount / self.memory_s
+        self.per_s = self.now(now_s) + amount / self.time_constant_s
 
     def now(self, now_s):
         """Return the rate per second, decayed to this time."""
         passed_s = now_s - self.at_s
         if passed_s > 0:
-            self.per_s *= math.exp(-passed_s / self.memory_s)
+            self.per_s *= math.exp(-passed_s / self.time_constant_s)
             self.at_s = now_s
         return self.per_s
 
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -19,7 +19,7 @@
     'Paused',
     'Ping',
     'PingRequest',
-    'Send',
+    'SendDatagram',
     'Superseded',
 ]
 
@@ -53,7 +53,7 @@
         process was paused.
     :param unreachable_probe_interval_s: time between two probes of hosts
         that are dead, have left or have never answered.
-    :param survey: maximum number of peers that a survey probes.
+    :param max_survey_probes: maximum number of peers that a survey probes.
     """
 
     period_s: float = 0.5
@@ -64,7 +64,7 @@
     sightings: int = 8
     pause_threshold_s: float = 1.5
     unreachable_probe_interval_s: float = 1.0
-    survey: int = 64
+    max_survey_probes: int = 64
 
 
 class Member(NamedTuple):
@@ -105,7 +105,7 @@
     source: Member
     target: str
     updates: tuple[Member, ...]
-    sightings: tuple[freshness.Sighting, ...]
+    sightings: tuple[freshness.HostState, ...]
     digest: bytes
 
 
@@ -118,7 +118,7 @@
     target_address: str
     target_port: int
     updates: tuple[Member, ...]
-    sightings: tuple[freshness.Sighting, ...]
+    sightings: tuple[freshness.HostState, ...]
     digest: bytes
 
 
@@ -132,7 +132,7 @@
     source: Member
     target: str
     updates: tuple[Member, ...]
-    sightings: tuple[freshness.Sighting, ...]
+    sightings: tuple[freshness.HostState, ...]
     digest: bytes
 
 
@@ -140,7 +140,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Send:
+class SendDatagram:
     """A datagram to send.
 
     :param address: numeric address and port.
@@ -172,7 +172,7 @@
     incarnation: int
 
 
-Action = Send | DigestReceived | Paused | Superseded
+Action = SendDatagram | DigestReceived | Paused | Superseded
 
 
 class MembersView(NamedTuple):
@@ -314,7 +314,7 @@
         """
         peers = self._shuffled(self._peers_in_state(ALIVE, SUSPECT))
         sends: list[Action] = []
-        for peer in peers[: self.settings.survey]:
+        for peer in peers[: self.settings.max_survey_probes]:
             sends.append(self._ping(peer, now_s))
             self._unscheduled_probes[self._sequence] = now_s
         return sends
@@ -378,7 +378,7 @@
             takes_work=seen.takes_work,
         )
 
-    def _own_sighting(self, now_s: float) -> freshness.Sighting:
+    def _own_sighting(self, now_s: float) -> freshness.HostState:
         seen = self.freshness.sighting(now_s)
         accepts = self.accepts and self.own.state == ALIVE
         return seen._replace(takes_work=seen.takes_work and accepts)
@@ -439,7 +439,7 @@
         if target is None:
             return []
         return [
-            Send(
+            SendDatagram(
                 (helper.address, helper.peer_port),
                 PingRequest(
                     probe.sequence,
@@ -557,7 +557,7 @@
             source.host,
             *self._piggyback(source, now_s),
         )
-        return [Send((source.address, source.peer_port), ack)]
+        return [SendDatagram((source.address, source.peer_port), ack)]
 
     def _handle_ping_request(
         self, request: PingRequest, now_s: float
@@ -573,7 +573,9 @@
             request.target,
             *self._piggyback(known, now_s),
         )
-        return [Send((request.target_address, request.target_port), ping)]
+        return [
+            SendDatagram((request.target_address, request.target_port), ping)
+        ]
 
     def _handle_ack(self, ack: Ack, now_s: float) -> list[Action]:
         relay = self._relays.pop(ack.sequence, None)
@@ -582,7 +584,7 @@
                 sequence=relay.sequence, target=relay.requester.host
             )
             address = (relay.requester.address, relay.requester.peer_port)
-            return [Send(address, forwarded)]
+            return [SendDatagram(address, forwarded)]
         sent_s = self._unscheduled_probes.pop(ack.sequence, None)
         late_s = self._timed_out.pop(ack.sequence, None)
         if late_s is not None:
@@ -688,7 +690,7 @@
             self._view = None
 
     def _merge_sightings(
-        self, sightings: Iterable[freshness.Sighting]
+        self, sightings: Iterable[freshness.HostState]
     ) -> None:
         """Merge table revisions, free capacity and readiness for work.
 
@@ -711,16 +713,16 @@
 
     # Piggybacked updates, sightings and digest of each datagram.
 
-    def _ping(self, peer: Member, now_s: float) -> Send:
+    def _ping(self, peer: Member, now_s: float) -> SendDatagram:
         self._sequence += 1
         ping = Ping(
             self._sequence, self.own, peer.host, *self._piggyback(peer, now_s)
         )
-        return Send((peer.address, peer.peer_port), ping)
+        return SendDatagram((peer.address, peer.peer_port), ping)
 
     def _piggyback(
         self, receiver: Member | None, now_s: float
-    ) -> tuple[tuple[Member, ...], tuple[freshness.Sighting, ...], bytes]:
+    ) -> tuple[tuple[Member, ...], tuple[freshness.HostState, ...], bytes]:
         max_relayed = self.settings.sightings - 1
         relayed = self.freshness.relayed_sightings(
             now_s, max_relayed, self.rng
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -353,7 +353,7 @@
         self.pool.record_prefill_done(job_id, engine_id, now_s)
         return self.pump(now_s)
 
-    def hand_over(
+    def release_job(
         self, job_id: int, now_s: float
     ) -> list[promptjobs.Decision]:
         """Stop accounting for a job that another leader takes over."""
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -56,7 +56,8 @@
     :param suspect_s: a suspect that is not seen for this long is dropped
     :param convicted_s: the same for a convicted request; each resend starts
         the time anew
-    :param waiting_s: how long a report that a suspect waits or runs is valid
+    :param activity_report_ttl_s: how long a report that a suspect waits or
+        runs is valid
     :param max_entries: maximum number of entries kept
     """
 
@@ -64,7 +65,7 @@
     same_crash_s: float = 5.0
     suspect_s: float = 300.0
     convicted_s: float = 1800.0
-    waiting_s: float = 8.0
+    activity_report_ttl_s: float = 8.0
     max_entries: int = 512
 
 
@@ -192,8 +193,8 @@
         run on the trial engine together, where a crash would convict both. A
         suspect waits until all nodes know that it waits, until those before
         it in the order have run, and while another one runs. Only suspects
-        reported as waiting or running within ``waiting_s`` count: one whose
-        caller has gone away must not block the others.
+        reported as waiting or running within ``activity_report_ttl_s``
+        count: one whose caller has gone away must not block the others.
 
         :param since_s: when this node queued the suspect
         """
@@ -201,7 +202,7 @@
         settled_s = since_s + self.settings.settle_s
         if now_s < max(settled_s, self._earliest_s(entry)):
             return False
-        recent_since_s = now_s - self.settings.waiting_s
+        recent_since_s = now_s - self.settings.activity_report_ttl_s
         for other, known in self.entries.items():
             if other == fingerprint or known.pool != entry.pool:
                 continue
@@ -264,7 +265,7 @@
             for item in self.entries.items()
             if not self._is_expired(item[1], now_s)
         ]
-        recent_since_s = now_s - self.settings.waiting_s
+        recent_since_s = now_s - self.settings.activity_report_ttl_s
         known.sort(key=lambda item: _send_order(item, held, recent_since_s))
         return known[:count]
 
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -102,14 +102,15 @@
     """Constants of a planner.
 
     :param sample_s: shortest time between two samples of the demand
-    :param memory_s: time constant with which the weight of samples decays
+    :param time_constant_s: time constant with which the weight of samples
+        decays
     :param overlap: number of consecutive samples that count the same
         arrivals, since the demand is a mean over several seconds
     :param trend_s: time constant with which a forecast trend decays
     :param horizon_s: time over which the gain of a change is summed
     :param cell_s: time step of the horizon
-    :param outage_s: time for which a change makes an engine unavailable,
-        drain included
+    :param role_change_downtime_s: time for which a change makes an engine
+        unavailable, drain included
     :param max_report_age_s: no change is made on reports older than this
     :param max_prefill_utilization: utilization of a prefill engine above
         which queueing violates the objectives, in terms of the fitted costs;
@@ -125,7 +126,7 @@
         s ** exponent of the prefill demand
     :param prefill_tokens_s: prompt tokens prefilled in an engine-second
     :param decode_tokens_s: output tokens decoded in an engine-second
-    :param error_memory_s: time constant with which the weight of past
+    :param error_time_constant_s: time constant with which the weight of past
         forecast errors decays
     :param ramp_s: time after the first sample in which samples are
         discarded
@@ -138,12 +139,12 @@
     """
 
     sample_s: float = 1.0
-    memory_s: float = 12.0
+    time_constant_s: float = 12.0
     overlap: float = 4.0
     trend_s: float = 20.0
     horizon_s: float = 60.0
     cell_s: float = 4.0
-    outage_s: float = 7.0
+    role_change_downtime_s: float = 7.0
     max_report_age_s: float = 15.0
     max_prefill_utilization: float = 0.87
     max_decode_utilization: float = 1.02
@@ -154,7 +155,7 @@
     prefill_tokens_s: float = 5000.0
     decode_tokens_s: float = 1400.0
     backlog_s: float = 10.0
-    error_memory_s: float = 60.0
+    error_time_constant_s: float = 60.0
     error_share: float = 0.8
     ramp_s: float = 6.0
     warm_up_s: float = 8.0
@@ -200,14 +201,20 @@
 
     def __init__(self, settings=DEFAULT_SETTINGS):
         self.settings = settings
-        self.prefill = forecast.Series(settings.memory_s, settings.overlap)
-        self.decode = forecast.Series(settings.memory_s, settings.overlap)
+        self.prefill = forecast.Series(
+            settings.time_constant_s, settings.overlap
+        )
+        self.decode = forecast.Series(
+            settings.time_constant_s, settings.overlap
+        )
         self.demand = None
         self.changed_at_s = {}
         self.roles = {}
         self.reason = 'no demand sample yet'
         self.seasonal = forecast.SeasonalForecast()
-        self.forecast_errors = forecast.ForecastErrors(settings.error_memory_s)
+        self.forecast_errors = forecast.ForecastErrors(
+            settings.error_time_constant_s
+        )
         self.forecast_recorded_s = -math.inf
         self.first_sample_s = None
 
@@ -456,7 +463,9 @@
         self.total = sum(before)
         self.cells = cells
         self.price = state.price_tokens
-        self.outage_cells = max(1, round(settings.outage_s / settings.cell_s))
+        self.outage_cells = max(
+            1, round(settings.role_change_downtime_s / settings.cell_s)
+        )
         low = max(state.min_prefill, before[0] - MAX_STEPS)
         high = min(self.total - state.min_decode, before[0] + MAX_STEPS)
         self.splits = range(low, high + 1)
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -158,7 +158,7 @@
         self.streams = 0.0
         self.undisturbed = False
 
-    def joins(self, seconds):
+    def is_same_step(self, seconds):
         """Whether two consecutive prefills ended in the same engine step.
 
         :param seconds: time between the ends of the two prefills
@@ -222,9 +222,9 @@
         self.total = total
         self.members = members
         self.by_role = {}
-        self.regroup()
+        self.rebuild_by_role()
 
-    def regroup(self):
+    def rebuild_by_role(self):
         """Rebuild ``by_role`` after a change of a role or a state."""
         self.by_role = {PREFILL: [], DECODE: [], '': []}
         for endpoint in self.members:
@@ -347,7 +347,7 @@
 
     def idle_service_s(self, job):
         """Predict the time to the first token on idle engines."""
-        model = self.models.of_job(job)
+        model = self.models.job_cost_model(job)
         if job.kind == 'service':
             return model.service.ratio
         tokens = job.prompt_tokens * model.uncached.ratio
@@ -358,7 +358,7 @@
     def stream_limit(self, job):
         """Most streams on an engine that meet the job's ``per_token_s``."""
         usable_s = job.per_token_s * self.settings.pace_share
-        return self.models.of_job(job).streams_within(usable_s)
+        return self.models.job_cost_model(job).streams_within(usable_s)
 
     def _usable(self, pool, role, job, context, only_endpoint, now_s):
         members = pool.by_role[role]
@@ -404,7 +404,7 @@
                 best = key, endpoint
         if best is None:
             return None
-        wait_s = self.models.of(pool.name).service.ratio
+        wait_s = self.models.cost_model(pool.name).service.ratio
         return Placement(best[1], best[1], wait_s, 0.0, 0.0)
 
     def _place_on_one_engine(self, job, members, context, now_s):
@@ -476,7 +476,7 @@
 
     def _predict_prefill(self, job, endpoint, context, now_s):
         """Predict the prefill of the job on the endpoint."""
-        model = self.models.of_job(job)
+        model = self.models.job_cost_model(job)
         load = endpoint.load
         cached = self.cache_estimate.cached_tokens(
             endpoint.name, job.prefix_blocks
@@ -528,7 +528,7 @@
         best = self._choose_candidate(free or found, now_s)
         if best is None:
             return None
-        model = self.models.of_job(job)
+        model = self.models.job_cost_model(job)
         moved_s = job.prompt_tokens * model.transfer.ratio + model.pace.base
         return best._replace(
             score_s=best.score_s + moved_s,
@@ -537,12 +537,12 @@
 
     def _mixed_can_win(self, job, split):
         """Whether prefill on an idle decode engine could be sooner."""
-        base_s = self.models.of_job(job).mixed_prefill.base
+        base_s = self.models.job_cost_model(job).mixed_prefill.base
         return split.blocked or job.prompt_tokens * base_s < split.score_s
 
     def _best_mixed(self, job, found, context, now_s):
         """The best decode engine for both prefill and decode, or None."""
-        model = self.models.of_job(job)
+        model = self.models.job_cost_model(job)
         lost = model.mixed_prefill.base / model.prefill.ratio - 1.0
         candidates = []
         for fill, endpoint in found:
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -198,7 +198,7 @@
             state = TABLE_STATES.get(state, health.LEAVING)
             endpoint.health.tabled = state
         for pool in self.pools.values():
-            pool.endpoints.regroup()
+            pool.endpoints.rebuild_by_role()
         return self._dispatch_all(now_s)
 
     def set_node_count(self, count, now_s):
@@ -220,12 +220,12 @@
         was_out = endpoint.health.is_out()
         endpoint.health.record_report(state, report.at_s)
         if endpoint.health.is_out() != was_out:
-            self.pools[endpoint.info.pool].endpoints.regroup()
+            self.pools[endpoint.info.pool].endpoints.rebuild_by_role()
         load = endpoint.load
         load.streams.report(report.running, report.at_s)
         load.kv_tokens.report(report.kv_used_tokens, report.at_s)
         load.kv_capacity = report.kv_capacity_tokens
-        model = self.models.of(self._model_of(endpoint))
+        model = self.models.cost_model(self._model_of(endpoint))
         prompts_s = model.prefill_s(
             report.role, report.queued_prompt_tokens, report.running
         )
@@ -263,7 +263,7 @@
             self._record_crash(endpoint, now_s)
         if state in (health.CRASHED, health.LEFT):
             self.cache_estimate.record_cache_loss(name)
-        self.pools[endpoint.info.pool].endpoints.regroup()
+        self.pools[endpoint.info.pool].endpoints.rebuild_by_role()
         return self._dispatch_all(now_s)
 
     def set_endpoint_role(self, name, role, now_s):
@@ -301,7 +301,7 @@
             run = self.runs[job_id]
             if run.stream_at is endpoint and run.streaming:
                 run.leave_stream(now_s)
-        self.pools[endpoint.info.pool].endpoints.regroup()
+        self.pools[endpoint.info.pool].endpoints.rebuild_by_role()
 
     def _model_of(self, endpoint):
         # Most pools serve one model. Further models have cost models of
@@ -440,7 +440,7 @@
         return None
 
     def _new_run(self, job, row):
-        model = self.models.of_job(job)
+        model = self.models.job_cost_model(job)
         if job.kind == 'model':
             self.pool_models.setdefault(job.pool, job.model or job.pool)
         uncached = job.prompt_tokens * model.uncached.ratio
@@ -529,7 +529,7 @@
         while progress:
             progress = False
             first = True
-            for customer in pool.queue.customers_by_service():
+            for customer in pool.queue.customers_by_counter():
                 if not self.limits.may_start(customer, now_s):
                     continue
                 context = routing.PlacementContext(
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -21,9 +21,9 @@
 class StagePlanSettings(NamedTuple):
     """Constants of the plan.
 
-    :param memory_s: length of the window of past load that serves as the
-        forecast; longer than one swing of the load, so that a lull between
-        two swings causes no change
+    :param forecast_window_s: length of the window of past load that serves as
+        the forecast; longer than one swing of the load, so that a lull
+        between two swings causes no change
     :param gain: smallest increase of the served share of the load that
         justifies a change
     :param headroom: multiple of the present load, prefill margin included,
@@ -43,7 +43,7 @@
         which answers don't queue
     """
 
-    memory_s: float = 6.0
+    forecast_window_s: float = 6.0
     gain: float = 0.04
     headroom: float = 1.2
     headroom_gain: float = 1.1
@@ -136,7 +136,7 @@
         read = min(1.0, max(read, self.settings.gain))
         slots_demand = load.slots / read
         self.samples.append(_Sample(now_s, load, slots_demand))
-        while now_s - self.samples[0].at_s > self.settings.memory_s:
+        while now_s - self.samples[0].at_s > self.settings.forecast_window_s:
             self.samples.popleft()
 
     def decide(self, fleet: Fleet, now_s: float) -> Change | None:
--- a/magnoliadyke/core/table.py
+++ b/magnoliadyke/core/table.py
@@ -25,7 +25,7 @@
     'EndpointRow',
     'HostRow',
     'Invalid',
-    'Inventory',
+    'ConfiguredNames',
     'PoolRow',
     'Problem',
     'Staged',
@@ -65,7 +65,7 @@
 CustomerRow = schema.CustomerRow
 EndpointRow = schema.EndpointRow
 HostRow = schema.HostRow
-Inventory = tablerules.Inventory
+ConfiguredNames = tablerules.ConfiguredNames
 PoolRow = schema.PoolRow
 Problem = schema.Problem
 View = schema.View
@@ -237,12 +237,13 @@
 def stage(
     document: Document,
     edit: Edit,
-    inventory: Inventory | None = None,
+    configured_names: ConfiguredNames | None = None,
     min_revision: int = 0,
 ) -> Staged | Conflict | Invalid | AlreadyApplied:
     """Stage an edit.
 
-    :param inventory: names in the settings; None skips the rules on them.
+    :param configured_names: names in the settings; None skips the rules on
+        them.
     :param min_revision: minimum revision of the edit: the newest one that any
         peer has reported, plus one, or the wall clock in milliseconds.  A
         store that was restored from a backup would otherwise assign a
@@ -258,7 +259,7 @@
     if conflict is not None:
         return conflict
     cells = _apply(cells_with_staged(document), edit.cells)
-    problems = tablerules.problems(cells, inventory)
+    problems = tablerules.problems(cells, configured_names)
     if problems:
         return Invalid(tuple(problems))
     revision = max(staged_revision(document) + 1, min_revision)
@@ -318,13 +319,15 @@
 
 
 def problems_of(
-    cells: Cells, inventory: Inventory | None = None
+    cells: Cells, configured_names: ConfiguredNames | None = None
 ) -> list[Problem]:
     """Problems of a complete table.
 
     The rules across rows are checked only if each cell is valid.
     """
-    return schema.cell_problems(cells) or tablerules.problems(cells, inventory)
+    return schema.cell_problems(cells) or tablerules.problems(
+        cells, configured_names
+    )
 
 
 def rows_of(cells: Cells, sheet: str) -> list[list[str]]:
--- a/magnoliadyke/core/tablerules.py
+++ b/magnoliadyke/core/tablerules.py
@@ -6,10 +6,10 @@
 
 from magnoliadyke.core import schema
 
-__all__ = ['Inventory', 'problems']
+__all__ = ['ConfiguredNames', 'problems']
 
 
-class Inventory(NamedTuple):
+class ConfiguredNames(NamedTuple):
     """Names in the settings, for the checks across rows.
 
     :param pools: names of the endpoints of each pool of model engines.
@@ -23,17 +23,18 @@
 
 
 def problems(
-    cells: schema.Cells, inventory: Inventory | None
+    cells: schema.Cells, configured_names: ConfiguredNames | None
 ) -> list[schema.Problem]:
     """Problems of valid cells that concern several rows or the settings.
 
-    :param inventory: names in the settings; None skips the checks on them.
+    :param configured_names: names in the settings; None skips the checks
+        on them.
     """
     found = _shared_keys(cells)
-    if inventory is not None:
-        found += _unknown_rows(cells, inventory)
-        found += _undersized_pools(cells, inventory)
-        found += _all_drained(cells, inventory)
+    if configured_names is not None:
+        found += _unknown_rows(cells, configured_names)
+        found += _undersized_pools(cells, configured_names)
+        found += _all_drained(cells, configured_names)
     return found
 
 
@@ -53,12 +54,12 @@
 
 
 def _unknown_rows(
-    cells: schema.Cells, inventory: Inventory
+    cells: schema.Cells, configured_names: ConfiguredNames
 ) -> list[schema.Problem]:
     known = {
-        'pools': set(inventory.pools),
-        'endpoints': inventory.endpoints,
-        'hosts': inventory.hosts,
+        'pools': set(configured_names.pools),
+        'endpoints': configured_names.endpoints,
+        'hosts': configured_names.hosts,
     }
     problems = []
     for cell, value in cells.items():
@@ -73,11 +74,11 @@
 
 
 def _undersized_pools(
-    cells: schema.Cells, inventory: Inventory
+    cells: schema.Cells, configured_names: ConfiguredNames
 ) -> list[schema.Problem]:
     rows = schema.view_of(cells, 0)
     problems = []
-    for pool, endpoints in inventory.pools.items():
+    for pool, endpoints in configured_names.pools.items():
         row = rows.pool(pool)
         required = row.min_prefill + row.min_decode
         working = [e for e in endpoints if rows.endpoint(e).state == 'in']
@@ -103,14 +104,14 @@
 
 
 def _all_drained(
-    cells: schema.Cells, inventory: Inventory
+    cells: schema.Cells, configured_names: ConfiguredNames
 ) -> list[schema.Problem]:
     drained = {
         cell.split('/')[1]
         for cell, value in cells.items()
         if cell.startswith('hosts/') and value == 'drain'
     }
-    if not inventory.hosts or inventory.hosts - drained:
+    if not configured_names.hosts or configured_names.hosts - drained:
         return []
     cell = f'hosts/{min(drained)}/state'
     remedy = "leave one host 'in'"
--- a/magnoliadyke/core/usage.py
+++ b/magnoliadyke/core/usage.py
@@ -18,7 +18,7 @@
     'Ledger',
     'Report',
     'Reports',
-    'Tally',
+    'ProcessCounts',
     'kept_windows',
     'split',
     'window_of',
@@ -69,7 +69,7 @@
     yield part
 
 
-class Tally:
+class ProcessCounts:
     """Request counts of one process.
 
     :param length_s: length of a window, in seconds
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -378,7 +378,7 @@
     def _act(self, actions: list[Any]) -> None:
         for action in actions:
             match action:
-                case membership.Send(address, message):
+                case membership.SendDatagram(address, message):
                     self._send(address, message)
                 case membership.Paused(for_s):
                     LOG.warning_event('paused', for_s=for_s)
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -283,7 +283,7 @@
         for job_id in self.in_flight_jobs.in_flight:
             if self.placed_by.get(job_id) is None:
                 for pool in self.local.values():
-                    self._publish(pool, pool.core.hand_over(job_id, now_s))
+                    self._publish(pool, pool.core.release_job(job_id, now_s))
             self.placed_by[job_id] = leader
 
     def _run_stall_checks(self) -> None:
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -97,7 +97,9 @@
         self.retained_windows = usage.kept_windows(
             settings.window_s, settings.due_s
         )
-        self.tally = usage.Tally(settings.window_s, self.retained_windows)
+        self.tally = usage.ProcessCounts(
+            settings.window_s, self.retained_windows
+        )
         self.ledger = usage.Ledger(self.retained_windows)
         self.reports = usage.Reports(self.retained_windows)
         self.key: store.Item | None = None
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -390,7 +390,7 @@
         """Carry out what the core decided."""
         for action in actions:
             match action:
-                case membership.Send(address, message):
+                case membership.SendDatagram(address, message):
                     self.send(address, message)
                 case membership.DigestReceived(host, digest):
                     self.digests.publish(PeerDigest(host, digest))
--- a/magnoliadyke/gossip_codec.py
+++ b/magnoliadyke/gossip_codec.py
@@ -274,7 +274,7 @@
     if sighting.store_age_ms is not None:
         store_age_s = sighting.store_age_ms / 1000
     table_revision = source.table_revision + (sighting.table_ahead or 0)
-    return freshness.Sighting(
+    return freshness.HostState(
         host=sighting.host,
         incarnation=source.incarnation + (sighting.incarnation_ahead or 0),
         age_s=sighting.age_ms / 1000,
--- a/magnoliadyke/lab/baselines.py
+++ b/magnoliadyke/lab/baselines.py
@@ -201,7 +201,7 @@
     cells = max(1, int(length_s / CELL_S))
     demand = fluid_demand(requests, cells)
     values = [_cell_values(settings, engines, each) for each in demand]
-    away = max(1, round(settings.outage_s / CELL_S))
+    away = max(1, round(settings.role_change_downtime_s / CELL_S))
     splits = range(1, engines)
     # best[cell][split]: tokens from the cell on, and what to do in it.
     best = [{split: (0.0, 0) for split in splits} for _ in range(cells + 1)]
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -158,7 +158,7 @@
     """One period: own probes answered, one probe from a peer; bytes sent."""
     sent = 0
     for action in own.tick(now_s):
-        if not isinstance(action, membership.Send):
+        if not isinstance(action, membership.SendDatagram):
             continue
         sent += len(gossip_codec.encode(DEPLOYMENT, action.message))
         target = int(action.message.target.rpartition('-')[2])
@@ -172,7 +172,7 @@
         b'x' * 300,
     )
     for action in own.receive(probe, now_s):
-        if isinstance(action, membership.Send):
+        if isinstance(action, membership.SendDatagram):
             sent += len(gossip_codec.encode(DEPLOYMENT, action.message))
     return sent
 
--- a/magnoliadyke/lab/policy.py
+++ b/magnoliadyke/lab/policy.py
@@ -328,7 +328,7 @@
     return trial.planner_settings()._replace(
         max_prefill_utilization=share,
         max_decode_utilization=share,
-        outage_s=HINDSIGHT_OUTAGE_S,
+        role_change_downtime_s=HINDSIGHT_OUTAGE_S,
     )
 
 
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -420,7 +420,7 @@
     def prepare(self, engine, change, now_s):
         """Take the engine out of use before a role change."""
         if change.kind != 'role':
-            for action in engine.commands.prepared(now_s):
+            for action in engine.commands.record_engine_drained(now_s):
                 self.act(engine, action, now_s)
             return
         engine.draining_since_s = now_s
@@ -446,7 +446,7 @@
         empty = read_since and reading is not None and reading.active == 0
         if empty or waited_s > DRAIN_TIMEOUT_S:
             engine.draining_since_s = None
-            for action in engine.commands.prepared(now_s):
+            for action in engine.commands.record_engine_drained(now_s):
                 self.act(engine, action, now_s)
 
     # Calls that wait; each runs in a greenlet of its own.
--- a/magnoliadyke/settings_checks.py
+++ b/magnoliadyke/settings_checks.py
@@ -288,13 +288,13 @@
         )
 
 
-def _inventory(document: dict[str, Any]) -> table.Inventory:
+def _inventory(document: dict[str, Any]) -> table.ConfiguredNames:
     pools = {
         str(pool.item.get('name')): _names(_items(pool.item, 'endpoints'))
         for pool in _items(document, 'pools')
         if pool.item.get('kind') == 'model'
     }
-    return table.Inventory(
+    return table.ConfiguredNames(
         pools,
         frozenset(_names(_endpoints(document))),
         frozenset(_names(_items(document, 'hosts'))),
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -83,7 +83,9 @@
                 case commands.Settled() | commands.ChangeFailed():
                     self.told.append(action)
                 case commands.Prepare():
-                    self.take(self.commands.prepared(now_s), now_s)
+                    self.take(
+                        self.commands.record_engine_drained(now_s), now_s
+                    )
                 case _:
                     self.calls.append(action)
 
--- a/tests/test_digestexchange.py
+++ b/tests/test_digestexchange.py
@@ -101,7 +101,7 @@
                 if sender != receiver:
                     digest = digests.Digest.from_bytes(data)
                     plan.merge_peer_digest(f'h{sender}', digest, second + 0.95)
-    waiting_s = judges[0].settings.waiting_s
+    waiting_s = judges[0].settings.activity_report_ttl_s
     assert not judges[0].is_trial_due(next_one, 0.0, 8.0 + waiting_s)
     for judge in judges:
         assert judge.entries[gone].running_s <= 8.0
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -10,7 +10,7 @@
 
 
 def serve(queue, cost_s):
-    customer = queue.customers_by_service()[0]
+    customer = queue.customers_by_counter()[0]
     queue.remove(queue.next_job(customer))
     queue.charge(customer, cost_s)
     return customer
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -297,7 +297,7 @@
     assert rule.is_fresh(0.2)
     assert not rule.takes_work(0.2)
     assert rule.takes_work(1.0)
-    told = freshness.Sighting('h1', 1, 0.0, 8, 8, 0.0, True, True, 1.0)
+    told = freshness.HostState('h1', 1, 0.0, 8, 8, 0.0, True, True, 1.0)
     rule.handle_probe_answer(0.2, 0.3, [told])
     assert rule.host_with_newer_table() == 'h1'
 
@@ -305,7 +305,7 @@
 def test_no_acceptance_below_a_table_in_force():
     """An edit on a restored store must not replace what nodes hold."""
     fleet = Fleet()
-    told = freshness.Sighting('h1', 99, 0.0, 8, 8, 0.0, True, True, 1.0)
+    told = freshness.HostState('h1', 99, 0.0, 8, 8, 0.0, True, True, 1.0)
     rule = fleet.nodes['h0'].rule
     rule.handle_probe_answer(fleet.now_s, fleet.now_s, [told])
     rule.set_held_revisions(1, 2)
@@ -315,7 +315,7 @@
 def told_by(rule, at_s, hosts, staged, takes_work=True):
     """Evidence of hosts that hold table 1 and a staged revision."""
     for host in hosts:
-        told = freshness.Sighting(
+        told = freshness.HostState(
             host, 1, 0.0, 1, staged, 0.0, True, takes_work, 1.0
         )
         rule.handle_probe_answer(at_s, at_s, [told])
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -33,7 +33,7 @@
     successor=NAMES,
 )
 SIGHTINGS = strategies.builds(
-    freshness.Sighting,
+    freshness.HostState,
     host=NAMES,
     incarnation=COUNTS,
     age_s=MILLISECONDS,
--- a/tests/test_inflightjobs.py
+++ b/tests/test_inflightjobs.py
@@ -124,7 +124,7 @@
     (decision,) = core.submit(first, 10.0)
     core.answers.hold(7, decision.run, 200, 10.0)
     before_s = core.answers.output_s
-    core.hand_over(7, 10.1)
+    core.release_job(7, 10.1)
     engines = core.pool.engines.values()
     assert not any(engine.pending_prefills for engine in engines)
     assert not any(engine.runs for engine in engines)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -40,7 +40,7 @@
     endpoint = make_endpoint('prefill')
     for number in range(1, 300):
         learner.record_prefill_done(make_run(), endpoint, number * 0.5)
-    ratio = learner.models.of('m').prefill.ratio
+    ratio = learner.models.cost_model('m').prefill.ratio
     assert ratio == pytest.approx(0.0005, rel=0.1)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -56,7 +56,7 @@
     def take(self, index, actions):
         for action in actions:
             match action:
-                case membership.Send(address, message):
+                case membership.SendDatagram(address, message):
                     self.sent += 1
                     peer = int(address[0].rpartition('.')[2])
                     if (index, peer) not in self.cut:
@@ -258,7 +258,7 @@
         own, membership.MembershipSettings(), random.Random(1), peers
     )
     for peer in peers:
-        sighting = freshness.Sighting(
+        sighting = freshness.HostState(
             peer.host, 1, 0.0, 1, 1, 0.0, True, True, 1.0
         )
         ack = membership.Ack(0, peer, 'h0', (), (sighting,), b'')
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -133,7 +133,7 @@
     judge.blame('e1', 'p', [(late, 200), (early, 0)], 0.0)
     judge.record_waiting(early, 1.0)
     assert not judge.is_trial_due(late, 0.0, SETTLE_S + 1)
-    forgotten_s = 1.0 + judge.settings.waiting_s
+    forgotten_s = 1.0 + judge.settings.activity_report_ttl_s
     assert judge.is_trial_due(late, 0.0, forgotten_s + 0.1)
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -103,7 +103,7 @@
     pool = make_pool(prefills=2, decodes=2)
     pool.by_role['decode'][0].health.record_observation('leaving', 0.0)
     pool.by_role['prefill'][0].is_reserved_for_trial = True
-    pool.regroup()
+    pool.rebuild_by_role()
     router = make_router()
     for _ in range(20):
         placement = router.place(make_job(), pool, CONTEXT, 0.0)
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -8,7 +8,7 @@
 from magnoliadyke.core import table
 
 KEY = 'sha256:' + 'a' * 64
-INVENTORY = table.Inventory(
+INVENTORY = table.ConfiguredNames(
     {'lease-model': ('e1', 'e2', 'e3')},
     frozenset({'e1', 'e2', 'e3', 's1'}),
     frozenset({'h1', 'h2'}),
--- a/tests/test_tablerules.py
+++ b/tests/test_tablerules.py
@@ -5,7 +5,7 @@
 from magnoliadyke.core import tablerules
 
 KEY = 'sha256:' + 'a' * 64
-INVENTORY = tablerules.Inventory(
+INVENTORY = tablerules.ConfiguredNames(
     {'lease-model': ('e1', 'e2', 'e3')},
     frozenset({'e1', 'e2', 'e3', 's1'}),
     frozenset({'h1', 'h2'}),
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -20,7 +20,7 @@
 
 
 def test_tally_tells_the_windows_until_they_are_long_over():
-    tally = usage.Tally(WINDOW_S, KEPT)
+    tally = usage.ProcessCounts(WINDOW_S, KEPT)
     tally.record_start('a', 101.0)
     tally.record_start('a', 104.0)
     tally.record_start('b', 106.0)
@@ -32,7 +32,9 @@
 @hypothesis.settings(derandomize=True, max_examples=100)
 @hypothesis.given(strategies.data())
 def test_lost_late_and_doubled_messages_change_nothing(data):
-    tallies = {(f'h{n}', 1): usage.Tally(WINDOW_S, KEPT) for n in range(3)}
+    tallies = {
+        (f'h{n}', 1): usage.ProcessCounts(WINDOW_S, KEPT) for n in range(3)
+    }
     sent = []
     for _ in range(data.draw(strategies.integers(0, 30))):
         who = data.draw(strategies.sampled_from(sorted(tallies)))
@@ -56,7 +58,7 @@
 
 
 def test_counts_follow_a_clock_that_is_set_right():
-    tally = usage.Tally(WINDOW_S, KEPT)
+    tally = usage.ProcessCounts(WINDOW_S, KEPT)
     tally.record_start('a', 101.0 + 2400.0)
     tally.shift(-2400.0)
     assert tally.recent(102.0) == {20: {'a': 1}}
