--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -326,7 +326,7 @@
         extra_s = min(MAX_LATENCY_S, extra_s - self.cost.latency_s)
         self.extra_s += LATENCY_WEIGHT * (extra_s - self.extra_s)
         if self._has_normal_speed():
-            self.cost.learn(
+            self.cost.update(
                 prefill.size, max(MIN_SAMPLE_S, whole_s), True, now_s
             )
 
@@ -351,7 +351,7 @@
         self.pace.add(prefill.expected_s, took_s)
         self.cost.typical_slowness.add(self.slowness)
         if self._has_normal_speed():
-            self.cost.learn(prefill.size, took_s, False, now_s)
+            self.cost.update(prefill.size, took_s, False, now_s)
 
     def _has_normal_speed(self) -> bool:
         """Whether the engine's samples are fit for the common cost model.
--- a/magnoliadyke/core/limits.py
+++ b/magnoliadyke/core/limits.py
@@ -27,14 +27,14 @@
         by then the peers have received it
     :param node_hold_s: how long the share of vanished nodes is kept
     :param burst_s: capacity of a token bucket, in seconds of its rate
-    :param rate_memory_s: time constant of the moving average of demand
+    :param rate_time_constant_s: time constant of the moving average of demand
     """
 
     fresh_s: float = 15.0
     settle_s: float = 2.0
     node_hold_s: float = 30.0
     burst_s: float = 1.0
-    rate_memory_s: float = 5.0
+    rate_time_constant_s: float = 5.0
 
 
 DEFAULT_SETTINGS = LimitSettings()
@@ -241,7 +241,7 @@
     def __init__(self, settings, now_s):
         self.running = 0
         self.waiting = 0
-        self.token_rate = Rate(settings.rate_memory_s, now_s)
+        self.token_rate = Rate(settings.rate_time_constant_s, now_s)
         self.requests = Bucket(math.inf, now_s)
         self.tokens = Bucket(math.inf, now_s)
 
--- a/magnoliadyke/core/prefillcost.py
+++ b/magnoliadyke/core/prefillcost.py
@@ -121,7 +121,7 @@
         """Return the expected prefill time, without the latency."""
 
     @abc.abstractmethod
-    def learn(
+    def update(
         self,
         size: PromptSize,
         seconds: float,
@@ -161,7 +161,7 @@
     def seconds(self, size: PromptSize) -> float:
         return self.factor.median_s * self.reference.seconds(size)
 
-    def learn(
+    def update(
         self,
         size: PromptSize,
         seconds: float,
@@ -231,7 +231,7 @@
         seconds += pairs_s * size.attention_pairs / MILLION
         return max(MIN_PREFILL_S, seconds)
 
-    def learn(
+    def update(
         self,
         size: PromptSize,
         seconds: float,
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -130,11 +130,11 @@
         """
         # Only prompts that have been prefilled need a decode slot, so the
         # slot demand is scaled up to the one with all prompts prefilled.
-        read = self._prefill_ratio(
+        prefill_ratio = self._prefill_ratio(
             load, fleet.prefilling, load.prefill_on_decode
         )
-        read = min(1.0, max(read, self.settings.gain))
-        slots_demand = load.slots / read
+        prefill_ratio = min(1.0, max(prefill_ratio, self.settings.gain))
+        slots_demand = load.slots / prefill_ratio
         self.samples.append(_Sample(now_s, load, slots_demand))
         while now_s - self.samples[0].at_s > self.settings.forecast_window_s:
             self.samples.popleft()
--- a/tests/test_prefillcost.py
+++ b/tests/test_prefillcost.py
@@ -22,7 +22,7 @@
         size = prefillcost.PromptSize(tokens, rng.choice((0, 6000, 13000)))
         alone = rng.random() < 0.5
         seconds = truth_s(size, alone) + rng.uniform(-step_s, step_s)
-        cost.learn(size, max(0.0002, seconds), alone, number * 0.05)
+        cost.update(size, max(0.0002, seconds), alone, number * 0.05)
     return cost
 
 
@@ -68,7 +68,7 @@
     cost = taught(0)
     size = prefillcost.PromptSize(9000)
     for number in range(8):
-        cost.learn(size, 0.4, True, number * 0.01)
+        cost.update(size, 0.4, True, number * 0.01)
     assert cost.latency_s < 0.012
 
 
@@ -79,5 +79,5 @@
     assert cost.seconds(size) == 2 * reference.seconds(size)
     for number in range(60):
         seconds = 3 * truth_s(size, False)
-        cost.learn(size, seconds + LATENCY_S, True, 30 + number * 0.1)
+        cost.update(size, seconds + LATENCY_S, True, 30 + number * 0.1)
     assert 2.5 < cost.factor.median_s < 3.5
