--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -128,8 +128,9 @@
 
         :param fleet: engines at the time of the sample
         """
-        # Only prompts that have been prefilled need a decode slot, so the
-        # slot demand is scaled up to the one with all prompts prefilled.
+        # Prompts that still wait for prefill occupy no decode slot yet.
+        # Dividing by the share of the prefill demand that is served gives
+        # the slot demand as if all of it were served.
         prefill_ratio = self._prefill_ratio(
             load, fleet.prefilling, load.prefill_on_decode
         )
