--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -9,7 +9,7 @@
 from magnoliadyke.gateway import http
 
 __all__ = [
-    'AnswerFacts',
+    'ResponseFacts',
     'Codec',
     'Malformed',
     'Prefilled',
@@ -85,7 +85,7 @@
     resume_after: bytes | None = None
 
 
-class AnswerFacts(NamedTuple):
+class ResponseFacts(NamedTuple):
     """The fields of a response's head that the gateway uses.
 
     :param request_id: id of the request that the response belongs to, None if
@@ -93,8 +93,8 @@
     :param not_run: whether the endpoint did not run the request and will not
     :param wrong_endpoint: whether another process now has this address
     :param sealed: whether the response has the endpoint's signature header
-    :param encoded: whether the body has a Content-Encoding, so that it is not
-        the bytes that the endpoint generated
+    :param has_content_encoding: whether the body has a Content-Encoding, so
+        that it is not the bytes that the endpoint generated
     :param idle_limit_s: idle time after which the endpoint closes the
         connection, in seconds; None if not given
     :param leaving: whether the endpoint is draining and takes no new work
@@ -107,7 +107,7 @@
     not_run: bool
     wrong_endpoint: bool
     sealed: bool
-    encoded: bool
+    has_content_encoding: bool
     idle_limit_s: float | None
     leaving: bool
     backoff_s: float
@@ -144,7 +144,7 @@
         """Return the headers of a request for prefill only."""
 
     @abc.abstractmethod
-    def facts(self, head: http.Head) -> AnswerFacts:
+    def facts(self, head: http.Head) -> ResponseFacts:
         """Decode the head of an endpoint's response."""
 
     @abc.abstractmethod
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -60,8 +60,8 @@
         without an exchange
     :param confirmed: returns whether the configuration is confirmed to be
         current
-    :param behind: returns whether other hosts have changes that this host has
-        missed
+    :param is_behind: returns whether other hosts have changes that this host
+        has missed
     :ivar open_requests: number of requests of which the head has been read and
         that are not answered yet
     :ivar connections: open connections, and whether each has a request or is
@@ -77,7 +77,7 @@
         record: Callable[[outcomes.Outcome, routes.Route, float], None],
         record_early: Callable[[int], None],
         confirmed: Callable[[], bool],
-        behind: Callable[[], bool],
+        is_behind: Callable[[], bool],
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -86,7 +86,7 @@
         self.record = record
         self.record_early = record_early
         self.confirmed = confirmed
-        self.behind = behind
+        self.is_behind = is_behind
         self.clock = clock
         self.rng = rng
         self.shutdown: shutdown.Shutdown | None = None
@@ -289,7 +289,7 @@
                         if size > limits.body_bytes:
                             raise TooLarge(413)
                         pieces.append(data)
-                    case http.End():
+                    case http.MessageEnd():
                         return b''.join(pieces)
 
     def _reject_unreadable(
@@ -347,7 +347,7 @@
             LOG.error_event(
                 'request_error', error, id=request.id.decode('latin-1')
             )
-            outcome = self._answer_fault(caller, request)
+            outcome = self._answer_internal_error(caller, request)
         finally:
             del self.running[caller]
         took_s = self.clock.now_s() - arrived_s
@@ -397,7 +397,7 @@
         While this host has missed configuration changes, which may allow
         the request, the answer is a 503 with Retry-After instead.
         """
-        if self.behind():
+        if self.is_behind():
             reason = 'changes of the configuration may have been missed'
             self._answer_early(
                 caller, request, 503, reason, UNCONFIRMED_RETRY_S
@@ -428,7 +428,7 @@
             kind = promptexchange.PromptExchange
         return kind(self.parts, request, route, caller, arrived_s)
 
-    def _answer_fault(
+    def _answer_internal_error(
         self, caller: callers.Caller, request: codecs.Request
     ) -> outcomes.Failed:
         if caller.answer_begun:
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -47,14 +47,14 @@
 YIELD_S = 1.5
 #: A host replaces a yielding leader only after the store has been reachable
 #: for this long, in seconds.
-IN_REACH_S = 1.0
+MIN_REACHABLE_S = 1.0
 #: A leader that is not a member in gossip, and that does not answer
 #: placement requests, is treated as dead this long after this host learned
 #: of its lease, in seconds: gossip takes as long to declare a host dead.
-UNMET_TIMEOUT_S = 2.0
+UNKNOWN_LEADER_TIMEOUT_S = 2.0
 #: Interval between the leader's checks of its lease and of its connection
 #: to the store, in seconds.
-HOLD_CHECK_INTERVAL_S = 0.25
+LEASE_CHECK_INTERVAL_S = 0.25
 #: Shortest pause after a failed call to the store, in seconds; jitter adds
 #: up to as much again.
 RETRY_S = 0.5
@@ -112,7 +112,8 @@
         reachable
     :ivar yielding: whether this host holds the lease and asks to be replaced
     :ivar yielded: position of the key of a leader that asks to be replaced
-    :ivar held: position of this host's own key while it holds the lease
+    :ivar held_position: position of this host's own key while it holds the
+        lease
     :ivar holder_position: position of the current leader's key, or of the
         key of a former leader in a restored copy of the store; ``START`` if
         there is no key
@@ -147,7 +148,7 @@
         self.clock = clock
         self.rng = rng
         self.lease: int | None = None
-        self.held = position.START
+        self.held_position = position.START
         self.order_from_s = 0.0
         self.order_until_s = 0.0
         self.holder: str | None = None
@@ -167,7 +168,7 @@
 
         It grows with each leader and with each store epoch.
         """
-        return self.held.packed
+        return self.held_position.packed
 
     def start(self) -> None:
         """Start to contend for the lease."""
@@ -204,7 +205,7 @@
 
         :returns: ``Written`` if this host still holds the key
         """
-        return self.store.commit({LEADER_KEY: self.held})
+        return self.store.commit({LEADER_KEY: self.held_position})
 
     def call(
         self, make: Callable[[operatorcalls.Caller], _Outcome]
@@ -280,7 +281,7 @@
             # The lease may be missing from the copy: send no orders before
             # it has been renewed.  Another host may have led since the copy
             # was made, so the gap between leaders' orders applies too.
-            self.held = self.holder_position = item.position
+            self.held_position = self.holder_position = item.position
             self.order_from_s = self._first_order_s()
             self.order_until_s = 0.0
             self.renew_s = 0.0
@@ -344,7 +345,7 @@
             self.own.host,
             self.own.address,
             self.own.incarnation,
-            self.held,
+            self.held_position,
             self.yielding,
         )
 
@@ -353,13 +354,13 @@
     def _run(self) -> None:
         while True:
             if self.lease is not None:
-                self._hold()
-                self.clock.sleep(HOLD_CHECK_INTERVAL_S)
+                self._maintain_lease()
+                self.clock.sleep(LEASE_CHECK_INTERVAL_S)
             else:
                 self.clock.sleep(TICK_S)
                 self._contend()
 
-    def _hold(self) -> None:
+    def _maintain_lease(self) -> None:
         if self.clock.now_s() >= self.renew_s:
             self._renew()
             self.renew_s = self.clock.now_s() + RENEW_S
@@ -401,36 +402,36 @@
         if self.holder == self.own.host:
             return self.holder_incarnation != self.own.incarnation
         if self.yielded and self.yielded == self.holder_position:
-            return self._in_reach()
-        member = self.members.core.view().members.get(self.holder)
+            return self._is_store_reachable()
+        member = self.members.membership.view().members.get(self.holder)
         if member is None:
-            return self._is_unmet()
+            return self._is_unknown_and_silent()
         if member.incarnation > self.holder_incarnation:
             return True
         if member.state == membership.SUSPECT:
             return self.clock.now_s() < self.placer.leader_retry_at_s
         return member.state in (membership.DEAD, membership.LEFT)
 
-    def _is_unmet(self) -> bool:
+    def _is_unknown_and_silent(self) -> bool:
         """Whether a leader unknown to gossip leaves requests unanswered.
 
         This happens when all hosts were killed and the leader's does not
         restart.  Gossip declares only known members dead, so without this
         check every host would place alone, and no host would order an
         engine, until the lease expires.  A running leader joins gossip or
-        answers a placement request within ``UNMET_TIMEOUT_S``.  A host with
-        no prompts to place has sent no requests, so to it the leader does
-        not count as silent.
+        answers a placement request within ``UNKNOWN_LEADER_TIMEOUT_S``.  A
+        host with no prompts to place has sent no requests, so to it the
+        leader does not count as silent.
         """
         now_s = self.clock.now_s()
-        if now_s - self.holder_since_s < UNMET_TIMEOUT_S:
+        if now_s - self.holder_since_s < UNKNOWN_LEADER_TIMEOUT_S:
             return False
         return now_s < self.placer.leader_retry_at_s
 
-    def _in_reach(self) -> bool:
+    def _is_store_reachable(self) -> bool:
         return (
             self.contact is not None
-            and self.contact.reachable_s() >= IN_REACH_S
+            and self.contact.reachable_s() >= MIN_REACHABLE_S
         )
 
     def _rank(self) -> int:
@@ -496,7 +497,7 @@
     ) -> None:
         now_s = self.clock.now_s()
         self.lease = granted.lease
-        self.held = written
+        self.held_position = written
         self._record_holder(self.own.host, self.own.incarnation, written)
         self.order_from_s = self._first_order_s()
         self.order_until_s = asked_s + granted.ttl_s * ORDER_SHARE
--- a/magnoliadyke/gateway/outcomes.py
+++ b/magnoliadyke/gateway/outcomes.py
@@ -57,7 +57,7 @@
     """An endpoint's complete answer to one attempt."""
 
     head: http.Head
-    facts: codec.AnswerFacts
+    facts: codec.ResponseFacts
     body: bytes
 
 
@@ -66,11 +66,12 @@
 
     Nothing was sent, or the endpoint answered that it has not run it.
 
-    :param arrived: whether the endpoint received the request and rejected it
+    :param was_received: whether the endpoint received the request and
+        rejected it
     """
 
     reason: str
-    arrived: bool
+    was_received: bool
 
 
 class Lost(NamedTuple):
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -52,7 +52,7 @@
     :param regained_s: how long ago, in seconds, the store came back for this
         host or for the one that relays to it; None if the grace period after
         that outage is over
-    :param passed_over: stale entries of a restored store that it ignores
+    :param stale_entries: stale entries of a restored store that it ignores
     """
 
     items: tuple[store.Item, ...]
@@ -60,7 +60,7 @@
     position: position.Position
     store_contact: expiredentries.StoreContact | None
     regained_s: float | None
-    passed_over: tuple[staleentries.StaleEntry, ...] = ()
+    stale_entries: tuple[staleentries.StaleEntry, ...] = ()
 
 
 class StateServer(app.Component):
@@ -148,7 +148,7 @@
                     each.gone,
                     _milliseconds(each.for_s),
                 )
-                for each in state.passed_over
+                for each in state.stale_entries
             ]
             or None,
         )
