--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -48,23 +48,23 @@
     app.add_route(f'{directory.HOMES_PATH}{{home}}', HomesResource(owner))
     app.add_sink(AnswersSink(owner), ANSWERS)
     app.add_sink(ServicesSink(owner), SERVICES)
-    app.add_error_handler(forms.OutcomeError, tell_error)
-    app.add_error_handler(followers.CallerGone, caller_gone)
+    app.add_error_handler(forms.OutcomeError, send_error)
+    app.add_error_handler(followers.CallerGone, send_caller_left)
     return app
 
 
-def tell_error(req, resp, error, params):
+def send_error(req, resp, error, params):
     """Answer with the outcome that ended the handling of a request."""
-    tell(resp, error.outcome)
+    send_outcome(resp, error.outcome)
 
 
-def caller_gone(req, resp, error, params):
+def send_caller_left(req, resp, error, params):
     """Answer a caller that has closed its side, in case it still reads."""
     req.env[HANDLER].close_connection = True
-    tell(resp, CALLER_LEFT)
+    send_outcome(resp, CALLER_LEFT)
 
 
-def tell(resp, outcome):
+def send_outcome(resp, outcome):
     """Answer with an outcome."""
     answer = outcomes.to_http(outcome)
     resp.set_header('X-Outcome', type(outcome).__name__)
@@ -140,15 +140,15 @@
         """Return the customer that sent a request."""
         return self.owner.customer_of(req.get_header('Authorization') or '')
 
-    def wait_end(self, req, place):
+    def wait_end(self, req, routed):
         """Return the outcome of a run; the caller may leave meanwhile."""
-        waiter = followers.Waiter(place.run, req.env[HANDLER])
+        waiter = followers.Waiter(routed.run, req.env[HANDLER])
         try:
             return waiter.wait_end()
         finally:
             waiter.close()
             has_key = req.get_header('Idempotency-Key') is not None
-            self.homes.left(place.run, has_key)
+            self.homes.on_follower_left(routed.run, has_key)
 
 
 class ModelResource(RequestResource):
@@ -164,9 +164,9 @@
         customer = self.customer(req)
         document = forms.read_object(self.owner.read_body(req))
         request = self.request(req, customer, self.read_work(document))
-        place = self.homes.place(request)
-        reader = Reader(self, req, resp, self.chat, request.key)
-        reader.answer(place, bool(document.get('stream')))
+        routed = self.homes.route_request(request)
+        responder = ModelResponder(self, req, resp, self.chat, request.key)
+        responder.answer(routed, bool(document.get('stream')))
 
     def request(self, req, customer, work):
         """Return the :class:`forms.ModelRequest` of a request."""
@@ -197,12 +197,12 @@
             digest='',
             hops=self.hops(req),
         )
-        place = self.homes.find(request, offset)
-        reader = Reader(self, req, resp, False, request.key, offset)
-        reader.answer(place, True)
+        routed = self.homes.find(request, offset)
+        responder = ModelResponder(self, req, resp, False, request.key, offset)
+        responder.answer(routed, True)
 
 
-class Reader:
+class ModelResponder:
     """Answers one caller from the place where its request belongs.
 
     :param chat: whether the caller wants the shape of chat events
@@ -219,39 +219,39 @@
         self.key = key
         self.offset = offset
 
-    def answer(self, place, stream):
+    def answer(self, routed, stream):
         """Answer as a stream or whole.
 
         :param place: what :meth:`homes.Homes.place` returned
         """
-        match place:
+        match routed:
             case homes.Settled(outcome):
-                tell(self.resp, outcome)
-            case homes.Kept(answer):
-                self.name_key(self.key)
-                self.give(answer, stream)
+                send_outcome(self.resp, outcome)
+            case homes.KeptAnswer(answer):
+                self.send_key(self.key)
+                self.send_answer(answer, stream)
             case homes.Following(run, key):
-                self.name_key(self.key or key)
+                self.send_key(self.key or key)
                 if stream:
                     self.follow(run)
                 else:
-                    self.end(self.resource.wait_end(self.req, place))
+                    self.send_result(self.resource.wait_end(self.req, routed))
 
-    def name_key(self, key):
+    def send_key(self, key):
         """Tell the caller the key that it can ask again with."""
         self.resp.set_header('X-Request-Key', key)
 
-    def end(self, outcome):
+    def send_result(self, outcome):
         """Answer with the end of a run."""
         if isinstance(outcome, records.Answer):
-            self.give(outcome, False)
+            self.send_answer(outcome, False)
         else:
-            tell(self.resp, outcome)
+            send_outcome(self.resp, outcome)
 
-    def give(self, answer, stream):
+    def send_answer(self, answer, stream):
         """Answer with a whole answer."""
         if answer.kind != 'model':
-            tell(self.resp, records.KEY_REUSED)
+            send_outcome(self.resp, records.KEY_REUSED)
             return
         events = streams.model_events(answer)
         if stream:
@@ -285,7 +285,7 @@
             raise
         if run.outcome is not None and not run.pieces:
             stream.close()
-            self.end(run.outcome)
+            self.send_result(run.outcome)
             return
         self.resp.content_type = EVENTS
         self.resp.set_header('Cache-Control', 'no-cache')
@@ -311,7 +311,7 @@
         """Stop to follow; called by the server in any case."""
         self.owner.followers.discard(self.follower)
         self.follower.close()
-        self.owner.homes.left(self.follower.run, self.has_key)
+        self.owner.homes.on_follower_left(self.follower.run, self.has_key)
 
 
 class ServicesSink(RequestResource):
@@ -321,20 +321,20 @@
         """Make a call of a plain service, or give its kept answer."""
         customer = self.customer(req)
         request = self.request(req, customer, name)
-        place = self.homes.place(request)
-        match place:
+        routed = self.homes.route_request(request)
+        match routed:
             case homes.Settled(outcome):
-                tell(resp, outcome)
-            case homes.Kept(answer):
-                self.give(resp, request.key, answer)
+                send_outcome(resp, outcome)
+            case homes.KeptAnswer(answer):
+                self.send_answer(resp, request.key, answer)
             case homes.Following(key=key):
-                outcome = self.wait_end(req, place)
+                outcome = self.wait_end(req, routed)
                 if isinstance(outcome, records.Answer):
-                    self.give(resp, request.key or key, outcome)
+                    self.send_answer(resp, request.key or key, outcome)
                 else:
-                    tell(resp, outcome)
+                    send_outcome(resp, outcome)
 
-    def give(self, resp, key, answer):
+    def send_answer(self, resp, key, answer):
         """Answer as the service did."""
         resp.set_header('X-Request-Key', key)
         resp.status = answer.status
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -33,8 +33,8 @@
 TOO_SLOW = outcomes.Rejected(
     'body_too_slow', 'send the whole request without pauses', 408
 )
-ELSEWHERE_AFTER_S = 0.2
-HOSTS_NAMED = 3
+OTHER_HOST_RETRY_AFTER_S = 0.2
+MAX_HOSTS_LISTED = 3
 
 
 class NodeStatus:
@@ -132,7 +132,7 @@
         self.homes = homes.Homes(
             parts,
             self.streams,
-            self.closed,
+            self.refusal_for,
             reports.Reports(metrics, dispatcher, parts.clock),
         )
         self.key_ring = None
@@ -231,15 +231,15 @@
 
     # Who may come in.
 
-    def closed(self, customer):
+    def refusal_for(self, customer):
         """Return ``NotRun`` when no new work is taken, else None.
 
         :param customer: customer name, or ``''`` for any
         """
-        reason = self.closed_reason()
-        return self.elsewhere(reason) if reason else None
+        reason = self.refusal_reason()
+        return self.refer_to_other_hosts(reason) if reason else None
 
-    def closed_reason(self):
+    def refusal_reason(self):
         """Return why no new work is taken, or ``''``."""
         if self.table.last is None:
             return 'no_table'
@@ -247,18 +247,18 @@
             return 'stopping'
         return '' if self.status.fresh else 'stale_table'
 
-    def elsewhere(self, reason):
+    def refer_to_other_hosts(self, reason):
         """Return ``NotRun`` that names other hosts."""
         others = [
             f'{member.address}:{member.caller_port}'
             for member in self.ordered_members()
             if member.host != self.host
         ]
-        listed = ', '.join(others[:HOSTS_NAMED]) or 'none known'
+        listed = ', '.join(others[:MAX_HOSTS_LISTED]) or 'none known'
         return outcomes.NotRun(
             reason,
             f'use a ticket of another host and send it again; hosts: {listed}',
-            ELSEWHERE_AFTER_S,
+            OTHER_HOST_RETRY_AFTER_S,
         )
 
     def accepts_work(self):
@@ -266,7 +266,7 @@
 
         A drained host is left out, and serves what still comes.
         """
-        if self.closed_reason():
+        if self.refusal_reason():
             return False
         row = self.table.last.hosts.get(self.host)
         return row is None or row.state != 'drain'
@@ -278,7 +278,7 @@
         """
         view = self.table.last
         if view is None:
-            raise forms.OutcomeError(self.elsewhere('no_table'))
+            raise forms.OutcomeError(self.refer_to_other_hosts('no_table'))
         if view is not self.key_ring_view:
             self.key_ring = forms.KeyRing(view)
             self.key_ring_view = view
--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -339,7 +339,7 @@
         reply = self.open_stream(link, request, progress)
         progress.sent = True
         if reply.status != 200:
-            whole = reply.whole()
+            whole = reply.read_whole()
             return forms.outcome_from(whole) or LOST
         connection = reply.connection
         label = id(connection)
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -20,7 +20,7 @@
 
 __all__ = [
     'CancelJob',
-    'CrashSeen',
+    'CrashReported',
     'Demands',
     'Dispatcher',
     'FirstToken',
@@ -29,7 +29,7 @@
     'MoveStream',
     'PeerDigest',
     'PrefillDone',
-    'PromptsHeard',
+    'PeerPromptsPlaced',
     'PromptsPlaced',
     'Progress',
     'SubmitJob',
@@ -41,10 +41,10 @@
 HEALTH_INTERVAL_S = 1.0
 PUBLISH_INTERVAL_S = 1.0
 CACHE_WAIT_S = 10.0
-RETRY_S = 1.0
+CACHE_RETRY_INTERVAL_S = 1.0
 CHANGES_KEPT = 20
 #: A prompt that is read in less is no news to other nodes, in seconds.
-LEAST_TOLD_S = 0.03
+MIN_ANNOUNCED_PREFILL_S = 0.03
 #: One lost answer is no proof; a second one in a row is.
 FAILURES_UNTIL_CRASHED = 2
 
@@ -52,7 +52,7 @@
 NOT_PLACED = outcomes.NotRun(
     'internal_error', 'ask another host and report the error in the log'
 )
-NOT_KNOWN = outcomes.Unknown(
+OUTCOME_UNKNOWN = outcomes.Unknown(
     'internal_error', 'look up the effect before asking again'
 )
 
@@ -133,7 +133,7 @@
     """Ask for :class:`magnoliadyke.core.snapshot.Snapshot`, to show it."""
 
 
-class CrashSeen(typing.NamedTuple):
+class CrashReported(typing.NamedTuple):
     """An endpoint died under a job; peers should hear of it at once.
 
     Published on the topic ``digest`` between the periodic digests.
@@ -160,7 +160,7 @@
     pools: dict
 
 
-class PromptsHeard(typing.NamedTuple):
+class PeerPromptsPlaced(typing.NamedTuple):
     """Prompts that another node has given to engines.
 
     :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
@@ -176,21 +176,21 @@
     digest: object
 
 
-class LoadSeen(typing.NamedTuple):
+class LoadReported(typing.NamedTuple):
     """A load report came."""
 
     endpoint: str
     report: jobs.LoadReport
 
 
-class StateSeen(typing.NamedTuple):
+class EndpointStateObserved(typing.NamedTuple):
     """An endpoint's state became known."""
 
     endpoint: str
     state: str
 
 
-class CacheSeen(typing.NamedTuple):
+class CacheEventsReceived(typing.NamedTuple):
     """Cache events came; ``gap`` when some were lost before them."""
 
     endpoint: str
@@ -273,7 +273,7 @@
         self.table.subscribe(self)
         self.members.subscribe(self)
         for endpoint in self.used_endpoints():
-            for loop in self.loops_of(endpoint):
+            for loop in self.polling_loops(endpoint):
                 self.pollers.append(gevent.spawn(loop, endpoint))
 
     def used_endpoints(self):
@@ -288,7 +288,7 @@
             for name in self.scheduler.subset(pool.name)
         ]
 
-    def loops_of(self, endpoint):
+    def polling_loops(self, endpoint):
         """Return the polling loops of an endpoint."""
         if endpoint.info.kind == 'model':
             return (self.poll_load, self.poll_cache)
@@ -305,16 +305,18 @@
         now_s = self.clock.now_s()
         try:
             actions = self.decide(message, now_s)
-            if tells_of_crash(message):
+            if reports_crash(message):
                 # Before anybody is answered: a caller that sends the request
                 # again at once must find it known as a suspect everywhere.
-                self.digest.publish(CrashSeen(self.scheduler.digest(now_s)))
+                self.digest.publish(
+                    CrashReported(self.scheduler.digest(now_s))
+                )
             self.apply(actions)
         except Exception:
-            self.answer_failed(message)
+            self.reply_failed(message)
             raise
 
-    def answer_failed(self, message):
+    def reply_failed(self, message):
         """Answer a run whose message the scheduler could not handle.
 
         The run would wait for good, and its caller with it, while keep-alive
@@ -324,7 +326,7 @@
             case SubmitJob(job_id=job_id):
                 outcome = NOT_PLACED
             case JobFailed(job_id=job_id, failed=failed):
-                outcome = NOT_PLACED if not failed.ran else NOT_KNOWN
+                outcome = NOT_PLACED if not failed.ran else OUTCOME_UNKNOWN
             case _:
                 return
         self.pending.pop(job_id, None)
@@ -357,7 +359,7 @@
             case Progress(tokens):
                 return self.progress(tokens, now_s)
             case _:
-                return self.learn(message, now_s)
+                return self.apply_fleet_update(message, now_s)
 
     def move_stream(self, message, now_s):
         """Give an answer its place on another engine."""
@@ -368,20 +370,20 @@
         message.reply(name)
         return core.record_migration(message.job_id, name, now_s)
 
-    def learn(self, message, now_s):
+    def apply_fleet_update(self, message, now_s):
         """Return the actions for news of the fleet."""
         core = self.scheduler
         match message:
-            case LoadSeen(endpoint, report):
+            case LoadReported(endpoint, report):
                 return core.handle_load_report(endpoint, report, now_s)
-            case StateSeen(endpoint, state):
-                self.note_change(endpoint, state, now_s)
+            case EndpointStateObserved(endpoint, state):
+                self.record_role_change(endpoint, state, now_s)
                 return core.set_endpoint_state(endpoint, state, now_s)
-            case CacheSeen(endpoint, events, gap):
+            case CacheEventsReceived(endpoint, events, gap):
                 return core.handle_cache_events(endpoint, events, gap, now_s)
             case PeerDigest(host, digest):
                 return core.merge_peer_digest(host, digest, now_s)
-            case PromptsHeard(prompts):
+            case PeerPromptsPlaced(prompts):
                 for told in prompts:
                     core.record_peer_prompt(told.engine, told.read_s, now_s)
                 return []
@@ -390,7 +392,7 @@
             case membership.MembersView(members=members):
                 return core.set_node_count(count_alive(members), now_s)
 
-    def note_change(self, name, state, now_s):
+    def record_role_change(self, name, state, now_s):
         """Remember when an endpoint was away for a change."""
         pool = self.endpoints[name].info.pool
         began_s = self.changing.pop(name, None)
@@ -437,7 +439,7 @@
         }
         self.demand.publish(Demands(demands))
 
-    def tell_prompts(self, actions):
+    def publish_prompts(self, actions):
         """Publish which engines were given how much to read."""
         told = tuple(
             notices.PromptNotice(
@@ -445,14 +447,14 @@
             )
             for action in actions or ()
             if isinstance(action, scheduler.Dispatch)
-            and action.prompt_s >= LEAST_TOLD_S
+            and action.prompt_s >= MIN_ANNOUNCED_PREFILL_S
         )
         if told:
             self.prompts.publish(PromptsPlaced(told))
 
     def apply(self, actions):
         """Answer the runs that wait for these actions."""
-        self.tell_prompts(actions)
+        self.publish_prompts(actions)
         for action in actions or ():
             waiting = self.pending.pop(action.job_id, None)
             if waiting is not None:
@@ -464,15 +466,17 @@
 
     def poll_load(self, endpoint):
         """Read load reports for good."""
-        health = Health(self, endpoint.name)
+        health = HealthTracker(self, endpoint.name)
         self.clock.sleep(self.rng.random() * LOAD_INTERVAL_S)
         while True:
             try:
                 document = endpoint.load()
-                self.post(LoadSeen(endpoint.name, self.read_load(document)))
-                health.seen(document.get('state', 'in'))
+                self.post(
+                    LoadReported(endpoint.name, self.read_load(document))
+                )
+                health.record_response(document.get('state', 'in'))
             except (errors.EndpointUnreachable, TypeError, ValueError):
-                health.missed()
+                health.record_no_response()
             self.clock.sleep(LOAD_INTERVAL_S * (0.75 + self.rng.random() / 2))
 
     def read_load(self, document):
@@ -493,24 +497,24 @@
                 gap = bool(document.get('gap')) or document['next'] < after
                 after = document['next']
                 if events or gap:
-                    self.post(CacheSeen(endpoint.name, events, gap))
+                    self.post(CacheEventsReceived(endpoint.name, events, gap))
             except (errors.EndpointUnreachable, KeyError, TypeError):
-                self.clock.sleep(RETRY_S)
+                self.clock.sleep(CACHE_RETRY_INTERVAL_S)
 
     def poll_health(self, endpoint):
         """Ask a plain service for its health for good."""
-        health = Health(self, endpoint.name)
+        health = HealthTracker(self, endpoint.name)
         while True:
-            state = endpoint.healthy()
+            state = endpoint.poll_state()
             if state == 'crashed':
-                health.missed()
+                health.record_no_response()
             else:
-                health.seen(state)
+                health.record_response(state)
             interval_s = HEALTH_INTERVAL_S * (0.75 + self.rng.random() / 2)
             self.clock.sleep(interval_s)
 
 
-class Health:
+class HealthTracker:
     """Turns poll results into :class:`StateSeen` when they change."""
 
     STATES = {'in': 'up'}
@@ -521,25 +525,25 @@
         self.state = 'up'
         self.failures = 0
 
-    def seen(self, state):
+    def record_response(self, state):
         """The endpoint answered and named its state."""
         self.failures = 0
-        self.become(self.STATES.get(state, state))
+        self.set_state(self.STATES.get(state, state))
 
-    def missed(self):
+    def record_no_response(self):
         """The endpoint did not answer."""
         self.failures += 1
         if self.failures >= FAILURES_UNTIL_CRASHED:
-            self.become('crashed')
+            self.set_state('crashed')
 
-    def become(self, state):
+    def set_state(self, state):
         """Tell the dispatcher when the state is another one."""
         if state != self.state:
             self.state = state
-            self.dispatcher.post(StateSeen(self.name, state))
+            self.dispatcher.post(EndpointStateObserved(self.name, state))
 
 
-def tells_of_crash(message):
+def reports_crash(message):
     """Tell whether a message is of an endpoint that died under a job."""
     match message:
         case JobFailed(failed=failed):
--- a/magnoliadyke/endpoint.py
+++ b/magnoliadyke/endpoint.py
@@ -93,14 +93,14 @@
     first: bytes
     connection: 'Connection'
 
-    def whole(self):
+    def read_whole(self):
         """Read an answer that is no stream; return a :class:`Reply`."""
         connection = self.connection
         try:
             rest = connection.read_body(ERROR_BYTES, ERROR_TIMEOUT_S)
         finally:
             connection.close()
-        return reply_of(connection.parser, self.first + rest)
+        return build_reply(connection.parser, self.first + rest)
 
 
 class Parser(responses.HTTPResponse):
@@ -216,7 +216,7 @@
             self.fail(ValueError(f'answer is over {limit_bytes} bytes'))
         return b''.join(pieces)
 
-    def unchunk(self, data):
+    def decode_body(self, data):
         """Return the body bytes in received bytes.
 
         :raises ConnectionResetError: when the other end closed too early
@@ -225,7 +225,7 @@
         self.feed(data)
         return self.parser.take_body()
 
-    def reusable(self):
+    def is_reusable(self):
         """Tell whether another request may follow on this connection.
 
         The last bytes of a stream come a little after its last event; they
@@ -273,7 +273,10 @@
         oldest_s = self.clock.now_s() - self.settings.idle_s
         while self.idle:
             connection = self.idle.pop()
-            if connection.idle_since_s >= oldest_s and connection.reusable():
+            if (
+                connection.idle_since_s >= oldest_s
+                and connection.is_reusable()
+            ):
                 return connection
             connection.close()
         return self.open()
@@ -287,7 +290,7 @@
         connection.idle_since_s = self.clock.now_s()
         self.idle.append(connection)
 
-    def went_silent(self):
+    def mark_suspect(self):
         """A connection went silent: doubt its siblings.
 
         What sits between the two ends has lost track of one connection and
@@ -297,7 +300,7 @@
         self.suspect_until_s = self.clock.now_s() + self.SUSPECT_S
         self.close()
 
-    def suspect(self):
+    def is_suspect(self):
         """Tell whether a sibling went silent a short time ago."""
         return self.clock.now_s() < self.suspect_until_s
 
@@ -324,7 +327,7 @@
         except BaseException:
             connection.close()
             raise
-        reply = reply_of(connection.parser, text)
+        reply = build_reply(connection.parser, text)
         self.give_back(connection)
         return reply
 
@@ -351,7 +354,7 @@
     return json.dumps(document, separators=(',', ':')).encode()
 
 
-def reply_of(parser, body):
+def build_reply(parser, body):
     """Return a :class:`Reply` for an answer that was read whole."""
     names = ('content-type', 'x-outcome', 'x-request-key')
     content_type, outcome, key = (str(parser.get(n) or '') for n in names)
@@ -424,7 +427,7 @@
         """Return cache events after a number as a dict."""
 
     @abc.abstractmethod
-    def healthy(self):
+    def poll_state(self):
         """Return ``up``, ``leaving`` or ``crashed``."""
 
 
@@ -440,7 +443,7 @@
         """
 
     @abc.abstractmethod
-    def healthy(self):
+    def poll_state(self):
         """Return ``up``, ``leaving`` or ``crashed``."""
 
 
@@ -473,7 +476,7 @@
                 f'{self.info.address}{path} is not JSON', sent=True
             ) from error
 
-    def healthy(self):
+    def poll_state(self):
         """Return ``up``, ``leaving`` or ``crashed``."""
         try:
             document = self.get_json('/health', self.settings.control_s)
--- a/magnoliadyke/enginecontrol.py
+++ b/magnoliadyke/enginecontrol.py
@@ -166,7 +166,7 @@
             connection.fail(error)
         connection.read_head(left_s)
         text = connection.read_body(ANSWER_BYTES, left_s)
-        return verdict_of(endpoint.reply_of(connection.parser, text))
+        return verdict_of(endpoint.build_reply(connection.parser, text))
 
     def close(self):
         """Drop idle connections."""
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -14,9 +14,9 @@
 HOME_LINE = b'{"home"'
 SEAL_TIMEOUT_S = 5.0
 BATCH_BYTES = 256 << 10
-FINISH_TRIES = 3
+MAX_FINISH_ATTEMPTS = 3
 #: Stands for an age without bound, which JSON can't express.
-LONGEST_AGE_S = 1e9
+UNBOUNDED_AGE_S = 1e9
 
 
 class Adopted(typing.NamedTuple):
@@ -58,7 +58,7 @@
         self.directory = directory
         self.clock = clock
         self.adopted = {}
-        self.arriving = {}
+        self.incoming_lines = {}
         self.sealed = None
         self.member = None
         self.successor = ''
@@ -72,16 +72,18 @@
         :param last: whether the hand-over is complete
         :return: number of lines taken
         """
-        arriving = self.arriving.setdefault((host, incarnation), [])
-        arriving += lines
+        incoming_lines = self.incoming_lines.setdefault(
+            (host, incarnation), []
+        )
+        incoming_lines += lines
         if last:
             # Nothing is adopted before all is here: a half of the records
             # would let a key run again whose record is in the other half.
-            del self.arriving[host, incarnation]
-            self.take_all(arriving, self.clock.now_s())
+            del self.incoming_lines[host, incarnation]
+            self.import_all(incoming_lines, self.clock.now_s())
         return len(lines)
 
-    def take_all(self, lines, now_s):
+    def import_all(self, lines, now_s):
         """Enter records and homes that have arrived completely."""
         for line in lines:
             if not line.startswith(HOME_LINE):
@@ -110,7 +112,7 @@
         self.sealed = event.Event()
         try:
             for member in members:
-                if self.hand_to(member, self.issuer.home):
+                if self.transfer_to(member, self.issuer.home):
                     self.member = member
                     self.successor = member.host
                     break
@@ -120,8 +122,8 @@
     def finish(self):
         """Tell the successor what became of the requests that ran."""
         member = self.member
-        for _ in range(FINISH_TRIES):
-            if member is None or self.hand_to(member, ''):
+        for _ in range(MAX_FINISH_ATTEMPTS):
+            if member is None or self.transfer_to(member, ''):
                 return
             # The successor is stopping as well: follow its own successor.
             home = tickets.home_name(member.host, member.incarnation)
@@ -132,7 +134,7 @@
         self.sealed.wait(SEAL_TIMEOUT_S)
         return self.successor
 
-    def hand_to(self, member, running_at):
+    def transfer_to(self, member, running_at):
         """Send all records to one member; return whether it is successor.
 
         A member whose last answer was lost may have adopted the records. No
@@ -177,7 +179,7 @@
                 'home': each.issuer.home,
                 'secret': each.issuer.secret.hex(),
                 'now_s': now_s - each.shift_s,
-                'floor_age_s': min(now_s - floor_s, LONGEST_AGE_S),
+                'floor_age_s': min(now_s - floor_s, UNBOUNDED_AGE_S),
             }
             yield json.dumps(description, separators=(',', ':')).encode()
 
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -47,7 +47,7 @@
     outcome: object
 
 
-class Kept(typing.NamedTuple):
+class KeptAnswer(typing.NamedTuple):
     """The whole answer is kept here."""
 
     answer: records.Answer
@@ -73,7 +73,7 @@
     :param reports: :class:`magnoliadyke.reports.Reports`
     """
 
-    def __init__(self, parts, runner, closed, reports):
+    def __init__(self, parts, runner, refusal_for, reports):
         host, incarnation = parts.host, parts.incarnation
         self.settings = parts.settings
         self.host = host
@@ -83,7 +83,7 @@
         self.rng = parts.rng
         self.table = parts.table
         self.streams = runner
-        self.closed = closed
+        self.refusal_for = refusal_for
         self.reports = reports
         secret = self.rng.getrandbits(8 * SECRET_BYTES).to_bytes(SECRET_BYTES)
         self.issuer = tickets.TicketIssuer(host, incarnation, secret)
@@ -109,13 +109,13 @@
 
     # Where a key belongs.
 
-    def place(self, request):
+    def route_request(self, request):
         """Return :class:`Following`, :class:`Kept` or :class:`Settled`."""
         if not request.key:
-            return self.place_own(request)
+            return self.route_own(request)
         key = tickets.parse_key(request.key)
         if key is None:
-            return self.place_foreign(request)
+            return self.route_foreign(request)
         if key.home == self.name:
             if not self.issuer.accepts(key):
                 return Settled(BAD_TICKET)
@@ -126,15 +126,15 @@
                 return Settled(BAD_TICKET)
             issued_s = key.issued_s + adopted.shift_s
             return self.open(request, key.text, issued_s, adopted.floor_s)
-        return self.place_elsewhere(request, key.text, key.home)
+        return self.route_elsewhere(request, key.text, key.home)
 
-    def place_own(self, request):
+    def route_own(self, request):
         """Run a request that came without a key; nobody can resend it."""
         now_s = self.clock.now_s()
         key = f'{self.issuer.issue(now_s)}/0'
         return self.open(request, key, now_s)
 
-    def place_foreign(self, request):
+    def route_foreign(self, request):
         """Claim a key that the caller made up, or find who has it."""
         digest = claims.claim_digest(request.customer, request.key)
         key = FOREIGN + digest
@@ -146,10 +146,10 @@
         match self.claim(digest):
             case claims.Won():
                 return self.open_claimed(request, key)
-            case claims.Lost(owner=owner) if self.lives_here(owner):
-                return self.place_adopted(request, key, owner)
+            case claims.Lost(owner=owner) if self.has_records_of(owner):
+                return self.route_adopted(request, key, owner)
             case claims.Lost(owner=owner):
-                return self.place_elsewhere(request, key, owner)
+                return self.route_elsewhere(request, key, owner)
             case claims.Refused(reason=reason):
                 return Settled(
                     outcomes.NotRun(reason, 'use a key of a ticket', 1.0)
@@ -166,12 +166,12 @@
             key, request.customer, request.digest, now_s, now_s
         )
         if not isinstance(found, records.New):
-            return self.known(found, key)
+            return self.route_recorded(found, key)
         if self.handover.sealed is not None:
             return self.run_here(request, found.record)
         return self.admit(request, found.record)
 
-    def lives_here(self, home):
+    def has_records_of(self, home):
         """Tell whether the records of a home are on this node."""
         return home == self.name or home in self.handover.adopted
 
@@ -180,7 +180,7 @@
         message = claiming.AskClaim(digest)
         return self.claiming.ask(message, None)
 
-    def place_adopted(self, request, key, owner):
+    def route_adopted(self, request, key, owner):
         """Place a foreign key that a home which lives here has claimed.
 
         A home that is still stopping may run it, and tell at its end.
@@ -191,7 +191,7 @@
             return self.relay(request, request.key, owner)
         return Settled(records.ANSWER_GONE)
 
-    def place_elsewhere(self, request, key, home):
+    def route_elsewhere(self, request, key, home):
         """Relay to the home of a key, or say that it is gone.
 
         :param key: name of the record, should the request run here after all
@@ -227,23 +227,23 @@
             case records.New(record):
                 return self.admit(request, record)
             case records.RunningElsewhere(home):
-                return self.follow_away(request, key, home)
+                return self.follow_at_stopping_home(request, key, home)
             case _:
-                return self.known(found, key)
+                return self.route_recorded(found, key)
 
-    def follow_away(self, request, key, home):
+    def follow_at_stopping_home(self, request, key, home):
         """Follow a request that still runs at a home that is stopping."""
         if self.directory.member_of(home) is None:
             return Settled(records.HOME_STOPPED)
         return self.relay(request, key, home)
 
-    def known(self, found, key):
+    def route_recorded(self, found, key):
         """Return the place of a key that is in the records."""
         match found:
             case records.Attach(record):
                 return Following(record.run, key)
             case records.Replay(answer):
-                return Kept(answer)
+                return KeptAnswer(answer)
             case records.Resolved(outcome):
                 return Settled(outcome)
 
@@ -251,9 +251,9 @@
         """Run a new request, unless this node takes no new work."""
         if self.handover.sealed is not None:
             return self.pass_on(request, record)
-        refusal = self.closed(request.customer)
+        refusal = self.refusal_for(request.customer)
         if refusal is not None:
-            self.close_refused(request, record, refusal)
+            self.record_refusal(request, record, refusal)
             return Settled(refusal)
         return self.run_here(request, record)
 
@@ -266,13 +266,13 @@
             self.records.forget(record)
             raise
         if isinstance(run, outcomes.Rejected):
-            self.close_refused(request, record, run)
+            self.record_refusal(request, record, run)
             return Settled(run)
-        self.enter(request, record, run)
+        self.register_run(request, record, run)
         run.start()
         return Following(run, record.key)
 
-    def enter(self, request, record, run):
+    def register_run(self, request, record, run):
         """Join a run with its record."""
         record.run = run
         run.record = record
@@ -289,7 +289,7 @@
         successor = self.handover.wait()
         if not successor:
             self.records.insert(record)
-            self.close_refused(request, record, NO_SUCCESSOR)
+            self.record_refusal(request, record, NO_SUCCESSOR)
             return Settled(NO_SUCCESSOR)
         return self.relay_to_successor(request, record.key)
 
@@ -298,7 +298,7 @@
         home = self.directory.full_name(self.handover.successor)
         return self.relay(request, key, home)
 
-    def close_refused(self, request, record, outcome):
+    def record_refusal(self, request, record, outcome):
         """End the record of a request that does not run."""
         self.reports.refused(request.customer, outcome)
         if request.key:
@@ -408,7 +408,7 @@
             case _:
                 self.records.settle(record, run.outcome)
 
-    def left(self, run, has_key):
+    def on_follower_left(self, run, has_key):
         """A follower left; end a run that nobody wants any more.
 
         A request that may not be repeated runs to its end, so that its
@@ -447,25 +447,25 @@
             locate,
             hops,
             self.streams,
-            self.relay_end,
+            self.on_relay_end,
         )
         match request:
             case forms.ServiceRequest():
                 run = relay.ServiceRelay(*arguments)
             case _:
                 run = relay.ModelRelay(*arguments, offset, resume_only)
-        run.go_on_here = self.go_on_here
-        run.settled_here = self.settled_here
+        run.continue_here = self.continue_here
+        run.recorded_outcome = self.recorded_outcome
         run.home = home
         self.relays.add(run)
         run.start()
         return Following(run, sent_key)
 
-    def relay_end(self, run):
+    def on_relay_end(self, run):
         """A relay ended."""
         self.relays.discard(run)
 
-    def settled_here(self, lost):
+    def recorded_outcome(self, lost_relay):
         """Return what the records say of a request that a relay followed.
 
         Its home may have stopped and told its end to this node, its
@@ -473,8 +473,8 @@
 
         :return: answer or outcome, or None
         """
-        name = record_name(lost.key, lost.request.customer)
-        found = self.records.find(name, lost.request.customer)
+        name = record_name(lost_relay.key, lost_relay.request.customer)
+        found = self.records.find(name, lost_relay.request.customer)
         match found:
             case records.Replay(answer):
                 return answer
@@ -483,7 +483,7 @@
             case _:
                 return None
 
-    def go_on_here(self, lost):
+    def continue_here(self, lost_relay):
         """Run here what a relay followed at a home that is gone.
 
         Only a request that may be repeated. Its attempt begins at the offset
@@ -492,10 +492,13 @@
         :param lost: :class:`relay.Relay` whose output the run continues
         :return: the run's outcome, or None when it may not run here
         """
-        request = lost.request
-        if not request.repeatable or self.closed(request.customer) is not None:
+        request = lost_relay.request
+        if (
+            not request.repeatable
+            or self.refusal_for(request.customer) is not None
+        ):
             return None
-        key = record_name(lost.key, request.customer)
+        key = record_name(lost_relay.key, request.customer)
         now_s = self.clock.now_s()
         found = self.records.open(
             key, request.customer, request.digest, now_s, now_s
@@ -504,10 +507,10 @@
             return None
         run = self.build(request, found.record)
         if isinstance(run, streams.ModelRun):
-            run.go_on_from(lost)
-            digest = engine_id(lost.home, key)
+            run.continue_from(lost_relay)
+            digest = engine_id(lost_relay.home, key)
             self.streams.cancel_everywhere(run.job.pool, digest)
-        self.enter(request, found.record, run)
+        self.register_run(request, found.record, run)
         run.main()
         return run.outcome
 
@@ -524,9 +527,9 @@
         found = self.records.find(request.key, request.customer)
         if isinstance(found, records.RunningElsewhere):
             return self.find_elsewhere(request, found.home, offset)
-        known = request.key in self.records.records
-        if known or self.lives_here(key.home):
-            return self.known(found, request.key)
+        is_recorded = request.key in self.records.records
+        if is_recorded or self.has_records_of(key.home):
+            return self.route_recorded(found, request.key)
         return self.find_elsewhere(request, key.home, offset)
 
     def find_foreign(self, request, offset):
@@ -537,7 +540,7 @@
             found = self.records.find(key, request.customer)
             if isinstance(found, records.RunningElsewhere):
                 return self.find_elsewhere(request, found.home, offset)
-            return self.known(found, key)
+            return self.route_recorded(found, key)
         owner = self.claiming.owner_of(digest)
         if not owner or owner == self.name:
             return Settled(records.ANSWER_GONE)
@@ -567,7 +570,10 @@
         :param last: whether the hand-over is complete
         :return: number of lines taken, None to refuse
         """
-        if self.handover.sealed is not None or self.closed('') is not None:
+        if (
+            self.handover.sealed is not None
+            or self.refusal_for('') is not None
+        ):
             return None
         return self.handover.take(host, incarnation, lines, last)
 
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -72,12 +72,12 @@
             case configuration.WorkPermit(allowed=allowed, reason=reason):
                 self.permit(allowed, reason)
             case notices.EngineUse(engine=engine, state=state):
-                self.work.post(dispatch.StateSeen(engine, state))
+                self.work.post(dispatch.EndpointStateObserved(engine, state))
             case gossip.PromptsHeard(prompts=prompts):
-                self.work.post(dispatch.PromptsHeard(prompts))
+                self.work.post(dispatch.PeerPromptsPlaced(prompts))
             case membership.Superseded():
                 self.stop_superseded()
-            case dispatch.CrashSeen(digest=digest):
+            case dispatch.CrashReported(digest=digest):
                 self.spread_at_once(digest)
             case scheduler.Digest():
                 self.members.post(gossip.OwnDigest(message.to_bytes()))
--- a/magnoliadyke/pumps.py
+++ b/magnoliadyke/pumps.py
@@ -14,10 +14,10 @@
 RECEIVE_BYTES = 16384
 #: No token for so long, in spite of comments, means that the engine has lost
 #: the request. A long prompt or a role change takes less.
-STALL_S = 90.0
+TOKEN_TIMEOUT_S = 90.0
 LINE_END = b'\r\n'
 #: Where to look for the end of a chunk's size.
-LONGEST_SIZE = 10
+MAX_CHUNK_HEADER_BYTES = 10
 #: An event ends with an empty line and its chunk with a line end. Inside an
 #: event a line end can't stand, so the data ends where a chunk ends.
 CHUNK_OF_EVENTS_END = b'\n\n\r\n'
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, run, connection, label):
-        self.run_ = run
+        self.target_run = run
         self.connection = connection
         self.assembly = run.assembly
         self.append = run.append
@@ -44,13 +44,13 @@
         self.label = label
         self.stopped = event.Event()
         self.watcher = None
-        self.heard = 0
+        self.read_count = 0
         self.connections = run.connections
-        self.pace = attempts.SilenceTimeout()
-        self.seen_heard = -1
-        self.quiet_since_s = 0.0
-        self.seen_offset = -1
-        self.still_since_s = 0.0
+        self.silence_timeout = attempts.SilenceTimeout()
+        self.checked_read_count = -1
+        self.last_read_s = 0.0
+        self.checked_offset = -1
+        self.last_token_s = 0.0
         self.reported = 0
 
     def run(self, first):
@@ -59,8 +59,8 @@
         :param first: body bytes that came with the head
         :return: whether the answer is whole
         """
-        streams = self.run_.streams
-        if not self.take(first):
+        streams = self.target_run.streams
+        if not self.feed_body(first):
             loop = gevent.get_hub().loop
             self.watcher = loop.io(self.fileno, READABLE)
             self.watcher.start(self.on_readable)
@@ -75,12 +75,12 @@
 
     def on_readable(self):
         """Take what the engine has sent; called by the event loop."""
-        self.heard += 1
+        self.read_count += 1
         try:
             data = os.read(self.fileno, RECEIVE_BYTES)
-            if self.between_chunks and self.take_chunk(data):
+            if self.between_chunks and self.feed_single_chunk(data):
                 return
-            if self.take(self.connection.unchunk(data)):
+            if self.feed_body(self.connection.decode_body(data)):
                 self.stop()
             self.between_chunks = data.endswith(CHUNK_OF_EVENTS_END)
         except BlockingIOError:
@@ -88,7 +88,7 @@
         except (OSError, ValueError, responses.HTTPParseError):
             self.stop()
 
-    def take_chunk(self, data):
+    def feed_single_chunk(self, data):
         """Take the usual case, one event in one chunk, without the parser.
 
         The parser stands between two chunks and stays there. The chunk goes
@@ -96,7 +96,7 @@
 
         :return: whether that was the case; nothing has happened if not
         """
-        start = data.find(LINE_END, 0, LONGEST_SIZE)
+        start = data.find(LINE_END, 0, MAX_CHUNK_HEADER_BYTES)
         if start < 1 or not data.endswith(CHUNK_OF_EVENTS_END):
             return False
         if int(data[:start], 16) != len(data) - start - 4:
@@ -107,7 +107,7 @@
         self.append(body, data)
         return True
 
-    def take(self, body):
+    def feed_body(self, body):
         """Feed bytes; return whether this connection is done with."""
         assembly = self.assembly
         block = assembly.feed(self.label, body)
@@ -127,7 +127,7 @@
 
     def progress(self):
         """Return job id and tokens when there are more than last time."""
-        run = self.run_
+        run = self.target_run
         tokens = self.assembly.offset
         if tokens == self.reported or run.job is None:
             return None
@@ -140,17 +140,17 @@
         :param suspect: a sibling connection went silent
         :return: whether it was given up
         """
-        if self.assembly.offset != self.seen_offset:
-            self.seen_offset = self.assembly.offset
-            self.still_since_s = now_s
-            self.pace.observe(self.seen_offset, now_s)
-        if self.heard != self.seen_heard:
-            self.seen_heard = self.heard
-            self.quiet_since_s = now_s
+        if self.assembly.offset != self.checked_offset:
+            self.checked_offset = self.assembly.offset
+            self.last_token_s = now_s
+            self.silence_timeout.observe(self.checked_offset, now_s)
+        if self.read_count != self.checked_read_count:
+            self.checked_read_count = self.read_count
+            self.last_read_s = now_s
             self.check_stalled(now_s)
             return False
-        quiet_s = now_s - self.quiet_since_s
-        if quiet_s < self.pace.silence_limit_s(suspect):
+        quiet_s = now_s - self.last_read_s
+        if quiet_s < self.silence_timeout.silence_limit_s(suspect):
             return False
         self.stop()
         return True
@@ -160,5 +160,5 @@
 
         Its connection is not to blame, so its siblings are not suspect.
         """
-        if now_s - self.still_since_s >= STALL_S:
+        if now_s - self.last_token_s >= TOKEN_TIMEOUT_S:
             self.stop()
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -17,8 +17,8 @@
 RETRY_PAUSE_S = 0.2
 #: How long a home that is called alive may stay without an answer. What may
 #: be repeated is soon better off here; what may not has no other way.
-PATIENCE_S = 4.0
-PATIENCE_ONLY_WAY_S = 15.0
+PROGRESS_TIMEOUT_S = 4.0
+UNREPEATABLE_PROGRESS_TIMEOUT_S = 15.0
 HOME_LOST = outcomes.Unknown(
     'home_lost',
     'the host that ran the request is gone; look up the effect before '
@@ -53,8 +53,8 @@
         self.streams = streams_
         self.clock = streams_.clock
         self.sent = False
-        self.go_on_here = None
-        self.settled_here = None
+        self.continue_here = None
+        self.recorded_outcome = None
         self.home = ''
 
     def run(self):
@@ -63,31 +63,31 @@
         A home that others call alive may be cut off from this node alone,
         so there is a limit to how long it is asked without an answer.
         """
-        heard_s = self.clock.now_s()
-        while self.clock.now_s() - heard_s < self.patience_s():
+        last_progress_s = self.clock.now_s()
+        while self.clock.now_s() - last_progress_s < self.progress_timeout_s():
             home = self.locate()
             if home is None:
-                return self.lost()
+                return self.on_home_lost()
             before = self.progress()
-            outcome = self.try_home(home)
+            outcome = self.call_home(home)
             if outcome is not None:
                 return outcome
             if self.progress() != before:
-                heard_s = self.clock.now_s()
+                last_progress_s = self.clock.now_s()
             self.clock.sleep(RETRY_PAUSE_S)
-        return self.lost()
+        return self.on_home_lost()
 
-    def patience_s(self):
+    def progress_timeout_s(self):
         """Return how long to ask without an answer, in seconds."""
         if self.sent and not self.request.repeatable:
-            return PATIENCE_ONLY_WAY_S
-        return PATIENCE_S
+            return UNREPEATABLE_PROGRESS_TIMEOUT_S
+        return PROGRESS_TIMEOUT_S
 
     def progress(self):
         """Return something that changes as the answer goes on."""
         return len(self.pieces)
 
-    def try_home(self, home):
+    def call_home(self, home):
         """Return the outcome, or None when the home did not tell it."""
         try:
             return self.ask(home)
@@ -99,25 +99,27 @@
         """Make one call to the home."""
         raise NotImplementedError
 
-    def lost(self):
+    def on_home_lost(self):
         """Return what to say when the home is gone for good."""
-        outcome = self.settled_here(self) if self.settled_here else None
+        outcome = (
+            self.recorded_outcome(self) if self.recorded_outcome else None
+        )
         if outcome is not None:
-            return self.settle(outcome)
-        outcome = self.go_on()
+            return self.deliver_recorded(outcome)
+        outcome = self.continue_locally()
         if outcome is not None:
             return outcome
         if not self.sent and self.request.first:
             return HOME_UNREACHED
         return HOME_LOST
 
-    def settle(self, outcome):
+    def deliver_recorded(self, outcome):
         """Return an end that this node's records know."""
         return outcome
 
-    def go_on(self):
+    def continue_locally(self):
         """Run on this node what was lost with its home, if that may be."""
-        return self.go_on_here(self) if self.go_on_here else None
+        return self.continue_here(self) if self.continue_here else None
 
     def headers(self):
         """Return the headers of the call to the home."""
@@ -157,7 +159,7 @@
         self.connections = None
         self.connection = None
 
-    def settle(self, outcome):
+    def deliver_recorded(self, outcome):
         """Pass the rest of a kept answer on."""
         if not isinstance(outcome, records.Answer):
             return outcome
@@ -170,15 +172,15 @@
         self.append(self.assembly.feed(label, rest))
         return outcome
 
-    def go_on(self):
+    def continue_locally(self):
         """Continue the answer on this node."""
-        return None if self.resume_only else super().go_on()
+        return None if self.resume_only else super().continue_locally()
 
     def ask(self, home):
         """Send the request, or resume the answer that has begun."""
         reply = self.open(home)
         if reply.status != streams.STATUS_OK:
-            return self.refused(reply)
+            return self.outcome_of_refusal(reply)
         self.sent = True
         if self.read(home, reply):
             return self.answered()
@@ -201,9 +203,9 @@
         timeout_s = home.settings.head_s
         return home.stream(method, path, body, self.headers(), timeout_s)
 
-    def refused(self, reply):
+    def outcome_of_refusal(self, reply):
         """Return the outcome that the home answered instead of a stream."""
-        whole = reply.whole()
+        whole = reply.read_whole()
         return forms.outcome_from(whole) or outcomes.Unknown(
             'home_error', 'look up the effect before asking again'
         )
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -36,7 +36,7 @@
 DUPLICATE_CODE = 'duplicate_id'
 #: Resumes in a row that brought no token before the attempt is given up.
 MAX_RESUMES = 3
-MAX_RESUMES_ONLY_WAY = 12
+MAX_RESUMES_UNREPEATABLE = 12
 #: Ticks of 0.25 s between reports of progress to the scheduler.
 PROGRESS_TICKS = 4
 #: Ticks between tries to move an answer.
@@ -45,7 +45,7 @@
 COMPRESSION_LEVEL = 1
 COMPRESSED_FROM_BYTES = 4096
 
-LOST = outcomes.Unknown(
+ENDPOINT_LOST = outcomes.Unknown(
     'endpoint_lost',
     'the request was sent and its end is not known; look up the effect '
     'before asking again',
@@ -94,12 +94,12 @@
         try:
             outcome = self.run()
         except Abandoned:
-            self.give_up()
+            self.clean_up()
         except Exception:
             # Whatever went wrong, the caller gets a typed end and the
             # scheduler gets its slot back; the error itself is printed.
-            outcome = LOST
-            self.give_up()
+            outcome = ENDPOINT_LOST
+            self.clean_up()
             raise
         finally:
             self.end(outcome)
@@ -108,7 +108,7 @@
         """Return the outcome."""
         raise NotImplementedError
 
-    def give_up(self):
+    def clean_up(self):
         """Clean up after a run that did not end by itself."""
 
     def append(self, block, framed=None):
@@ -171,24 +171,26 @@
         action = self.ask(dispatch.SubmitJob(self.job))
         while True:
             if isinstance(action, scheduler.Refuse):
-                return self.refused(action.outcome)
+                return self.outcome_of_refusal(action.outcome)
             self.dispatched_s = self.dispatched_s or self.clock.now_s()
             result = self.attempt(action)
             if not isinstance(result, jobs.Failed):
                 return result
             if self.sent and not self.job.repeatable:
-                final = dispatch.JobFinished(self.job.id, final_of(result))
+                final = dispatch.JobFinished(
+                    self.job.id, without_retry(result)
+                )
                 self.dispatcher.post(final)
-                return LOST
+                return ENDPOINT_LOST
             action = self.ask(dispatch.JobFailed(self.job.id, result))
 
-    def refused(self, outcome):
+    def outcome_of_refusal(self, outcome):
         """Return what to tell after the scheduler's refusal.
 
         ``NotRun`` would be untrue after an attempt that may have run.
         """
         if self.sent and isinstance(outcome, outcomes.NotRun):
-            return LOST
+            return ENDPOINT_LOST
         return outcome
 
     def ask(self, message):
@@ -199,15 +201,15 @@
         """Make one attempt; return Failed, an answer or an outcome."""
         raise NotImplementedError
 
-    def give_up(self):
+    def clean_up(self):
         """Take the job back from the scheduler."""
         self.dispatcher.post(dispatch.CancelJob(self.job.id))
 
-    def finished(self, finished):
+    def record_finished(self, finished):
         """Tell the scheduler that the job ended well."""
         self.dispatcher.post(dispatch.JobFinished(self.job.id, finished))
 
-    def failed(self, name, stage, ran, crashed=False):
+    def record_failure(self, name, stage, ran, crashed=False):
         """Return the failure of an attempt.
 
         :param ran: whether a byte of it may have reached the endpoint
@@ -226,7 +228,7 @@
         )
 
 
-def final_of(failed):
+def without_retry(failed):
     """Return a failure after which nothing is placed again."""
     return jobs.Failed(
         failed.endpoint, failed.stage, failed.ran, failed.crashed, False
@@ -245,14 +247,14 @@
         self.work = work
         self.digest = digest
         self.number = 0
-        self.begun = False
+        self.stream_started = False
         self.attempt_id = ''
         self.engine = None
         self.connection = None
         self.moving = None
         self.assembly = attempts.Assembly()
 
-    def go_on_from(self, other):
+    def continue_from(self, other):
         """Continue the answer of another run, for the same followers.
 
         :param other: run with ``assembly``, ``pieces`` and ``followers``
@@ -264,7 +266,7 @@
     def attempt(self, action):
         """Prefill if asked to, then decode."""
         self.number += 1
-        self.begun = False
+        self.stream_started = False
         self.attempt_id = attempts.attempt_id(self.digest, self.number)
         work = {**self.work, 'id': self.attempt_id}
         if action.prefill_endpoint:
@@ -281,14 +283,14 @@
             reply = self.engine.prefill(work, self.headers())
         except errors.EndpointUnreachable as error:
             crashed = error.sent and self.engine.refuses_connections()
-            return self.failed(name, 'prefill', error.sent, crashed)
+            return self.record_failure(name, 'prefill', error.sent, crashed)
         if reply.error_code() == NOT_RUN_CODE:
-            return self.failed(name, 'prefill', False)
+            return self.record_failure(name, 'prefill', False)
         self.sent = True
         try:
             kv_id = reply.json()['kv_id']
         except (ValueError, KeyError, TypeError):
-            return self.failed(name, 'prefill', True)
+            return self.record_failure(name, 'prefill', True)
         now_s = self.clock.now_s()
         self.dispatcher.post(dispatch.PrefillDone(self.job.id, now_s))
         return {'address': self.engine.info.address, 'kv_id': kv_id}
@@ -305,31 +307,31 @@
             reply = self.engine.complete(work, self.headers(), fresh)
         except errors.EndpointUnreachable as error:
             if not error.sent:
-                return self.failed(name, 'connect', False)
+                return self.record_failure(name, 'connect', False)
             self.sent = True
-            return self.read_on(name)
-        return self.judge(name, reply)
+            return self.resume_attempt(name)
+        return self.handle_response(name, reply)
 
-    def judge(self, name, reply):
+    def handle_response(self, name, reply):
         """Act on the head of the answer to a new attempt."""
         if reply.status == STATUS_OK:
-            self.sent = self.begun = True
+            self.sent = self.stream_started = True
             if self.read(reply):
                 return self.answered()
-            return self.read_on(name)
+            return self.resume_attempt(name)
         try:
-            whole = reply.whole()
+            whole = reply.read_whole()
         except errors.EndpointUnreachable:
-            return self.failed(name, 'decode', True)
+            return self.record_failure(name, 'decode', True)
         code = whole.error_code()
         if code == DUPLICATE_CODE:
             self.sent = True
-            return self.read_on(name)
+            return self.resume_attempt(name)
         if code == NOT_RUN_CODE:
-            return self.failed(name, 'decode', False)
+            return self.record_failure(name, 'decode', False)
         if whole.status < STATUS_SERVER_ERROR:
             return self.refused_by_engine(name, code)
-        return self.failed(name, 'decode', True)
+        return self.record_failure(name, 'decode', True)
 
     @property
     def connections(self):
@@ -338,7 +340,7 @@
 
     def refused_by_engine(self, name, code):
         """The engine calls the request itself wrong."""
-        failed = final_of(self.failed(name, 'decode', False))
+        failed = without_retry(self.record_failure(name, 'decode', False))
         self.dispatcher.post(dispatch.JobFinished(self.job.id, failed))
         return outcomes.Rejected(
             code or 'bad_request', 'correct the request as the engine asks'
@@ -360,7 +362,7 @@
                 reply.connection.close()
         return whole
 
-    def read_on(self, name):
+    def resume_attempt(self, name):
         """Resume the same attempt on new connections; judge if that fails.
 
         Reading the stream that runs already is no second attempt.
@@ -368,15 +370,17 @@
         if self.moving is not None:
             move, self.moving = self.moving, None
             if move.done():
-                return self.go_on_at(move)
+                return self.continue_at(move)
         failures = 0
-        while failures < self.patience():
+        while failures < self.max_resumes():
             offset = self.assembly.offset
             try:
                 reply = self.engine.resume(self.attempt_id, offset)
             except errors.EndpointUnreachable:
                 if self.engine.refuses_connections():
-                    return self.failed(name, 'decode', True, crashed=True)
+                    return self.record_failure(
+                        name, 'decode', True, crashed=True
+                    )
                 if self.job.repeatable:
                     # Not even a new connection is answered: the engine hangs
                     # or is cut off, and another one can take over now.
@@ -388,15 +392,17 @@
                 reply.connection.close()
                 # An engine that has forgotten a stream it had begun was
                 # started anew: it crashed, even if it is back already.
-                return self.failed(name, 'decode', True, self.begun)
-            self.begun = True
+                return self.record_failure(
+                    name, 'decode', True, self.stream_started
+                )
+            self.stream_started = True
             if self.read(reply):
                 return self.answered()
             moved = self.assembly.offset > offset
             failures = 0 if moved else failures + 1
             self.clock.sleep(RESUME_PAUSE_S * failures)
         self.cancel_attempt()
-        return self.failed(name, 'decode', True)
+        return self.record_failure(name, 'decode', True)
 
     def move(self, again=False):
         """Take the answer elsewhere, once it has begun.
@@ -408,7 +414,7 @@
         if self.moving is None and self.assembly.offset:
             self.moving = moves.Move(self)
 
-    def go_on_at(self, move):
+    def continue_at(self, move):
         """Continue the answer on another engine, from its KV cache.
 
         One that refuses has not run it: the cache stays where it was made,
@@ -417,7 +423,7 @@
         name = move.target
         while True:
             self.number += 1
-            self.begun = False
+            self.stream_started = False
             self.attempt_id = attempts.attempt_id(self.digest, self.number)
             work = {**self.work, 'id': self.attempt_id, 'kv': move.kv}
             result = self.decode(name, work)
@@ -427,13 +433,13 @@
             if not name:
                 return result
 
-    def patience(self):
+    def max_resumes(self):
         """Return how many resumes in a row may bring nothing.
 
         A request that may be repeated is better off on another engine. One
         that may not has no other way to an answer than this stream.
         """
-        return MAX_RESUMES if self.job.repeatable else MAX_RESUMES_ONLY_WAY
+        return MAX_RESUMES if self.job.repeatable else MAX_RESUMES_UNREPEATABLE
 
     def answered(self):
         """Return the whole answer; tell the scheduler."""
@@ -443,7 +449,7 @@
             self.assembly.offset,
             int(usage.get('cached_tokens', 0)),
         )
-        self.finished(finished)
+        self.record_finished(finished)
         return records.Answer(
             'model',
             STATUS_OK,
@@ -453,12 +459,12 @@
             finished.output_tokens,
         )
 
-    def give_up(self):
+    def clean_up(self):
         """Cancel on the engine, then take the job back."""
         if self.connection is not None:
             self.connection.close()
         self.cancel_attempt()
-        super().give_up()
+        super().clean_up()
 
     def cancel_attempt(self):
         """Ask the engine to stop, without waiting for it."""
@@ -542,12 +548,12 @@
             )
         except errors.EndpointUnreachable as error:
             stage = 'decode' if error.sent else 'connect'
-            return self.failed(name, stage, error.sent)
-        refused = reply.status == STATUS_UNAVAILABLE
-        if refused and reply.error_code() == NOT_RUN_CODE:
-            return self.failed(name, 'decode', False)
+            return self.record_failure(name, stage, error.sent)
+        outcome_of_refusal = reply.status == STATUS_UNAVAILABLE
+        if outcome_of_refusal and reply.error_code() == NOT_RUN_CODE:
+            return self.record_failure(name, 'decode', False)
         self.first_output_s = self.clock.now_s()
-        self.finished(jobs.Finished())
+        self.record_finished(jobs.Finished())
         return records.Answer(
             'service', reply.status, reply.content_type, reply.body
         )
@@ -591,17 +597,17 @@
         now_s = self.clock.now_s()
         for pump in list(self.pumps):
             connections = pump.connections
-            if pump.check(now_s, connections.suspect()):
-                connections.went_silent()
-        self.move_away(now_s)
+            if pump.check(now_s, connections.is_suspect()):
+                connections.mark_suspect()
+        self.move_streams(now_s)
         if self.ticks % PROGRESS_TICKS == 0:
             self.report_progress()
 
-    def move_away(self, now_s):
+    def move_streams(self, now_s):
         """Move the answers whose engines are to change soon."""
         changing = self.dispatcher.changing
         for pump in list(self.pumps) if changing else ():
-            run = pump.run_
+            run = pump.target_run
             if run.job is None:
                 continue  # a relay: the answer's home moves it
             since_s = changing.get(run.engine.name, math.inf)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -106,7 +106,7 @@
     """
     with requestpath.Bench() as bench:
         front = bench.nodes['host-1'].callers
-        whole = front.homes.place
+        whole = front.homes.route_request
         broken = []
 
         def place(request):
@@ -115,7 +115,7 @@
                 raise RuntimeError('made by the test')
             return whole(request)
 
-        front.homes.place = place
+        front.homes.route_request = place
         outcome = make(bench).call('portal', 'POST', '/charge', b'{}')
         assert outcome.finish_reason == '200'
         assert outcome.key == broken[0]
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -64,7 +64,7 @@
     dispatcher.ask(dispatch.SubmitJob(job('a', fingerprint='lease:x')), 2.0)
     failed = jobs.Failed('engine-1', 'decode', True, crashed=True)
     dispatcher.ask(dispatch.JobFailed('a', failed), 20.0)
-    (crash,) = [m for m in seen if isinstance(m, dispatch.CrashSeen)]
+    (crash,) = [m for m in seen if isinstance(m, dispatch.CrashReported)]
     assert crash.digest.suspects
 
 
@@ -77,20 +77,20 @@
 
 
 def test_remembers_when_an_endpoint_was_away_for_a_change(dispatcher):
-    dispatcher.note_change('engine-1', 'changing', 100.0)
+    dispatcher.record_role_change('engine-1', 'changing', 100.0)
     assert dispatcher.changing_s(requestpath.MODEL, 90.0, 103.0) == 3.0
-    dispatcher.note_change('engine-1', 'up', 106.0)
+    dispatcher.record_role_change('engine-1', 'up', 106.0)
     assert dispatcher.changing_s(requestpath.MODEL, 104.0, 200.0) == 2.0
 
 
 def test_health_needs_two_lost_answers():
     seen = []
     owner = types.SimpleNamespace(post=seen.append)
-    health = dispatch.Health(owner, 'engine-1')
-    health.missed()
+    health = dispatch.HealthTracker(owner, 'engine-1')
+    health.record_no_response()
     assert seen == []
-    health.missed()
-    health.seen('in')
+    health.record_no_response()
+    health.record_response('in')
     assert [each.state for each in seen] == ['crashed', 'up']
 
 
@@ -112,7 +112,7 @@
     long = scheduler.Dispatch('a', 'd1', 'p1', prompt_s=0.5)
     whole = scheduler.Dispatch('b', 'd1', prompt_s=0.4)
     short = scheduler.Dispatch('c', 'd1', 'p1', prompt_s=0.01)
-    dispatcher.tell_prompts([long, whole, short])
-    dispatcher.tell_prompts([short])
+    dispatcher.publish_prompts([long, whole, short])
+    dispatcher.publish_prompts([short])
     (placed,) = seen
     assert placed.prompts == (('p1', 0.5), ('d1', 0.4))
--- a/tests/test_endpoint.py
+++ b/tests/test_endpoint.py
@@ -113,9 +113,9 @@
 def test_one_silence_makes_the_siblings_suspect(peers):
     peer = peers((ANSWER,) * 4)
     peer.get()
-    assert not peer.connections.suspect()
-    peer.connections.went_silent()
-    assert peer.connections.suspect()
+    assert not peer.connections.is_suspect()
+    peer.connections.mark_suspect()
+    assert peer.connections.is_suspect()
     assert peer.connections.idle == []
     peer.clock.advance(endpoint.Connections.SUSPECT_S + 1)
-    assert not peer.connections.suspect()
+    assert not peer.connections.is_suspect()
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -92,7 +92,7 @@
     run.decode = decode
     run.moving = moves.Move(run)
     gevent.sleep(0)
-    assert run.read_on('e1') == 'answer'
+    assert run.resume_attempt('e1') == 'answer'
     assert asked == [('e2', 'digest-2', KV), ('e3', 'digest-3', KV)]
 
 
@@ -100,7 +100,7 @@
     run = make_run(['e2'] * 9)
     run.decode = lambda name, work: jobs.Failed(name, 'decode', ran=False)
     run.moving = moves.Move(run)
-    assert run.read_on('e1').ran is False
+    assert run.resume_attempt('e1').ran is False
     assert run.number == 1 + moves.MOST_PLACES
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -40,7 +40,7 @@
         gevent.sleep(0.5)
         (relay,) = bench.nodes['host-2'].callers.homes.relays
         (pump,) = bench.nodes['host-2'].callers.streams.pumps
-        assert pump.run_ is relay
+        assert pump.target_run is relay
         pump.stop()
         reply = caller.get(timeout=10)
         assert reply.text() == requestpath.answer_of(60)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -73,7 +73,7 @@
 def test_each_outcome_has_its_word():
     words = {
         streams.ABANDONED: 'cancelled',
-        streams.LOST: 'unknown',
+        streams.ENDPOINT_LOST: 'unknown',
         outcomes.NotRun('concurrency_limit', ''): 'limited',
         outcomes.Rejected('x', ''): 'rejected',
         records.Answer('service', 500, '', b''): 'failed',
