--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -30,10 +30,10 @@
 class Pump:
     """A connection on which an answer comes in."""
 
-    connections = types.SimpleNamespace(suspect=lambda: False)
+    connections = types.SimpleNamespace(is_suspect=lambda: False)
 
     def __init__(self, run):
-        self.run_ = run
+        self.target_run = run
 
     def check(self, now_s, suspect):
         """The connection is well."""
