--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -347,7 +347,7 @@
         body = self.owner.read_body(req)
         path = service_path(req.env[HANDLER].path)
         route = path.partition('?')[0]
-        may_repeat = self.route_repeatable(name, req.method, route)
+        route_is_repeatable = self.route_repeatable(name, req.method, route)
         headers = tuple(
             (each, req.get_header(each))
             for each in PASSED_HEADERS
@@ -359,7 +359,7 @@
             path=path,
             headers=headers,
             body=body,
-            repeatable=may_repeat and self.repeatable(req),
+            repeatable=route_is_repeatable and self.repeatable(req),
             digest=forms.request_digest(
                 customer, name, req.method, path, body
             ),
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -330,9 +330,9 @@
         """
         view = self.members.last
         members = view.members.values() if view is not None else ()
-        able = [member for member in members if self.takes_work(member)]
+        candidates = [member for member in members if self.takes_work(member)]
         return sorted(
-            able,
+            candidates,
             key=lambda member: (
                 member.failure_domain != self.own.failure_domain,
                 -(self.rng.random() ** (1.0 / max(member.spare, 0.01))),
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -582,15 +582,15 @@
 
         :return: the successor's host name, or ``''`` if nobody took them
         """
-        able = [
+        candidates = [
             member
             for member in self.directory.all_members().values()
             if member.host != self.host
             and member.state == 'alive'
             and member.takes_work
         ]
-        self.rng.shuffle(able)
-        self.handover.begin(able)
+        self.rng.shuffle(candidates)
+        self.handover.begin(candidates)
         return self.handover.successor
 
     def successor_of(self, home):
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -205,8 +205,8 @@
 
     def outcome_of_refusal(self, reply):
         """Return the outcome that the home answered instead of a stream."""
-        whole = reply.read_whole()
-        return forms.outcome_from(whole) or outcomes.Unknown(
+        response = reply.read_whole()
+        return forms.outcome_from(response) or outcomes.Unknown(
             'home_error', 'look up the effect before asking again'
         )
 
