--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -384,8 +384,10 @@
             case PeerDigest(host, digest):
                 return core.merge_peer_digest(host, digest, now_s)
             case PeerPromptsPlaced(prompts):
-                for told in prompts:
-                    core.record_peer_prompt(told.engine, told.read_s, now_s)
+                for notice in prompts:
+                    core.record_peer_prompt(
+                        notice.engine, notice.read_s, now_s
+                    )
                 return []
             case table.View():
                 return core.set_table(message, now_s)
@@ -441,7 +443,7 @@
 
     def publish_prompts(self, actions):
         """Publish which engines were given how much to read."""
-        told = tuple(
+        announced = tuple(
             notices.PromptNotice(
                 action.prefill_endpoint or action.endpoint, action.prompt_s
             )
@@ -449,8 +451,8 @@
             if isinstance(action, scheduler.Dispatch)
             and action.prompt_s >= MIN_ANNOUNCED_PREFILL_S
         )
-        if told:
-            self.prompts.publish(PromptsPlaced(told))
+        if announced:
+            self.prompts.publish(PromptsPlaced(announced))
 
     def apply(self, actions):
         """Answer the runs that wait for these actions."""
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -320,16 +320,16 @@
                 return self.answered()
             return self.resume_attempt(name)
         try:
-            whole = reply.read_whole()
+            response = reply.read_whole()
         except errors.EndpointUnreachable:
             return self.record_failure(name, 'decode', True)
-        code = whole.error_code()
+        code = response.error_code()
         if code == DUPLICATE_CODE:
             self.sent = True
             return self.resume_attempt(name)
         if code == NOT_RUN_CODE:
             return self.record_failure(name, 'decode', False)
-        if whole.status < STATUS_SERVER_ERROR:
+        if response.status < STATUS_SERVER_ERROR:
             return self.refused_by_engine(name, code)
         return self.record_failure(name, 'decode', True)
 
@@ -352,15 +352,15 @@
         label = (self.attempt_id, id(reply.connection))
         self.assembly.begin(label)
         pump = pumps.Pump(self, reply.connection, label)
-        whole = False
+        is_complete = False
         try:
-            whole = pump.run(reply.first)
+            is_complete = pump.run(reply.first)
         finally:
-            if whole:
+            if is_complete:
                 self.connections.give_back(reply.connection)
             else:
                 reply.connection.close()
-        return whole
+        return is_complete
 
     def resume_attempt(self, name):
         """Resume the same attempt on new connections; judge if that fails.
