--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -409,12 +409,12 @@
         :param since_s: start of the time looked at, in monotonic seconds
         :param until_s: its end
         """
-        under_way = [
+        open_intervals = [
             (began_s, until_s)
             for name, began_s in self.changing.items()
             if self.endpoints[name].info.pool == pool
         ]
-        intervals = [*self.changes[pool], *under_way]
+        intervals = [*self.changes[pool], *open_intervals]
         return burn.covered_s(intervals, since_s, until_s)
 
     def progress(self, tokens, now_s):
@@ -484,9 +484,13 @@
     def read_load(self, document):
         """Return a report whose time is by this node's own clock."""
         fields = jobs.LoadReport._fields
-        known = {name: document[name] for name in fields if name in document}
-        known['at_s'] = self.clock.now_s() - float(document.get('age_s', 0))
-        return jobs.LoadReport(**known)
+        report_fields = {
+            name: document[name] for name in fields if name in document
+        }
+        report_fields['at_s'] = self.clock.now_s() - float(
+            document.get('age_s', 0)
+        )
+        return jobs.LoadReport(**report_fields)
 
     def poll_cache(self, endpoint):
         """Read cache events for good."""
