--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -183,7 +183,7 @@
     report: jobs.LoadReport
 
 
-class EndpointStateObserved(typing.NamedTuple):
+class EndpointStateChanged(typing.NamedTuple):
     """An endpoint's state became known."""
 
     endpoint: str
@@ -376,7 +376,7 @@
         match message:
             case LoadReported(endpoint, report):
                 return core.handle_load_report(endpoint, report, now_s)
-            case EndpointStateObserved(endpoint, state):
+            case EndpointStateChanged(endpoint, state):
                 self.record_role_change(endpoint, state, now_s)
                 return core.set_endpoint_state(endpoint, state, now_s)
             case CacheEventsReceived(endpoint, events, gap):
@@ -546,7 +546,7 @@
         """Tell the dispatcher when the state is another one."""
         if state != self.state:
             self.state = state
-            self.dispatcher.post(EndpointStateObserved(self.name, state))
+            self.dispatcher.post(EndpointStateChanged(self.name, state))
 
 
 def reports_crash(message):
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -72,7 +72,7 @@
             case configuration.WorkPermit(allowed=allowed, reason=reason):
                 self.permit(allowed, reason)
             case notices.EngineUse(engine=engine, state=state):
-                self.work.post(dispatch.EndpointStateObserved(engine, state))
+                self.work.post(dispatch.EndpointStateChanged(engine, state))
             case gossip.PromptsHeard(prompts=prompts):
                 self.work.post(dispatch.PeerPromptsPlaced(prompts))
             case membership.Superseded():
