--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -1,4 +1,4 @@
-"""The task that owns the scheduler and feeds it what endpoints report."""
+"""The task that owns the scheduler and passes it the endpoints' reports."""
 
 import collections
 import typing
@@ -43,9 +43,11 @@
 CACHE_WAIT_S = 10.0
 CACHE_RETRY_INTERVAL_S = 1.0
 CHANGES_KEPT = 20
-#: A prompt that is read in less is no news to other nodes, in seconds.
+#: Predicted prefill time from which a prompt is announced to other nodes, in
+#: seconds; an announcement of a shorter one would cost more than it saves.
 MIN_ANNOUNCED_PREFILL_S = 0.03
-#: One lost answer is no proof; a second one in a row is.
+#: Consecutive polls without a response after which an endpoint counts as
+#: crashed; a single response may be lost in the network.
 FAILURES_UNTIL_CRASHED = 2
 
 
@@ -58,7 +60,7 @@
 
 
 class SubmitJob(mailbox.Ask):
-    """Place a job; answered with a ``Dispatch`` or a ``Refuse``.
+    """Asks for a job to be placed; the reply is ``Dispatch`` or ``Refuse``.
 
     :param job: the :class:`magnoliadyke.core.jobs.Job` to place
     """
@@ -70,7 +72,9 @@
 
 
 class JobFailed(mailbox.Ask):
-    """An attempt failed; answered with the next ``Dispatch`` or ``Refuse``.
+    """Reports a failed attempt; the reply is ``Dispatch`` or ``Refuse``.
+
+    ``Dispatch`` asks for one more attempt.
 
     :param failed: :class:`magnoliadyke.core.jobs.Failed`
     """
@@ -82,9 +86,9 @@
 
 
 class MoveStream(mailbox.Ask):
-    """Find another engine for a running answer; answered with its name.
+    """Asks for another engine for a running stream; the reply is its name.
 
-    The answer is ``''`` when no other engine takes work.
+    The reply is ``''`` when no other engine accepts requests.
     """
 
     def __init__(self, job_id):
@@ -93,10 +97,10 @@
 
 
 class JobFinished(typing.NamedTuple):
-    """A job is over.
+    """Reports the end of a job.
 
     :param result: :class:`magnoliadyke.core.jobs.Finished`, or ``Failed``
-        of a job that gets no further attempt
+        when the job gets no further attempt
     """
 
     job_id: str
@@ -104,46 +108,59 @@
 
 
 class CancelJob(typing.NamedTuple):
-    """Forget a job that still waits or runs."""
+    """Asks the scheduler to drop a job that is queued or running."""
 
     job_id: str
 
 
 class PrefillDone(typing.NamedTuple):
-    """The prefill endpoint has run the prompt."""
+    """Reports that the prefill engine has computed the KV cache.
+
+    :param at_s: when, in monotonic seconds
+    """
 
     job_id: str
     at_s: float
 
 
 class FirstToken(typing.NamedTuple):
-    """The first output token came."""
+    """Reports that the first output token of a job was received.
+
+    :param at_s: when, in monotonic seconds
+    """
 
     job_id: str
     at_s: float
 
 
 class Progress(typing.NamedTuple):
-    """How far jobs are: pairs of job id and output tokens so far."""
+    """Reports how many output tokens running jobs have produced.
+
+    :param tokens: pairs of job id and number of output tokens so far
+    """
 
     tokens: tuple[tuple[str, int], ...]
 
 
 class TakeSnapshot(mailbox.Ask):
-    """Ask for :class:`magnoliadyke.core.snapshot.Snapshot`, to show it."""
+    """Asks for a :class:`magnoliadyke.core.snapshot.Snapshot` to display."""
 
 
 class CrashReported(typing.NamedTuple):
-    """An endpoint died under a job; peers should hear of it at once.
+    """Announces that an endpoint crashed while it ran a job.
 
-    Published on the topic ``digest`` between the periodic digests.
+    Published on the topic ``digest`` between the periodic digests, so that
+    peers learn of the suspect request at once.
+
+    :param digest: :class:`magnoliadyke.core.scheduler.Digest` that includes
+        the crash
     """
 
     digest: object
 
 
 class PromptsPlaced(typing.NamedTuple):
-    """Prompts that this node has just given to engines.
+    """Announces prompts that this node has just assigned to engines.
 
     :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
     """
@@ -152,7 +169,7 @@
 
 
 class Demands(typing.NamedTuple):
-    """Demand of the pools, published each second.
+    """Announces the demand of each pool; published each second.
 
     :param pools: pool name to ``core.scheduler.Demand``
     """
@@ -161,7 +178,7 @@
 
 
 class PeerPromptsPlaced(typing.NamedTuple):
-    """Prompts that another node has given to engines.
+    """Passes on prompts that another node has assigned to engines.
 
     :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
     """
@@ -170,28 +187,39 @@
 
 
 class PeerDigest(typing.NamedTuple):
-    """The scheduler digest of another node, as gossip brought it."""
+    """Passes on the scheduler digest of another node, received by gossip.
+
+    :param host: host name of that node
+    :param digest: :class:`magnoliadyke.core.scheduler.Digest`
+    """
 
     host: str
     digest: object
 
 
 class LoadReported(typing.NamedTuple):
-    """A load report came."""
+    """Passes on the load report of an engine."""
 
     endpoint: str
     report: jobs.LoadReport
 
 
 class EndpointStateChanged(typing.NamedTuple):
-    """An endpoint's state became known."""
+    """Reports a new state of an endpoint, polled or announced by a planner.
+
+    :param state: ``up``, ``leaving``, ``left``, ``crashed`` or ``changing``
+        (its role)
+    """
 
     endpoint: str
     state: str
 
 
 class CacheEventsReceived(typing.NamedTuple):
-    """Cache events came; ``gap`` when some were lost before them."""
+    """Passes on events of an engine's prefix cache.
+
+    :param gap: whether events before these were lost
+    """
 
     endpoint: str
     events: tuple
@@ -199,7 +227,7 @@
 
 
 def endpoint_infos(settings):
-    """Return the :class:`EndpointInfo` of all endpoints of the settings."""
+    """Return an :class:`EndpointInfo` for each endpoint of the settings."""
     return [
         jobs.EndpointInfo(
             each.name,
@@ -216,7 +244,7 @@
 
 
 def build_endpoints(infos, clock):
-    """Return the HTTP endpoints by name."""
+    """Return the HTTP clients of the endpoints, by endpoint name."""
     kinds = {
         'model': endpoints.HttpModelEndpoint,
         'service': endpoints.HttpServiceEndpoint,
@@ -225,12 +253,14 @@
 
 
 class Dispatcher(mailbox.Task):
-    """Own the scheduler; poll endpoints; answer :class:`SubmitJob`.
+    """Owns the scheduler, polls endpoints and places jobs on them.
 
-    Post it :class:`PeerDigest` and :class:`PromptsHeard` messages. It
-    publishes two topics each second: ``digest`` (the node's own scheduler
-    digest, for gossip) and ``demand`` (:class:`Demands`, for planning), and
-    ``prompts`` (:class:`PromptsPlaced`) as this node sends them.
+    Runs ask it with :class:`SubmitJob` and :class:`JobFailed`; the node
+    posts it the :class:`PeerDigest` and :class:`PeerPromptsPlaced` messages
+    of its peers. It publishes two topics each second: ``digest`` (the node's
+    own scheduler digest, for gossip) and ``demand`` (:class:`Demands`, for
+    planning). The topic ``prompts`` (:class:`PromptsPlaced`) is published
+    whenever this node assigns prompts to engines.
 
     :param settings: :class:`magnoliadyke.settings.Settings`
     :param clock: a :class:`magnoliadyke.clock.Clock`
@@ -238,7 +268,11 @@
     :param table: Topic of :class:`magnoliadyke.core.table.View`
     :param members: Topic of :class:`magnoliadyke.core.membership.MembersView`
     :param host: this node's host name
-    :ivar endpoints: the endpoints by name; streams talk to them
+    :ivar endpoints: clients of the endpoints by name; runs call them
+    :ivar pending: message of each run that waits for a decision, by job id
+    :ivar changing: monotonic seconds at which the role change of an engine
+        began, by engine name
+    :ivar changes: start and end of past role changes, by pool name
     """
 
     tick_interval_s = 0.05
@@ -269,7 +303,7 @@
         self.published_s = 0.0
 
     def on_start(self):
-        """Subscribe and start to poll."""
+        """Subscribe to table and members, and start the polling loops."""
         self.table.subscribe(self)
         self.members.subscribe(self)
         for endpoint in self.used_endpoints():
@@ -277,10 +311,11 @@
                 self.pollers.append(gevent.spawn(loop, endpoint))
 
     def used_endpoints(self):
-        """Return the endpoints that this node may place work on.
+        """Return the endpoints on which this node may place jobs.
 
-        The others of a big pool need no polling: reports of all of them
-        would cost each node more than all its requests.
+        In a large pool that is a subset. The others are not polled: to read
+        the reports of all endpoints would cost a node more than to serve
+        its requests.
         """
         return [
             self.endpoints[name]
@@ -289,13 +324,13 @@
         ]
 
     def polling_loops(self, endpoint):
-        """Return the polling loops of an endpoint."""
+        """Return the methods that poll an endpoint of this kind forever."""
         if endpoint.info.kind == 'model':
             return (self.poll_load, self.poll_cache)
         return (self.poll_health,)
 
     def on_stop(self):
-        """Stop to poll and close idle connections."""
+        """Stop the polling loops and close idle connections."""
         gevent.killall(self.pollers)
         for endpoint in self.endpoints.values():
             endpoint.close()
@@ -306,8 +341,9 @@
         try:
             actions = self.decide(message, now_s)
             if reports_crash(message):
-                # Before anybody is answered: a caller that sends the request
-                # again at once must find it known as a suspect everywhere.
+                # Published before any run gets its reply: a caller that
+                # resends the request at once must not reach a node that
+                # does not yet hold it as a suspect.
                 self.digest.publish(
                     CrashReported(self.scheduler.digest(now_s))
                 )
@@ -317,10 +353,10 @@
             raise
 
     def reply_failed(self, message):
-        """Answer a run whose message the scheduler could not handle.
+        """Reply to a run whose message made the scheduler raise.
 
-        The run would wait for good, and its caller with it, while keep-alive
-        comments say that all is well.
+        Without a reply the run would wait forever, and its caller, who gets
+        keep-alive comments, would not notice.
         """
         match message:
             case SubmitJob(job_id=job_id):
@@ -333,7 +369,7 @@
         message.reply(scheduler.Refuse(job_id, outcome))
 
     def decide(self, message, now_s):
-        """Return the scheduler's actions for one message."""
+        """Pass one message to the scheduler; return its actions."""
         core = self.scheduler
         match message:
             case SubmitJob(job=job):
@@ -362,7 +398,7 @@
                 return self.apply_fleet_update(message, now_s)
 
     def move_stream(self, message, now_s):
-        """Give an answer its place on another engine."""
+        """Reply with a target engine for a stream, and record the move."""
         core = self.scheduler
         name = migrationtarget.choose_target(
             core.runs, core.pools, message.job_id, now_s
@@ -371,7 +407,7 @@
         return core.record_migration(message.job_id, name, now_s)
 
     def apply_fleet_update(self, message, now_s):
-        """Return the actions for news of the fleet."""
+        """Pass an update of the fleet's state on; return the actions."""
         core = self.scheduler
         match message:
             case LoadReported(endpoint, report):
@@ -395,7 +431,12 @@
                 return core.set_node_count(count_alive(members), now_s)
 
     def record_role_change(self, name, state, now_s):
-        """Remember when an endpoint was away for a change."""
+        """Record when an engine's role change began or ended.
+
+        :param name: name of the endpoint
+        :param state: its new state; ``changing`` starts a role change, any
+            other ends it
+        """
         pool = self.endpoints[name].info.pool
         began_s = self.changing.pop(name, None)
         if state == 'changing':
@@ -404,10 +445,11 @@
             self.changes[pool].append((began_s, now_s))
 
     def changing_s(self, pool, since_s, until_s):
-        """Return for how long an endpoint of a pool was away for a change.
+        """Return how long some engine of a pool was changing its role.
 
-        :param since_s: start of the time looked at, in monotonic seconds
-        :param until_s: its end
+        :param since_s: start of the interval, in monotonic seconds
+        :param until_s: end of the interval, in monotonic seconds
+        :return: seconds of the interval that role changes cover
         """
         open_intervals = [
             (began_s, until_s)
@@ -418,14 +460,18 @@
         return burn.covered_s(intervals, since_s, until_s)
 
     def progress(self, tokens, now_s):
-        """Report how far several jobs are."""
+        """Pass the output token counts of several jobs to the scheduler.
+
+        :param tokens: pairs of job id and number of output tokens so far
+        :return: the scheduler's actions
+        """
         actions = []
         for job_id, count in tokens:
             actions += self.scheduler.record_progress(job_id, count, now_s)
         return actions
 
     def tick(self):
-        """Let time pass for the scheduler; publish now and then."""
+        """Run the scheduler's timers; publish each ``PUBLISH_INTERVAL_S``."""
         now_s = self.clock.now_s()
         self.apply(self.scheduler.tick(now_s))
         if now_s - self.published_s >= PUBLISH_INTERVAL_S:
@@ -442,7 +488,11 @@
         self.demand.publish(Demands(demands))
 
     def publish_prompts(self, actions):
-        """Publish which engines were given how much to read."""
+        """Announce the prompts that were assigned to engines.
+
+        The announcement names the engine that prefills a prompt and the
+        predicted prefill time.
+        """
         announced = tuple(
             notices.PromptNotice(
                 action.prefill_endpoint or action.endpoint, action.prompt_s
@@ -455,19 +505,19 @@
             self.prompts.publish(PromptsPlaced(announced))
 
     def apply(self, actions):
-        """Answer the runs that wait for these actions."""
+        """Reply to the runs that wait for these actions."""
         self.publish_prompts(actions)
         for action in actions or ():
             waiting = self.pending.pop(action.job_id, None)
             if waiting is not None:
                 waiting.reply(action)
             elif isinstance(action, scheduler.Dispatch):
-                # The run gave up while the decision was made; without this
-                # its slot would stay taken for good.
+                # The run was cancelled before the decision; without this
+                # its slot would never be released.
                 self.post(CancelJob(action.job_id))
 
     def poll_load(self, endpoint):
-        """Read load reports for good."""
+        """Poll the load reports of an engine until killed."""
         health = HealthTracker(self, endpoint.name)
         self.clock.sleep(self.rng.random() * LOAD_INTERVAL_S)
         while True:
@@ -482,7 +532,13 @@
             self.clock.sleep(LOAD_INTERVAL_S * (0.75 + self.rng.random() / 2))
 
     def read_load(self, document):
-        """Return a report whose time is by this node's own clock."""
+        """Return a load report with its time by this node's own clock.
+
+        :param document: the engine's report as a dict; unknown fields are
+            ignored
+        :raises TypeError: when a required field is missing
+        :raises ValueError: when the report's age is not a number
+        """
         fields = jobs.LoadReport._fields
         report_fields = {
             name: document[name] for name in fields if name in document
@@ -493,13 +549,13 @@
         return jobs.LoadReport(**report_fields)
 
     def poll_cache(self, endpoint):
-        """Read cache events for good."""
+        """Read the prefix cache events of an engine until killed."""
         after = 0
         while True:
             try:
                 document = endpoint.cache_events(after, CACHE_WAIT_S)
                 events = tuple(document['events'])
-                # Numbers begin anew when the engine has been started anew.
+                # A restarted engine numbers its events from the start.
                 gap = bool(document.get('gap')) or document['next'] < after
                 after = document['next']
                 if events or gap:
@@ -508,7 +564,7 @@
                 self.clock.sleep(CACHE_RETRY_INTERVAL_S)
 
     def poll_health(self, endpoint):
-        """Ask a plain service for its health for good."""
+        """Poll the health of a plain service until killed."""
         health = HealthTracker(self, endpoint.name)
         while True:
             state = endpoint.poll_state()
@@ -521,7 +577,11 @@
 
 
 class HealthTracker:
-    """Turns poll results into :class:`StateSeen` when they change."""
+    """Posts :class:`EndpointStateChanged` when polls show another state.
+
+    :param dispatcher: the :class:`Dispatcher` to post to
+    :param name: name of the polled endpoint
+    """
 
     STATES = {'in': 'up'}
 
@@ -532,25 +592,28 @@
         self.failures = 0
 
     def record_response(self, state):
-        """The endpoint answered and named its state."""
+        """Record a poll that the endpoint answered.
+
+        :param state: the state that it reported
+        """
         self.failures = 0
         self.set_state(self.STATES.get(state, state))
 
     def record_no_response(self):
-        """The endpoint did not answer."""
+        """Record a poll without a response."""
         self.failures += 1
         if self.failures >= FAILURES_UNTIL_CRASHED:
             self.set_state('crashed')
 
     def set_state(self, state):
-        """Tell the dispatcher when the state is another one."""
+        """Set the state, and post it to the dispatcher if it differs."""
         if state != self.state:
             self.state = state
             self.dispatcher.post(EndpointStateChanged(self.name, state))
 
 
 def reports_crash(message):
-    """Tell whether a message is of an endpoint that died under a job."""
+    """Return whether a message reports a crash while a job was running."""
     match message:
         case JobFailed(failed=failed):
             return failed.crashed
@@ -561,6 +624,6 @@
 
 
 def count_alive(members):
-    """Return how many nodes share the work, this one included."""
+    """Return the number of members that are alive, at least 1."""
     alive = sum(member.state == 'alive' for member in members.values())
     return max(1, alive)
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -1,4 +1,4 @@
-"""Decide where a request's key belongs, and run what belongs here."""
+"""Route each request to the home of its key; run those of this node."""
 
 import hashlib
 import typing
@@ -22,7 +22,9 @@
 
 SECRET_BYTES = 16
 DIGEST_DIGITS = 24
+#: How long a run without followers is kept for its caller to resume.
 LINGER_S = 5.0
+#: Prefix of record names of foreign keys.
 FOREIGN = 'foreign:'
 
 BAD_TICKET = outcomes.Rejected(
@@ -42,20 +44,21 @@
 
 
 class Settled(typing.NamedTuple):
-    """Nothing runs; the caller is told an outcome."""
+    """The request does not run; the caller gets this outcome."""
 
     outcome: object
 
 
 class KeptAnswer(typing.NamedTuple):
-    """The whole answer is kept here."""
+    """The complete answer is in this node's records."""
 
     answer: records.Answer
 
 
 class Following(typing.NamedTuple):
-    """The request runs; ``run`` can be followed.
+    """The request runs, here or at its home.
 
+    :param run: the run or relay whose output can be followed
     :param key: the key it runs under
     """
 
@@ -64,13 +67,19 @@
 
 
 class Homes:
-    """The request records of this node and the ways to those of others.
+    """Owns the request records of this node; relays to other homes.
+
+    The home of a key is the node (``HOST.INCARNATION``) that keeps its
+    record and is the only one to run it. Other nodes relay to it. A node
+    that stops hands its records to a successor, which adopts that home.
 
     :param parts: :class:`magnoliadyke.nodeparts.NodeParts`
     :param runner: :class:`magnoliadyke.streams.Streams`
-    :param closed: called with the customer's name; returns ``NotRun`` when no
-        new work is taken, or None
+    :param refusal_for: called with the customer's name; returns ``NotRun``
+        when this node accepts no new requests, or None
     :param reports: :class:`magnoliadyke.reports.Reports`
+    :ivar relays: relays to other homes that have not ended
+    :ivar runs: runs of this node that have not ended, by key
     """
 
     def __init__(self, parts, runner, refusal_for, reports):
@@ -107,10 +116,15 @@
         self.relays = set()
         self.runs = {}
 
-    # Where a key belongs.
+    # Routing by key.
 
     def route_request(self, request):
-        """Return :class:`Following`, :class:`Kept` or :class:`Settled`."""
+        """Run, relay or replay a request, as its key says.
+
+        A request whose key is known follows the run that exists.
+
+        :return: :class:`Following`, :class:`KeptAnswer` or :class:`Settled`
+        """
         if not request.key:
             return self.route_own(request)
         key = tickets.parse_key(request.key)
@@ -129,19 +143,19 @@
         return self.route_elsewhere(request, key.text, key.home)
 
     def route_own(self, request):
-        """Run a request that came without a key; nobody can resend it."""
+        """Run a request that has no key, and so can't be resent."""
         now_s = self.clock.now_s()
         key = f'{self.issuer.issue(now_s)}/0'
         return self.open(request, key, now_s)
 
     def route_foreign(self, request):
-        """Claim a key that the caller made up, or find who has it."""
+        """Claim a foreign key in the store, or route it to its owner."""
         digest = claims.claim_digest(request.customer, request.key)
         key = FOREIGN + digest
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
         if self.handover.sealed is not None and self.handover.wait():
-            # A claim made now would name a home that is about to end.
+            # A claim made now would name this home, which is stopping.
             return self.relay_to_successor(request, request.key)
         match self.claim(digest):
             case claims.Won():
@@ -158,8 +172,8 @@
     def open_claimed(self, request, key):
         """Run a foreign key that this node has just claimed.
 
-        Also when the node has begun to stop meanwhile: the claim names this
-        home, and no other node would run the key.
+        The request also runs if the node has begun to stop meanwhile: the
+        claim names this home, so no other node would run the key.
         """
         now_s = self.clock.now_s()
         found = self.records.open(
@@ -172,18 +186,25 @@
         return self.admit(request, found.record)
 
     def has_records_of(self, home):
-        """Tell whether the records of a home are on this node."""
+        """Return whether this node holds the records of a home."""
         return home == self.name or home in self.handover.adopted
 
     def claim(self, digest):
-        """Ask the store for a claim."""
+        """Claim a foreign key in the store; wait for the result.
+
+        :param digest: :func:`magnoliadyke.core.claims.claim_digest`
+        :return: ``Won``, ``Lost`` or ``Refused`` of ``core.claims``
+        """
         message = claiming.AskClaim(digest)
         return self.claiming.ask(message, None)
 
     def route_adopted(self, request, key, owner):
-        """Place a foreign key that a home which lives here has claimed.
+        """Route a foreign key claimed by a home whose records are here.
 
-        A home that is still stopping may run it, and tell at its end.
+        An adopted home that is still stopping may run the request, and sends
+        its outcome only when it ends.
+
+        :param owner: home that the claim names
         """
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
@@ -192,9 +213,10 @@
         return Settled(records.ANSWER_GONE)
 
     def route_elsewhere(self, request, key, home):
-        """Relay to the home of a key, or say that it is gone.
+        """Relay to the home of a key, if a node still holds its records.
 
-        :param key: name of the record, should the request run here after all
+        :param key: name of the record if the request runs here after all
+        :param home: ``HOST.INCARNATION`` of the key's home
         """
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
@@ -203,18 +225,23 @@
         return self.relay(request, key, home)
 
     def home_gone(self, request, key):
-        """Answer for a home that ended without a successor.
+        """Handle a request whose home ended without a successor.
 
-        Only a request that may be repeated is run again, here.
+        A repeatable request runs here; the outcome of any other is unknown.
         """
         if not request.repeatable:
             return Settled(HOME_GONE)
         return self.open(request, key, self.clock.now_s())
 
-    # What runs here.
+    # Runs of this node.
 
     def open(self, request, key, issued_s, floor_s=records.NO_FLOOR):
-        """Look a key up in this node's records; run it when it is new."""
+        """Look a key up in this node's records; run it when it is new.
+
+        :param key: name of the record
+        :param issued_s: issue time of the key's ticket, in monotonic seconds
+        :param floor_s: issue time up to which records may be missing
+        """
         found = self.records.open(
             key,
             request.customer,
@@ -232,13 +259,17 @@
                 return self.route_recorded(found, key)
 
     def follow_at_stopping_home(self, request, key, home):
-        """Follow a request that still runs at a home that is stopping."""
+        """Relay to a stopping home that still runs the request."""
         if self.directory.member_of(home) is None:
             return Settled(records.HOME_STOPPED)
         return self.relay(request, key, home)
 
     def route_recorded(self, found, key):
-        """Return the place of a key that is in the records."""
+        """Return the run, answer or outcome of a recorded key.
+
+        :param found: ``Attach``, ``Replay`` or ``Resolved`` of
+            ``core.records``
+        """
         match found:
             case records.Attach(record):
                 return Following(record.run, key)
@@ -248,7 +279,7 @@
                 return Settled(outcome)
 
     def admit(self, request, record):
-        """Run a new request, unless this node takes no new work."""
+        """Run a new request, unless this node accepts no new requests."""
         if self.handover.sealed is not None:
             return self.pass_on(request, record)
         refusal = self.refusal_for(request.customer)
@@ -262,7 +293,7 @@
         try:
             run = self.build(request, record)
         except Exception:
-            # A record without a run would keep each copy waiting for good.
+            # A resend would follow a record without a run forever.
             self.records.forget(record)
             raise
         if isinstance(run, outcomes.Rejected):
@@ -273,17 +304,18 @@
         return Following(run, record.key)
 
     def register_run(self, request, record, run):
-        """Join a run with its record."""
+        """Link a run with its record, and list it as running."""
         record.run = run
         run.record = record
         run.request = request
         self.runs[record.key] = run
 
     def pass_on(self, request, record):
-        """Send a new key after the records, to the successor.
+        """Relay a new key to the successor, which has the records now.
 
-        Refusing it here would be untrue as soon as an older copy of the
-        request, which the caller has given up, reached the successor.
+        ``NotRun`` from here could turn out untrue: an older copy of the
+        request, on which the caller has timed out, may still reach the
+        successor and run there.
         """
         self.records.forget(record)
         successor = self.handover.wait()
@@ -294,12 +326,12 @@
         return self.relay_to_successor(request, record.key)
 
     def relay_to_successor(self, request, key):
-        """Relay a request to the node that took the records over."""
+        """Relay a request to the node that took over the records."""
         home = self.directory.full_name(self.handover.successor)
         return self.relay(request, key, home)
 
     def record_refusal(self, request, record, outcome):
-        """End the record of a request that does not run."""
+        """Count a refused request, and end its record."""
         self.reports.refused(request.customer, outcome)
         if request.key:
             self.records.settle(record, outcome)
@@ -356,7 +388,10 @@
         )
 
     def job(self, request, key, pool):
-        """Return the fields of a job that both kinds share."""
+        """Return a job with the fields that both kinds share.
+
+        :param pool: name of the pool that serves the request
+        """
         row = self.table.last.customers[request.customer]
         return jobs.Job(
             id=key,
@@ -371,10 +406,10 @@
         )
 
     def engine_id(self, key):
-        """Return the start of the ids under which engines know a key.
+        """Return the prefix of the attempt ids that engines get for a key.
 
-        The node is part of it: a request that may be repeated and is run
-        again here must not meet the attempt of the home that died.
+        It depends on the node: a repeatable request that runs here again
+        must not be taken for an attempt of the home that crashed.
         """
         return engine_id(self.name, key)
 
@@ -393,7 +428,7 @@
         return None
 
     def on_end(self, run):
-        """Keep the outcome of a run that ended."""
+        """Record the outcome of a run that ended."""
         self.runs.pop(run.key, None)
         self.reports.ended(run)
         record = run.record
@@ -409,12 +444,13 @@
                 self.records.settle(record, run.outcome)
 
     def on_follower_left(self, run, has_key):
-        """A follower left; end a run that nobody wants any more.
+        """Abandon a run whose last follower has left.
 
-        A request that may not be repeated runs to its end, so that its
-        caller can still ask what became of it.
+        With a key the caller can resume, so the run is kept for
+        ``LINGER_S``. A request that may not be repeated runs to its end, so
+        that its caller can still query the outcome.
 
-        :param has_key: whether the caller can ask again
+        :param has_key: whether the caller sent a key
         """
         if run.followers or run.outcome is not None:
             return
@@ -425,13 +461,16 @@
         else:
             run.abandon()
 
-    # Other homes.
+    # Requests at other homes.
 
     def relay(self, request, key, home, offset=0, resume_only=False):
-        """Follow a request at its home.
+        """Send a request to its home, and follow it there.
 
-        :param key: name of the request here; foreign keys are sent as the
-            caller made them
+        :param key: key to send if the request has none; a foreign key is
+            sent as the caller made it
+        :param home: ``HOST.INCARNATION``
+        :param offset: output tokens that the caller has already
+        :param resume_only: whether only an existing answer may be read
         """
         if len(request.hops) >= relay.MAX_HOPS:
             return Settled(TOO_MANY_HOPS)
@@ -462,16 +501,17 @@
         return Following(run, sent_key)
 
     def on_relay_end(self, run):
-        """A relay ended."""
+        """Drop a relay that ended."""
         self.relays.discard(run)
 
     def recorded_outcome(self, lost_relay):
-        """Return what the records say of a request that a relay followed.
+        """Return the recorded end of a request that a relay followed.
 
-        Its home may have stopped and told its end to this node, its
+        Its home may have stopped and sent the outcome to this node, its
         successor.
 
-        :return: answer or outcome, or None
+        :param lost_relay: :class:`relay.Relay` whose home is gone
+        :return: answer or outcome, or None when the records have none
         """
         name = record_name(lost_relay.key, lost_relay.request.customer)
         found = self.records.find(name, lost_relay.request.customer)
@@ -484,12 +524,12 @@
                 return None
 
     def continue_here(self, lost_relay):
-        """Run here what a relay followed at a home that is gone.
+        """Run a relayed request here after its home was lost.
 
-        Only a request that may be repeated. Its attempt begins at the offset
-        that the caller has, so that the caller sees one answer.
+        Only a repeatable request is run. The run starts at the offset that
+        the caller has, so that the caller gets one continuous answer.
 
-        :param lost: :class:`relay.Relay` whose output the run continues
+        :param lost_relay: :class:`relay.Relay` whose output the run continues
         :return: the run's outcome, or None when it may not run here
         """
         request = lost_relay.request
@@ -515,11 +555,12 @@
         return run.outcome
 
     def find(self, request, offset):
-        """Return the place of an answer that a caller wants to go on with.
+        """Find the answer that a caller wants to resume.
 
-        :param request: :class:`forms.ModelRequest` that has a key, and no
-            work
-        :param offset: output tokens the caller has already
+        :param request: :class:`forms.ModelRequest` with a key and empty
+            ``work``
+        :param offset: output tokens that the caller has already
+        :return: :class:`Following`, :class:`KeptAnswer` or :class:`Settled`
         """
         key = tickets.parse_key(request.key)
         if key is None:
@@ -533,7 +574,7 @@
         return self.find_elsewhere(request, key.home, offset)
 
     def find_foreign(self, request, offset):
-        """Return the place of an answer under a key without a ticket."""
+        """Find the answer to resume under a foreign key."""
         digest = claims.claim_digest(request.customer, request.key)
         key = FOREIGN + digest
         if key in self.records.records:
@@ -547,28 +588,29 @@
         return self.find_elsewhere(request, owner, offset)
 
     def find_elsewhere(self, request, home, offset):
-        """Relay a resume to the home of the key."""
+        """Relay the resume of an answer to the home of its key."""
         if self.directory.locate(home) is None:
             return Settled(HOME_GONE)
         return self.relay(request, request.key, home, offset, True)
 
-    # Life cycle and hand-over.
+    # Life cycle and hand-over of records.
 
     def start(self):
-        """Start the task that settles claims."""
+        """Start the task that claims foreign keys in the store."""
         self.claiming.start()
 
     def stop(self):
-        """Stop the tasks and close connections."""
+        """Stop that task and close the connections to other nodes."""
         self.claiming.stop()
         self.directory.close()
 
     def take_records(self, host, incarnation, lines, last):
-        """Take over records of a host that is leaving.
+        """Take over records of a host that is stopping.
 
-        :param lines: JSON lines (bytes)
-        :param last: whether the hand-over is complete
-        :return: number of lines taken, None to refuse
+        :param lines: JSON lines, each as bytes
+        :param last: whether this batch completes the hand-over
+        :return: number of lines accepted, or None when this node refuses,
+            since it is stopping or accepts no new requests
         """
         if (
             self.handover.sealed is not None
@@ -578,9 +620,9 @@
         return self.handover.take(host, incarnation, lines, last)
 
     def hand_over(self):
-        """Give all records to a successor; new keys run there from now on.
+        """Send all records to a successor; new keys run there from then on.
 
-        :return: the successor's host name, or ``''`` if nobody took them
+        :return: the successor's host name, or ``''`` if no member took them
         """
         candidates = [
             member
@@ -594,7 +636,12 @@
         return self.handover.successor
 
     def successor_of(self, home):
-        """Return ``HOST.INCARNATION`` that has a home's records, or ``''``."""
+        """Return the home that took over another home's records.
+
+        :param home: ``HOST.INCARNATION``
+        :return: ``HOST.INCARNATION``, or ``''`` when this node has no record
+            of a successor
+        """
         if home == self.name or home in self.handover.adopted:
             return self.name
         self.directory.learn_successors()
@@ -602,9 +649,10 @@
 
 
 def record_name(key, customer):
-    """Return the name of a key's record.
+    """Return the name under which a key's record is kept.
 
     :param key: key as the caller sent it
+    :param customer: name of the customer that sent it
     """
     if tickets.parse_key(key) is not None:
         return key
@@ -612,19 +660,19 @@
 
 
 def engine_id(home, key):
-    """Return the start of the ids under which engines know a home's key."""
+    """Return the prefix of the attempt ids for a key that a home runs."""
     text = f'{home} {key}'.encode()
     return hashlib.sha256(text).hexdigest()[:DIGEST_DIGITS]
 
 
 def abandon_unfollowed(run):
-    """End a run if nobody has come back to it."""
+    """Abandon a run that still has no follower."""
     if not run.followers:
         run.abandon()
 
 
 def record_settings(limits):
-    """Return the bounds of the records by the deployment's settings."""
+    """Return the record limits that the deployment's settings give."""
     return records.RecordSettings(
         answer_bytes=limits.answer_bytes, answer_keep_s=limits.answer_keep_s
     )
