--- a/magnoliadyke/pumps.py
+++ b/magnoliadyke/pumps.py
@@ -1,4 +1,4 @@
-"""Move events from a connection into a run, without a task of their own."""
+"""Pass events from an engine's connection to a run, in the event loop."""
 
 import os
 
@@ -12,26 +12,34 @@
 
 READABLE = 1
 RECEIVE_BYTES = 16384
-#: No token for so long, in spite of comments, means that the engine has lost
-#: the request. A long prompt or a role change takes less.
+#: Time without a token, in spite of keep-alive comments, after which the
+#: engine has lost the request. A long prompt or a role change takes less.
 TOKEN_TIMEOUT_S = 90.0
 LINE_END = b'\r\n'
-#: Where to look for the end of a chunk's size.
+#: Bytes of a chunk within which the line with its size ends.
 MAX_CHUNK_HEADER_BYTES = 10
-#: An event ends with an empty line and its chunk with a line end. Inside an
-#: event a line end can't stand, so the data ends where a chunk ends.
+#: An event ends with an empty line and its chunk with CR LF. An event holds
+#: no CR LF, so data that ends like this ends with a complete chunk.
 CHUNK_OF_EVENTS_END = b'\n\n\r\n'
 
 
 class Pump:
-    """Moves events from an engine's connection into a run.
+    """Passes events from an engine's connection to a run.
 
-    Its callback runs in the hub: no task switch, timer or log per token.
+    Its callback runs in the hub, which saves a task switch, a timer and a
+    log line per token.
 
-    :param run: :class:`ModelRun`, or another with ``assembly`` and
-        ``append``
+    :param run: :class:`magnoliadyke.streams.ModelRun`, or another run with
+        ``assembly``, ``append``, ``connections``, ``job`` and ``streams``
     :param connection: :class:`magnoliadyke.endpoint.Connection`
     :param label: attempt label that the assembly expects
+    :ivar between_chunks: whether the parser is at the start of a chunk
+    :ivar read_count: number of times that the connection was readable
+    :ivar last_read_s: when :meth:`check` last saw ``read_count`` grow, in
+        monotonic seconds
+    :ivar last_token_s: when :meth:`check` last saw more tokens, in monotonic
+        seconds
+    :ivar reported: output tokens at the last report of progress
     """
 
     def __init__(self, run, connection, label):
@@ -54,10 +62,10 @@
         self.reported = 0
 
     def run(self, first):
-        """Read until the finish mark or until the connection fails.
+        """Read until the final event or until the connection fails.
 
-        :param first: body bytes that came with the head
-        :return: whether the answer is whole
+        :param first: body bytes that were received with the head
+        :return: whether the answer is complete
         """
         streams = self.target_run.streams
         if not self.feed_body(first):
@@ -74,7 +82,7 @@
         return self.assembly.finished is not None
 
     def on_readable(self):
-        """Take what the engine has sent; called by the event loop."""
+        """Read what the engine has sent; called by the event loop."""
         self.read_count += 1
         try:
             data = os.read(self.fileno, RECEIVE_BYTES)
@@ -89,12 +97,13 @@
             self.stop()
 
     def feed_single_chunk(self, data):
-        """Take the usual case, one event in one chunk, without the parser.
+        """Pass on data that is one event in one chunk, without the parser.
 
-        The parser stands between two chunks and stays there. The chunk goes
-        to the callers as it came, framing and all.
+        That is the usual case. The parser stays at the start of a chunk, and
+        callers get the chunk with its framing, as it was received.
 
-        :return: whether that was the case; nothing has happened if not
+        :param data: bytes read from the connection
+        :return: whether the data was passed on; if not, nothing has changed
         """
         start = data.find(LINE_END, 0, MAX_CHUNK_HEADER_BYTES)
         if start < 1 or not data.endswith(CHUNK_OF_EVENTS_END):
@@ -108,7 +117,10 @@
         return True
 
     def feed_body(self, body):
-        """Feed bytes; return whether this connection is done with."""
+        """Pass body bytes to the assembly, and accepted events to the run.
+
+        :return: whether nothing more is to be read from this connection
+        """
         assembly = self.assembly
         block = assembly.feed(self.label, body)
         if block:
@@ -120,13 +132,16 @@
         return self.connection.parser.message_complete
 
     def stop(self):
-        """End :meth:`run`."""
+        """Make :meth:`run` return."""
         if self.watcher is not None:
             self.watcher.stop()
         self.stopped.set()
 
     def progress(self):
-        """Return job id and tokens when there are more than last time."""
+        """Return job id and output tokens if they grew since the last call.
+
+        :return: a pair; None without new tokens, or for a relay
+        """
         run = self.target_run
         tokens = self.assembly.offset
         if tokens == self.reported or run.job is None:
@@ -135,10 +150,13 @@
         return run.job.id, tokens
 
     def check(self, now_s, suspect):
-        """Give the connection up when it is silent for too long.
+        """Stop reading from a connection that is silent for too long.
+
+        Called at each tick of :class:`magnoliadyke.streams.Streams`.
 
-        :param suspect: a sibling connection went silent
-        :return: whether it was given up
+        :param suspect: whether another connection to the same address went
+            silent a short time ago
+        :return: whether this connection was silent for too long
         """
         if self.assembly.offset != self.checked_offset:
             self.checked_offset = self.assembly.offset
@@ -156,9 +174,10 @@
         return True
 
     def check_stalled(self, now_s):
-        """Give up a stream that lives but has made no token for very long.
+        """Stop reading a stream with no new token for ``TOKEN_TIMEOUT_S``.
 
-        Its connection is not to blame, so its siblings are not suspect.
+        It still gets keep-alive comments, so the connection is not at fault
+        and others to the same address do not become suspect.
         """
         if now_s - self.last_token_s >= TOKEN_TIMEOUT_S:
             self.stop()
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -1,4 +1,4 @@
-"""Follow a request at another node, its home."""
+"""Relay a request to another node, its home, and follow it there."""
 
 from urllib import parse
 
@@ -15,8 +15,9 @@
 
 MAX_HOPS = 3
 RETRY_PAUSE_S = 0.2
-#: How long a home that is called alive may stay without an answer. What may
-#: be repeated is soon better off here; what may not has no other way.
+#: How long a home that gossip calls alive is tried without progress. A
+#: repeatable request can soon run on this node instead; one that may not be
+#: repeated can be answered by its home only.
 PROGRESS_TIMEOUT_S = 4.0
 UNREPEATABLE_PROGRESS_TIMEOUT_S = 15.0
 HOME_LOST = outcomes.Unknown(
@@ -32,14 +33,21 @@
 class Relay(streams.Run):
     """A request that runs at its home, on another node.
 
-    Sending it to its home again is safe: the home runs a key once.
+    It is safe to send it to its home again: the home runs a key only once.
 
     :param request: :class:`forms.ModelRequest` or
         :class:`forms.ServiceRequest`
     :param key: the key to send
-    :param locate: called with no argument; returns the home's
-        :class:`magnoliadyke.endpoint.Connections`, or None when it is gone
+    :param locate: called without arguments; returns the
+        :class:`magnoliadyke.endpoint.Connections` to the home, or None when
+        no node has its records
     :param hops: hosts that have relayed the request, this one included
+    :ivar sent: whether a byte of the request may have reached the home
+    :ivar continue_here: called with the relay when its home is lost; see
+        :meth:`magnoliadyke.homes.Homes.continue_here`
+    :ivar recorded_outcome: called with the relay when its home is lost; see
+        :meth:`magnoliadyke.homes.Homes.recorded_outcome`
+    :ivar home: ``HOST.INCARNATION``
     """
 
     job = None
@@ -58,10 +66,10 @@
         self.home = ''
 
     def run(self):
-        """Ask the home until it answers or is known to be gone.
+        """Call the home until it returns an outcome or counts as lost.
 
-        A home that others call alive may be cut off from this node alone,
-        so there is a limit to how long it is asked without an answer.
+        A home that other nodes can reach may be unreachable from this node,
+        so the calls end after ``progress_timeout_s`` without progress.
         """
         last_progress_s = self.clock.now_s()
         while self.clock.now_s() - last_progress_s < self.progress_timeout_s():
@@ -78,17 +86,20 @@
         return self.on_home_lost()
 
     def progress_timeout_s(self):
-        """Return how long to ask without an answer, in seconds."""
+        """Return how long to call the home without progress, in seconds."""
         if self.sent and not self.request.repeatable:
             return UNREPEATABLE_PROGRESS_TIMEOUT_S
         return PROGRESS_TIMEOUT_S
 
     def progress(self):
-        """Return something that changes as the answer goes on."""
+        """Return a value that changes whenever output was received."""
         return len(self.pieces)
 
     def call_home(self, home):
-        """Return the outcome, or None when the home did not tell it."""
+        """Call the home once.
+
+        :return: the outcome, or None when the call has failed
+        """
         try:
             return self.ask(home)
         except errors.EndpointUnreachable as error:
@@ -96,11 +107,21 @@
             return None
 
     def ask(self, home):
-        """Make one call to the home."""
+        """Make one call to the home.
+
+        :param home: :class:`magnoliadyke.endpoint.Connections`
+        :return: the outcome, or None when the home returned none
+        :raises EndpointUnreachable: when the call failed
+        """
         raise NotImplementedError
 
     def on_home_lost(self):
-        """Return what to say when the home is gone for good."""
+        """Return the outcome of a request whose home was lost.
+
+        It is the recorded one if there is one, else that of a run on this
+        node if that is allowed. The request counts as not run only if it was
+        the first copy and no byte of it was sent.
+        """
         outcome = (
             self.recorded_outcome(self) if self.recorded_outcome else None
         )
@@ -114,11 +135,14 @@
         return HOME_LOST
 
     def deliver_recorded(self, outcome):
-        """Return an end that this node's records know."""
+        """Return a recorded outcome, after output that is still missing."""
         return outcome
 
     def continue_locally(self):
-        """Run on this node what was lost with its home, if that may be."""
+        """Run the request on this node, if that is allowed.
+
+        :return: the outcome, or None when it may not run here
+        """
         return self.continue_here(self) if self.continue_here else None
 
     def headers(self):
@@ -136,9 +160,9 @@
 class ModelRelay(Relay):
     """A completion at its home; passes events on and resumes by offset.
 
-    :param offset: output tokens the caller has already
-    :param resume_only: whether the request itself is not known here, so
-        that only an answer that exists can be read
+    :param offset: output tokens that the caller has already
+    :param resume_only: whether this node does not have the request itself,
+        so that only an existing answer can be read
     """
 
     def __init__(
@@ -160,7 +184,7 @@
         self.connection = None
 
     def deliver_recorded(self, outcome):
-        """Pass the rest of a kept answer on."""
+        """Append the rest of a recorded answer; return the outcome."""
         if not isinstance(outcome, records.Answer):
             return outcome
         if outcome.kind != 'model':
@@ -173,11 +197,11 @@
         return outcome
 
     def continue_locally(self):
-        """Continue the answer on this node."""
+        """Continue the answer on this node, if it has the request."""
         return None if self.resume_only else super().continue_locally()
 
     def ask(self, home):
-        """Send the request, or resume the answer that has begun."""
+        """Send the request, or resume an answer that has started."""
         reply = self.open(home)
         if reply.status != streams.STATUS_OK:
             return self.outcome_of_refusal(reply)
@@ -189,7 +213,10 @@
         return None
 
     def open(self, home):
-        """Open a stream at the home."""
+        """Open a stream at the home, for a resume from the offset on.
+
+        :return: :class:`magnoliadyke.endpoint.StreamReply`
+        """
         if self.resume_only or self.assembly.offset:
             key = parse.quote(self.key, safe='')
             path = f'/v1/answers/{key}?offset={self.assembly.offset}'
@@ -199,19 +226,19 @@
         return self.stream(home, 'POST', '/v1/completions', body)
 
     def stream(self, home, method, path, body):
-        """Make one streaming call."""
+        """Make one call whose response is a stream."""
         timeout_s = home.settings.head_s
         return home.stream(method, path, body, self.headers(), timeout_s)
 
     def outcome_of_refusal(self, reply):
-        """Return the outcome that the home answered instead of a stream."""
+        """Return the outcome that the home sent instead of a stream."""
         response = reply.read_whole()
         return forms.outcome_from(response) or outcomes.Unknown(
             'home_error', 'look up the effect before asking again'
         )
 
     def read(self, home, reply):
-        """Pass events on; return whether the finish mark came."""
+        """Pass events on; return whether the final event was received."""
         self.connections = home
         label = (self.key, id(reply.connection))
         self.assembly.begin(label)
@@ -222,7 +249,7 @@
             reply.connection.close()
 
     def answered(self):
-        """Return the whole answer."""
+        """Return the complete answer."""
         usage = attempts.read_usage(self.assembly.finished)
         return records.Answer(
             'model',
@@ -238,7 +265,11 @@
     """A service call at its home."""
 
     def ask(self, home):
-        """Make the call; the home answers when it has ended."""
+        """Make the call; the home responds when the call has ended.
+
+        A response without an outcome or a request key is not the home's but
+        that of the HTTP server in between, and is not passed on.
+        """
         request = self.request
         path = f'/v1/services/{request.service}{request.path}'
         reply = home.call(
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -1,4 +1,4 @@
-"""Run requests on endpoints and hand their output to those who follow."""
+"""Run requests on endpoints and pass their output to their followers."""
 
 import math
 import typing
@@ -34,12 +34,12 @@
 STATUS_UNAVAILABLE = 503
 NOT_RUN_CODE = 'not_run'
 DUPLICATE_CODE = 'duplicate_id'
-#: Resumes in a row that brought no token before the attempt is given up.
+#: Consecutive resumes without a new token after which an attempt has failed.
 MAX_RESUMES = 3
 MAX_RESUMES_UNREPEATABLE = 12
 #: Ticks of 0.25 s between reports of progress to the scheduler.
 PROGRESS_TICKS = 4
-#: Ticks between tries to move an answer.
+#: Ticks of 0.25 s between retries of a failed move of a stream.
 MOVE_TICKS = 4
 RESUME_PAUSE_S = 0.1
 COMPRESSION_LEVEL = 1
@@ -56,16 +56,18 @@
 
 
 class Abandoned(gevent.GreenletExit):
-    """Nobody wants the answer any more."""
+    """Raised in the greenlet of a run that :meth:`Run.abandon` ends."""
 
 
 class Run:
-    """One request on its way; the followers read its output.
+    """Base of requests in flight, whose output followers send to callers.
 
     :param key: idempotency key
-    :param on_end: called once with the run, when its outcome is known
-    :ivar pieces: output so far, as bytes; only ever appended to
-    :ivar outcome: :class:`records.Answer` or a tagged outcome, at the end
+    :param on_end: called once with the run, when its outcome is set
+    :ivar pieces: output so far, a list of bytes that is only appended to
+    :ivar followers: :class:`magnoliadyke.followers.Waiter` of each caller
+    :ivar outcome: :class:`records.Answer` or a tagged outcome; None while
+        the request is in flight
     """
 
     def __init__(self, key, on_end):
@@ -78,14 +80,14 @@
         self.greenlet = None
 
     def start(self):
-        """Begin to run."""
+        """Start the greenlet of the run."""
         self.greenlet = gevent.spawn(self.main)
-        # A greenlet that is killed before its first step never runs main:
-        # its key would count as running for good.
+        # A greenlet that is killed before its first step never enters main;
+        # without the link its key would count as running forever.
         self.greenlet.link(self.on_dead)
 
     def on_dead(self, greenlet):
-        """End the run if its greenlet ended without doing so."""
+        """End the run if its greenlet died before it set an outcome."""
         self.end(ABANDONED)
 
     def main(self):
@@ -96,8 +98,8 @@
         except Abandoned:
             self.clean_up()
         except Exception:
-            # Whatever went wrong, the caller gets a typed end and the
-            # scheduler gets its slot back; the error itself is printed.
+            # After any error the caller gets a typed outcome and the slot
+            # is released in the scheduler; gevent prints the error.
             outcome = ENDPOINT_LOST
             self.clean_up()
             raise
@@ -105,16 +107,17 @@
             self.end(outcome)
 
     def run(self):
-        """Return the outcome."""
+        """Carry the request out; return the answer or a tagged outcome."""
         raise NotImplementedError
 
     def clean_up(self):
-        """Clean up after a run that did not end by itself."""
+        """Release resources of a run that was abandoned or has failed."""
 
     def append(self, block, framed=None):
-        """Add output and pass it to the followers; runs in the hub.
+        """Append output and pass it to the followers; runs in the hub.
 
-        :param framed: the same bytes as a chunk of HTTP, if at hand
+        :param block: output bytes
+        :param framed: the same bytes framed as an HTTP chunk, or None
         """
         if not self.pieces:
             self.begin_output()
@@ -123,10 +126,10 @@
             follower.pass_on(block, framed)
 
     def begin_output(self):
-        """Hook before the first output."""
+        """Hook that is called before the first output is appended."""
 
     def end(self, outcome):
-        """Set the outcome and tell the followers; only the first counts."""
+        """Set the outcome and notify the followers; only the first counts."""
         if self.outcome is not None:
             return
         self.outcome = outcome
@@ -138,17 +141,22 @@
                 follower.notify()
 
     def abandon(self):
-        """Stop: nobody wants the answer."""
+        """Kill a run that is in flight; its outcome becomes ``ABANDONED``."""
         if self.greenlet is not None and self.outcome is None:
             self.greenlet.kill(Abandoned, block=False)
 
 
 class EndpointRun(Run):
-    """A run that the dispatcher places on endpoints.
+    """Base of runs whose attempts the dispatcher places on endpoints.
 
     :param job: :class:`magnoliadyke.core.jobs.Job`
     :param streams: :class:`Streams` of the node
-    :ivar sent: whether a byte of the request may be at an endpoint
+    :ivar sent: whether a byte of the request may have reached an endpoint
+    :ivar dispatched_s: time of the first placement in monotonic seconds, or
+        None
+    :ivar first_output_s: time of the first output in monotonic seconds, or
+        None
+    :ivar failures: number of failed attempts
     """
 
     def __init__(self, key, job, streams, on_end):
@@ -163,10 +171,10 @@
         self.failures = 0
 
     def run(self):
-        """Attempt until an outcome stands; the scheduler decides how often.
+        """Make attempts until one has an outcome or the scheduler refuses.
 
         A request that may not be repeated gets no further attempt once a
-        byte of it may be at an endpoint, whatever the scheduler says.
+        byte of it may have reached an endpoint; the scheduler is not asked.
         """
         action = self.ask(dispatch.SubmitJob(self.job))
         while True:
@@ -185,34 +193,44 @@
             action = self.ask(dispatch.JobFailed(self.job.id, result))
 
     def outcome_of_refusal(self, outcome):
-        """Return what to tell after the scheduler's refusal.
+        """Return the caller's outcome after the scheduler has refused.
 
-        ``NotRun`` would be untrue after an attempt that may have run.
+        ``NotRun`` becomes ``Unknown`` after an attempt that may have run.
         """
         if self.sent and isinstance(outcome, outcomes.NotRun):
             return ENDPOINT_LOST
         return outcome
 
     def ask(self, message):
-        """Ask the dispatcher; wait as long as it takes."""
+        """Send a message to the dispatcher; wait for its reply forever.
+
+        :return: ``Dispatch`` or ``Refuse`` of ``core.scheduler``
+        """
         return self.dispatcher.ask(message, None)
 
     def attempt(self, action):
-        """Make one attempt; return Failed, an answer or an outcome."""
+        """Make one attempt where the scheduler has placed it.
+
+        :param action: ``Dispatch`` of ``core.scheduler``
+        :return: ``jobs.Failed``, an answer or a tagged outcome
+        """
         raise NotImplementedError
 
     def clean_up(self):
-        """Take the job back from the scheduler."""
+        """Cancel the job in the scheduler, which releases its slot."""
         self.dispatcher.post(dispatch.CancelJob(self.job.id))
 
     def record_finished(self, finished):
-        """Tell the scheduler that the job ended well."""
+        """Report to the scheduler that the job was completed."""
         self.dispatcher.post(dispatch.JobFinished(self.job.id, finished))
 
     def record_failure(self, name, stage, ran, crashed=False):
-        """Return the failure of an attempt.
+        """Count a failed attempt; return its :class:`jobs.Failed`.
 
+        :param name: name of the endpoint
+        :param stage: ``connect``, ``prefill`` or ``decode``
         :param ran: whether a byte of it may have reached the endpoint
+        :param crashed: whether the endpoint has crashed
         """
         self.failures += 1
         if ran:
@@ -220,7 +238,7 @@
         return jobs.Failed(name, stage, ran, crashed)
 
     def headers(self):
-        """Return the headers that name the request in endpoint ledgers."""
+        """Return headers by which endpoints identify request and sender."""
         return (
             ('Content-Type', 'application/json'),
             ('X-Request-Key', self.key),
@@ -229,7 +247,7 @@
 
 
 def without_retry(failed):
-    """Return a failure after which nothing is placed again."""
+    """Return a failure like this one that allows no further attempt."""
     return jobs.Failed(
         failed.endpoint, failed.stage, failed.ran, failed.crashed, False
     )
@@ -238,8 +256,13 @@
 class ModelRun(EndpointRun):
     """A completion on a model engine.
 
-    :param work: body for the engine without id, as a dict
-    :param digest: short digest of the key, start of the attempts' ids
+    :param work: the engine's request body without the id, as a dict
+    :param digest: short digest of the key, the prefix of attempt ids
+    :ivar number: number of the current attempt
+    :ivar stream_started: whether the engine has begun to stream its answer
+    :ivar engine: client of the engine of the current attempt
+    :ivar moving: :class:`magnoliadyke.moves.Move` in progress, or None
+    :ivar assembly: :class:`attempts.Assembly` of the answer so far
     """
 
     def __init__(self, key, job, work, digest, streams, on_end):
@@ -255,16 +278,17 @@
         self.assembly = attempts.Assembly()
 
     def continue_from(self, other):
-        """Continue the answer of another run, for the same followers.
+        """Take over the output and followers of another run.
 
-        :param other: run with ``assembly``, ``pieces`` and ``followers``
+        :param other: run with ``assembly``, ``pieces`` and ``followers``,
+            whose answer this run continues
         """
         self.assembly = attempts.Assembly(other.assembly.offset)
         self.pieces = other.pieces
         self.followers = other.followers
 
     def attempt(self, action):
-        """Prefill if asked to, then decode."""
+        """Prefill on another engine if the scheduler says so, then decode."""
         self.number += 1
         self.stream_started = False
         self.attempt_id = attempts.attempt_id(self.digest, self.number)
@@ -277,7 +301,12 @@
         return self.decode(action.endpoint, work)
 
     def prefill(self, name, work):
-        """Run the prompt on another engine; return the handle of its KV."""
+        """Compute the KV cache of the prompt on a prefill engine.
+
+        :param name: name of the prefill engine
+        :param work: request body
+        :return: handle of the KV cache as a dict, or ``jobs.Failed``
+        """
         self.engine = self.dispatcher.endpoints[name]
         try:
             reply = self.engine.prefill(work, self.headers())
@@ -296,10 +325,15 @@
         return {'address': self.engine.info.address, 'kv_id': kv_id}
 
     def decode(self, name, work):
-        """Start the answer on an engine and read it to its end."""
+        """Start or continue the answer on an engine and read it to its end.
+
+        :param name: name of the decode engine
+        :param work: request body
+        :return: the answer, ``Rejected`` or ``jobs.Failed``
+        """
         self.engine = self.dispatcher.endpoints[name]
         if self.assembly.offset:
-            # The text so far is part of what the engine continues.
+            # The engine continues the text that callers already have.
             work['offset'] = self.assembly.offset
             work['generated'] = attempts.text_of(b''.join(self.pieces))
         try:
@@ -313,7 +347,11 @@
         return self.handle_response(name, reply)
 
     def handle_response(self, name, reply):
-        """Act on the head of the answer to a new attempt."""
+        """Read the answer to a new attempt, as its status requires.
+
+        :param reply: :class:`magnoliadyke.endpoint.StreamReply`
+        :return: the answer, ``Rejected`` or ``jobs.Failed``
+        """
         if reply.status == STATUS_OK:
             self.sent = self.stream_started = True
             if self.read(reply):
@@ -335,11 +373,15 @@
 
     @property
     def connections(self):
-        """Connections to the present engine."""
+        """Return the connections to the engine of the current attempt."""
         return self.engine.connections
 
     def refused_by_engine(self, name, code):
-        """The engine calls the request itself wrong."""
+        """Report a request that the engine rejects as invalid.
+
+        :param code: error code of the engine, or ``''``
+        :return: ``Rejected``
+        """
         failed = without_retry(self.record_failure(name, 'decode', False))
         self.dispatcher.post(dispatch.JobFinished(self.job.id, failed))
         return outcomes.Rejected(
@@ -347,7 +389,7 @@
         )
 
     def read(self, reply):
-        """Read a stream; return whether it came to its finish mark."""
+        """Read a stream; return whether its final event was received."""
         self.connection = reply.connection
         label = (self.attempt_id, id(reply.connection))
         self.assembly.begin(label)
@@ -363,9 +405,14 @@
         return is_complete
 
     def resume_attempt(self, name):
-        """Resume the same attempt on new connections; judge if that fails.
+        """Resume reading the running attempt, on new connections.
 
-        Reading the stream that runs already is no second attempt.
+        This starts nothing on the engine, so it is no second attempt. A
+        stream that has been moved is continued on its new engine.
+
+        :param name: name of the engine
+        :return: the answer, or ``jobs.Failed`` after too many resumes
+            without a new token
         """
         if self.moving is not None:
             move, self.moving = self.moving, None
@@ -382,16 +429,16 @@
                         name, 'decode', True, crashed=True
                     )
                 if self.job.repeatable:
-                    # Not even a new connection is answered: the engine hangs
-                    # or is cut off, and another one can take over now.
+                    # The engine doesn't respond on a new connection either:
+                    # it hangs or is unreachable. Another one can take over.
                     break
                 failures += 1
                 self.clock.sleep(RESUME_PAUSE_S * failures)
                 continue
             if reply.status != STATUS_OK:
                 reply.connection.close()
-                # An engine that has forgotten a stream it had begun was
-                # started anew: it crashed, even if it is back already.
+                # An engine that has no record of a stream it had started
+                # has been restarted: it crashed, even if it is up again.
                 return self.record_failure(
                     name, 'decode', True, self.stream_started
                 )
@@ -405,9 +452,9 @@
         return self.record_failure(name, 'decode', True)
 
     def move(self, again=False):
-        """Take the answer elsewhere, once it has begun.
+        """Start to move the stream to another engine, if it has tokens.
 
-        :param again: whether a move that failed is tried anew
+        :param again: whether to retry a move that has failed
         """
         if again and self.moving is not None and self.moving.failed():
             self.moving = None
@@ -415,10 +462,12 @@
             self.moving = moves.Move(self)
 
     def continue_at(self, move):
-        """Continue the answer on another engine, from its KV cache.
+        """Continue the answer on another engine, from the exported KV cache.
+
+        An engine that refuses has not run it: the cache stays where it was
+        computed, and another engine is tried.
 
-        One that refuses has not run it: the cache stays where it was made,
-        and a further engine is asked.
+        :param move: completed :class:`magnoliadyke.moves.Move`
         """
         name = move.target
         while True:
@@ -434,15 +483,15 @@
                 return result
 
     def max_resumes(self):
-        """Return how many resumes in a row may bring nothing.
+        """Return how many consecutive resumes may bring no new token.
 
-        A request that may be repeated is better off on another engine. One
-        that may not has no other way to an answer than this stream.
+        A repeatable request is soon retried on another engine. For any other
+        this stream is the only way to an answer.
         """
         return MAX_RESUMES if self.job.repeatable else MAX_RESUMES_UNREPEATABLE
 
     def answered(self):
-        """Return the whole answer; tell the scheduler."""
+        """Report completion to the scheduler; return the complete answer."""
         usage = attempts.read_usage(self.assembly.finished)
         finished = jobs.Finished(
             int(usage.get('prompt_tokens', 0)),
@@ -460,19 +509,19 @@
         )
 
     def clean_up(self):
-        """Cancel on the engine, then take the job back."""
+        """Cancel the attempt on the engine and the job in the scheduler."""
         if self.connection is not None:
             self.connection.close()
         self.cancel_attempt()
         super().clean_up()
 
     def cancel_attempt(self):
-        """Ask the engine to stop, without waiting for it."""
+        """Cancel the attempt on the engine, without waiting for a reply."""
         if self.engine is not None:
             gevent.spawn(cancel, self.engine, self.attempt_id)
 
     def begin_output(self):
-        """Tell the scheduler that the first token came."""
+        """Report the first token to the scheduler."""
         self.first_output_s = self.clock.now_s()
         self.dispatcher.post(
             dispatch.FirstToken(self.job.id, self.first_output_s)
@@ -480,7 +529,7 @@
 
 
 def cancel(engine, attempt):
-    """Cancel an attempt; an engine that is gone needs no cancel."""
+    """Cancel an attempt; an engine that can't be reached is ignored."""
     try:
         engine.cancel(attempt)
     except errors.EndpointUnreachable:
@@ -488,7 +537,10 @@
 
 
 def pack_events(pieces):
-    """Return events as they are kept: long ones compressed."""
+    """Return events as one bytes object for the records.
+
+    From ``COMPRESSED_FROM_BYTES`` on they are compressed.
+    """
     events = b''.join(pieces)
     if len(events) < COMPRESSED_FROM_BYTES:
         return events
@@ -503,10 +555,10 @@
 
 
 class ServiceCall(typing.NamedTuple):
-    """What goes to a plain service.
+    """The HTTP request that is sent to a plain service.
 
     :param path: raw path and query
-    :param headers: pairs of text
+    :param headers: pairs of name and value
     """
 
     method: str
@@ -519,7 +571,8 @@
     """A call of a plain service.
 
     :param call: :class:`ServiceCall`
-    :param digest: short digest of the key, start of the attempts' ids
+    :param digest: short digest of the key, the prefix of attempt ids
+    :ivar number: number of the current attempt
     """
 
     def __init__(self, key, job, call, digest, streams, on_end):
@@ -529,7 +582,7 @@
         self.number = 0
 
     def attempt(self, action):
-        """Make the call once."""
+        """Make the call once, on the endpoint that was chosen."""
         name = action.endpoint
         server = self.dispatcher.endpoints[name]
         call = self.call
@@ -560,11 +613,15 @@
 
 
 class Streams(mailbox.Task):
-    """What all runs of a node share; watches over their connections.
+    """Checks the streams of all runs of a node at each tick.
 
-    One ticker looks after all streams, so that none has a timer of its own.
+    A single ticker closes silent connections, moves streams away from
+    engines that change their role and reports progress, so that no stream
+    needs a timer of its own.
 
     :param dispatcher: :class:`magnoliadyke.dispatch.Dispatcher`
+    :ivar pumps: :class:`magnoliadyke.pumps.Pump` of each open stream
+    :ivar ticks: number of ticks so far
     """
 
     tick_interval_s = 0.25
@@ -576,15 +633,17 @@
         self.ticks = 0
 
     def handle(self, message):
-        """Streams get no messages."""
+        """Ignore a message; none is sent to this task."""
 
     def cancel_everywhere(self, pool, digest):
-        """Cancel the first attempt of a request whose home is gone.
+        """Cancel the first attempt of a request whose home was lost.
 
-        The engine that runs it is not known here. Left alone it would go on
-        to the end for nobody.
+        Otherwise its engine would generate the answer to the end, with no
+        reader. All engines of the pool get the cancellation, since this node
+        has no record of which one runs the attempt.
 
-        :param digest: start of the ids of its attempts
+        :param pool: name of the pool
+        :param digest: prefix of the ids of its attempts
         """
         attempt = attempts.attempt_id(digest, 1)
         for engine in self.dispatcher.endpoints.values():
@@ -592,7 +651,7 @@
                 gevent.spawn(cancel, engine, attempt)
 
     def tick(self):
-        """Look for silent connections, and report progress."""
+        """Close silent connections, move streams and report progress."""
         self.ticks += 1
         now_s = self.clock.now_s()
         for pump in list(self.pumps):
@@ -604,18 +663,18 @@
             self.report_progress()
 
     def move_streams(self, now_s):
-        """Move the answers whose engines are to change soon."""
+        """Move the streams of engines that are about to change their role."""
         changing = self.dispatcher.changing
         for pump in list(self.pumps) if changing else ():
             run = pump.target_run
             if run.job is None:
-                continue  # a relay: the answer's home moves it
+                continue  # a relay; the home moves the stream
             since_s = changing.get(run.engine.name, math.inf)
             if now_s - since_s >= moves.AFTER_S:
                 run.move(again=self.ticks % MOVE_TICKS == 0)
 
     def report_progress(self):
-        """Tell the scheduler how far the streams are."""
+        """Report the output tokens of the streams to the scheduler."""
         moved = [pump.progress() for pump in self.pumps]
         moved = tuple(each for each in moved if each is not None)
         if moved:
