--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -1,4 +1,4 @@
-"""The routes of the callers' listener."""
+"""The HTTP routes for callers."""
 
 import json
 import re
@@ -17,12 +17,13 @@
 
 __all__ = ['HANDLER', 'build_app']
 
-#: Key of the WSGI environment under which the connection's handler is.
+#: Key of the connection's handler in the WSGI environment.
 HANDLER = 'magnoliadyke.handler'
 JSON = 'application/json'
 EVENTS = 'text/event-stream'
-#: An answer begins at the latest after this long, so that the caller's
-#: library sees keep-alive comments and can tell slow from dead.
+#: Time after which the head of a streamed response is sent even without a
+#: token. The caller's library then gets keep-alive comments, by which it
+#: tells a slow node from an unreachable one.
 HEAD_WAIT_S = 1.0
 SERVICES = re.compile(r'/v1/services/(?P<name>[^/?]+)(?P<path>/[^?]*)?')
 ANSWERS = re.compile(r'/v1/answers/(?P<key>.+)')
@@ -32,7 +33,7 @@
 CALLER_LEFT = outcomes.Unknown(
     'caller_left', 'keep the connection open, and ask again with the same key'
 )
-#: Headers of a service call that go on to the service.
+#: Headers of a service call that are forwarded to the service.
 PASSED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
 
 
@@ -54,18 +55,18 @@
 
 
 def send_error(req, resp, error, params):
-    """Answer with the outcome that ended the handling of a request."""
+    """Send the outcome that an :class:`forms.OutcomeError` carries."""
     send_outcome(resp, error.outcome)
 
 
 def send_caller_left(req, resp, error, params):
-    """Answer a caller that has closed its side, in case it still reads."""
+    """Send an outcome to a caller that closed its side; it may still read."""
     req.env[HANDLER].close_connection = True
     send_outcome(resp, CALLER_LEFT)
 
 
 def send_outcome(resp, outcome):
-    """Answer with an outcome."""
+    """Set the response to an outcome."""
     answer = outcomes.to_http(outcome)
     resp.set_header('X-Outcome', type(outcome).__name__)
     resp.status = answer.status
@@ -82,38 +83,45 @@
         self.owner = owner
 
     def on_get(self, req, resp):
-        """Name the hosts to use, and give a ticket."""
+        """Return the hosts that accept requests, and a ticket for keys."""
         resp.content_type = JSON
         resp.data = json.dumps(self.owner.hosts_answer()).encode()
 
 
 class HomesResource:
-    """``GET /v1/homes/HOME``: other nodes ask who has a home's records."""
+    """``GET /v1/homes/HOME``: other nodes query the successor of a home."""
 
     def __init__(self, owner):
         self.owner = owner
 
     def on_get(self, req, resp, home):
-        """Name the successor, as far as it is known here."""
+        """Return the successor, ``''`` if this node has no record of one."""
         successor = self.owner.homes.successor_of(home)
         resp.content_type = JSON
         resp.data = json.dumps({'successor': successor}).encode()
 
 
 class RequestResource:
-    """What the routes share that lead to a run."""
+    """Base of the routes whose requests run on an endpoint.
+
+    :param owner: :class:`magnoliadyke.callers.Callers`
+    """
 
     def __init__(self, owner):
         self.owner = owner
         self.homes = owner.homes
 
     def hops(self, req):
-        """Return the hosts that relayed a request."""
+        """Return the hosts that relayed a request, in order."""
         text = req.get_header('X-Relayed-By') or ''
         return tuple(part for part in text.split(',') if part)
 
     def priority(self, req, customer):
-        """Return the priority a request asks for."""
+        """Return the priority of a request; smaller numbers are more urgent.
+
+        A relay sends a number. A caller sends a word, or nothing to get the
+        customer's default.
+        """
         number = req.get_header('X-Priority-Number')
         if number is not None and number.isdigit():
             return min(max(int(number), forms.MOST_URGENT), 9)
@@ -122,11 +130,11 @@
         return forms.read_priority(text, row.priority)
 
     def repeatable(self, req):
-        """Return whether the caller lets the request run twice."""
+        """Return whether the caller allows the request to run twice."""
         return (req.get_header('X-Repeatable') or 'true').lower() != 'false'
 
     def common(self, req, customer):
-        """Return the fields that all requests share."""
+        """Return the fields that both kinds of requests share, as a dict."""
         return {
             'key': req.get_header('Idempotency-Key') or '',
             'customer': customer,
@@ -141,7 +149,11 @@
         return self.owner.customer_of(req.get_header('Authorization') or '')
 
     def wait_end(self, req, routed):
-        """Return the outcome of a run; the caller may leave meanwhile."""
+        """Wait for the outcome of a run, and return it.
+
+        :param routed: :class:`homes.Following`
+        :raises CallerGone: when the caller disconnects first
+        """
         waiter = followers.Waiter(routed.run, req.env[HANDLER])
         try:
             return waiter.wait_end()
@@ -160,7 +172,7 @@
         self.read_work = forms.read_chat if chat else forms.read_completion
 
     def on_post(self, req, resp):
-        """Run a completion, or follow one whose key is known."""
+        """Run a completion, or follow the run that its key already has."""
         customer = self.customer(req)
         document = forms.read_object(self.owner.read_body(req))
         request = self.request(req, customer, self.read_work(document))
@@ -169,7 +181,7 @@
         responder.answer(routed, bool(document.get('stream')))
 
     def request(self, req, customer, work):
-        """Return the :class:`forms.ModelRequest` of a request."""
+        """Return the :class:`forms.ModelRequest` for an HTTP request."""
         digest = forms.request_digest(
             customer, work['model'], str(work['max_tokens']), work['prompt']
         )
@@ -182,10 +194,10 @@
 
 
 class AnswersSink(RequestResource):
-    """``GET /v1/answers/KEY?offset=N``: go on reading an answer."""
+    """``GET /v1/answers/KEY?offset=N``: resume reading an answer."""
 
     def __call__(self, req, resp, key):
-        """Follow the answer of a key from an offset on."""
+        """Stream the answer of a key from an offset on."""
         offset = req.get_param_as_int('offset', min_value=0, default=0)
         request = forms.ModelRequest(
             key=parse.unquote(key),
@@ -203,11 +215,12 @@
 
 
 class ModelResponder:
-    """Answers one caller from the place where its request belongs.
+    """Sends the answer of a model to one caller.
 
-    :param chat: whether the caller wants the shape of chat events
+    :param resource: the :class:`RequestResource` of the route
+    :param chat: whether to send events in the chat format
     :param key: the caller's own key, or ``''``
-    :param offset: output tokens the caller has already
+    :param offset: output tokens that the caller has already
     """
 
     def __init__(self, resource, req, resp, chat, key, offset=0):
@@ -220,9 +233,10 @@
         self.offset = offset
 
     def answer(self, routed, stream):
-        """Answer as a stream or whole.
+        """Send the answer as a stream, or as one document.
 
-        :param place: what :meth:`homes.Homes.place` returned
+        :param routed: what :meth:`homes.Homes.route_request` returned
+        :param stream: whether to stream
         """
         match routed:
             case homes.Settled(outcome):
@@ -238,18 +252,21 @@
                     self.send_result(self.resource.wait_end(self.req, routed))
 
     def send_key(self, key):
-        """Tell the caller the key that it can ask again with."""
+        """Send the key with which the caller can resend or resume."""
         self.resp.set_header('X-Request-Key', key)
 
     def send_result(self, outcome):
-        """Answer with the end of a run."""
+        """Send the answer or outcome of a run that has ended."""
         if isinstance(outcome, records.Answer):
             self.send_answer(outcome, False)
         else:
             send_outcome(self.resp, outcome)
 
     def send_answer(self, answer, stream):
-        """Answer with a whole answer."""
+        """Send a complete answer, as a stream of events or as one document.
+
+        A service's answer means that its key was used for a service before.
+        """
         if answer.kind != 'model':
             send_outcome(self.resp, records.KEY_REUSED)
             return
@@ -263,13 +280,13 @@
             self.resp.data = forms.render_answer(key, events, self.chat)
 
     def replay(self, events):
-        """Return kept events as the rest of a stream."""
+        """Return recorded events as a stream from the offset on."""
         rest = attempts.events_from(events, self.offset)
         shaped = forms.chat_events(rest) if self.chat else rest
         return shaped + attempts.DONE
 
     def follow(self, run):
-        """Stream a run's events."""
+        """Stream a run's events, or send its outcome if it has no output."""
         follower = followers.Follower(
             run,
             self.req.env[HANDLER],
@@ -293,9 +310,9 @@
 
 
 class CallerStream:
-    """The body of a streamed answer, for the WSGI server.
+    """The body of a streamed response, for the WSGI server.
 
-    :param has_key: whether the caller can ask for the answer again
+    :param has_key: whether the caller sent a key, and so can resume
     """
 
     def __init__(self, follower, owner, has_key):
@@ -308,17 +325,17 @@
         return iter(self.follower)
 
     def close(self):
-        """Stop to follow; called by the server in any case."""
+        """Stop following the run; the server calls this in any case."""
         self.owner.followers.discard(self.follower)
         self.follower.close()
         self.owner.homes.on_follower_left(self.follower.run, self.has_key)
 
 
 class ServicesSink(RequestResource):
-    """Any call of ``/v1/services/NAME/PATH``."""
+    """``/v1/services/NAME/PATH``, with any method."""
 
     def __call__(self, req, resp, name, path):
-        """Make a call of a plain service, or give its kept answer."""
+        """Call a plain service, or send the recorded response."""
         customer = self.customer(req)
         request = self.request(req, customer, name)
         routed = self.homes.route_request(request)
@@ -335,7 +352,7 @@
                     send_outcome(resp, outcome)
 
     def send_answer(self, resp, key, answer):
-        """Answer as the service did."""
+        """Send the response of the service."""
         resp.set_header('X-Request-Key', key)
         resp.status = answer.status
         if answer.content_type:
@@ -343,7 +360,7 @@
         resp.data = answer.body
 
     def request(self, req, customer, name):
-        """Return the :class:`forms.ServiceRequest` of a call."""
+        """Return the :class:`forms.ServiceRequest` for an HTTP request."""
         body = self.owner.read_body(req)
         path = service_path(req.env[HANDLER].path)
         route = path.partition('?')[0]
@@ -367,7 +384,10 @@
         )
 
     def route_repeatable(self, name, method, path):
-        """Return whether a call of a route may run twice."""
+        """Return whether the settings allow a call of a route to run twice.
+
+        :param name: name of the service
+        """
         service = self.homes.pool_of_service(name)
         for route in service.routes if service is not None else ():
             if route.method == method and path_matches(route.path, path):
@@ -379,10 +399,11 @@
     """Return path and query below the service's name, as they were sent.
 
     A service that resolves ``..`` would serve ``/notice/../charge`` as
-    ``/charge``, while here it counts as a route below ``/notice/`` that may
-    be repeated. Such paths are rejected, in any spelling.
+    ``/charge``, while the settings may list it as a repeatable route below
+    ``/notice/``. Such paths are rejected, percent-encoded ones as well.
 
     :param raw_path: path and query of the request line
+    :raises OutcomeError: for a path with ``.`` or ``..`` segments
     """
     named = raw_path.partition('/v1/services/')[2]
     name, slash, rest = named.partition('/')
@@ -396,7 +417,7 @@
 
 
 def path_matches(pattern, path):
-    """Tell whether a path is the pattern's, or below one that ends in *."""
+    """Return whether a path equals a pattern, or its prefix before ``*``."""
     if pattern.endswith('*'):
         return path.startswith(pattern[:-1])
     return path == pattern
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -1,4 +1,4 @@
-"""The listener that callers talk to."""
+"""The HTTP server for callers, and admission of their requests."""
 
 import sys
 
@@ -23,7 +23,7 @@
 KEEP_ALIVE_S = 1.0
 BACKLOG = 1024
 SEND_BUFFER_BYTES = 128 << 10
-#: Requests at which a node calls itself half full.
+#: Running requests at which a node advertises half of its capacity as spare.
 BUSY_REQUESTS = 100
 
 UNKNOWN_CALLER = outcomes.Rejected(
@@ -38,15 +38,17 @@
 
 
 class NodeStatus:
-    """What gossip tells other nodes about this one; plain attributes.
-
-    :ivar fresh: whether the table is confirmed fresh enough to take new
-        work (written by the configuration task, read by the callers)
-    :ivar takes_work: whether new requests are accepted here (written by the
-        callers; advertised to the others)
-    :ivar spare: share of capacity left, 0 to 1 (written by the callers)
+    """This node's state that gossip sends to other nodes; plain attributes.
+
+    :ivar fresh: whether the table is confirmed fresh enough to accept new
+        requests (written by the configuration task, read by
+        :class:`Callers`)
+    :ivar takes_work: whether new requests are accepted here (written by
+        :class:`Callers`; advertised to other nodes)
+    :ivar spare: estimated share of capacity that is free, 0 to 1 (written by
+        :class:`Callers`)
     :ivar leaving: whether a planned stop has begun
-    :ivar successor: ``HOST`` that got this node's records, or ``''``
+    :ivar successor: ``HOST`` that took over this node's records, or ``''``
     """
 
     def __init__(self):
@@ -58,35 +60,40 @@
 
 
 class Handler(pywsgi.WSGIHandler):
-    """A connection of a caller, with bounds on slow senders."""
+    """A connection of a caller, with timeouts for slow senders.
+
+    :cvar idle_s: longest wait for the next request, in seconds
+    :cvar read_s: longest time to receive the headers, in seconds
+    :cvar owner: the :class:`Callers` that serve it
+    """
 
     idle_s = 60.0
     read_s = 20.0
     owner = None
 
     def get_environ(self):
-        """Return the WSGI environment with this handler in it."""
+        """Return the WSGI environment, with this handler added."""
         environ = super().get_environ()
         environ[callerroutes.HANDLER] = self
         return environ
 
     def read_requestline(self):
-        """Wait for the next request, but not for good."""
+        """Wait for the next request, at most ``idle_s``."""
         with gevent.Timeout(self.idle_s, False):
             return super().read_requestline()
         return None
 
     def read_request(self, raw_requestline):
-        """Read the headers; a caller that drips them is cut off."""
+        """Read the headers; close the connection after ``read_s``."""
         with gevent.Timeout(self.read_s, False):
             return super().read_request(raw_requestline)
         return None
 
     def log_request(self):
-        """Write no line for each request; the server would format one."""
+        """Do nothing: saves the server from formatting a line per request."""
 
     def handle_one_response(self):
-        """Answer one request, counted among those under way."""
+        """Serve one request, which counts as active meanwhile."""
         self.owner.active += 1
         try:
             super().handle_one_response()
@@ -94,11 +101,12 @@
             self.owner.active -= 1
 
     def handle_error(self, t, v, tb):
-        """End the connection where there is nothing true to answer.
+        """Close the connection without a response if no outcome is certain.
 
-        The caller has gone, or this node's time to stop is up. The server's
-        own answer, a plain 500, would look like the service's; a connection
-        that ends without one tells the caller to ask again with its key.
+        That is so when the caller has disconnected, or when this node's stop
+        has reached its deadline. A plain 500 from the WSGI server would look
+        like the response of a service. After a connection that is closed
+        without a response, the caller resends the request with its key.
         """
         if issubclass(t, (followers.CallerGone, gevent.GreenletExit)):
             self.close_connection = True
@@ -107,16 +115,21 @@
 
 
 class Callers:
-    """Serve the caller routes; own the request records of this node.
+    """Serves the caller routes; owns the request records of this node.
 
-    ``stop`` refuses new work at once (other hosts are named), lets running
-    requests end until the deadline, hands the records to a successor and
-    only then closes the listener.
+    :meth:`stop` refuses new requests at once (the refusal lists other
+    hosts), hands the records to a successor, lets running requests end until
+    the deadline and only then closes the listener.
 
     :param parts: :class:`magnoliadyke.nodeparts.NodeParts`
     :param dispatcher: :class:`magnoliadyke.dispatch.Dispatcher`
     :param status: :class:`NodeStatus` shared with gossip
     :param metrics: :class:`magnoliadyke.metrics.Metrics`, or None
+    :ivar own: this host's row of the settings
+    :ivar key_ring: :class:`forms.KeyRing` of the table ``key_ring_view``
+    :ivar followers: :class:`magnoliadyke.followers.Follower` of each open
+        stream
+    :ivar active: number of requests that are being served
     """
 
     def __init__(self, parts, dispatcher, status, metrics=None):
@@ -146,7 +159,7 @@
     # Life cycle.
 
     def start(self):
-        """Open the listener."""
+        """Start the tasks and open the listener."""
         self.streams.start()
         self.homes.start()
         self.ticker = gevent.spawn(self.tick_forever)
@@ -172,7 +185,7 @@
         self.update_status()
 
     def stop(self, deadline_s=30.0):
-        """Stop without cutting a running request.
+        """Stop gracefully: let running requests end first.
 
         :param deadline_s: longest wait for running requests, in seconds
         """
@@ -188,10 +201,10 @@
         self.streams.stop()
 
     def begin_stop(self):
-        """Run no new work; hosts answers leave this one out.
+        """Stop running new requests; hand the records to a successor.
 
-        The records go to a successor at once. New requests that still come
-        are relayed to it.
+        ``GET /v1/hosts`` no longer lists this host. New requests that still
+        arrive are relayed to the successor.
         """
         self.status.leaving = True
         self.update_status()
@@ -199,20 +212,23 @@
         LOG.event('records_handed_over', successor=self.status.successor)
 
     def wait_for_runs(self, end_s):
-        """Let the requests that run here end.
+        """Wait for the end of the requests that run here.
 
-        :param end_s: monotonic seconds
+        :param end_s: deadline in monotonic seconds
         """
         while self.homes.runs and self.clock.now_s() < end_s:
             self.clock.sleep(0.05)
 
     def wait_for_answers(self, end_s):
-        """Let relays and the last bytes of answers go out."""
+        """Wait until relays have ended and all responses are written.
+
+        :param end_s: deadline in monotonic seconds
+        """
         while self.active and self.clock.now_s() < end_s:
             self.clock.sleep(0.05)
 
     def tick_forever(self):
-        """Keep idle streams alive and the status up to date."""
+        """Send keep-alives on idle streams and update the status."""
         while True:
             self.clock.sleep(KEEP_ALIVE_S / 2)
             for follower in list(self.followers):
@@ -220,7 +236,7 @@
             self.update_status()
 
     def update_status(self):
-        """Tell gossip whether and how much work is taken."""
+        """Update what gossip sends of this node's admission and capacity."""
         self.status.takes_work = self.accepts_work()
         running = len(self.homes.runs)
         self.status.spare = 1.0 / (1.0 + running / BUSY_REQUESTS)
@@ -229,10 +245,10 @@
         """Take over records; see :meth:`homes.Homes.take_records`."""
         return self.homes.take_records(host, incarnation, lines, last)
 
-    # Who may come in.
+    # Admission.
 
     def refusal_for(self, customer):
-        """Return ``NotRun`` when no new work is taken, else None.
+        """Return ``NotRun`` when no new requests are accepted, else None.
 
         :param customer: customer name, or ``''`` for any
         """
@@ -240,7 +256,7 @@
         return self.refer_to_other_hosts(reason) if reason else None
 
     def refusal_reason(self):
-        """Return why no new work is taken, or ``''``."""
+        """Return the reason to refuse new requests, or ``''``."""
         if self.table.last is None:
             return 'no_table'
         if self.status.leaving:
@@ -248,7 +264,10 @@
         return '' if self.status.fresh else 'stale_table'
 
     def refer_to_other_hosts(self, reason):
-        """Return ``NotRun`` that names other hosts."""
+        """Return a ``NotRun`` that lists other hosts.
+
+        :param reason: reason code of the refusal
+        """
         others = [
             f'{member.address}:{member.caller_port}'
             for member in self.ordered_members()
@@ -262,9 +281,9 @@
         )
 
     def accepts_work(self):
-        """Tell whether callers should be sent to this host.
+        """Return whether callers should be sent to this host.
 
-        A drained host is left out, and serves what still comes.
+        A drained host is not listed, but serves requests that still arrive.
         """
         if self.refusal_reason():
             return False
@@ -275,6 +294,7 @@
         """Return the customer that a credential belongs to.
 
         :param credential: value of the Authorization header
+        :raises OutcomeError: for an unknown credential, or without a table
         """
         view = self.table.last
         if view is None:
@@ -288,7 +308,10 @@
         return customer
 
     def read_body(self, req):
-        """Return the body of a request, within the bounds."""
+        """Return the body of a request.
+
+        :raises OutcomeError: when it exceeds the size limit or the timeout
+        """
         limits = self.settings.limits
         if (req.content_length or 0) > limits.body_bytes:
             req.env[callerroutes.HANDLER].close_connection = True
@@ -307,7 +330,7 @@
     # Hosts.
 
     def hosts_answer(self):
-        """Return the answer to ``GET /v1/hosts`` as a dict."""
+        """Return the response to ``GET /v1/hosts`` as a dict."""
         listed = [
             {
                 'host': member.host,
@@ -323,10 +346,11 @@
         }
 
     def ordered_members(self):
-        """Return members that take work: own failure domain first.
+        """Return members that accept requests, own failure domain first.
 
-        Within a domain the order is drawn by spare capacity, so that
-        callers that ask at once don't all choose the same host.
+        Among members of the own domain, and among all others, the order is
+        random, weighted by spare capacity, so that callers that ask at the
+        same time don't all choose the same host.
         """
         view = self.members.last
         members = view.members.values() if view is not None else ()
@@ -340,7 +364,7 @@
         )
 
     def takes_work(self, member):
-        """Tell whether callers should be sent to a member."""
+        """Return whether callers should be sent to a member."""
         if member.host == self.host:
             return self.accepts_work()
         view = self.table.last
@@ -351,16 +375,16 @@
 
 
 def listener(address, port):
-    """Return a listening socket whose connections send without delay.
+    """Return a listening socket whose connections have TCP_NODELAY set.
 
-    Head and body of an answer leave in two writes. Without TCP_NODELAY the
-    second can wait 40 ms for a delayed acknowledgement.
+    The head and the body of a response are two writes. Without TCP_NODELAY
+    the second can wait 40 ms for a delayed acknowledgement.
     """
     handle = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     handle.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    # Without this bound the kernel takes megabytes for a caller that doesn't
-    # read, and it takes as long until the node notices.
+    # Without this limit the kernel buffers megabytes for a caller that does
+    # not read, and the node detects the stall only when they are full.
     handle.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
     handle.bind((address, port))
     handle.listen(BACKLOG)
--- a/magnoliadyke/endpoint.py
+++ b/magnoliadyke/endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoints as the node talks to them: abstract, and over HTTP."""
+"""Clients of endpoints: abstract interfaces, and their HTTP versions."""
 
 import abc
 import json
@@ -30,12 +30,18 @@
 
 
 class EndpointSettings(typing.NamedTuple):
-    """Times and sizes of calls to endpoints, in seconds and bytes.
-
-    :param idle_s: age up to which an idle connection is used again; what
-        lies between the two ends may forget a connection that is older
-    :param head_s: longest wait for the first byte of a stream's answer;
-        engines answer at once and then keep the stream alive
+    """Timeouts and limits of calls to endpoints.
+
+    :param connect_s: timeout of a TCP connect
+    :param idle_s: time up to which an idle connection is reused; a firewall
+        or proxy in between may have dropped one that was idle for longer
+    :param head_s: timeout for each read of a stream's response head; engines
+        send it at once and then keep the stream alive
+    :param prefill_s: timeout for each read of a prefill response
+    :param service_s: timeout of a call of a plain service
+    :param control_s: timeout for each read of polls, cancels and exports
+    :param answer_bytes: longest response body
+    :param idle_connections: most idle connections kept for an address
     """
 
     connect_s: float = 1.0
@@ -52,12 +58,13 @@
 
 
 class Reply(typing.NamedTuple):
-    """A whole answer of an endpoint, or of another node.
+    """A complete response of an endpoint, or of another node.
 
-    :param outcome: kind of outcome that a node says its answer is, ``''``
-        when the answer is a service's own
-    :param request_key: key under which a node passes a service's answer on;
-        an answer with neither comes from the HTTP server in between
+    :param outcome: kind of the outcome by the header of a node, ``''`` when
+        the response is that of a service
+    :param request_key: key by the header of a node that passes on a
+        service's response; a response with neither is not a node's but that
+        of the HTTP server in between
     """
 
     status: int
@@ -67,9 +74,9 @@
     request_key: str = ''
 
     def json(self):
-        """Return the body as a JSON document.
+        """Return the body parsed as JSON.
 
-        :raises ValueError: when it is none
+        :raises ValueError: when it is not JSON
         """
         return json.loads(self.body)
 
@@ -84,9 +91,10 @@
 
 
 class StreamReply(typing.NamedTuple):
-    """The head of a streamed answer and the connection it comes on.
+    """The head of a streamed response, and its connection.
 
-    :param first: body bytes that came with the head
+    :param first: body bytes that were received with the head
+    :param connection: :class:`Connection` on which the rest arrives
     """
 
     status: int
@@ -94,7 +102,11 @@
     connection: 'Connection'
 
     def read_whole(self):
-        """Read an answer that is no stream; return a :class:`Reply`."""
+        """Read the rest of an error response; close the connection.
+
+        :return: :class:`Reply`
+        :raises EndpointUnreachable: when it is incomplete or too long
+        """
         connection = self.connection
         try:
             rest = connection.read_body(ERROR_BYTES, ERROR_TIMEOUT_S)
@@ -104,7 +116,7 @@
 
 
 class Parser(responses.HTTPResponse):
-    """Hands body bytes over as they come."""
+    """An HTTP response parser that collects body bytes as they arrive."""
 
     def __init__(self, method):
         super().__init__(method=method)
@@ -128,8 +140,10 @@
     """One connection to an endpoint, used by one request at a time.
 
     :param address: ``ip:port``, numeric
-    :param connect_s: longest wait in seconds
-    :raises EndpointUnreachable: when nobody accepts; nothing was sent
+    :param connect_s: timeout in seconds
+    :raises EndpointUnreachable: when the connect fails; nothing was sent
+    :ivar idle_since_s: when the last response was complete, in monotonic
+        seconds
     """
 
     def __init__(self, address, connect_s):
@@ -159,9 +173,10 @@
         return self.socket.fileno()
 
     def send(self, method, data):
-        """Send a whole request.
+        """Send a complete request.
 
-        A failure counts as sent: part of the request may have arrived.
+        :raises EndpointUnreachable: with ``sent`` set, since part of the
+            request may have arrived
         """
         self.parser = Parser(method)
         try:
@@ -170,16 +185,21 @@
             self.fail(error)
 
     def fail(self, error):
-        """Close, and raise that a byte may have reached the endpoint."""
+        """Close the connection and raise.
+
+        :raises EndpointUnreachable: with ``sent`` set, since a byte may have
+            reached the endpoint
+        """
         self.close()
         raise errors.EndpointUnreachable(
             f'{self.address}: {error or type(error).__name__}', sent=True
         ) from error
 
     def read_head(self, timeout_s):
-        """Read until the head of the answer is complete.
+        """Read until the head of the response is complete.
 
-        :param timeout_s: longest wait for each piece, in seconds
+        :param timeout_s: timeout of each read, in seconds
+        :raises EndpointUnreachable: after a timeout or error
         """
         parser = self.parser
         self.socket.settimeout(timeout_s)
@@ -190,16 +210,24 @@
             self.fail(error)
 
     def feed(self, data):
-        """Give received bytes to the parser."""
+        """Pass received bytes to the parser.
+
+        :raises ConnectionResetError: when the endpoint closed the connection
+            before the end of its response
+        """
         if not data:
-            raise ConnectionResetError('closed before the end of the answer')
+            raise ConnectionResetError(
+                'connection closed before the end of the response'
+            )
         self.parser.feed(data)
 
     def read_body(self, limit_bytes, timeout_s):
-        """Read the rest of the answer.
+        """Read and return the rest of the response body.
 
-        :param limit_bytes: longest body taken
-        :param timeout_s: longest wait for each piece, in seconds
+        :param limit_bytes: longest body accepted
+        :param timeout_s: timeout of each read, in seconds
+        :raises EndpointUnreachable: after a timeout or error, or when the
+            body is too long
         """
         parser = self.parser
         self.socket.settimeout(timeout_s)
@@ -213,22 +241,23 @@
         except (OSError, responses.HTTPParseError) as error:
             self.fail(error)
         if size > limit_bytes:
-            self.fail(ValueError(f'answer is over {limit_bytes} bytes'))
+            self.fail(ValueError(f'response body over {limit_bytes} bytes'))
         return b''.join(pieces)
 
     def decode_body(self, data):
-        """Return the body bytes in received bytes.
+        """Return the body bytes that received bytes hold.
 
-        :raises ConnectionResetError: when the other end closed too early
-        :raises HTTPParseError: when it is not HTTP
+        :raises ConnectionResetError: when the endpoint closed the connection
+            before the end of its response
+        :raises HTTPParseError: when the bytes are not valid HTTP
         """
         self.feed(data)
         return self.parser.take_body()
 
     def is_reusable(self):
-        """Tell whether another request may follow on this connection.
+        """Return whether another request may be sent on this connection.
 
-        The last bytes of a stream come a little after its last event; they
+        The last bytes of a stream arrive a little after its last event; they
         are read here.
         """
         if self.closed or not self.parser.headers_complete:
@@ -246,13 +275,14 @@
 
 
 class Connections:
-    """Connections to one endpoint; a request is never sent twice.
+    """Connection pool of one address; it never sends a request twice.
 
     :param address: ``ip:port``, numeric
     :param clock: a :class:`magnoliadyke.clock.Clock`
     :param settings: :class:`EndpointSettings`
-    :ivar suspect_until_s: until when streams to this address are doubted
-        sooner, since a sibling connection went silent
+    :ivar idle: open connections that can be reused
+    :ivar suspect_until_s: monotonic seconds until which streams from this
+        address have a shorter silence timeout, since one went silent
     """
 
     SUSPECT_S = 10.0
@@ -265,11 +295,14 @@
         self.suspect_until_s = 0.0
 
     def open(self):
-        """Return a new connection, which proves the address alive."""
+        """Return a new connection, which shows that the address accepts.
+
+        :raises EndpointUnreachable: when the connect fails
+        """
         return Connection(self.address, self.settings.connect_s)
 
     def take(self):
-        """Return an idle connection of young age, or a new one."""
+        """Return a connection idle for at most ``idle_s``, or a new one."""
         oldest_s = self.clock.now_s() - self.settings.idle_s
         while self.idle:
             connection = self.idle.pop()
@@ -282,7 +315,7 @@
         return self.open()
 
     def give_back(self, connection):
-        """Keep a connection whose answer was read for the next request."""
+        """Keep a connection for reuse after its response was read."""
         full = len(self.idle) >= self.settings.idle_connections
         if full or connection.closed:
             connection.close()
@@ -291,17 +324,17 @@
         self.idle.append(connection)
 
     def mark_suspect(self):
-        """A connection went silent: doubt its siblings.
+        """Suspect all connections to this address after one went silent.
 
-        What sits between the two ends has lost track of one connection and
-        may have lost others with it. Idle ones are closed; the next request
-        opens a new one. Running streams get a shorter silence limit.
+        A firewall or proxy in between that dropped one connection may have
+        dropped others. Idle ones are closed, so the next request opens a new
+        one. Running streams get a shorter silence timeout for ``SUSPECT_S``.
         """
         self.suspect_until_s = self.clock.now_s() + self.SUSPECT_S
         self.close()
 
     def is_suspect(self):
-        """Tell whether a sibling went silent a short time ago."""
+        """Return whether a connection went silent within ``SUSPECT_S``."""
         return self.clock.now_s() < self.suspect_until_s
 
     def close(self):
@@ -310,12 +343,13 @@
             self.idle.pop().close()
 
     def call(self, method, path, body, headers, timeout_s, fresh=False):
-        """Send one request and read its whole answer.
+        """Send one request and read its complete response.
 
+        :param headers: pairs of name and value
+        :param timeout_s: timeout of each read, in seconds
         :param fresh: use a new connection, not one that may be stale
-        :param timeout_s: longest silence while waiting, in seconds
         :return: :class:`Reply`
-        :raises EndpointUnreachable: ``sent`` tells whether a byte may have
+        :raises EndpointUnreachable: ``sent`` says whether a byte may have
             arrived
         """
         connection = self.open() if fresh else self.take()
@@ -332,10 +366,14 @@
         return reply
 
     def stream(self, method, path, body, headers, timeout_s, fresh=True):
-        """Send one request and read the answer's head.
+        """Send one request and read the head of its response.
 
+        :param headers: pairs of name and value
+        :param timeout_s: timeout of each read, in seconds
         :param fresh: use a new connection, not one that may be stale
         :return: :class:`StreamReply`
+        :raises EndpointUnreachable: ``sent`` says whether a byte may have
+            arrived
         """
         connection = self.open() if fresh else self.take()
         data = request_bytes(method, path, self.address, headers, body)
@@ -350,21 +388,21 @@
 
 
 def json_bytes(document):
-    """Return a document as compact JSON."""
+    """Return a document as compact JSON, in bytes."""
     return json.dumps(document, separators=(',', ':')).encode()
 
 
 def build_reply(parser, body):
-    """Return a :class:`Reply` for an answer that was read whole."""
+    """Return the :class:`Reply` of a response that was read completely."""
     names = ('content-type', 'x-outcome', 'x-request-key')
     content_type, outcome, key = (str(parser.get(n) or '') for n in names)
     return Reply(parser.status_code, content_type, body, outcome, key)
 
 
 def request_bytes(method, path, address, headers, body):
-    """Return a request in HTTP/1.1 form.
+    """Return an HTTP/1.1 request as bytes.
 
-    :param headers: sequence of pairs of text
+    :param headers: pairs of name and value
     :param body: bytes
     """
     lines = [f'{method} {path} HTTP/1.1', f'Host: {address}']
@@ -376,55 +414,71 @@
 
 
 class ModelEndpoint(abc.ABC):
-    """A model engine; another platform plugs in by writing one of these.
+    """Client of a model engine; support for a platform implements it.
 
-    Every method raises :class:`magnoliadyke.errors.EndpointUnreachable`
-    whose ``sent`` tells whether a byte of the request may have arrived.
-    No method sends a request twice.
+    Every method may raise :class:`magnoliadyke.errors.EndpointUnreachable`,
+    whose ``sent`` says whether a byte of the request may have arrived. No
+    method sends a request twice.
     """
 
     @abc.abstractmethod
     def prefill(self, work, headers):
-        """Run a prompt and keep its KV cache; return a :class:`Reply`."""
+        """Compute the KV cache of a prompt, which the engine keeps.
+
+        :param work: request body as a dict
+        :param headers: pairs of name and value
+        :return: :class:`Reply` with the handle of the KV cache
+        """
 
     @abc.abstractmethod
     def complete(self, work, headers, fresh):
         """Start an answer; return a :class:`StreamReply`.
 
-        :param fresh: use a connection that is proved alive, for a request
-            that may not be repeated
+        :param work: request body as a dict
+        :param headers: pairs of name and value
+        :param fresh: use a new connection, for a request that may not be
+            repeated
         """
 
     @abc.abstractmethod
     def resume(self, attempt, offset):
-        """Continue to read a running answer; return a :class:`StreamReply`.
+        """Resume reading a running answer; return a :class:`StreamReply`.
 
-        :param attempt: id it was started with
-        :param offset: output tokens read already
+        :param attempt: id with which the answer was started
+        :param offset: output tokens that were read already
         """
 
     @abc.abstractmethod
     def cancel(self, attempt):
-        """End an answer that nobody wants any more."""
+        """Cancel a running answer.
+
+        :param attempt: id with which the answer was started
+        """
 
     @abc.abstractmethod
     def export(self, attempt):
-        """Stop an answer so that another engine can go on with it.
+        """Stop an answer so that another engine can continue it.
 
+        :param attempt: id with which the answer was started
         :return: handle of its KV cache as a dict, None if it does not run
         """
 
     @abc.abstractmethod
     def refuses_connections(self):
-        """Tell whether no process listens there any more: it crashed."""
+        """Return whether connects are refused: the engine has crashed."""
 
     @abc.abstractmethod
     def load(self):
-        """Return the load report as a dict, late as it is."""
+        """Return the load report as a dict; it may be out of date."""
 
     @abc.abstractmethod
     def cache_events(self, after, wait_s):
-        """Return cache events after a number as a dict."""
+        """Return the prefix cache events that follow a given one.
+
+        :param after: number of the last event that was received
+        :param wait_s: longest wait for a new event, in seconds
+        :return: the engine's JSON document as a dict
+        """
 
     @abc.abstractmethod
     def poll_state(self):
@@ -432,14 +486,15 @@
 
 
 class ServiceEndpoint(abc.ABC):
-    """A server of a plain service."""
+    """Client of a server of a plain service."""
 
     @abc.abstractmethod
     def call(self, method, path, body, headers, fresh):
         """Make one call; return a :class:`Reply`.
 
-        :param fresh: use a connection that is proved alive, for a call that
-            may not be repeated
+        :param headers: pairs of name and value
+        :param fresh: use a new connection, for a call that may not be
+            repeated
         """
 
     @abc.abstractmethod
@@ -451,7 +506,7 @@
 
 
 class HttpEndpoint:
-    """What both kinds of HTTP endpoints share.
+    """Base of the clients of model engines and plain services over HTTP.
 
     :param info: :class:`magnoliadyke.core.jobs.EndpointInfo`
     """
@@ -463,7 +518,12 @@
         self.connections = Connections(info.address, clock, settings)
 
     def get_json(self, path, timeout_s):
-        """Return a JSON answer as a dict."""
+        """Send a GET request; return its JSON response as a dict.
+
+        :param timeout_s: timeout of each read, in seconds
+        :raises EndpointUnreachable: also when the status is not 200 or the
+            body is not JSON
+        """
         reply = self.connections.call('GET', path, b'', (), timeout_s)
         if reply.status != 200:
             raise errors.EndpointUnreachable(
@@ -477,7 +537,10 @@
             ) from error
 
     def poll_state(self):
-        """Return ``up``, ``leaving`` or ``crashed``."""
+        """Query ``/health``; return ``up``, ``leaving`` or ``crashed``.
+
+        An endpoint that does not respond counts as crashed.
+        """
         try:
             document = self.get_json('/health', self.settings.control_s)
         except errors.EndpointUnreachable:
@@ -490,10 +553,10 @@
 
 
 class HttpModelEndpoint(HttpEndpoint, ModelEndpoint):
-    """A model engine behind the platform's HTTP protocol."""
+    """Client of a model engine, over the platform's HTTP protocol."""
 
     def prefill(self, work, headers):
-        """Run a prompt; the answer comes after it has run."""
+        """Compute a KV cache; the engine responds when that is done."""
         body = json_bytes(work)
         return self.connections.call(
             'POST',
@@ -505,7 +568,7 @@
         )
 
     def complete(self, work, headers, fresh):
-        """Start an answer."""
+        """Start an answer; return a :class:`StreamReply`."""
         return self.connections.stream(
             'POST',
             '/v1/completions',
@@ -516,14 +579,14 @@
         )
 
     def resume(self, attempt, offset):
-        """Continue an answer on a new connection."""
+        """Resume reading an answer, on a new connection."""
         path = f'/v1/streams/{parse.quote(attempt)}?offset={offset}'
         return self.connections.stream(
             'GET', path, b'', (), self.settings.head_s
         )
 
     def cancel(self, attempt):
-        """Ask the engine to end an answer."""
+        """Cancel a running answer on the engine."""
         path = f'/v1/streams/{parse.quote(attempt)}/cancel'
         self.connections.call('POST', path, b'', (), self.settings.control_s)
 
@@ -545,7 +608,7 @@
         return {'address': self.info.address, 'kv_id': kv_id}
 
     def refuses_connections(self):
-        """Tell whether the engine's host refuses a connection."""
+        """Return whether the engine's host refuses a connection."""
         try:
             self.connections.open().close()
         except errors.EndpointUnreachable as error:
@@ -557,16 +620,16 @@
         return self.get_json('/v1/load', self.settings.control_s)
 
     def cache_events(self, after, wait_s):
-        """Wait for cache events."""
+        """Wait for prefix cache events, at most ``wait_s``."""
         path = f'/v1/cache_events?after={after}&wait_s={wait_s:g}'
         return self.get_json(path, wait_s + self.settings.control_s)
 
 
 class HttpServiceEndpoint(HttpEndpoint, ServiceEndpoint):
-    """A server of a plain service over HTTP."""
+    """Client of a server of a plain service, over HTTP."""
 
     def call(self, method, path, body, headers, fresh):
-        """Make one call."""
+        """Make one call, which may take ``service_s`` in total."""
         with gevent.Timeout(self.settings.service_s, TimeoutExpired()):
             return self.connections.call(
                 method,
@@ -579,7 +642,7 @@
 
 
 class TimeoutExpired(errors.EndpointUnreachable):
-    """A call took longer than it may; it may have run."""
+    """Raised when a call exceeds its timeout; it may have run."""
 
     def __init__(self):
-        super().__init__('no answer in time', sent=True)
+        super().__init__('call timed out', sent=True)
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -1,4 +1,4 @@
-"""Hand a home's records to a successor, and take over those of others."""
+"""Transfer request records to a successor, and adopt those of others."""
 
 import json
 import typing
@@ -15,17 +15,18 @@
 SEAL_TIMEOUT_S = 5.0
 BATCH_BYTES = 256 << 10
 MAX_FINISH_ATTEMPTS = 3
-#: Stands for an age without bound, which JSON can't express.
+#: Stands for an infinite age, which JSON can't express.
 UNBOUNDED_AGE_S = 1e9
 
 
 class Adopted(typing.NamedTuple):
-    """A home whose keys live on this node.
+    """A home whose records this node has taken over.
 
-    :param issuer: checks its tickets
-    :param shift_s: this clock's seconds minus the home's own
-    :param floor_s: issue time, by this clock, up to which the home had
-        forgotten keys
+    :param issuer: checks the tickets of that home
+    :param shift_s: this node's monotonic clock minus that of the home, in
+        seconds
+    :param floor_s: issue time, by this node's clock, up to which the home
+        may have dropped the records of keys
     """
 
     issuer: tickets.TicketIssuer
@@ -34,20 +35,26 @@
 
 
 class Handover:
-    """The records of this node on their way out, and of others coming in.
+    """Sends the records of a stopping node, and receives those of others.
 
-    A stopping node hands over twice. First, at once: all its records, with
-    requests that still run marked as being away. From then on new keys of
-    its tickets run at the successor. At the end: what became of the
-    requests that were running.
+    A stopping node transfers its records twice. The first transfer is made
+    at once; requests that still run are marked as running elsewhere. From
+    then on new keys of its tickets run at the successor. The second transfer
+    is made when those requests have ended or the stop's deadline has passed,
+    and has their outcomes.
 
     :param issuer: :class:`tickets.TicketIssuer` of this node
+    :param incarnation: incarnation of this node
     :param table: :class:`records.RecordTable` of this node
     :param peers: :class:`magnoliadyke.peer.PeerClients`
     :param directory: :class:`magnoliadyke.directory.Directory`
     :ivar adopted: :class:`Adopted` by home
-    :ivar sealed: set once the first hand-over has been tried; None before
-    :ivar successor: host name, ``''`` if nobody took the records
+    :ivar incoming_lines: lines of hand-overs that are incomplete, by host and
+        incarnation
+    :ivar sealed: event that is set when the first transfer has succeeded or
+        failed; None while this node runs new keys itself
+    :ivar member: successor as a gossip member, or None
+    :ivar successor: host name, ``''`` if no member took the records
     """
 
     def __init__(self, issuer, incarnation, table, peers, directory, clock):
@@ -63,28 +70,28 @@
         self.member = None
         self.successor = ''
 
-    # Coming in.
+    # Receiving.
 
     def take(self, host, incarnation, lines, last):
-        """Take over records of a host that is leaving.
+        """Receive a batch of records of a host that is stopping.
 
-        :param lines: JSON lines (bytes)
-        :param last: whether the hand-over is complete
-        :return: number of lines taken
+        :param lines: JSON lines, each as bytes
+        :param last: whether this batch completes the hand-over
+        :return: number of lines received
         """
         incoming_lines = self.incoming_lines.setdefault(
             (host, incarnation), []
         )
         incoming_lines += lines
         if last:
-            # Nothing is adopted before all is here: a half of the records
-            # would let a key run again whose record is in the other half.
+            # No home is adopted before its records are complete: a key whose
+            # record has not arrived yet would run a second time.
             del self.incoming_lines[host, incarnation]
             self.import_all(incoming_lines, self.clock.now_s())
         return len(lines)
 
     def import_all(self, lines, now_s):
-        """Enter records and homes that have arrived completely."""
+        """Import the records of a complete hand-over, then its homes."""
         for line in lines:
             if not line.startswith(HOME_LINE):
                 self.table.import_line(line, now_s)
@@ -93,7 +100,10 @@
                 self.adopt(json.loads(line), now_s)
 
     def adopt(self, description, now_s):
-        """Become the home of another home's keys."""
+        """Take over the keys of another home.
+
+        :param description: dict as :meth:`describe_homes` writes it
+        """
         home = description['home']
         host, _, incarnation = home.rpartition('.')
         secret = bytes.fromhex(description['secret'])
@@ -102,12 +112,12 @@
         floor_s = now_s - description['floor_age_s']
         self.adopted[home] = Adopted(issuer, shift_s, floor_s)
 
-    # Going out.
+    # Sending.
 
     def begin(self, members):
-        """Give all records to a successor; new keys are its own from now.
+        """Make the first transfer; new keys run at the successor from now.
 
-        :param members: members to try, in order
+        :param members: gossip members to try, in order
         """
         self.sealed = event.Event()
         try:
@@ -120,27 +130,30 @@
             self.sealed.set()
 
     def finish(self):
-        """Tell the successor what became of the requests that ran."""
+        """Make the second transfer, with the outcomes of requests that ran."""
         member = self.member
         for _ in range(MAX_FINISH_ATTEMPTS):
             if member is None or self.transfer_to(member, ''):
                 return
-            # The successor is stopping as well: follow its own successor.
+            # The successor is stopping as well: try its own successor.
             home = tickets.home_name(member.host, member.incarnation)
             member = self.directory.present_holder(home)
 
     def wait(self):
-        """Wait until the first hand-over is done; return the successor."""
+        """Wait for the end of the first transfer.
+
+        :return: host name of the successor, or ``''``
+        """
         self.sealed.wait(SEAL_TIMEOUT_S)
         return self.successor
 
     def transfer_to(self, member, running_at):
         """Send all records to one member; return whether it is successor.
 
-        A member whose last answer was lost may have adopted the records. No
-        other may then be asked, or two nodes would run this home's keys: it
-        stays the successor, and if it has not adopted them its answer to
-        their keys is ``Unknown``.
+        If the reply to the last batch is lost, the member may have adopted
+        the records. It then stays the successor, since a second one would
+        run this home's keys as well. If it has not adopted them, its outcome
+        for their keys is ``Unknown``.
 
         :param running_at: home at which running requests can be followed
         """
@@ -159,7 +172,14 @@
             return True
 
     def batches(self, now_s, running_at):
-        """Return the lines to hand over as a list of lists, none huge."""
+        """Return the lines to hand over, in batches.
+
+        The first batch begins with the homes. Each ends with the line that
+        brings its records to ``BATCH_BYTES`` or more.
+
+        :param running_at: home at which running requests can be followed
+        :return: lists of JSON lines
+        """
         batches = [list(self.describe_homes(now_s))]
         size = 0
         for line in self.table.export(now_s, running_at):
@@ -171,7 +191,7 @@
         return batches
 
     def describe_homes(self, now_s):
-        """Yield a line of JSON for each home that lives here."""
+        """Yield a JSON line for this home and each adopted one."""
         own = Adopted(self.issuer, 0.0, records.NO_FLOOR)
         for each in (own, *self.adopted.values()):
             floor_s = max(each.floor_s, self.table.floor_s)
@@ -184,6 +204,12 @@
             yield json.dumps(description, separators=(',', ':')).encode()
 
     def send(self, address, batch, last):
-        """Send one batch; return whether it was taken."""
+        """Send one batch; return whether the peer accepted it.
+
+        :param address: ``ip:port`` of the peer
+        :param batch: list of JSON lines
+        :param last: whether this batch completes the hand-over
+        :raises HostUnreachable: when the peer did not reply
+        """
         taken = self.peers.handover(address, self.incarnation, batch, last)
         return taken is not None
--- a/magnoliadyke/mailbox.py
+++ b/magnoliadyke/mailbox.py
@@ -1,4 +1,4 @@
-"""Tasks that own their state and talk by messages."""
+"""Tasks (actors) that own their state and communicate by messages."""
 
 import gevent
 from gevent import event
@@ -13,28 +13,29 @@
 
 
 class Tick:
-    """A message a task sends itself at its tick interval."""
+    """Message that a task's ticker posts at each tick interval."""
 
 
 class Ask:
-    """Base of messages that want an answer."""
+    """Base of messages to which the receiving task replies."""
 
     def __init__(self):
         self.result = event.AsyncResult()
 
     def reply(self, value):
-        """Answer the asker; only the first answer counts.
+        """Set the result that the sender waits for; only the first counts.
 
-        :param value: the answer, usually a tagged dataclass
+        :param value: the reply, usually a tagged dataclass
         """
         if not self.result.ready():
             self.result.set(value)
 
 
 class Topic:
-    """The latest value of something one task publishes for others.
+    """A value that one task publishes, with the tasks that subscribe to it.
 
     :param initial: value before the first publication
+    :ivar last: the value published last
     """
 
     def __init__(self, initial=None):
@@ -43,25 +44,25 @@
         self.changed = event.Event()
 
     def publish(self, value):
-        """Keep ``value`` as the latest one and post it to subscribers."""
+        """Set ``value`` as the latest one and post it to subscribers."""
         self.last = value
         for task in self.subscribers:
             task.post(value)
-        # Waiters of wait_for() poll the condition after each publication.
+        # Wakes wait_for(), which checks its condition at each publication.
         changed, self.changed = self.changed, event.Event()
         changed.set()
 
     def subscribe(self, task):
-        """Post each later value, and the present one, to ``task``."""
+        """Post the latest value, if any, and each later one to ``task``."""
         self.subscribers.append(task)
         if self.last is not None:
             task.post(self.last)
 
     def wait_for(self, condition, timeout_s):
-        """Block until ``condition(last)`` holds.
+        """Block until ``condition(last)`` is true.
 
         :param timeout_s: longest wait in seconds
-        :return: whether it holds
+        :return: whether it is true
         """
         with gevent.Timeout(timeout_s, False):
             while not condition(self.last):
@@ -73,8 +74,11 @@
 class Task:
     """A greenlet with an inbox; subclasses implement :meth:`handle`.
 
-    :param name: for logs and for the greenlet
+    :param name: name of the task in the log
     :param clock: a :class:`magnoliadyke.clock.Clock`
+    :cvar tick_interval_s: seconds between calls of :meth:`tick`; None for a
+        task without periodic work
+    :ivar tick_pending: whether a tick is in the inbox
     """
 
     tick_interval_s = None
@@ -92,26 +96,27 @@
         self.inbox.put(message)
 
     def ask(self, message, timeout_s):
-        """Post an :class:`Ask` and wait for its answer.
+        """Post an :class:`Ask` and wait for the reply.
 
-        :param timeout_s: longest wait in seconds
-        :raises gevent.Timeout: when no answer came in time
+        :param timeout_s: longest wait in seconds, None to wait forever
+        :return: the reply
+        :raises gevent.Timeout: when there is no reply within the timeout
         """
         self.post(message)
         return message.result.get(timeout=timeout_s)
 
     def handle(self, message):
-        """Act on one message; subclasses ``match`` on its class."""
+        """Process one message; subclasses ``match`` on its class."""
         raise NotImplementedError
 
     def tick(self):
         """Do periodic work; runs in the task's own greenlet."""
 
     def on_start(self):
-        """Hook before the first message."""
+        """Hook that runs before the first message."""
 
     def on_stop(self):
-        """Hook after the last message."""
+        """Hook that runs after the last message."""
 
     def start(self):
         """Start the task's greenlet and its ticker."""
@@ -120,9 +125,9 @@
             self.ticker = gevent.spawn(self.run_ticker)
 
     def stop(self, deadline_s=5.0):
-        """Let the task finish its inbox, then end it.
+        """End the task after the messages that are in its inbox now.
 
-        :param deadline_s: longest wait in seconds before it is killed
+        :param deadline_s: seconds after which the greenlet is killed
         """
         if self.ticker is not None:
             self.ticker.kill()
@@ -133,7 +138,7 @@
         self.greenlet.kill()
 
     def run(self):
-        """Handle messages until the stop message."""
+        """Process messages until the stop message."""
         self.on_start()
         while True:
             message = self.inbox.get()
@@ -143,11 +148,10 @@
         self.on_stop()
 
     def run_one(self, message):
-        """Handle one message; an error ends the message, not the task.
+        """Process one message; log an exception instead of raising it.
 
-        One message that raises would otherwise end the task, and its node
-        would go on answering with a part of it dead. The error is logged
-        with the lines that led to it, so that it is not lost.
+        An exception would end the task, while its node went on to serve
+        requests without it. The log has the traceback.
         """
         try:
             if isinstance(message, Tick):
@@ -159,7 +163,7 @@
             LOG.error_event('task_error', error, task=self.name)
 
     def run_ticker(self):
-        """Post a tick each interval, at most one waiting at a time."""
+        """Post a tick each interval, unless one is still in the inbox."""
         while True:
             self.clock.sleep(self.tick_interval_s)
             if not self.tick_pending:
