--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -121,7 +121,8 @@
     def route_request(self, request):
         """Run, relay or replay a request, as its key says.
 
-        A request whose key is known follows the run that exists.
+        A request whose key has a record gets the recorded run, answer or
+        outcome.
 
         :return: :class:`Following`, :class:`KeptAnswer` or :class:`Settled`
         """
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -548,7 +548,7 @@
 
 
 def model_events(answer):
-    """Return the events of a kept model answer as bytes."""
+    """Return the events of a recorded model answer as bytes."""
     if answer.body.startswith(attempts.OFFSET_START):
         return answer.body
     return zlib.decompress(answer.body)
@@ -602,8 +602,8 @@
         except errors.EndpointUnreachable as error:
             stage = 'decode' if error.sent else 'connect'
             return self.record_failure(name, stage, error.sent)
-        outcome_of_refusal = reply.status == STATUS_UNAVAILABLE
-        if outcome_of_refusal and reply.error_code() == NOT_RUN_CODE:
+        refused = reply.status == STATUS_UNAVAILABLE
+        if refused and reply.error_code() == NOT_RUN_CODE:
             return self.record_failure(name, 'decode', False)
         self.first_output_s = self.clock.now_s()
         self.record_finished(jobs.Finished())
