--- a/magnoliadyke/burnreport.py
+++ b/magnoliadyke/burnreport.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from magnoliadyke.core import burn
-from magnoliadyke import fleet
+from magnoliadyke import fleetqueries
 
 __all__ = ['BurnResource', 'collect', 'render_text']
 
@@ -19,7 +19,7 @@
         if request.get_param('scope') == 'host':
             response.media = _own_part(self.node)
             return
-        response.media = collect(self.node, fleet.token_of(request))
+        response.media = collect(self.node, fleetqueries.token_of(request))
 
 
 def collect(node, token):
@@ -29,7 +29,7 @@
     :param token: the operators' token, for the others
     """
     own = _own_part(node)
-    others = fleet.ask_others(node, token, '/admin/burn?scope=host')
+    others = fleetqueries.ask_others(node, token, '/admin/burn?scope=host')
     parts = [own, *(part for part in others.values() if part is not None)]
     missing = [host for host, part in others.items() if part is None]
     snapshots = [_decode(part['counts']) for part in parts]
--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -9,10 +9,10 @@
 from magnoliadyke.core import attempts
 from magnoliadyke.core import outcomes
 from magnoliadyke.core import records
-from magnoliadyke import directory
-from magnoliadyke import followers
 from magnoliadyke import forms
+from magnoliadyke import homedirectory
 from magnoliadyke import homes
+from magnoliadyke import responsestream
 from magnoliadyke import streams
 
 __all__ = ['HANDLER', 'build_app']
@@ -49,7 +49,7 @@
     app.add_sink(AnswersSink(owner), ANSWERS)
     app.add_sink(ServicesSink(owner), SERVICES)
     app.add_error_handler(forms.OutcomeError, tell_error)
-    app.add_error_handler(followers.CallerGone, caller_gone)
+    app.add_error_handler(responsestream.CallerGone, caller_gone)
     return app
 
 
@@ -142,7 +142,7 @@
 
     def wait_end(self, req, place):
         """Return the outcome of a run; the caller may leave meanwhile."""
-        waiter = followers.Waiter(place.run, req.env[HANDLER])
+        waiter = responsestream.Waiter(place.run, req.env[HANDLER])
         try:
             return waiter.wait_end()
         finally:
@@ -270,7 +270,7 @@
 
     def follow(self, run):
         """Stream a run's events."""
-        follower = followers.Follower(
+        follower = responsestream.Follower(
             run,
             self.req.env[HANDLER],
             self.offset,
@@ -302,14 +302,14 @@
         self.follower = follower
         self.owner = owner
         self.has_key = has_key
-        owner.followers.add(follower)
+        owner.subscribers.add(follower)
 
     def __iter__(self):
         return iter(self.follower)
 
     def close(self):
         """Stop to follow; called by the server in any case."""
-        self.owner.followers.discard(self.follower)
+        self.owner.subscribers.discard(self.follower)
         self.follower.close()
         self.owner.homes.left(self.follower.run, self.has_key)
 
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -9,11 +9,11 @@
 
 from magnoliadyke import callerroutes
 from magnoliadyke.core import outcomes
-from magnoliadyke import followers
 from magnoliadyke import forms
 from magnoliadyke import homes
 from magnoliadyke import logs
 from magnoliadyke import reports
+from magnoliadyke import responsestream
 from magnoliadyke import streams
 
 __all__ = ['Callers', 'NodeStatus']
@@ -100,7 +100,7 @@
         own answer, a plain 500, would look like the service's; a connection
         that ends without one tells the caller to ask again with its key.
         """
-        if issubclass(t, (followers.CallerGone, gevent.GreenletExit)):
+        if issubclass(t, (responsestream.CallerGone, gevent.GreenletExit)):
             self.close_connection = True
             return
         super().handle_error(t, v, tb)
@@ -137,7 +137,7 @@
         )
         self.key_ring = None
         self.key_ring_view = None
-        self.followers = set()
+        self.subscribers = set()
         self.active = 0
         self.ticker = None
         self.app = callerroutes.build_app(self)
@@ -215,7 +215,7 @@
         """Keep idle streams alive and the status up to date."""
         while True:
             self.clock.sleep(KEEP_ALIVE_S / 2)
-            for follower in list(self.followers):
+            for follower in list(self.subscribers):
                 follower.keep_alive()
             self.update_status()
 
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -55,7 +55,7 @@
         self.incarnation = incarnation
         self.table = table
         self.peers = peers
-        self.directory = directory
+        self.home_directory = directory
         self.clock = clock
         self.adopted = {}
         self.arriving = {}
@@ -125,7 +125,7 @@
                 return
             # The successor is stopping as well: follow its own successor.
             home = tickets.home_name(member.host, member.incarnation)
-            member = self.directory.present_holder(home)
+            member = self.home_directory.present_holder(home)
 
     def wait(self):
         """Wait until the first hand-over is done; return the successor."""
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -12,9 +12,9 @@
 from magnoliadyke.core import prefixes
 from magnoliadyke.core import records
 from magnoliadyke.core import tickets
-from magnoliadyke import directory
 from magnoliadyke import forms
 from magnoliadyke import handover
+from magnoliadyke import homedirectory
 from magnoliadyke import relay
 from magnoliadyke import streams
 
@@ -93,7 +93,7 @@
         self.claiming = claiming.Claiming(
             self.name, parts.store, self.settings.keyvalue.prefix, self.clock
         )
-        self.directory = directory.Directory(
+        self.home_directory = homedirectory.Directory(
             self.name, host, parts.members, self.clock, self.rng
         )
         self.handover = handover.Handover(
@@ -101,7 +101,7 @@
             incarnation,
             self.records,
             parts.peers,
-            self.directory,
+            self.home_directory,
             self.clock,
         )
         self.relays = set()
@@ -187,7 +187,7 @@
         """
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
-        if owner != self.name and self.directory.member_of(owner):
+        if owner != self.name and self.home_directory.member_of(owner):
             return self.relay(request, request.key, owner)
         return Settled(records.ANSWER_GONE)
 
@@ -198,7 +198,7 @@
         """
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
-        if self.directory.locate(home) is None:
+        if self.home_directory.locate(home) is None:
             return self.home_gone(request, key)
         return self.relay(request, key, home)
 
@@ -233,7 +233,7 @@
 
     def follow_away(self, request, key, home):
         """Follow a request that still runs at a home that is stopping."""
-        if self.directory.member_of(home) is None:
+        if self.home_directory.member_of(home) is None:
             return Settled(records.HOME_STOPPED)
         return self.relay(request, key, home)
 
@@ -295,7 +295,7 @@
 
     def relay_to_successor(self, request, key):
         """Relay a request to the node that took the records over."""
-        home = self.directory.full_name(self.handover.successor)
+        home = self.home_directory.full_name(self.handover.successor)
         return self.relay(request, key, home)
 
     def close_refused(self, request, record, outcome):
@@ -416,7 +416,7 @@
 
         :param has_key: whether the caller can ask again
         """
-        if run.followers or run.outcome is not None:
+        if run.subscribers or run.outcome is not None:
             return
         if run.job is not None and not run.job.repeatable:
             return
@@ -438,7 +438,7 @@
         sent_key = request.key or key
 
         def locate():
-            return self.directory.locate(home)
+            return self.home_directory.locate(home)
 
         hops = (*request.hops, self.host)
         arguments = (
@@ -545,7 +545,7 @@
 
     def find_elsewhere(self, request, home, offset):
         """Relay a resume to the home of the key."""
-        if self.directory.locate(home) is None:
+        if self.home_directory.locate(home) is None:
             return Settled(HOME_GONE)
         return self.relay(request, request.key, home, offset, True)
 
@@ -558,7 +558,7 @@
     def stop(self):
         """Stop the tasks and close connections."""
         self.claiming.stop()
-        self.directory.close()
+        self.home_directory.close()
 
     def take_records(self, host, incarnation, lines, last):
         """Take over records of a host that is leaving.
@@ -578,7 +578,7 @@
         """
         able = [
             member
-            for member in self.directory.all_members().values()
+            for member in self.home_directory.all_members().values()
             if member.host != self.host
             and member.state == 'alive'
             and member.takes_work
@@ -591,8 +591,8 @@
         """Return ``HOST.INCARNATION`` that has a home's records, or ``''``."""
         if home == self.name or home in self.handover.adopted:
             return self.name
-        self.directory.learn_successors()
-        return self.directory.successors.get(home, '')
+        self.home_directory.learn_successors()
+        return self.home_directory.successors.get(home, '')
 
 
 def record_name(key, customer):
@@ -613,7 +613,7 @@
 
 def abandon_unfollowed(run):
     """End a run if nobody has come back to it."""
-    if not run.followers:
+    if not run.subscribers:
         run.abandon()
 
 
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -18,7 +18,7 @@
 from magnoliadyke import dispatch
 from magnoliadyke import duties
 from magnoliadyke import gossip
-from magnoliadyke import hostlist
+from magnoliadyke import hostlistreader
 from magnoliadyke import keyvalue
 from magnoliadyke import logs
 from magnoliadyke import mailbox
@@ -220,7 +220,9 @@
             gossip.Gossip(settings, host, clock, self.rng, self.incarnation)
         )
         self.app.add(
-            hostlist.HostListReader(settings, clock, self.rng, self.gossip)
+            hostlistreader.HostListReader(
+                settings, clock, self.rng, self.gossip
+            )
         )
         self.configuration = self.app.add(
             configuration.Configuration(
--- a/magnoliadyke/overview.py
+++ b/magnoliadyke/overview.py
@@ -4,7 +4,7 @@
 from magnoliadyke.core import snapshot
 from magnoliadyke import dispatch
 from magnoliadyke import duties
-from magnoliadyke import fleet
+from magnoliadyke import fleetqueries
 from magnoliadyke import metrics
 
 __all__ = ['RolesResource', 'StatusResource', 'roles', 'status']
@@ -29,9 +29,9 @@
         """Answer the state; ``scope=host`` counts on this host alone."""
         own = status(self.node)
         if request.get_param('scope') != 'host':
-            token = fleet.token_of(request)
+            token = fleetqueries.token_of(request)
             path = '/admin/status?scope=host'
-            others = fleet.ask_others(self.node, token, path)
+            others = fleetqueries.ask_others(self.node, token, path)
             _add_customers(own, [a for a in others.values() if a])
         response.media = own
 
--- a/magnoliadyke/followers.py
+++ b/magnoliadyke/responsestream.py
@@ -34,7 +34,7 @@
         self.direct = False
         self.wake = event.Event()
         self.watcher = None
-        run.followers.append(self)
+        run.subscribers.append(self)
 
     def notify(self):
         """The run has ended; called by the run, maybe in the hub."""
@@ -47,8 +47,8 @@
         """Stop to follow."""
         self.direct = False
         self.unwatch()
-        if self in self.run.followers:
-            self.run.followers.remove(self)
+        if self in self.run.subscribers:
+            self.run.subscribers.remove(self)
 
     def wait_end(self):
         """Return the run's outcome.
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -15,8 +15,8 @@
 from magnoliadyke import dispatch
 from magnoliadyke import errors
 from magnoliadyke import mailbox
-from magnoliadyke import moves
 from magnoliadyke import pumps
+from magnoliadyke import streammigration
 
 __all__ = [
     'ABANDONED',
@@ -72,7 +72,7 @@
         self.key = key
         self.on_end = on_end
         self.pieces = []
-        self.followers = []
+        self.subscribers = []
         self.outcome = None
         self.ended = event.Event()
         self.greenlet = None
@@ -119,7 +119,7 @@
         if not self.pieces:
             self.begin_output()
         self.pieces.append(block)
-        for follower in self.followers:
+        for follower in self.subscribers:
             follower.pass_on(block, framed)
 
     def begin_output(self):
@@ -134,7 +134,7 @@
             self.on_end(self)
         finally:
             self.ended.set()
-            for follower in list(self.followers):
+            for follower in list(self.subscribers):
                 follower.notify()
 
     def abandon(self):
@@ -259,7 +259,7 @@
         """
         self.assembly = attempts.Assembly(other.assembly.offset)
         self.pieces = other.pieces
-        self.followers = other.followers
+        self.subscribers = other.subscribers
 
     def attempt(self, action):
         """Prefill if asked to, then decode."""
@@ -406,7 +406,7 @@
         if again and self.moving is not None and self.moving.failed():
             self.moving = None
         if self.moving is None and self.assembly.offset:
-            self.moving = moves.Move(self)
+            self.moving = streammigration.Move(self)
 
     def go_on_at(self, move):
         """Continue the answer on another engine, from its KV cache.
@@ -605,7 +605,7 @@
             if run.job is None:
                 continue  # a relay: the answer's home moves it
             since_s = changing.get(run.engine.name, math.inf)
-            if now_s - since_s >= moves.AFTER_S:
+            if now_s - since_s >= streammigration.AFTER_S:
                 run.move(again=self.ticks % MOVE_TICKS == 0)
 
     def report_progress(self):
--- a/tests/test_burnreport.py
+++ b/tests/test_burnreport.py
@@ -2,7 +2,7 @@
 
 from magnoliadyke.core import burn
 from magnoliadyke import errors
-from magnoliadyke import fleet
+from magnoliadyke import fleetqueries
 from tests import fakenode
 
 LATE = burn.Timings(first_token_s=3.0, queued_s=2.8)
@@ -26,7 +26,7 @@
 
     The objective is 95 %, so the 5-minute rate is 0.5 / 0.05 = 10.
     """
-    monkeypatch.setattr(fleet.adminclient, 'AdminClient', FakeClient)
+    monkeypatch.setattr(fleetqueries.adminclient, 'AdminClient', FakeClient)
     node = fakenode.make()
     for _ in range(10):
         node.metrics.request_finished('lease', 'answered', LATE)
--- a/tests/test_fleet.py
+++ b/tests/test_fleetqueries.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 
-from magnoliadyke import fleet
+from magnoliadyke import fleetqueries
 from tests import fakenode
 
 
@@ -19,13 +19,13 @@
             return {'token': self.token, 'path': path}
         if self.host == 'entry-3':
             gevent.sleep(60)
-        raise fleet.errors.HostUnreachable('down', 'start it')
+        raise fleetqueries.errors.HostUnreachable('down', 'start it')
 
 
 @pytest.fixture(autouse=True)
 def client(monkeypatch):
-    monkeypatch.setattr(fleet.adminclient, 'AdminClient', FakeClient)
-    monkeypatch.setattr(fleet, 'ANSWER_S', 0.05)
+    monkeypatch.setattr(fleetqueries.adminclient, 'AdminClient', FakeClient)
+    monkeypatch.setattr(fleetqueries, 'ANSWER_S', 0.05)
 
 
 def test_hosts_that_do_not_answer_do_not_hold_up_the_report():
@@ -34,7 +34,7 @@
     One host is paused: its kernel accepts the connection and nobody reads.
     Without a bound the report would come only after the 30 s of an edit.
     """
-    answers = fleet.ask_others(fakenode.make(), 'secret', '/x')
+    answers = fleetqueries.ask_others(fakenode.make(), 'secret', '/x')
     assert answers['entry-2'] == {'token': 'secret', 'path': '/x'}
     assert answers['entry-3'] is None
     assert answers['entry-8'] is None
--- a/tests/test_overview.py
+++ b/tests/test_overview.py
@@ -5,7 +5,7 @@
 
 from magnoliadyke import dispatch
 from magnoliadyke import duties
-from magnoliadyke import fleet
+from magnoliadyke import fleetqueries
 from tests import fakenode
 
 
@@ -13,7 +13,7 @@
 def others(monkeypatch):
     """Answer for the other hosts: none is there, unless a test adds one."""
     answers = {'entry-2': None}
-    monkeypatch.setattr(fleet, 'ask_others', lambda *_: answers)
+    monkeypatch.setattr(fleetqueries, 'ask_others', lambda *_: answers)
     return answers
 
 
--- a/tests/test_followers.py
+++ b/tests/test_responsestream.py
@@ -60,10 +60,10 @@
         connection = send(bench, work(6000))
         gevent.sleep(0.3)
         for _ in range(100):
-            if not front.followers:
+            if not front.subscribers:
                 break
             gevent.sleep(0.1)
-        assert not front.followers
+        assert not front.subscribers
         connection.close()
 
 
