--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -45,7 +45,7 @@
     app.add_route('/v1/hosts', HostsResource(owner))
     app.add_route('/v1/completions', ModelResource(owner, chat=False))
     app.add_route('/v1/chat/completions', ModelResource(owner, chat=True))
-    app.add_route(f'{directory.HOMES_PATH}{{home}}', HomesResource(owner))
+    app.add_route(f'{homedirectory.HOMES_PATH}{{home}}', HomesResource(owner))
     app.add_sink(AnswersSink(owner), ANSWERS)
     app.add_sink(ServicesSink(owner), SERVICES)
     app.add_error_handler(forms.OutcomeError, tell_error)
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -44,7 +44,7 @@
     :param issuer: :class:`tickets.TicketIssuer` of this node
     :param table: :class:`records.RecordTable` of this node
     :param peers: :class:`magnoliadyke.peer.PeerClients`
-    :param directory: :class:`magnoliadyke.directory.Directory`
+    :param directory: :class:`magnoliadyke.homedirectory.Directory`
     :ivar adopted: :class:`Adopted` by home
     :ivar sealed: set once the first hand-over has been tried; None before
     :ivar successor: host name, ``''`` if nobody took the records
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -255,7 +255,7 @@
     def go_on_from(self, other):
         """Continue the answer of another run, for the same followers.
 
-        :param other: run with ``assembly``, ``pieces`` and ``followers``
+        :param other: run with ``assembly``, ``pieces`` and ``subscribers``
         """
         self.assembly = attempts.Assembly(other.assembly.offset)
         self.pieces = other.pieces
--- a/tests/test_responsestream.py
+++ b/tests/test_responsestream.py
@@ -1,4 +1,4 @@
-"""Tests of magnoliadyke.followers: callers that read or send slowly."""
+"""Tests of magnoliadyke.responsestream: callers that read or send slowly."""
 
 import re
 
