--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -204,7 +204,7 @@
         document = self.parse(text) if text is not None else None
         if document is not None and self.is_newer(document):
             self.adopt(document, self.documents.last.store_revision)
-            self.keyvalue.end_watches()
+            self.keyvalue.abort_watches()
 
     def parse(self, text):
         """Return the document, or None if it is not one."""
@@ -319,7 +319,7 @@
             self.missed_since_s = now_s
         elif now_s - self.missed_since_s > FETCH_AFTER_S:
             self.missed_since_s = None
-            self.keyvalue.end_watches()
+            self.keyvalue.abort_watches()
 
     def initialise_if_due(self):
         """Write the table of the settings when nobody has any."""
--- a/magnoliadyke/duties.py
+++ b/magnoliadyke/duties.py
@@ -18,7 +18,13 @@
 from magnoliadyke import poolduty
 from magnoliadyke import poolstatus
 
-__all__ = ['Demands', 'Duties', 'EngineStatus', 'PoolStatus', 'RoleStatus']
+__all__ = [
+    'Demands',
+    'Duties',
+    'EngineStatus',
+    'PoolStatus',
+    'ShowPoolStatuses',
+]
 
 EngineStatus = poolstatus.EngineStatus
 PoolStatus = poolstatus.PoolStatus
@@ -27,7 +33,7 @@
 #: Nodes that stand for election for one pool. Each of them reads the lease
 #: every second, so their number bounds the calls to the store at any size
 #: of the fleet; with three, two may die together.
-CANDIDATES = 3
+MAX_CANDIDATES = 3
 RELEASE_TIMEOUT_S = 3.0
 
 LOG = logs.get('duties')
@@ -42,11 +48,11 @@
     pools: dict
 
 
-class RoleStatus(mailbox.Ask):
+class ShowPoolStatuses(mailbox.Ask):
     """Ask for the duties; the answer maps pool to :class:`PoolStatus`."""
 
 
-class Release(mailbox.Ask):
+class ReleaseDuties(mailbox.Ask):
     """Give all duties up; answers when that is done.
 
     :param end_s: monotonic time at which to stop waiting for changes
@@ -94,17 +100,17 @@
         self.host = host
         self.rng = rng
         self.incarnation = gossip.incarnation
-        self.lease_store = keyvalue.of_kind(budget.CallKind.LEASE)
-        self.intent_store = keyvalue.of_kind(budget.CallKind.INTENT)
+        self.lease_store = keyvalue.with_call_kind(budget.CallKind.LEASE)
+        self.intent_store = keyvalue.with_call_kind(budget.CallKind.INTENT)
         self.gossip = gossip
         self.configuration = configuration
         self.peers = configuration.peers
         self.view = None
-        self.permitted = False
+        self.has_work_permit = False
         self.members = membership.MembersView({})
         self.release = None
         self.metrics = metrics
-        control_for = control_for or self.http_control
+        control_for = control_for or self.make_http_control
         self.pools = {
             pool.name: poolduty.PoolDuty(
                 pool,
@@ -115,7 +121,7 @@
             if pool.kind == 'model'
         }
 
-    def http_control(self, endpoint):
+    def make_http_control(self, endpoint):
         """Control of an engine of the settings."""
         return enginecontrol.HttpEngineControl(
             endpoint.address, self.host, self.clock
@@ -132,7 +138,7 @@
     def stop(self, deadline_s=5.0):
         """Give the duties up, so that others take them at once."""
         wait_s = min(deadline_s, RELEASE_TIMEOUT_S)
-        release = Release(self.clock.now_s() + wait_s)
+        release = ReleaseDuties(self.clock.now_s() + wait_s)
         try:
             self.ask(release, wait_s + TICK_INTERVAL_S)
         except gevent.Timeout:
@@ -155,33 +161,33 @@
             case table.View():
                 self.view = message
             case configurations.WorkPermit(allowed=allowed):
-                self.permitted = allowed
+                self.has_work_permit = allowed
             case membership.MembersView():
                 self.members = message
             case membership.Paused():
-                self.drop_all()
-            case RoleStatus():
-                self.spawn(lambda: message.reply(self.statuses()))
-            case Release():
+                self.drop_leases()
+            case ShowPoolStatuses():
+                self.spawn(lambda: message.reply(self.pool_statuses()))
+            case ReleaseDuties():
                 self.release = message
             case _:
-                self.take_answer(message)
+                self.handle_answer(message)
 
-    def take_answer(self, message):
+    def handle_answer(self, message):
         """Hand an answer to the duty that waits for it."""
         now_s = self.clock.now_s()
         duty = self.pools[message.pool]
         match message:
             case poolduty.LeaseAnswered():
-                duty.take_lease_answer(message, now_s)
+                duty.handle_lease_answer(message, now_s)
             case poolduty.IntentAnswered():
-                duty.take_intent_answer(message, now_s)
+                duty.handle_intent_answer(message, now_s)
             case poolduty.StateAnswered():
-                duty.take_state_answer(message, now_s)
+                duty.handle_state_answer(message, now_s)
             case poolduty.CommandAnswered():
-                duty.take_command_answer(message, now_s)
+                duty.handle_command_answer(message, now_s)
             case poolduty.WeightsAnswered():
-                duty.take_weights(message, now_s)
+                duty.handle_weights_answer(message, now_s)
 
     def observe(self, pools):
         """Feed the planners."""
@@ -190,7 +196,7 @@
             if name in self.pools:
                 self.pools[name].observe(demand, now_s)
 
-    def drop_all(self):
+    def drop_leases(self):
         """Stop acting at once: this process had stood still.
 
         Its leases may have passed to others meanwhile; whatever it was about
@@ -203,11 +209,11 @@
         """Do what is due for each pool."""
         now_s = self.clock.now_s()
         if self.release is not None:
-            self.release_all(now_s)
+            self.release_leases(now_s)
         for name, duty in self.pools.items():
-            duty.tick(now_s, self.contends(name))
+            duty.tick(now_s, self.is_candidate(name))
 
-    def release_all(self, now_s):
+    def release_leases(self, now_s):
         """Release, wait for the store, then answer."""
         held = [
             duty
@@ -221,9 +227,13 @@
         for duty in held:
             duty.release(in_time)
 
-    def contends(self, pool):
+    def is_candidate(self, pool):
         """Whether this node stands for election for a pool."""
-        if self.release is not None or not self.permitted or self.drains():
+        if (
+            self.release is not None
+            or not self.has_work_permit
+            or self.is_host_out_of_use()
+        ):
             return False
         hosts = {
             member.host
@@ -232,7 +242,7 @@
         }
         return self.host in candidates(pool, hosts)
 
-    def drains(self):
+    def is_host_out_of_use(self):
         """Whether the operators' table takes this host out of use."""
         if self.view is None:
             return True
@@ -240,26 +250,26 @@
 
     # What operators ask.
 
-    def statuses(self):
+    def pool_statuses(self):
         """Status of every pool, from its planner where that is another."""
-        return {name: self.status_of(name) for name in self.pools}
+        return {name: self.pool_status_of(name) for name in self.pools}
 
-    def status_of(self, name):
+    def pool_status_of(self, name):
         """Status of one pool."""
         duty = self.pools[name]
         now_s = self.clock.now_s()
         if duty.lease.held(now_s) is not None:
             return duty.status(now_s)
-        holder, fencing = self.holder_of(duty)
+        holder, fencing = self.fetch_holder(duty)
         member = self.members.members.get(holder)
         alive = member is not None and member.state == membership.ALIVE
         if alive and holder != self.host:
-            status = self.ask_planner(name, member)
+            status = self.fetch_planner_status(name, member)
             if status is not None:
                 return status
         return duty.status(now_s)._replace(holder=holder, fencing=fencing)
 
-    def holder_of(self, duty):
+    def fetch_holder(self, duty):
         """Host that holds the lease and its number, by the store."""
         match self.lease_store.get(duty.key):
             case keyvalues.Found(value=text):
@@ -268,7 +278,7 @@
                 return holder, value.fencing
         return duty.lease.holder() or '', 0
 
-    def ask_planner(self, name, member):
+    def fetch_planner_status(self, name, member):
         """Status of a pool as its planner tells it, None if it doesn't."""
         address = f'{member.address}:{member.peer_port}'
         try:
@@ -297,4 +307,4 @@
     def weight(host):
         return hashlib.blake2b(f'{pool}/{host}'.encode()).digest()
 
-    return sorted(hosts, key=weight)[:CANDIDATES]
+    return sorted(hosts, key=weight)[:MAX_CANDIDATES]
--- a/magnoliadyke/edits.py
+++ b/magnoliadyke/edits.py
@@ -54,7 +54,7 @@
 
     def __init__(self, owner, store, clock):
         self.owner = owner
-        self.store = store.of_kind(budget.CallKind.TABLE_WRITE)
+        self.store = store.with_call_kind(budget.CallKind.TABLE_WRITE)
         self.clock = clock
 
     def write(self, document, store_revision):
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -263,9 +263,9 @@
                 self.take_list(hosts)
                 self.publish(now_s)
             case Survey():
-                self.act(self.membership.survey(now_s))
+                self.execute(self.membership.survey(now_s))
             case Leave(successor=successor):
-                self.act(self.membership.leave(successor, now_s))
+                self.execute(self.membership.leave(successor, now_s))
                 message.reply(True)
 
     def take_list(self, listed):
@@ -341,7 +341,7 @@
         """Drive the protocol's timers."""
         now_s = self.clock.now_s()
         self.publish_uses(self.notices.expire(now_s))
-        self.act(self.membership.tick(now_s))
+        self.execute(self.membership.tick(now_s))
         self.renew_evidence(now_s)
         self.publish(now_s)
 
@@ -359,7 +359,7 @@
         store_out = known.store_age_s(now_s) > store_out_s
         if store_out and now_s >= self.next_renewal_s and not self.quorate():
             self.next_renewal_s = now_s + RENEW_INTERVAL_S
-            self.act(self.membership.survey(now_s))
+            self.execute(self.membership.survey(now_s))
 
     def quorate(self):
         """Whether the evidence of the others will do for a while."""
@@ -382,11 +382,11 @@
             case gossip_codec.Prompts(prompts=prompts):
                 self.prompts.publish(PromptsHeard(prompts))
                 return
-        self.act(self.membership.receive(message, now_s))
+        self.execute(self.membership.receive(message, now_s))
         if isinstance(message, membership.Ack):
             self.publish(now_s)
 
-    def act(self, actions):
+    def execute(self, actions):
         """Carry out what the core decided."""
         for action in actions:
             match action:
--- a/magnoliadyke/keyvalue.py
+++ b/magnoliadyke/keyvalue.py
@@ -130,14 +130,14 @@
     that is down, slow or over its rate.
     """
 
-    def of_kind(self, kind):
+    def with_call_kind(self, kind):
         """Return the same store for calls of another urgency.
 
         :param kind: a :class:`magnoliadyke.core.budget.CallKind`
         """
         return self
 
-    def end_watches(self):
+    def abort_watches(self):
         """Make the waiting watches fail, so that they are begun anew.
 
         For stores whose watches can't go silent there is nothing to do.
@@ -190,7 +190,7 @@
         """Drop all connections."""
 
 
-class Answer(typing.NamedTuple):
+class HttpReply(typing.NamedTuple):
     """Status and decoded body of one HTTP exchange."""
 
     status: int
@@ -215,7 +215,7 @@
             connection_timeout=min(timeout_s, CONNECT_TIMEOUT_S),
             network_timeout=timeout_s,
         )
-        self.permits = 0
+        self.attempts_left = 0
         self.connected = False
         self.socket = None
 
@@ -224,9 +224,9 @@
 
         :raises ConnectionError: at the second try
         """
-        if not self.permits:
+        if not self.attempts_left:
             raise ConnectionError('connection ended before the answer')
-        self.permits -= 1
+        self.attempts_left -= 1
         self.socket = super().get_socket()
         self.connected = True
         return self.socket
@@ -249,7 +249,7 @@
         host, _, port = address.rpartition(':')
         super().__init__(host, port=int(port))
         self.pool = SingleAttemptPool(host, int(port), timeout_s)
-        self.used_s = 0.0
+        self.last_used_s = 0.0
         self._connection_pool = self.pool
 
     def exchange(self, method, path, body, headers, timeout_s):
@@ -260,7 +260,7 @@
         :raises Exception: of any kind; the connection is then closed and
             ``pool.connected`` tells whether a byte may have been sent
         """
-        self.pool.permits = 1
+        self.pool.attempts_left = 1
         self.pool.connected = False
         try:
             with gevent.Timeout(timeout_s, TimeoutError('no answer in time')):
@@ -269,10 +269,12 @@
         except BaseException:
             self.pool.abandon()
             raise
-        return Answer(response.status_code, json.loads(data) if data else {})
+        return HttpReply(
+            response.status_code, json.loads(data) if data else {}
+        )
 
 
-class Health:
+class StoreHealth:
     """Whether the store answers, shared by all kinds of calls."""
 
     def __init__(self):
@@ -299,18 +301,18 @@
             budgets.BudgetSettings(), random.SystemRandom(), clock.now_s()
         )
         self.kind = budgets.CallKind.CLAIMS
-        self.health = Health()
+        self.health = StoreHealth()
         self.headers = {
             'X-Sender': host,
             'Content-Type': 'application/json',
         }
         self.idle = []
-        self.watches = {}
-        self.watching = set()
+        self.idle_watches = {}
+        self.active_watches = set()
         self.counts = collections.Counter()
         self.failures = collections.Counter()
 
-    def of_kind(self, kind):
+    def with_call_kind(self, kind):
         """Share connections, counts and budget under another urgency."""
         other = copy.copy(self)
         other.kind = kind
@@ -329,74 +331,74 @@
     def get(self, key):
         """Read one key."""
         outcome = self.call('get', 'GET', self.path('kv', key))
-        return self.read_item(outcome)
+        return self.item_outcome(outcome)
 
     def put(self, key, value, if_revision=None, lease=None):
         """Write one key, if it has the expected revision."""
         body = {'value': value, 'if_revision': if_revision, 'lease': lease}
         outcome = self.call('put', 'PUT', self.path('kv', key), body)
-        return self.read_write(outcome)
+        return self.write_outcome(outcome)
 
     def delete(self, key, if_revision=None):
         """Remove one key, if it has the expected revision."""
         path = self.path('kv', key)
         if if_revision is not None:
             path += f'?if_revision={if_revision}'
-        return self.read_write(self.call('delete', 'DELETE', path))
+        return self.write_outcome(self.call('delete', 'DELETE', path))
 
     def list_prefix(self, prefix):
         """Read all keys under a prefix of this deployment."""
         query = parse.quote(self.prefix + prefix, safe='')
         outcome = self.call('list', 'GET', f'/kv?prefix={query}')
         match outcome:
-            case Answer(status, body) if status == STATUS_OK:
+            case HttpReply(status, body) if status == STATUS_OK:
                 return Items(tuple(self.item(each) for each in body['items']))
-        return self.read_item(outcome)
+        return self.item_outcome(outcome)
 
     def watch(self, key, after, wait_s):
         """Wait for the key's revision to pass ``after``."""
         path = f'{self.path("watch", key)}?after={after}&wait_s={wait_s:g}'
-        connection = self.watches.pop(key, None)
+        connection = self.idle_watches.pop(key, None)
         timeout_s = wait_s + WATCH_GRACE_S
         if connection is None:
             connection = Connection(self.address, timeout_s)
-        self.watching.add(connection)
+        self.active_watches.add(connection)
         outcome = self.call_on(
             connection, 'watch', 'GET', path, timeout_s=timeout_s
         )
-        self.watching.discard(connection)
+        self.active_watches.discard(connection)
         match outcome:
-            case Answer():
-                self.watches[key] = connection
+            case HttpReply():
+                self.idle_watches[key] = connection
         match outcome:
-            case Answer(status) if status == STATUS_UNCHANGED:
+            case HttpReply(status) if status == STATUS_UNCHANGED:
                 return Unchanged()
-        return self.read_item(outcome)
+        return self.item_outcome(outcome)
 
     def grant_lease(self, ttl_s):
         """Ask for a new lease."""
         outcome = self.call('lease', 'POST', '/leases', {'ttl_s': ttl_s})
-        return self.read_lease(outcome)
+        return self.lease_outcome(outcome)
 
     def keep_alive(self, lease):
         """Renew a lease."""
         path = f'/leases/{parse.quote(lease, safe="")}/keepalive'
-        return self.read_lease(self.call('keepalive', 'POST', path, {}))
+        return self.lease_outcome(self.call('keepalive', 'POST', path, {}))
 
     def revoke(self, lease):
         """End a lease and remove its keys."""
         path = f'/leases/{parse.quote(lease, safe="")}'
         outcome = self.call('revoke', 'DELETE', path)
         match outcome:
-            case Answer(status) if status == STATUS_OK:
+            case HttpReply(status) if status == STATUS_OK:
                 return Stored(0)
-        return self.read_write(outcome)
+        return self.write_outcome(outcome)
 
     def close(self):
         """Drop all connections."""
-        self.drop_idle()
-        while self.watches:
-            _, connection = self.watches.popitem()
+        self.close_idle_connections()
+        while self.idle_watches:
+            _, connection = self.idle_watches.popitem()
             connection.pool.abandon()
 
     def path(self, root, key):
@@ -408,61 +410,61 @@
         key = body['key'].removeprefix(self.prefix)
         return Found(key, body['value'], body['revision'])
 
-    def read_item(self, outcome):
+    def item_outcome(self, outcome):
         """Typed outcome of a read."""
         match outcome:
-            case Answer(status, body) if status == STATUS_OK:
+            case HttpReply(status, body) if status == STATUS_OK:
                 return self.item(body)
-            case Answer(status) if status == STATUS_NOT_FOUND:
+            case HttpReply(status) if status == STATUS_NOT_FOUND:
                 return Absent()
-            case Answer(status):
+            case HttpReply(status):
                 return Unavailable(f'status {status}')
         return outcome
 
-    def read_write(self, outcome):
+    def write_outcome(self, outcome):
         """Typed outcome of a write."""
         match outcome:
-            case Answer(status, body) if status == STATUS_OK:
+            case HttpReply(status, body) if status == STATUS_OK:
                 return Stored(body['revision'])
-            case Answer(status) if status == STATUS_NOT_FOUND:
+            case HttpReply(status) if status == STATUS_NOT_FOUND:
                 return Absent()
-            case Answer(status, body) if status == STATUS_CONFLICT:
+            case HttpReply(status, body) if status == STATUS_CONFLICT:
                 return Conflict(body['revision'], body.get('value'))
-            case Answer(status) if status == STATUS_TOO_LARGE:
+            case HttpReply(status) if status == STATUS_TOO_LARGE:
                 return Unavailable('value too large; remove rows')
-            case Answer(status):
+            case HttpReply(status):
                 return Unavailable(f'status {status}', maybe_applied=True)
         return outcome
 
-    def read_lease(self, outcome):
+    def lease_outcome(self, outcome):
         """Typed outcome of a lease call."""
         match outcome:
-            case Answer(status, body) if status == STATUS_OK:
+            case HttpReply(status, body) if status == STATUS_OK:
                 return Granted(body['lease'], float(body['ttl_s']))
-            case Answer(status) if status == STATUS_NOT_FOUND:
+            case HttpReply(status) if status == STATUS_NOT_FOUND:
                 return Absent()
-            case Answer(status):
+            case HttpReply(status):
                 return Unavailable(f'status {status}', maybe_applied=True)
         return outcome
 
     def call(self, kind, method, path, body=None):
         """Exchange on an idle connection, or on a new one."""
-        connection = self.take_idle() or Connection(self.address)
+        connection = self.pop_idle_connection() or Connection(self.address)
         outcome = self.call_on(connection, kind, method, path, body)
         match outcome:
-            case Answer() if len(self.idle) < MAX_IDLE_CONNECTIONS:
-                connection.used_s = self.clock.now_s()
+            case HttpReply() if len(self.idle) < MAX_IDLE_CONNECTIONS:
+                connection.last_used_s = self.clock.now_s()
                 self.idle.append(connection)
             case _:
                 connection.pool.abandon()
         return outcome
 
-    def take_idle(self):
+    def pop_idle_connection(self):
         """Return an idle connection that was used lately, or None."""
         oldest_s = self.clock.now_s() - MAX_IDLE_S
         while self.idle:
             connection = self.idle.pop()
-            if connection.used_s >= oldest_s:
+            if connection.last_used_s >= oldest_s:
                 return connection
             connection.pool.abandon()
         return None
@@ -488,10 +490,10 @@
                 method, path, data, self.headers, timeout_s
             )
         except (OSError, ValueError, responses.HTTPParseError) as error:
-            return self.failed(connection, kind, method, error)
-        return self.answered(kind, answer)
+            return self.record_failure(connection, kind, method, error)
+        return self.record_reply(kind, answer)
 
-    def answered(self, kind, answer):
+    def record_reply(self, kind, answer):
         """Note that the store answered, if only to refuse."""
         now_s = self.clock.now_s()
         self.health.last_answer_s = now_s
@@ -503,7 +505,7 @@
         self.budget.succeeded(self.kind, now_s)
         return answer
 
-    def failed(self, connection, kind, method, error):
+    def record_failure(self, connection, kind, method, error):
         """Count a failure and suspect the sibling connections.
 
         When something between the two ends forgets one connection it has
@@ -515,19 +517,19 @@
         if self.health.failing_since_s is None:
             self.health.failing_since_s = now_s
         self.budget.failed(self.kind, now_s)
-        self.drop_idle()
+        self.close_idle_connections()
         if isinstance(error, TimeoutError):
-            self.end_watches()
+            self.abort_watches()
         sent = connection.pool.connected
         reason = f'{type(error).__name__}: {error}'
         return Unavailable(reason, maybe_applied=sent and method != 'GET')
 
-    def end_watches(self):
+    def abort_watches(self):
         """Close the connections of the waiting watches."""
-        for connection in self.watching:
+        for connection in self.active_watches:
             connection.pool.abandon()
 
-    def drop_idle(self):
+    def close_idle_connections(self):
         """Close the idle connections."""
         while self.idle:
             self.idle.pop().pool.abandon()
--- a/magnoliadyke/overview.py
+++ b/magnoliadyke/overview.py
@@ -172,7 +172,9 @@
 
 
 def _pools(node):
-    return adminerrors.ask(node.duties, duties.RoleStatus(), READ_TIMEOUT_S)
+    return adminerrors.ask(
+        node.duties, duties.ShowPoolStatuses(), READ_TIMEOUT_S
+    )
 
 
 def roles(node):
--- a/magnoliadyke/peer.py
+++ b/magnoliadyke/peer.py
@@ -168,7 +168,7 @@
         self.clock = clock
         self.handle = connect(address)
         self.client = Peer.Client(protocol_over(self.handle))
-        self.used_s = clock.now_s()
+        self.last_used_s = clock.now_s()
 
     def call(self, name, *arguments, timeout_s=CALL_TIMEOUT_S):
         """Call the peer; any failure closes the connection.
@@ -181,7 +181,7 @@
         except BaseException:
             self.handle.close()
             raise
-        self.used_s = self.clock.now_s()
+        self.last_used_s = self.clock.now_s()
         return reply
 
     def usable(self):
@@ -191,7 +191,7 @@
         would wait out its whole timeout. A probe with a short one finds out
         first, and the call then goes over a new connection.
         """
-        if self.clock.now_s() - self.used_s < PROBE_AFTER_S:
+        if self.clock.now_s() - self.last_used_s < PROBE_AFTER_S:
             return True
         try:
             self.call('probe', constants.VERSION, timeout_s=PROBE_TIMEOUT_S)
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -105,10 +105,10 @@
             settings.retry_extra,
             settings.retry_window_s,
         )
-        self.own = self._own_record()
+        self.own_record = self._own_record()
         first_port = settings.peer_ports[0]
         self.members = members.Members(
-            self.own, self.store, clock, rng, settings.link_mbps
+            self.own_record, self.store, clock, rng, settings.link_mbps
         )
         self.placer = placementservice.PlacementService(
             settings.ip,
@@ -119,7 +119,7 @@
             settings.link_mbps,
         )
         self.leadership = leadership.Leadership(
-            self.own,
+            self.own_record,
             self.members,
             self.placer,
             self.store,
@@ -277,7 +277,7 @@
                 asked.usage_window_s, asked.usage_due_s
             )
         usage = usageduty.UsageDuty(
-            (self.own.host, self.own.incarnation),
+            (self.own_record.host, self.own_record.incarnation),
             windows,
             self.leadership,
             self.members,
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -21,18 +21,18 @@
 #: Longest wait for what runs on an engine to end before its change.
 DRAIN_TIMEOUT_S = 8.0
 #: Requests that were on their way when the notice went out arrive meanwhile.
-LEAST_DRAIN_S = 0.5
+MIN_DRAIN_S = 0.5
 DRAIN_POLL_S = 0.25
 #: A notice lapses after this long unless it is repeated.
-NOTICE_S = 5.0
+NOTICE_TTL_S = 5.0
 NOTICE_INTERVAL_S = 1.0
 PLAN_INTERVAL_S = 1.0
 #: A role is short for this long before an engine is moved to it; an engine
 #: that crashed may be back by then.
-SHORT_FOR_S = 3.0
-CHANGES_KEPT = 50
-WEIGHTS_TIMEOUT_S = 2.0
-WEIGHTS_RETRY_S = 2.0
+SHORTAGE_DELAY_S = 3.0
+MAX_RECENT_CHANGES = 50
+WEIGHT_STORE_TIMEOUT_S = 2.0
+WEIGHT_STORE_RETRY_S = 2.0
 
 LOG = logs.get('duties')
 
@@ -95,19 +95,19 @@
         self.reading = None
         self.read_s = None
         self.draining_since_s = None
-        self.out_of_use = False
+        self.is_out_of_use = False
         self.next_drain_poll_s = 0.0
         self.next_notice_s = 0.0
         self.next_load_s = 0.0
 
-    def take_reading(self, reading, now_s):
+    def record_reading(self, reading, now_s):
         """Keep what the engine said of itself."""
         self.reading = reading
         if reading is not None:
             self.read_s = now_s
             self.role = reading.state.role
 
-    def astray(self):
+    def is_in_unintended_role(self):
         """Whether the engine is in another role than was last intended.
 
         It will be told to go back. A planner that took its role for real
@@ -146,14 +146,14 @@
             each.name: Engine(each, controls[each.name])
             for each in pool.endpoints
         }
-        self.weights = endpoint.Connections(
+        self.weight_store = endpoint.Connections(
             settings.weight_store.address, task.clock, endpoint.DEFAULTS
         )
-        self.changes = collections.deque(maxlen=CHANGES_KEPT)
+        self.changes = collections.deque(maxlen=MAX_RECENT_CHANGES)
         self.highest_fencing = 0
         self.next_plan_s = 0.0
         self.short_since_s = None
-        self.holding = False
+        self.holds_lease = False
 
     # Time.
 
@@ -166,39 +166,39 @@
             int(self.task.clock.wall_s() * 1000), self.highest_fencing + 1
         )
         for action in self.lease.tick(now_s, contending, floor):
-            self.call_store_for_lease(action)
+            self.spawn_lease_call(action)
         authority = self.lease.held(now_s)
-        self.note_holding(authority)
+        self.log_lease_change(authority)
         for engine in self.engines.values():
             self.tick_engine(engine, now_s, authority)
         if authority is not None and now_s >= self.next_plan_s:
             self.next_plan_s = now_s + PLAN_INTERVAL_S
             self.plan(now_s)
 
-    def note_holding(self, authority):
+    def log_lease_change(self, authority):
         """Log when the duty is taken or lost."""
-        holding = authority is not None
-        if holding != self.holding:
-            self.holding = holding
+        holds_lease = authority is not None
+        if holds_lease != self.holds_lease:
+            self.holds_lease = holds_lease
             LOG.event(
-                'duty_taken' if holding else 'duty_lost',
+                'duty_taken' if holds_lease else 'duty_lost',
                 pool=self.name,
-                fencing=authority.fencing if holding else 0,
+                fencing=authority.fencing if holds_lease else 0,
             )
 
     def tick_engine(self, engine, now_s, authority):
         """Drive the commands of one engine."""
-        if self.row_state(engine) == 'withdrawn':
+        if self.table_state(engine) == 'withdrawn':
             return
         for action in engine.commands.tick(now_s, authority):
-            self.act(engine, action, now_s)
+            self.execute(engine, action, now_s)
         if authority is None:
             engine.draining_since_s = None
-            engine.out_of_use = False
+            engine.is_out_of_use = False
             return
-        if engine.out_of_use and now_s >= engine.next_notice_s:
+        if engine.is_out_of_use and now_s >= engine.next_notice_s:
             engine.next_notice_s = now_s + NOTICE_INTERVAL_S
-            self.announce(engine, changing=True)
+            self.send_notice(engine, changing=True)
         if engine.draining_since_s is not None:
             self.drain(engine, now_s)
         if engine.commands.is_superseded:
@@ -206,7 +206,7 @@
             self.highest_fencing = max(self.highest_fencing, heard)
             self.lease.release()
 
-    def row_state(self, engine):
+    def table_state(self, engine):
         """State of the engine in the operators' table."""
         view = self.task.view
         return view.endpoint(engine.name).state if view is not None else 'in'
@@ -232,26 +232,26 @@
             row.planning,
         )
         change = self.planner.plan(state, now_s)
-        change = self.shortage(state, now_s) or change
+        change = self.change_for_shortage(state, now_s) or change
         if change is not None:
-            self.begin(change)
+            self.start_role_change(change)
         else:
             self.load_models(now_s)
 
-    def shortage(self, state, now_s):
+    def change_for_shortage(self, state, now_s):
         """Return the change that ends a lack of engines in a role.
 
         The planner never goes below the least numbers of the table, but an
         engine that dies, or an operator who raises a number, does. This
         holds with planning off as well: it is how operators ask for roles.
         """
-        change = change_for_minimum(state)
+        change = change_to_minimum(state)
         if change is None:
             self.short_since_s = None
             return None
         if self.short_since_s is None:
             self.short_since_s = now_s
-        if now_s - self.short_since_s < SHORT_FOR_S:
+        if now_s - self.short_since_s < SHORTAGE_DELAY_S:
             return None
         self.planner.reason = f'too few engines in role {change.role}'
         return change
@@ -262,10 +262,14 @@
         active = reading.active if reading is not None else 0
         read_s = engine.read_s if engine.read_s is not None else -1e9
         return roles.EngineView(
-            engine.name, engine.role, self.state_of(engine), active, read_s
+            engine.name,
+            engine.role,
+            self.planner_state(engine),
+            active,
+            read_s,
         )
 
-    def state_of(self, engine):
+    def planner_state(self, engine):
         """Whether the planner may count on the engine."""
         reading = engine.reading
         if engine.commands.under_way:
@@ -274,20 +278,20 @@
             return 'changing'
         if reading is None:
             return 'away'
-        if reading.state.changing or engine.astray():
+        if reading.state.changing or engine.is_in_unintended_role():
             return 'changing'
-        if self.row_state(engine) != 'in' or not reading.takes_work:
+        if self.table_state(engine) != 'in' or not reading.takes_work:
             return 'leaving'
         return 'in'
 
-    def begin(self, change):
+    def start_role_change(self, change):
         """Begin a role change, unless the pool would fall short."""
         row = self.task.view.pool(self.name)
         engine = self.engines[change.endpoint]
         working = [
             each.role
             for each in self.engines.values()
-            if self.state_of(each) == 'in'
+            if self.planner_state(each) == 'in'
         ]
         kept = commands.keeps_minimum(
             working, engine.role, row.min_prefill, row.min_decode
@@ -311,21 +315,21 @@
         """
         for engine in self.engines.values():
             missing = (
-                self.state_of(engine) == 'in'
+                self.planner_state(engine) == 'in'
                 and self.pool.model not in engine.reading.state.models
             )
             if missing and now_s >= engine.next_load_s:
-                engine.next_load_s = now_s + 2 * WEIGHTS_TIMEOUT_S
-                self.task.spawn(lambda e=engine: self.ask_weight_store(e))
+                engine.next_load_s = now_s + 2 * WEIGHT_STORE_TIMEOUT_S
+                self.task.spawn(lambda e=engine: self.request_load_permit(e))
                 return
 
-    def ask_weight_store(self, engine):
+    def request_load_permit(self, engine):
         """Ask the weight store for the bytes of one load."""
         body = json.dumps({'bytes': self.pool.model_bytes}).encode()
-        granted, retry_after_s = False, WEIGHTS_RETRY_S
+        granted, retry_after_s = False, WEIGHT_STORE_RETRY_S
         try:
-            reply = self.weights.call(
-                'POST', '/tokens', body, (), WEIGHTS_TIMEOUT_S
+            reply = self.weight_store.call(
+                'POST', '/tokens', body, (), WEIGHT_STORE_TIMEOUT_S
             )
             granted = reply.status == enginecontrol.STATUS_OK
             if not granted:
@@ -336,7 +340,7 @@
             WeightsAnswered(self.name, engine.name, granted, retry_after_s)
         )
 
-    def take_weights(self, answer, now_s):
+    def handle_weights_answer(self, answer, now_s):
         """Begin the load, or wait."""
         engine = self.engines[answer.engine]
         engine.next_load_s = now_s + answer.retry_after_s
@@ -348,7 +352,7 @@
 
     # Actions of the core.
 
-    def act(self, engine, action, now_s):
+    def execute(self, engine, action, now_s):
         """Carry out one action for an engine."""
         match action:
             case commands.ReadState():
@@ -364,15 +368,15 @@
                     lambda: self.send_command(engine, command, deadline_s)
                 )
             case commands.Prepare(change):
-                self.prepare(engine, change, now_s)
+                self.take_out_of_use(engine, change, now_s)
             case commands.Settled(change, generation, corrected):
-                self.settled(engine, change, generation, corrected)
+                self.handle_settled(engine, change, generation, corrected)
             case commands.ChangeFailed(change, reason):
-                self.gave_up(engine, change, reason)
+                self.handle_change_failed(engine, change, reason)
 
-    def settled(self, engine, change, generation, corrected):
+    def handle_settled(self, engine, change, generation, corrected):
         """A change is done; give the engine back to use."""
-        self.give_back(engine)
+        self.return_to_use(engine)
         LOG.event(
             'engine_settled',
             engine=engine.name,
@@ -389,9 +393,9 @@
                     self.name, engine.name, change.target
                 )
 
-    def gave_up(self, engine, change, reason):
+    def handle_change_failed(self, engine, change, reason):
         """A change failed; give the engine back to use."""
-        self.give_back(engine)
+        self.return_to_use(engine)
         LOG.warning_event(
             'engine_change_failed',
             engine=engine.name,
@@ -400,33 +404,33 @@
             reason=reason,
         )
 
-    def give_back(self, engine):
+    def return_to_use(self, engine):
         """Let all nodes place work on the engine again."""
         engine.draining_since_s = None
-        engine.out_of_use = False
-        self.announce(engine, changing=False)
+        engine.is_out_of_use = False
+        self.send_notice(engine, changing=False)
 
-    def announce(self, engine, changing):
+    def send_notice(self, engine, changing):
         """Tell all nodes whether to place work on the engine."""
         authority = self.lease.authority
         if authority is not None:
             notice = notices.EngineNotice(
-                engine.name, authority.fencing, changing, NOTICE_S
+                engine.name, authority.fencing, changing, NOTICE_TTL_S
             )
             self.task.gossip.post(gossip.Announce(notice))
 
     # Draining.
 
-    def prepare(self, engine, change, now_s):
+    def take_out_of_use(self, engine, change, now_s):
         """Take the engine out of use before a role change."""
         if change.kind != 'role':
             for action in engine.commands.record_engine_drained(now_s):
-                self.act(engine, action, now_s)
+                self.execute(engine, action, now_s)
             return
         engine.draining_since_s = now_s
-        engine.out_of_use = True
+        engine.is_out_of_use = True
         engine.next_notice_s = now_s
-        engine.next_drain_poll_s = now_s + LEAST_DRAIN_S
+        engine.next_drain_poll_s = now_s + MIN_DRAIN_S
 
     def drain(self, engine, now_s):
         """Wait until nothing runs on the engine, then go on.
@@ -441,21 +445,21 @@
         reading = engine.reading
         read_since = (
             engine.read_s is not None
-            and engine.read_s - engine.draining_since_s > LEAST_DRAIN_S
+            and engine.read_s - engine.draining_since_s > MIN_DRAIN_S
         )
         empty = read_since and reading is not None and reading.active == 0
         if empty or waited_s > DRAIN_TIMEOUT_S:
             engine.draining_since_s = None
             for action in engine.commands.record_engine_drained(now_s):
-                self.act(engine, action, now_s)
+                self.execute(engine, action, now_s)
 
     # Calls that wait; each runs in a greenlet of its own.
 
-    def call_store_for_lease(self, action):
+    def spawn_lease_call(self, action):
         """Make the lease's next call to the store."""
-        self.task.spawn(lambda: self.lease_call(action))
+        self.task.spawn(lambda: self.make_lease_call(action))
 
-    def lease_call(self, action):
+    def make_lease_call(self, action):
         """Call the store for the lease."""
         store = self.task.lease_store
         match action:
@@ -485,7 +489,7 @@
             LOG.repeated('engine_away', engine.name, error=str(error))
             reading = None
         if polled:
-            engine.take_reading(reading, self.task.clock.now_s())
+            engine.record_reading(reading, self.task.clock.now_s())
             return
         self.task.post(StateAnswered(self.name, engine.name, reading))
 
@@ -507,7 +511,7 @@
 
     # Answers.
 
-    def take_lease_answer(self, answer, now_s):
+    def handle_lease_answer(self, answer, now_s):
         """Tell the lease what the store answered."""
         match answer.outcome:
             case keyvalue.Stored(revision):
@@ -523,7 +527,7 @@
             case _:
                 self.lease.write_unknown(now_s)
 
-    def take_intent_answer(self, answer, now_s):
+    def handle_intent_answer(self, answer, now_s):
         """Tell the engine's commands what the store answered."""
         engine = self.engines[answer.engine]
         match answer.outcome:
@@ -537,19 +541,19 @@
                 actions = engine.commands.intent_read(now_s, 0, None)
             case _:
                 actions = engine.commands.intent_failed(now_s)
-        self.act_all(engine, actions, now_s)
+        self.execute_all(engine, actions, now_s)
 
-    def take_state_answer(self, answer, now_s):
+    def handle_state_answer(self, answer, now_s):
         """Tell the engine's commands what the engine said."""
         engine = self.engines[answer.engine]
-        engine.take_reading(answer.reading, now_s)
+        engine.record_reading(answer.reading, now_s)
         if answer.reading is None:
             actions = engine.commands.state_failed(now_s)
         else:
             actions = engine.commands.state_read(now_s, answer.reading.state)
-        self.act_all(engine, actions, now_s)
+        self.execute_all(engine, actions, now_s)
 
-    def take_command_answer(self, answer, now_s):
+    def handle_command_answer(self, answer, now_s):
         """Tell the engine's commands what became of a command."""
         engine = self.engines[answer.engine]
         match answer.verdict:
@@ -559,16 +563,16 @@
                 )
             case _:
                 actions = engine.commands.command_unknown(now_s)
-        self.act_all(engine, actions, now_s)
+        self.execute_all(engine, actions, now_s)
 
-    def act_all(self, engine, actions, now_s):
+    def execute_all(self, engine, actions, now_s):
         """Carry out several actions for an engine."""
         for action in actions:
-            self.act(engine, action, now_s)
+            self.execute(engine, action, now_s)
 
     # Ending and telling.
 
-    def under_way(self):
+    def has_change_in_progress(self):
         """Whether a command relies on the lease at this moment."""
         return any(each.commands.under_way for each in self.engines.values())
 
@@ -581,7 +585,7 @@
         """
         if not in_time:
             self.lease.drop()
-        elif not self.under_way():
+        elif not self.has_change_in_progress():
             self.lease.release()
 
     def status(self, now_s):
@@ -612,12 +616,12 @@
 
     def close(self):
         """Drop idle connections."""
-        self.weights.close()
+        self.weight_store.close()
         for engine in self.engines.values():
             engine.control.close()
 
 
-def change_for_minimum(state):
+def change_to_minimum(state):
     """Return the role change that a pool below its least numbers needs.
 
     :param state: :class:`magnoliadyke.core.roles.PoolState`
--- a/magnoliadyke/tablewatch.py
+++ b/magnoliadyke/tablewatch.py
@@ -38,7 +38,7 @@
 
     def __init__(self, owner, store, clock):
         self.owner = owner
-        self.store = store.of_kind(budget.CallKind.TABLE_READ)
+        self.store = store.with_call_kind(budget.CallKind.TABLE_READ)
         self.clock = clock
         self.busy = False
 
@@ -74,7 +74,7 @@
 
     def __init__(self, owner, store, clock, rng):
         self.owner = owner
-        self.store = store.of_kind(budget.CallKind.WATCH)
+        self.store = store.with_call_kind(budget.CallKind.WATCH)
         self.reader = TableReader(owner, store, clock)
         self.clock = clock
         self.rng = rng
--- a/tests/fakenode.py
+++ b/tests/fakenode.py
@@ -86,7 +86,7 @@
     )
     engine = duties.EngineStatus(ENGINE, 'decode', 'prefill', 3, True, 999.0)
     change = (1.7e9, ENGINE, 'prefill')
-    node.duties.answers[duties.RoleStatus] = {
+    node.duties.answers[duties.ShowPoolStatuses] = {
         'lease-model': duties.PoolStatus(
             'lease-model', HOST, 5, (engine,), (change,)
         )
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -294,7 +294,7 @@
     press(fleet, 40, prefill=0.3, decode=2.6)
     (holder,) = holders(fleet)
     for name, node in fleet.nodes.items():
-        ask = duties.RoleStatus()
+        ask = duties.ShowPoolStatuses()
         node.duties.post(ask)
         fleet.run(0.1)
         status = ask.result.get()[POOL]
@@ -306,6 +306,6 @@
 def test_few_stand_for_election_and_a_loss_moves_one_place():
     hosts = {f'h{index}' for index in range(420)}
     chosen = duties.candidates('p', hosts)
-    assert len(chosen) == duties.CANDIDATES
+    assert len(chosen) == duties.MAX_CANDIDATES
     after = duties.candidates('p', hosts - {chosen[0]})
     assert after[:2] == chosen[1:]
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -164,7 +164,7 @@
 def test_others_that_know_no_more_change_nothing(world, clock):
     node = world.nodes[0]
     node.follower.record_peer_position(
-        world.nodes[1].own.host, later(node, 1000)
+        world.nodes[1].own_record.host, later(node, 1000)
     )
     advance_until(
         clock, lambda: node.follower.catch_up.caught_up['nobody'] > 0
--- a/tests/test_gateway_leadership.py
+++ b/tests/test_gateway_leadership.py
@@ -61,7 +61,7 @@
     )
     (leader,) = [n for n in others if n.leadership.lease is not None]
     gatewayworld.wait_for(
-        lambda: first.placer.leader == leader.own.address, 'word of it'
+        lambda: first.placer.leader == leader.own_record.address, 'word of it'
     )
     assert not first.placer.leading
     assert not first.leadership.may_order()
@@ -162,8 +162,8 @@
     second.leadership.handle_announcement(
         word._replace(host='old', position=position.Position(1, 1))
     )
-    assert second.leadership.holder == first.own.host
-    assert second.placer.leader == first.own.address
+    assert second.leadership.holder == first.own_record.host
+    assert second.placer.leader == first.own_record.address
 
 
 def test_leader_that_comes_first_is_not_replaced(world):
@@ -189,7 +189,7 @@
     second.store.grant = slow_grant
     contender._acquire()
     assert contender.lease is None
-    assert contender.holder == first.own.host
+    assert contender.holder == first.own_record.host
     assert first.leadership.fencing == fencing
 
 
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -169,11 +169,11 @@
     world.endpoint('p1')
     node = world.node()
     gatewayworld.wait_for(
-        lambda: node.own.key in world.store.items, 'the own key'
+        lambda: node.own_record.key in world.store.items, 'the own key'
     )
-    world.store.remove(node.own.key)
+    world.store.remove(node.own_record.key)
     gatewayworld.wait_for(
-        lambda: node.own.key in world.store.items, 'the key again'
+        lambda: node.own_record.key in world.store.items, 'the key again'
     )
 
 
@@ -192,8 +192,8 @@
     dead, left = (first, second) if first.placer.leading else (second, first)
     gatewayworld.wait_for(
         lambda: (
-            left.leadership.holder == dead.own.host
-            and dead.own.host in left.members.membership.members
+            left.leadership.holder == dead.own_record.host
+            and dead.own_record.host in left.members.membership.members
         ),
         'the word of the leader',
     )
--- a/tests/test_gateway_restart.py
+++ b/tests/test_gateway_restart.py
@@ -108,9 +108,11 @@
     gatewayworld.wait_for(lambda: first.placer.leading, 'the holder again')
     node = world.start_again(other)
     led = node.leadership
-    gatewayworld.wait_for(lambda: led.holder == first.own.host, 'its word')
+    gatewayworld.wait_for(
+        lambda: led.holder == first.own_record.host, 'its word'
+    )
     led.greenlet.kill()
-    node.members.membership.members.pop(first.own.host, None)
+    node.members.membership.members.pop(first.own_record.host, None)
     node.members.membership._view = None
     now_s = node.clock.now_s()
     node.placer.leader_retry_at_s = now_s + 60
@@ -134,9 +136,9 @@
     )
     leader, other = sorted(nodes, key=lambda each: not each.placer.leading)
     met = leader.members.membership.members
-    met.pop(other.own.host, None)
+    met.pop(other.own_record.host, None)
     leader.members.membership._view = None
-    assert leader.members.reachable_addresses() == [other.own.address]
+    assert leader.members.reachable_addresses() == [other.own_record.address]
     word = leader.leadership._announcement()
     later = _next_term(word)
     leader._broadcast(later)
@@ -158,7 +160,7 @@
     )
     leader, other = sorted(nodes, key=lambda each: not each.placer.leading)
     gatewayworld.wait_for(
-        lambda: other.placer.leader == leader.own.address, 'the holder'
+        lambda: other.placer.leader == leader.own_record.address, 'the holder'
     )
     other.placer.leader_retry_at_s = other.clock.now_s() + 60.0
     word = leader.leadership._announcement()
--- a/tests/test_keyupdates.py
+++ b/tests/test_keyupdates.py
@@ -256,7 +256,7 @@
     # It tells the others nothing, like one of another failure domain.
     node.members.send_updates = lambda address, told: None
     test_follower.leave_while_cut_off(world, clock, node)
-    others = [n.own for n in listening(world) if n is not node]
+    others = [n.own_record for n in listening(world) if n is not node]
     assert others
     node.members.peers = lambda first: [
         f'{each.address}:{each.gossip_port}' for each in others
--- a/tests/test_keyvalue.py
+++ b/tests/test_keyvalue.py
@@ -135,7 +135,7 @@
     assert isinstance(store.get('a'), keyvalue.Unavailable)
     assert isinstance(store.get('a'), keyvalue.RateLimited)
     assert len(server.requests) == 1
-    leases = store.of_kind(budget.CallKind.LEASE)
+    leases = store.with_call_kind(budget.CallKind.LEASE)
     assert leases.get('a') == keyvalue.Absent()
     assert store.failing_since_s is None
     assert store.counts == {'get': 2}
--- a/tests/test_overview.py
+++ b/tests/test_overview.py
@@ -60,7 +60,7 @@
     """Two tasks do not answer; the rest of the status is shown."""
     node = fakenode.make()
     node.dispatcher.answers[dispatch.TakeSnapshot] = gevent.Timeout(1)
-    node.duties.answers[duties.RoleStatus] = gevent.Timeout(1)
+    node.duties.answers[duties.ShowPoolStatuses] = gevent.Timeout(1)
     client = fakenode.client(node)
     body = client.simulate_get('/admin/status').json
     assert body['members'] and 'no answer' in body['leases'][0]['holder']
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -192,13 +192,13 @@
         lambda: all(n.follower.lag.own_position.era == 2 for n in others),
     )
     gone = store.Removed('servers/p1', lost)
-    told = placement_codec.KeyUpdates(old.own.host, lost, lost, (gone,))
+    told = placement_codec.KeyUpdates(old.own_record.host, lost, lost, (gone,))
     for node in others:
         node.follower.listening = True
         updated_s = node.follower.updated_s
         node.follower.apply_updates(told)
         assert node.follower.updated_s == updated_s
-        node.follower.record_peer_position(old.own.host, lost)
+        node.follower.record_peer_position(old.own_record.host, lost)
         state = peerstate.fetch(
             f'{old.own.address}:{old.own.gossip_port}',
             node.follower.lag.own_position,
@@ -207,7 +207,7 @@
         node.members.peers = lambda first: [
             f'{old.own.address}:{old.own.gossip_port}'
         ]
-        assert not node.follower.catch_up.fetch_from_peers(old.own.host)
+        assert not node.follower.catch_up.fetch_from_peers(old.own_record.host)
         del node.members.peers
         assert node.follower.lag.behind(clock.now_s() + 9.0) is None
         assert 'p1' in node.catalog.endpoints
@@ -241,7 +241,7 @@
     assert leader(world) is present
     assert present.leadership.fencing > fencing
     assert all(
-        n.placer.leader == present.own.address
+        n.placer.leader == present.own_record.address
         for n in world.nodes
         if n is not present
     )
@@ -307,7 +307,7 @@
     world.configure()
     for each in world.endpoints.values():
         world.list(each)
-    keys = {n.own.key for n in world.nodes}
+    keys = {n.own_record.key for n in world.nodes}
     took_s = advance_until(clock, lambda: keys <= world.store.items.keys())
     assert took_s < members.RESTORED_SPREAD_S + BOUND_S
     assert all(n._is_ready() for n in world.nodes)
--- a/tests/test_tablewatch.py
+++ b/tests/test_tablewatch.py
@@ -17,7 +17,7 @@
         self.script = list(script)
         self.calls = []
 
-    def of_kind(self, kind):
+    def with_call_kind(self, kind):
         return self
 
     def get(self, key):
