--- a/magnoliadyke/keyvalue.py
+++ b/magnoliadyke/keyvalue.py
@@ -256,7 +256,7 @@
         """Send one request and read its whole answer.
 
         :param timeout_s: for all of it, in seconds
-        :return: :class:`Answer`
+        :return: :class:`HttpReply`
         :raises Exception: of any kind; the connection is then closed and
             ``pool.connected`` tells whether a byte may have been sent
         """
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -253,7 +253,7 @@
     """Values that the asker has seen are left out, keys are not."""
     node = world.nodes[0]
     own = node.follower.state(position.START)
-    address = f'{node.own.address}:{node.own.gossip_port}'
+    address = f'{node.own_record.address}:{node.own_record.gossip_port}'
     whole = peerstate.fetch(address, position.START)
     assert whole.items == own.items
     assert whole.positions == own.positions
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -200,12 +200,12 @@
         assert node.follower.updated_s == updated_s
         node.follower.record_peer_position(old.own_record.host, lost)
         state = peerstate.fetch(
-            f'{old.own.address}:{old.own.gossip_port}',
+            f'{old.own_record.address}:{old.own_record.gossip_port}',
             node.follower.lag.own_position,
         )
         assert state.position < node.follower.lag.own_position
         node.members.peers = lambda first: [
-            f'{old.own.address}:{old.own.gossip_port}'
+            f'{old.own_record.address}:{old.own_record.gossip_port}'
         ]
         assert not node.follower.catch_up.fetch_from_peers(old.own_record.host)
         del node.members.peers
