--- a/magnoliadyke/claiming.py
+++ b/magnoliadyke/claiming.py
@@ -8,18 +8,18 @@
 from magnoliadyke import keyvalue
 from magnoliadyke import mailbox
 
-__all__ = ['AskClaim', 'Claiming']
+__all__ = ['ClaimKey', 'ClaimTask']
 
 KEY_PREFIX = 'claims/'
-GATHER_S = 0.005
+BATCH_DELAY_S = 0.005
 #: Calls to the store at a time.
-MOST_CALLS = 4
+MAX_CONCURRENT_CALLS = 4
 #: Longest wait of a bucket for its call; its claims are refused then.
-LONGEST_WAIT_S = 5.0
-LONGEST_PAUSE_S = 1.0
+MAX_WAIT_S = 5.0
+MAX_PAUSE_S = 1.0
 
 
-class AskClaim(mailbox.Ask):
+class ClaimKey(mailbox.Ask):
     """Claim a key; answered with ``Won``, ``Lost`` or ``Refused``.
 
     :param digest: :func:`magnoliadyke.core.claims.claim_digest`
@@ -34,11 +34,11 @@
     """Time to write the claims that have gathered."""
 
 
-class GoOn:
+class ResumeCalls:
     """Time to make the calls that were put off."""
 
 
-class StoreSaid:
+class StoreAnswered:
     """The store's answer to a call for a bucket.
 
     :param action: the :class:`claims.Read` or :class:`claims.Write`
@@ -47,10 +47,10 @@
 
     def __init__(self, action, answer):
         self.action = action
-        self.answer = answer
+        self.reply_to_claimants = answer
 
 
-class Claiming(mailbox.Task):
+class ClaimTask(mailbox.Task):
     """Owns the node's :class:`claims.ClaimTable`.
 
     Buckets stand in line for their calls. When the store or the node's own
@@ -69,45 +69,45 @@
         self.store = store
         self.prefix = prefix
         self.waiting = {}
-        self.flush_due = False
-        self.line = collections.deque()
-        self.since_s = {}
+        self.is_flush_scheduled = False
+        self.queue = collections.deque()
+        self.queued_s = {}
         self.in_flight = 0
         self.paused = False
 
     def handle(self, message):
         """Act on a wish or on the store's answer."""
         match message:
-            case AskClaim(digest=digest):
+            case ClaimKey(digest=digest):
                 self.waiting.setdefault(digest, []).append(message)
-                self.apply(self.claims.add(digest))
-                self.flush_soon()
+                self.carry_out(self.claims.add(digest))
+                self.schedule_flush()
             case Flush():
-                self.flush_due = False
-                self.apply(self.claims.flush(self.clock.wall_s()))
-            case GoOn():
+                self.is_flush_scheduled = False
+                self.carry_out(self.claims.flush(self.clock.wall_s()))
+            case ResumeCalls():
                 self.paused = False
-            case StoreSaid(action=action, answer=answer):
+            case StoreAnswered(action=action, answer=answer):
                 self.in_flight -= 1
-                self.hear(action.bucket, answer)
+                self.handle_store_answer(action.bucket, answer)
         self.advance()
 
-    def flush_soon(self):
+    def schedule_flush(self):
         """Gather claims for a few milliseconds, then write them."""
-        if not self.flush_due:
-            self.flush_due = True
-            gevent.spawn_later(GATHER_S, self.post, Flush())
+        if not self.is_flush_scheduled:
+            self.is_flush_scheduled = True
+            gevent.spawn_later(BATCH_DELAY_S, self.post, Flush())
 
-    def hear(self, bucket, answer):
+    def handle_store_answer(self, bucket, answer):
         """Act on the store's answer to a bucket's call."""
         match answer:
             case keyvalue.RateLimited(retry_after_s=retry_after_s):
-                self.put_off(bucket, retry_after_s)
+                self.postpone(bucket, retry_after_s)
             case _:
-                del self.since_s[bucket]
-                self.apply(self.judge(bucket, answer))
+                del self.queued_s[bucket]
+                self.carry_out(self.record_outcome(bucket, answer))
 
-    def judge(self, name, answer):
+    def record_outcome(self, name, answer):
         """Return what follows from an answer of the store."""
         table, wall_s = self.claims, self.clock.wall_s()
         match answer:
@@ -124,35 +124,39 @@
             case _:
                 return table.record_failure(name, False)
 
-    def put_off(self, bucket, retry_after_s):
+    def postpone(self, bucket, retry_after_s):
         """Make a bucket's call a little later, unless it waited too long."""
-        if self.clock.now_s() - self.since_s[bucket] > LONGEST_WAIT_S:
-            del self.since_s[bucket]
-            self.apply(self.claims.record_failure(bucket, False))
+        if self.clock.now_s() - self.queued_s[bucket] > MAX_WAIT_S:
+            del self.queued_s[bucket]
+            self.carry_out(self.claims.record_failure(bucket, False))
             return
         self.claims.record_postponed(bucket)
-        self.line.appendleft(bucket)
+        self.queue.appendleft(bucket)
         if not self.paused:
             self.paused = True
-            pause_s = min(retry_after_s, LONGEST_PAUSE_S)
-            gevent.spawn_later(pause_s, self.post, GoOn())
+            pause_s = min(retry_after_s, MAX_PAUSE_S)
+            gevent.spawn_later(pause_s, self.post, ResumeCalls())
 
-    def apply(self, actions):
+    def carry_out(self, actions):
         """Answer what is settled; put the buckets of calls in line."""
         for action in actions:
             match action:
                 case claims.Read(bucket) | claims.Write(bucket):
-                    self.line.append(bucket)
-                    self.since_s[bucket] = self.clock.now_s()
+                    self.queue.append(bucket)
+                    self.queued_s[bucket] = self.clock.now_s()
                 case _:
-                    self.answer(action)
+                    self.reply_to_claimants(action)
 
     def advance(self):
         """Start calls for the buckets that are first in line."""
-        while self.line and not self.paused and self.in_flight < MOST_CALLS:
-            self.start_call(self.line.popleft())
-
-    def start_call(self, bucket):
+        while (
+            self.queue
+            and not self.paused
+            and self.in_flight < MAX_CONCURRENT_CALLS
+        ):
+            self.spawn_call(self.queue.popleft())
+
+    def spawn_call(self, bucket):
         """Make a bucket's call with all claims that wait for it now."""
         self.claims.record_postponed(bucket)
         called = False
@@ -161,18 +165,18 @@
                 case claims.Read() | claims.Write():
                     called = True
                     self.in_flight += 1
-                    gevent.spawn(self.call, action)
+                    gevent.spawn(self.call_store, action)
                 case _:
-                    self.answer(action)
+                    self.reply_to_claimants(action)
         if not called:
-            del self.since_s[bucket]
+            del self.queued_s[bucket]
 
-    def answer(self, settled):
+    def reply_to_claimants(self, settled):
         """Answer all who asked for a claim."""
         for message in self.waiting.pop(settled.claim.digest, ()):
             message.reply(settled)
 
-    def owner_of(self, digest):
+    def fetch_owner(self, digest):
         """Return who holds a claim, by the store; ``''`` if not known.
 
         Unlike a claim it leaves no trace, so that asking for an answer does
@@ -188,7 +192,7 @@
         """Return the store's key of a bucket."""
         return f'{self.prefix}{KEY_PREFIX}{bucket}'
 
-    def call(self, action):
+    def call_store(self, action):
         """Make one call to the store."""
         key = self.store_key(action.bucket)
         match action:
@@ -196,4 +200,4 @@
                 answer = self.store.get(key)
             case claims.Write(value=value, if_revision=revision):
                 answer = self.store.put(key, value, revision)
-        self.post(StoreSaid(action, answer))
+        self.post(StoreAnswered(action, answer))
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -224,7 +224,7 @@
         now_s = self.clock.now_s()
         staged = table.staged_revision(document)
         self.documents.publish(edits.Held(document, store_revision, now_s))
-        self.gossip.post(gossips.HoldTable(document['revision'], staged))
+        self.gossip.post(gossips.TableAdopted(document['revision'], staged))
         LOG.event('table', revision=document['revision'], staged=staged)
         self.publish_view(table.view(document))
         self.overrides = {
@@ -268,7 +268,7 @@
     def fetch_if_due(self):
         """Fetch a newer table from the peer that showed it."""
         now_s = self.clock.now_s()
-        address = self.standing.newer_at
+        address = self.standing.newer_table_address
         if not address:
             self.newer_since_s = None
             return
@@ -299,8 +299,12 @@
         """
         now_s = self.clock.now_s()
         staged = self.standing.acceptance is not None
-        needed = staged or not self.standing.quorate
-        if needed and self.standing.wants_store and now_s > self.next_read_s:
+        needed = staged or not self.standing.has_quorum
+        if (
+            needed
+            and self.standing.is_store_read_due
+            and now_s > self.next_read_s
+        ):
             self.next_read_s = now_s + READ_INTERVAL_S
             self.watch.reader.read_later()
 
@@ -387,7 +391,7 @@
         stale_s = self.settings.timing.stale_after_s
         if held.document is None or not held.document['staged']:
             return
-        if self.standing.unconfirmed and held_s > stale_s:
+        if self.standing.acts_on_staged and held_s > stale_s:
             self.publish_view(table.view(held.document, with_staged=True))
 
     # Acceptance.
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -29,7 +29,7 @@
     'MoveStream',
     'PeerDigest',
     'PrefillDone',
-    'PromptsHeard',
+    'PromptsReceived',
     'PromptsPlaced',
     'Progress',
     'SubmitJob',
@@ -160,7 +160,7 @@
     pools: dict
 
 
-class PromptsHeard(typing.NamedTuple):
+class PromptsReceived(typing.NamedTuple):
     """Prompts that another node has given to engines.
 
     :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
@@ -381,7 +381,7 @@
                 return core.handle_cache_events(endpoint, events, gap, now_s)
             case PeerDigest(host, digest):
                 return core.merge_peer_digest(host, digest, now_s)
-            case PromptsHeard(prompts):
+            case PromptsReceived(prompts):
                 for told in prompts:
                     core.record_peer_prompt(told.engine, told.read_s, now_s)
                 return []
--- a/magnoliadyke/enginecontrol.py
+++ b/magnoliadyke/enginecontrol.py
@@ -15,9 +15,9 @@
 
 STATE_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
-ANSWER_BYTES = 1 << 16
+MAX_ANSWER_BYTES = 1 << 16
 STATUS_OK = 200
-STATUS_TAKEN = 202
+STATUS_COMMAND_ACCEPTED = 202
 
 #: Closing sends a reset and drops bytes that have not left yet.
 RESET_ON_CLOSE = b'\x01\x00\x00\x00\x00\x00\x00\x00'
@@ -153,7 +153,7 @@
             '/v1/commands',
             self.address,
             self.headers,
-            json.dumps(body_of(command)).encode(),
+            json.dumps(command_body(command)).encode(),
         )
         try:
             connection.socket.sendall(data[:-1])
@@ -165,15 +165,15 @@
         except OSError as error:
             connection.fail(error)
         connection.read_head(left_s)
-        text = connection.read_body(ANSWER_BYTES, left_s)
-        return verdict_of(endpoint.reply_of(connection.parser, text))
+        text = connection.read_body(MAX_ANSWER_BYTES, left_s)
+        return parse_verdict(endpoint.reply_of(connection.parser, text))
 
     def close(self):
         """Drop idle connections."""
         self.connections.close()
 
 
-def body_of(command):
+def command_body(command):
     """A command as the engine's protocol has it."""
     kind, target = command.change
     return {
@@ -186,9 +186,9 @@
     }
 
 
-def verdict_of(reply):
+def parse_verdict(reply):
     """What an engine's answer means."""
-    if reply.status == STATUS_TAKEN:
+    if reply.status == STATUS_COMMAND_ACCEPTED:
         return Verdict('')
     try:
         highest = int(reply.json()['error'].get('highest') or 0)
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -17,16 +17,16 @@
 from magnoliadyke.wire import constants
 
 __all__ = [
-    'Announce',
+    'SendEngineNotice',
     'Gossip',
-    'HoldTable',
+    'TableAdopted',
     'Leave',
-    'Listed',
+    'HostsListed',
     'OwnDigest',
     'OwnState',
     'PeerDigest',
-    'PromptsHeard',
-    'PromptsSent',
+    'PromptsReceived',
+    'PromptsAssigned',
     'Standing',
     'StoreConfirmed',
     'Survey',
@@ -34,21 +34,21 @@
 
 TICK_INTERVAL_S = 0.1
 #: Most other members that are told of each prompt.
-MOST_TOLD = 16
+MAX_PROMPT_RECEIVERS = 16
 RECEIVE_BYTES = 65_507
 #: Evidence has to hold for this share of its time from now on to be relied
 #: on; else the store is read, and a survey made when it does not answer.
-RENEW_SHARE = 0.5
+MIN_REMAINING_SHARE = 0.5
 #: Age of the store's word, as a share likewise, at which it counts as out.
-STORE_OUT_SHARE = 0.7
-RENEW_INTERVAL_S = 1.0
+STORE_UNREACHABLE_SHARE = 0.7
+SURVEY_INTERVAL_S = 1.0
 #: Larger quorums can't be asked at once; the store's word serves instead.
-MAX_RENEWED_QUORUM = 32
+MAX_SURVEYED_QUORUM = 32
 
 LOG = logs.get('gossip')
 
 
-class HoldTable(typing.NamedTuple):
+class TableAdopted(typing.NamedTuple):
     """This node now holds this table."""
 
     table_revision: int
@@ -80,7 +80,7 @@
     data: bytes
 
 
-class Announce(typing.NamedTuple):
+class SendEngineNotice(typing.NamedTuple):
     """Tell all members, this node included, of one engine.
 
     :param notice: a :class:`magnoliadyke.core.notices.EngineNotice`
@@ -89,7 +89,7 @@
     notice: notices.EngineNotice
 
 
-class Listed(typing.NamedTuple):
+class HostsListed(typing.NamedTuple):
     """The platform's list of hosts was read.
 
     :param hosts: a :class:`magnoliadyke.core.hostdiscovery.HostList`
@@ -98,7 +98,7 @@
     hosts: hostdiscovery.HostList
 
 
-class PromptsSent(typing.NamedTuple):
+class PromptsAssigned(typing.NamedTuple):
     """Tell the other members what this node has given to engines.
 
     :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
@@ -107,7 +107,7 @@
     prompts: tuple
 
 
-class PromptsHeard(typing.NamedTuple):
+class PromptsReceived(typing.NamedTuple):
     """Another node's prompts, as it told of them."""
 
     prompts: tuple
@@ -153,10 +153,10 @@
     at_s: float
     fresh: bool = False
     takes_work: bool = False
-    quorate: bool = False
-    wants_store: bool = True
-    unconfirmed: bool = True
-    newer_at: str = ''
+    has_quorum: bool = False
+    is_store_read_due: bool = True
+    acts_on_staged: bool = True
+    newer_table_address: str = ''
     newest: int = 0
     acceptance: object = None
 
@@ -187,9 +187,9 @@
         super().__init__('gossip', clock)
         self.deployment = settings.deployment
         self.incarnation = incarnation
-        seeds = {each.name: seed(each) for each in settings.hosts}
-        self.settled_hosts = frozenset(seeds)
-        self.listed = hostdiscovery.HostList(-math.inf)
+        seeds = {each.name: seed_member(each) for each in settings.hosts}
+        self.configured_hosts = frozenset(seeds)
+        self.host_list = hostdiscovery.HostList(-math.inf)
         own = seeds[host]._replace(incarnation=incarnation)
         self.membership = membership.Membership(
             own,
@@ -202,12 +202,12 @@
         self.members = mailbox.Topic(self.membership.view())
         self.standings = mailbox.Topic(Standing(clock.now_s()))
         self.digests = mailbox.Topic()
-        self.uses = mailbox.Topic()
+        self.engine_uses = mailbox.Topic()
         self.prompts = mailbox.Topic()
         self.notices = notices.EngineNotices()
         self.pauses = mailbox.Topic()
         self.superseded = mailbox.Topic()
-        self.next_renewal_s = 0.0
+        self.next_survey_s = 0.0
         self.sent_bytes = 0
         self.received_bytes = 0
         self.socket = None
@@ -216,7 +216,7 @@
     def start(self):
         """Bind the socket, then work."""
         own = self.membership.own
-        self.socket = bind(own.address, own.peer_port)
+        self.socket = bind_udp(own.address, own.peer_port)
         super().start()
         self.reader = gevent.spawn(self.read)
 
@@ -246,21 +246,21 @@
         match message:
             case bytes():
                 self.receive(message, now_s)
-            case HoldTable():
-                self.hold_table(message, now_s)
+            case TableAdopted():
+                self.record_table(message, now_s)
             case StoreConfirmed():
                 self.membership.freshness.store_confirmed(*message)
                 self.publish(now_s)
             case OwnState():
-                self.take_own_state(message)
+                self.update_own_state(message)
             case OwnDigest(data):
                 self.membership.digest = data
-            case Announce(notice):
-                self.announce(notice, now_s)
-            case PromptsSent(prompts):
-                self.tell_prompts(prompts)
-            case Listed(hosts):
-                self.take_list(hosts)
+            case SendEngineNotice(notice):
+                self.send_notice(notice, now_s)
+            case PromptsAssigned(prompts):
+                self.send_prompts(prompts)
+            case HostsListed(hosts):
+                self.update_host_list(hosts)
                 self.publish(now_s)
             case Survey():
                 self.execute(self.membership.survey(now_s))
@@ -268,14 +268,14 @@
                 self.execute(self.membership.leave(successor, now_s))
                 message.reply(True)
 
-    def take_list(self, listed):
+    def update_host_list(self, listed):
         """Knock at hosts that only the list knows; forget those it lost."""
-        if listed.at_s < self.listed.at_s:
+        if listed.at_s < self.host_list.at_s:
             return
-        self.listed = listed
+        self.host_list = listed
         known = self.membership
         names = {row.host for row in listed.hosts}
-        for host in known.seeds.keys() - self.settled_hosts - names:
+        for host in known.seeds.keys() - self.configured_hosts - names:
             del known.seeds[host]
         for peer in hostdiscovery.hosts_to_probe(
             listed, known.seeds, known.own
@@ -287,22 +287,24 @@
         """Return the members as the rest of the node is to see them."""
         view = self.membership.view()
         own = self.membership.own.host
-        members = hostdiscovery.without_leaving(view.members, self.listed, own)
+        members = hostdiscovery.without_leaving(
+            view.members, self.host_list, own
+        )
         return view._replace(members=members)
 
-    def hold_table(self, held, now_s):
+    def record_table(self, held, now_s):
         """Tell the others which table this node holds."""
         self.membership.set_table(*held)
         self.publish(now_s)
 
-    def take_own_state(self, state):
+    def update_own_state(self, state):
         """Tell the others of a change in this node."""
         if state.spare is not None:
             self.membership.set_spare(state.spare)
         if state.takes_work is not None:
             self.membership.accepts = state.takes_work
 
-    def announce(self, notice, now_s):
+    def send_notice(self, notice, now_s):
         """Send a notice to all members and heed it here."""
         own = self.membership.own
         message = gossip_codec.Notice(own, notice)
@@ -310,9 +312,9 @@
         for member in self.members.last.alive():
             if member.host != own.host:
                 self.send_data((member.address, member.peer_port), data)
-        self.publish_uses(self.notices.apply(notice, now_s))
+        self.publish_engine_uses(self.notices.apply(notice, now_s))
 
-    def tell_prompts(self, prompts):
+    def send_prompts(self, prompts):
         """Send word of prompts to all members of a small fleet.
 
         Each node pays for each prompt of the others. Where there are many,
@@ -324,28 +326,28 @@
             for member in self.members.last.alive()
             if member.host != self.membership.own.host
         ]
-        if len(others) > MOST_TOLD:
+        if len(others) > MAX_PROMPT_RECEIVERS:
             return
         message = gossip_codec.Prompts(self.membership.own, prompts)
         data = gossip_codec.encode_prompts(self.deployment, message)
         for member in others:
             self.send_data((member.address, member.peer_port), data)
 
-    def publish_uses(self, uses):
+    def publish_engine_uses(self, uses):
         """Publish each engine whose use changed."""
         for use in uses:
             LOG.event('engine_use', engine=use.engine, state=use.state)
-            self.uses.publish(use)
+            self.engine_uses.publish(use)
 
     def tick(self):
         """Drive the protocol's timers."""
         now_s = self.clock.now_s()
-        self.publish_uses(self.notices.expire(now_s))
+        self.publish_engine_uses(self.notices.expire(now_s))
         self.execute(self.membership.tick(now_s))
-        self.renew_evidence(now_s)
+        self.survey_before_expiry(now_s)
         self.publish(now_s)
 
-    def renew_evidence(self, now_s):
+    def survey_before_expiry(self, now_s):
         """Ask all members at once before the evidence of them runs out.
 
         When half the fleet is cut off, probe after probe goes to hosts that
@@ -355,16 +357,16 @@
         at hand nothing depends on that evidence; it is left to run out.
         """
         known = self.membership.freshness
-        store_out_s = STORE_OUT_SHARE * known.settings.stale_s
+        store_out_s = STORE_UNREACHABLE_SHARE * known.settings.stale_s
         store_out = known.store_age_s(now_s) > store_out_s
-        if store_out and now_s >= self.next_renewal_s and not self.quorate():
-            self.next_renewal_s = now_s + RENEW_INTERVAL_S
+        if store_out and now_s >= self.next_survey_s and not self.has_quorum():
+            self.next_survey_s = now_s + SURVEY_INTERVAL_S
             self.execute(self.membership.survey(now_s))
 
-    def quorate(self):
+    def has_quorum(self):
         """Whether the evidence of the others will do for a while."""
         known = self.membership.freshness
-        lasts_s = RENEW_SHARE * known.settings.stale_s
+        lasts_s = MIN_REMAINING_SHARE * known.settings.stale_s
         soon_s = self.clock.now_s() + lasts_s
         return len(known.group(soon_s)) >= known.quorum
 
@@ -377,10 +379,10 @@
             return
         match message:
             case gossip_codec.Notice(notice=notice):
-                self.publish_uses(self.notices.apply(notice, now_s))
+                self.publish_engine_uses(self.notices.apply(notice, now_s))
                 return
             case gossip_codec.Prompts(prompts=prompts):
-                self.prompts.publish(PromptsHeard(prompts))
+                self.prompts.publish(PromptsReceived(prompts))
                 return
         self.execute(self.membership.receive(message, now_s))
         if isinstance(message, membership.Ack):
@@ -426,11 +428,11 @@
         if view != self.members.last:
             self.log_changes(self.members.last, view)
             self.members.publish(view)
-        standing = self.conclude(now_s)
+        standing = self.build_standing(now_s)
         if standing != self.standings.last._replace(at_s=now_s):
             self.standings.publish(standing)
 
-    def conclude(self, now_s):
+    def build_standing(self, now_s):
         """Return this node's :class:`Standing`."""
         known = self.membership.freshness
         staged = known.staged_revision > known.table_revision
@@ -442,17 +444,18 @@
             at_s=now_s,
             fresh=known.is_fresh(now_s),
             takes_work=known.takes_work(now_s),
-            quorate=self.quorate(),
-            wants_store=known.is_store_read_due(now_s),
-            unconfirmed=known.acts_on_staged(now_s),
-            newer_at=self.peer_address(
-                known.host_with_newer_table() or self.ahead()
+            has_quorum=self.has_quorum(),
+            is_store_read_due=known.is_store_read_due(now_s),
+            acts_on_staged=known.acts_on_staged(now_s),
+            newer_table_address=self.peer_address(
+                known.host_with_newer_table()
+                or self.host_with_newer_revision()
             ),
             newest=max(newest, known.staged_revision),
             acceptance=self.acceptance(now_s) if staged else None,
         )
 
-    def ahead(self):
+    def host_with_newer_revision(self):
         """A live host that told of a newer table than this node holds.
 
         Its word comes with any datagram, sooner than evidence, which comes
@@ -494,14 +497,14 @@
                 )
 
 
-def bind(address, port):
+def bind_udp(address, port):
     """Return a UDP socket bound to a numeric address and a port."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    bound.bind((address, port))
+    bound.bind_udp((address, port))
     return bound
 
 
-def seed(host):
+def seed_member(host):
     """Member to join by, from the settings of a host."""
     return membership.Member(
         host=host.name,
--- a/magnoliadyke/gossip_codec.py
+++ b/magnoliadyke/gossip_codec.py
@@ -27,7 +27,7 @@
 MAX_STRING_BYTES = 64 * 1024
 MAX_ITEMS = 1024
 
-FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
+PROTOCOL_FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
     string_length_limit=MAX_STRING_BYTES,
     container_length_limit=MAX_ITEMS,
     fallback=True,
@@ -72,7 +72,7 @@
             for each in message.prompts
         ],
     )
-    return TSerialization.serialize(datagram, FACTORY)
+    return TSerialization.serialize(datagram, PROTOCOL_FACTORY)
 
 
 def decode_prompts(datagram):
@@ -101,7 +101,7 @@
             milliseconds(notice.for_s),
         ),
     )
-    return TSerialization.serialize(datagram, FACTORY)
+    return TSerialization.serialize(datagram, PROTOCOL_FACTORY)
 
 
 def decode_notice(datagram):
@@ -149,7 +149,7 @@
     datagram.sightings = [
         encode_sighting(each, message.source) for each in sightings
     ] or None
-    return TSerialization.serialize(datagram, FACTORY)
+    return TSerialization.serialize(datagram, PROTOCOL_FACTORY)
 
 
 def decode(deployment, data):
@@ -159,7 +159,9 @@
         another deployment or of a kind that this version doesn't know
     """
     try:
-        datagram = TSerialization.deserialize(ttypes.Datagram(), data, FACTORY)
+        datagram = TSerialization.deserialize(
+            ttypes.Datagram(), data, PROTOCOL_FACTORY
+        )
     except Exception as error:
         # The C codec raises half a dozen unrelated kinds for bad bytes.
         raise malformed(f'{type(error).__name__}: {error}') from error
@@ -188,16 +190,20 @@
     sequence = datagram.sequence
     source = decode_member(datagram.source)
     sightings = datagram.sightings or ()
-    riders = (
+    piggybacked = (
         tuple(decode_member(each) for each in datagram.updates or ()),
         tuple(decode_sighting(each, source) for each in sightings),
         datagram.digest or b'',
     )
     match datagram.kind:
         case ttypes.MessageKind.PING:
-            return membership.Ping(sequence, source, datagram.target, *riders)
+            return membership.Ping(
+                sequence, source, datagram.target, *piggybacked
+            )
         case ttypes.MessageKind.ACK:
-            return membership.Ack(sequence, source, datagram.target, *riders)
+            return membership.Ack(
+                sequence, source, datagram.target, *piggybacked
+            )
         case ttypes.MessageKind.PING_REQUEST:
             return membership.PingRequest(
                 sequence,
@@ -205,7 +211,7 @@
                 datagram.target,
                 datagram.target_address,
                 datagram.target_port,
-                *riders,
+                *piggybacked,
             )
     raise malformed(f'kind {datagram.kind} is unknown')
 
@@ -258,10 +264,14 @@
     table_revision = sighting.table_revision
     return ttypes.Sighting(
         host=sighting.host,
-        incarnation_ahead=ahead(sighting.incarnation, source.incarnation),
+        incarnation_ahead=nonzero_difference(
+            sighting.incarnation, source.incarnation
+        ),
         age_ms=milliseconds(min(sighting.age_s, MAX_AGE_S)),
-        table_ahead=ahead(table_revision, source.table_revision),
-        staged_ahead=ahead(sighting.staged_revision, table_revision),
+        table_ahead=nonzero_difference(table_revision, source.table_revision),
+        staged_ahead=nonzero_difference(
+            sighting.staged_revision, table_revision
+        ),
         store_age_ms=store_age_ms,
         flags=rooted | takes_work,
         spare_percent=percent(sighting.spare),
@@ -287,7 +297,7 @@
     )
 
 
-def ahead(number, base):
+def nonzero_difference(number, base):
     """How far a number is ahead; None, which takes no room, if it is equal."""
     return number - base or None
 
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -90,7 +90,7 @@
         self.records = records.RecordTable(
             record_settings(self.settings.limits)
         )
-        self.claiming = claiming.Claiming(
+        self.claiming = claiming.ClaimTask(
             self.name, parts.store, self.settings.keyvalue.prefix, self.clock
         )
         self.home_directory = homedirectory.Directory(
@@ -177,7 +177,7 @@
 
     def claim(self, digest):
         """Ask the store for a claim."""
-        message = claiming.AskClaim(digest)
+        message = claiming.ClaimKey(digest)
         return self.claiming.ask(message, None)
 
     def place_adopted(self, request, key, owner):
@@ -538,7 +538,7 @@
             if isinstance(found, records.RunningElsewhere):
                 return self.find_elsewhere(request, found.home, offset)
             return self.known(found, key)
-        owner = self.claiming.owner_of(digest)
+        owner = self.claiming.fetch_owner(digest)
         if not owner or owner == self.name:
             return Settled(records.ANSWER_GONE)
         return self.find_elsewhere(request, owner, offset)
--- a/magnoliadyke/hostlistreader.py
+++ b/magnoliadyke/hostlistreader.py
@@ -67,4 +67,4 @@
         except (errors.EndpointUnreachable, ValueError) as error:
             LOG.repeated('host_list_unread', 'host_list', error=str(error))
             return
-        self.gossip.post(gossips.Listed(listed))
+        self.gossip.post(gossips.HostsListed(listed))
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -56,7 +56,7 @@
         self.planning = planning
         self.log = logs.get('bridge')
         members.digests.subscribe(self)
-        members.uses.subscribe(self)
+        members.engine_uses.subscribe(self)
         members.prompts.subscribe(self)
         work.prompts.subscribe(self)
         members.superseded.subscribe(self)
@@ -73,8 +73,8 @@
                 self.permit(allowed, reason)
             case notices.EngineUse(engine=engine, state=state):
                 self.work.post(dispatch.StateSeen(engine, state))
-            case gossip.PromptsHeard(prompts=prompts):
-                self.work.post(dispatch.PromptsHeard(prompts))
+            case gossip.PromptsReceived(prompts=prompts):
+                self.work.post(dispatch.PromptsReceived(prompts))
             case membership.Superseded():
                 self.stop_superseded()
             case dispatch.CrashSeen(digest=digest):
@@ -82,7 +82,7 @@
             case scheduler.Digest():
                 self.members.post(gossip.OwnDigest(message.to_bytes()))
             case dispatch.PromptsPlaced(prompts=prompts):
-                self.members.post(gossip.PromptsSent(prompts))
+                self.members.post(gossip.PromptsAssigned(prompts))
             case dispatch.Demands(pools=pools):
                 self.planning.post(duties.Demands(pools))
 
--- a/magnoliadyke/peer.py
+++ b/magnoliadyke/peer.py
@@ -23,14 +23,14 @@
 MAX_FRAME_BYTES = 4_000_000
 MAX_CONNECTIONS = 1024
 #: The server ends connections that stay idle this long.
-SERVER_IDLE_S = 60.0
+SERVER_IDLE_TIMEOUT_S = 60.0
 CONNECT_TIMEOUT_S = 0.5
 CALL_TIMEOUT_S = 2.0
 PROBE_TIMEOUT_S = 0.3
 #: An operator waits for the status.
 STATUS_TIMEOUT_S = 0.5
 #: A connection idle for longer is probed before it carries a call.
-PROBE_AFTER_S = 2.0
+PROBE_AFTER_IDLE_S = 2.0
 
 #: How a connection or a call on it fails, other than by our own mistake.
 FAILURES = (OSError, EOFError, Thrift.TException, TProtocol.TProtocolException)
@@ -107,7 +107,7 @@
 
     def serve(self, handle, address):
         """Answer calls on one connection until it ends or idles."""
-        handle.settimeout(SERVER_IDLE_S)
+        handle.settimeout(SERVER_IDLE_TIMEOUT_S)
         protocol = protocol_over(handle)
         processor = Peer.Processor(PeerHandler(self))
         try:
@@ -184,14 +184,14 @@
         self.last_used_s = self.clock.now_s()
         return reply
 
-    def usable(self):
+    def is_usable(self):
         """Whether the connection still reaches the peer.
 
         A connection that idled may have gone silent for good: a call on it
         would wait out its whole timeout. A probe with a short one finds out
         first, and the call then goes over a new connection.
         """
-        if self.clock.now_s() - self.last_used_s < PROBE_AFTER_S:
+        if self.clock.now_s() - self.last_used_s < PROBE_AFTER_IDLE_S:
             return True
         try:
             self.call('probe', constants.VERSION, timeout_s=PROBE_TIMEOUT_S)
@@ -258,7 +258,7 @@
         :raises magnoliadyke.errors.HostUnreachable: when it doesn't answer
         """
         connection = self.idle.pop(address, None)
-        if connection is not None and connection.usable():
+        if connection is not None and connection.is_usable():
             try:
                 return self.call_on(
                     connection, address, name, arguments, timeout_s
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -417,7 +417,7 @@
             notice = notices.EngineNotice(
                 engine.name, authority.fencing, changing, NOTICE_TTL_S
             )
-            self.task.gossip.post(gossip.Announce(notice))
+            self.task.gossip.post(gossip.SendEngineNotice(notice))
 
     # Draining.
 
--- a/magnoliadyke/streammigration.py
+++ b/magnoliadyke/streammigration.py
@@ -13,17 +13,17 @@
 from magnoliadyke import errors
 from magnoliadyke import logs
 
-__all__ = ['AFTER_S', 'Move']
+__all__ = ['MIN_REMAINING_S', 'StreamMigration']
 
 #: Answers that end within this time of the notice stay where they are.
-AFTER_S = 2.0
+MIN_REMAINING_S = 2.0
 PLACE_TIMEOUT_S = 2.0
-MOST_PLACES = 3
+MAX_TARGETS = 3
 
 LOG = logs.get('moves')
 
 
-class Move:
+class StreamMigration:
     """One answer on its way to another engine.
 
     :param run: :class:`magnoliadyke.streams.ModelRun`
@@ -35,12 +35,12 @@
         self.attempt_id = run.attempt_id
         self.target = ''
         self.kv = None
-        self.places = 1
-        self.greenlet = gevent.spawn(self.prepare)
+        self.targets_requested = 1
+        self.greenlet = gevent.spawn(self.export_stream)
 
-    def prepare(self):
+    def export_stream(self):
         """Find a place, then stop the stream where it is."""
-        self.target = self.place()
+        self.target = self.request_target()
         if not self.target:
             return
         try:
@@ -48,7 +48,7 @@
         except errors.EndpointUnreachable as error:
             LOG.repeated('export_failed', self.attempt_id, error=str(error))
 
-    def place(self):
+    def request_target(self):
         """Ask for another engine; '' when there is none."""
         message = dispatch.MoveStream(self.run.job.id)
         try:
@@ -56,7 +56,7 @@
         except gevent.Timeout:
             return ''
 
-    def done(self):
+    def wait_for_export(self):
         """Wait; return whether the answer has left its engine."""
         self.greenlet.join()
         if self.kv is not None:
@@ -65,11 +65,15 @@
             )
         return self.kv is not None
 
-    def failed(self):
+    def has_failed(self):
         """Whether it is over and the answer is where it was."""
         return self.greenlet.ready() and self.kv is None
 
-    def next_place(self):
+    def request_next_target(self):
         """Return a further engine, '' when enough have refused."""
-        self.places += 1
-        return self.place() if self.places <= MOST_PLACES else ''
+        self.targets_requested += 1
+        return (
+            self.request_target()
+            if self.targets_requested <= MAX_TARGETS
+            else ''
+        )
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -367,7 +367,7 @@
         """
         if self.moving is not None:
             move, self.moving = self.moving, None
-            if move.done():
+            if move.wait_for_export():
                 return self.go_on_at(move)
         failures = 0
         while failures < self.patience():
@@ -403,10 +403,10 @@
 
         :param again: whether a move that failed is tried anew
         """
-        if again and self.moving is not None and self.moving.failed():
+        if again and self.moving is not None and self.moving.has_failed():
             self.moving = None
         if self.moving is None and self.assembly.offset:
-            self.moving = streammigration.Move(self)
+            self.moving = streammigration.StreamMigration(self)
 
     def go_on_at(self, move):
         """Continue the answer on another engine, from its KV cache.
@@ -423,7 +423,7 @@
             result = self.decode(name, work)
             if not isinstance(result, jobs.Failed) or result.ran:
                 return result
-            name = move.next_place()
+            name = move.request_next_target()
             if not name:
                 return result
 
@@ -605,7 +605,7 @@
             if run.job is None:
                 continue  # a relay: the answer's home moves it
             since_s = changing.get(run.engine.name, math.inf)
-            if now_s - since_s >= streammigration.AFTER_S:
+            if now_s - since_s >= streammigration.MIN_REMAINING_S:
                 run.move(again=self.ticks % MOVE_TICKS == 0)
 
     def report_progress(self):
--- a/tests/test_claiming.py
+++ b/tests/test_claiming.py
@@ -17,13 +17,13 @@
 
 
 def make(store, owner):
-    task = claiming.Claiming(owner, store, 'dala/', clocks.SystemClock())
+    task = claiming.ClaimTask(owner, store, 'dala/', clocks.SystemClock())
     task.start()
     return task
 
 
 def ask(task, digest=DIGEST):
-    return task.ask(claiming.AskClaim(digest), 2.0)
+    return task.ask(claiming.ClaimKey(digest), 2.0)
 
 
 def test_the_second_node_learns_the_owner(store):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -203,17 +203,19 @@
     for engine in prefills:
         engine.active = 1
     sent = [len(engine.taken) for engine in prefills]
-    while not any(node.gossip.uses.last for node in fleet.nodes.values()):
+    while not any(
+        node.gossip.engine_uses.last for node in fleet.nodes.values()
+    ):
         press(fleet, 1, prefill=0.3, decode=2.6)
     press(fleet, 3, prefill=0.3, decode=2.6)
-    uses = {node.gossip.uses.last for node in fleet.nodes.values()}
+    uses = {node.gossip.engine_uses.last for node in fleet.nodes.values()}
     assert [use.state for use in uses] == [notices.CHANGING]
     assert [len(engine.taken) for engine in prefills] == sent
     for engine in prefills:
         engine.active = 0
     press(fleet, 5, prefill=0.3, decode=2.6)
     assert roles_of(fleet).count('decode') == 3
-    uses = {node.gossip.uses.last for node in fleet.nodes.values()}
+    uses = {node.gossip.engine_uses.last for node in fleet.nodes.values()}
     assert [use.state for use in uses] == [notices.UP]
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -68,15 +68,15 @@
     # after which every node takes the engine back by itself.
     fleet.run(3.0)
     notice = notices.EngineNotice('e1', 7, True, 2.0)
-    fleet.nodes['h0'].gossip.post(gossip.Announce(notice))
+    fleet.nodes['h0'].gossip.post(gossip.SendEngineNotice(notice))
     fleet.run(0.1)
     fleet.kill('h0')
     others = [node.gossip for node in fleet.nodes.values()]
     changing = notices.EngineUse('e1', notices.CHANGING)
-    assert [each.uses.last for each in others] == [changing] * 3
+    assert [each.engine_uses.last for each in others] == [changing] * 3
     fleet.run(2.5)
     in_use = notices.EngineUse('e1', notices.UP)
-    assert [each.uses.last for each in others] == [in_use] * 3
+    assert [each.engine_uses.last for each in others] == [in_use] * 3
 
 
 def test_the_largest_digest_reaches_the_others(fleet):
@@ -118,7 +118,7 @@
     rows = ({'host': 'h4', 'state': 'live', 'address': 'h4'},)
     listed = hostdiscovery.parse_host_list({'hosts': rows, 'at_s': 1.0})
     for name in fleet.names:
-        fleet.nodes[name].gossip.post(gossip.Listed(listed))
+        fleet.nodes[name].gossip.post(gossip.HostsListed(listed))
     fleet.run_until(lambda: 'h4' in fleet.working(), 10.0)
     fleet.run(3.0)
     fleet.separate(['h4'], [*fleet.names, fleets.STORE])
--- a/tests/test_streammigration.py
+++ b/tests/test_streammigration.py
@@ -64,7 +64,7 @@
     # The answer would end in the middle: its engine has stopped it, and no
     # other engine takes work.
     run = make_run([])
-    assert not streammigration.Move(run).done()
+    assert not streammigration.StreamMigration(run).wait_for_export()
     assert run.engine.exported == []
 
 
@@ -73,7 +73,7 @@
 )
 def test_a_stream_that_is_not_exported_stays(outcome):
     run = make_run(['e2'], outcome)
-    assert not streammigration.Move(run).done()
+    assert not streammigration.StreamMigration(run).wait_for_export()
 
 
 def test_an_engine_that_refuses_is_passed_over():
@@ -90,7 +90,7 @@
         return 'answer'
 
     run.decode = decode
-    run.moving = streammigration.Move(run)
+    run.moving = streammigration.StreamMigration(run)
     gevent.sleep(0)
     assert run.read_on('e1') == 'answer'
     assert asked == [('e2', 'digest-2', KV), ('e3', 'digest-3', KV)]
@@ -99,9 +99,9 @@
 def test_refusals_of_all_come_to_an_end():
     run = make_run(['e2'] * 9)
     run.decode = lambda name, work: jobs.Failed(name, 'decode', ran=False)
-    run.moving = streammigration.Move(run)
+    run.moving = streammigration.StreamMigration(run)
     assert run.read_on('e1').ran is False
-    assert run.number == 1 + streammigration.MOST_PLACES
+    assert run.number == 1 + streammigration.MAX_TARGETS
 
 
 def test_a_stream_that_found_no_place_at_first_is_moved_later():
