--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -227,7 +227,7 @@
 class Dispatcher(mailbox.Task):
     """Own the scheduler; poll endpoints; answer :class:`SubmitJob`.
 
-    Post it :class:`PeerDigest` and :class:`PromptsHeard` messages. It
+    Post it :class:`PeerDigest` and :class:`PromptsReceived` messages. It
     publishes two topics each second: ``digest`` (the node's own scheduler
     digest, for gossip) and ``demand`` (:class:`Demands`, for planning), and
     ``prompts`` (:class:`PromptsPlaced`) as this node sends them.
