--- a/magnoliadyke/burnreport.py
+++ b/magnoliadyke/burnreport.py
@@ -19,7 +19,9 @@
         if request.get_param('scope') == 'host':
             response.media = _own_part(self.node)
             return
-        response.media = collect(self.node, fleetqueries.token_of(request))
+        response.media = collect(
+            self.node, fleetqueries.operator_token(request)
+        )
 
 
 def collect(node, token):
@@ -29,7 +31,9 @@
     :param token: the operators' token, for the others
     """
     own = _own_part(node)
-    others = fleetqueries.ask_others(node, token, '/admin/burn?scope=host')
+    others = fleetqueries.query_other_hosts(
+        node, token, '/admin/burn?scope=host'
+    )
     parts = [own, *(part for part in others.values() if part is not None)]
     missing = [host for host, part in others.items() if part is None]
     snapshots = [_decode(part['counts']) for part in parts]
--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -49,7 +49,7 @@
     app.add_sink(AnswersSink(owner), ANSWERS)
     app.add_sink(ServicesSink(owner), SERVICES)
     app.add_error_handler(forms.OutcomeError, tell_error)
-    app.add_error_handler(responsestream.CallerGone, caller_gone)
+    app.add_error_handler(responsestream.CallerDisconnected, caller_gone)
     return app
 
 
@@ -142,9 +142,9 @@
 
     def wait_end(self, req, place):
         """Return the outcome of a run; the caller may leave meanwhile."""
-        waiter = responsestream.Waiter(place.run, req.env[HANDLER])
+        waiter = responsestream.OutcomeWaiter(place.run, req.env[HANDLER])
         try:
-            return waiter.wait_end()
+            return waiter.wait_for_outcome()
         finally:
             waiter.close()
             has_key = req.get_header('Idempotency-Key') is not None
@@ -270,7 +270,7 @@
 
     def follow(self, run):
         """Stream a run's events."""
-        follower = responsestream.Follower(
+        follower = responsestream.ResponseStream(
             run,
             self.req.env[HANDLER],
             self.offset,
@@ -279,7 +279,7 @@
         )
         stream = CallerStream(follower, self.owner, bool(self.key))
         try:
-            follower.wait_head(HEAD_WAIT_S)
+            follower.wait_for_first_output(HEAD_WAIT_S)
         except BaseException:
             stream.close()
             raise
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -100,7 +100,9 @@
         own answer, a plain 500, would look like the service's; a connection
         that ends without one tells the caller to ask again with its key.
         """
-        if issubclass(t, (responsestream.CallerGone, gevent.GreenletExit)):
+        if issubclass(
+            t, (responsestream.CallerDisconnected, gevent.GreenletExit)
+        ):
             self.close_connection = True
             return
         super().handle_error(t, v, tb)
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -306,7 +306,7 @@
             and now_s > self.next_read_s
         ):
             self.next_read_s = now_s + READ_INTERVAL_S
-            self.watch.reader.read_later()
+            self.watch.reader.read_in_background()
 
     def check_watch(self):
         """Begin the watch anew when it missed what a read has shown.
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -125,7 +125,7 @@
                 return
             # The successor is stopping as well: follow its own successor.
             home = tickets.home_name(member.host, member.incarnation)
-            member = self.home_directory.present_holder(home)
+            member = self.home_directory.current_holder(home)
 
     def wait(self):
         """Wait until the first hand-over is done; return the successor."""
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -93,7 +93,7 @@
         self.claiming = claiming.ClaimTask(
             self.name, parts.store, self.settings.keyvalue.prefix, self.clock
         )
-        self.home_directory = homedirectory.Directory(
+        self.home_directory = homedirectory.HomeDirectory(
             self.name, host, parts.members, self.clock, self.rng
         )
         self.handover = handover.Handover(
@@ -187,7 +187,7 @@
         """
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
-        if owner != self.name and self.home_directory.member_of(owner):
+        if owner != self.name and self.home_directory.reachable_member(owner):
             return self.relay(request, request.key, owner)
         return Settled(records.ANSWER_GONE)
 
@@ -233,7 +233,7 @@
 
     def follow_away(self, request, key, home):
         """Follow a request that still runs at a home that is stopping."""
-        if self.home_directory.member_of(home) is None:
+        if self.home_directory.reachable_member(home) is None:
             return Settled(records.HOME_STOPPED)
         return self.relay(request, key, home)
 
@@ -295,7 +295,7 @@
 
     def relay_to_successor(self, request, key):
         """Relay a request to the node that took the records over."""
-        home = self.home_directory.full_name(self.handover.successor)
+        home = self.home_directory.home_of_host(self.handover.successor)
         return self.relay(request, key, home)
 
     def close_refused(self, request, record, outcome):
@@ -578,7 +578,7 @@
         """
         able = [
             member
-            for member in self.home_directory.all_members().values()
+            for member in self.home_directory.members_by_host().values()
             if member.host != self.host
             and member.state == 'alive'
             and member.takes_work
@@ -591,7 +591,7 @@
         """Return ``HOST.INCARNATION`` that has a home's records, or ``''``."""
         if home == self.name or home in self.handover.adopted:
             return self.name
-        self.home_directory.learn_successors()
+        self.home_directory.record_successors()
         return self.home_directory.successors.get(home, '')
 
 
--- a/magnoliadyke/overview.py
+++ b/magnoliadyke/overview.py
@@ -29,9 +29,9 @@
         """Answer the state; ``scope=host`` counts on this host alone."""
         own = status(self.node)
         if request.get_param('scope') != 'host':
-            token = fleetqueries.token_of(request)
+            token = fleetqueries.operator_token(request)
             path = '/admin/status?scope=host'
-            others = fleetqueries.ask_others(self.node, token, path)
+            others = fleetqueries.query_other_hosts(self.node, token, path)
             _add_customers(own, [a for a in others.values() if a])
         response.media = own
 
--- a/magnoliadyke/responsestream.py
+++ b/magnoliadyke/responsestream.py
@@ -10,18 +10,18 @@
 from magnoliadyke.core import records
 from magnoliadyke import forms
 
-__all__ = ['CallerGone', 'Follower', 'Waiter']
+__all__ = ['CallerDisconnected', 'ResponseStream', 'OutcomeWaiter']
 
 KEEP_ALIVE = b': keep-alive\n\n'
 READABLE = 1
-PEEK_S = 0.05
+PEEK_TIMEOUT_S = 0.05
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller closed its connection or stopped reading."""
 
 
-class Waiter:
+class OutcomeWaiter:
     """Waits for a run's end while watching the caller's connection.
 
     :param run: :class:`magnoliadyke.streams.Run`
@@ -31,26 +31,26 @@
     def __init__(self, run, handler):
         self.run = run
         self.handler = handler
-        self.direct = False
+        self.writes_directly = False
         self.wake = event.Event()
         self.watcher = None
         run.subscribers.append(self)
 
-    def notify(self):
+    def handle_end(self):
         """The run has ended; called by the run, maybe in the hub."""
         self.wake.set()
 
-    def pass_on(self, block, framed):
+    def deliver(self, block, framed):
         """The run has output; only its end matters here."""
 
     def close(self):
         """Stop to follow."""
-        self.direct = False
+        self.writes_directly = False
         self.unwatch()
         if self in self.run.subscribers:
             self.run.subscribers.remove(self)
 
-    def wait_end(self):
+    def wait_for_outcome(self):
         """Return the run's outcome.
 
         :raises CallerGone: when the caller leaves first
@@ -68,7 +68,7 @@
             loop = gevent.get_hub().loop
             fileno = self.handler.socket.fileno()
             self.watcher = loop.io(fileno, READABLE)
-            self.watcher.start(self.on_readable)
+            self.watcher.start(self.handle_readable)
 
     def unwatch(self):
         """Stop to watch the caller's connection."""
@@ -77,7 +77,7 @@
             self.watcher.close()
             self.watcher = None
 
-    def on_readable(self):
+    def handle_readable(self):
         """The caller closed, or sent its next request early."""
         self.watcher.stop()
         self.wake.set()
@@ -88,18 +88,18 @@
             return
         # The event may have been spurious: a read that waits would stop the
         # answer until the caller sends something.
-        with gevent.Timeout(PEEK_S, False):
+        with gevent.Timeout(PEEK_TIMEOUT_S, False):
             try:
                 left = self.handler.socket.recv(1, socket.MSG_PEEK) == b''
             except OSError:
                 left = True
             if left:
-                raise CallerGone
+                raise CallerDisconnected
             return
-        self.watcher.start(self.on_readable)
+        self.watcher.start(self.handle_readable)
 
 
-class Follower(Waiter):
+class ResponseStream(OutcomeWaiter):
     """Streams a run's events to a caller.
 
     While the caller keeps up, events go from the run straight to its socket
@@ -114,11 +114,11 @@
     def __init__(self, run, handler, offset=0, shape=None, stall_s=20.0):
         self.stall_s = stall_s
         self.shape = shape
-        self.plain = False
+        self.forwards_chunks = False
         self.fileno = -1
-        self.gone = False
+        self.is_disconnected = False
         self.backlog = b''
-        self.idle = False
+        self.is_idle = False
         self.index = len(run.pieces)
         self.ready = b''
         if self.index:
@@ -126,22 +126,22 @@
             self.ready = attempts.events_from(events, offset)
         super().__init__(run, handler)
 
-    def pass_on(self, block, framed):
+    def deliver(self, block, framed):
         """Write new output, or wake the greenlet that will.
 
         :param block: events, the newest of the run's pieces
         :param framed: the same as a chunk of HTTP, or None
         """
-        if not self.direct:
+        if not self.writes_directly:
             self.wake.set()
-        elif framed is None or not self.plain:
-            self.push()
+        elif framed is None or not self.forwards_chunks:
+            self.write_available()
         else:
             self.index += 1
-            self.idle = False
+            self.is_idle = False
             self.write(framed)
 
-    def wait_head(self, longest_s):
+    def wait_for_first_output(self, longest_s):
         """Wait until it is clear how the answer begins.
 
         :param longest_s: after so long the answer begins without a token,
@@ -159,7 +159,7 @@
             return True
         return False
 
-    def take(self):
+    def take_output(self):
         """Return the output that came since the last call."""
         pieces = self.run.pieces
         data = self.ready + b''.join(pieces[self.index :])
@@ -173,14 +173,14 @@
         The server sends the head of the answer with the first part.
         """
         try:
-            yield self.take() or KEEP_ALIVE
+            yield self.take_output() or KEEP_ALIVE
             while self.run.outcome is None:
                 self.stream()
-            yield self.take() + self.ending()
+            yield self.take_output() + self.final_events()
         finally:
             self.close()
 
-    def ending(self):
+    def final_events(self):
         """Return the last events, by the run's outcome."""
         outcome = self.run.outcome
         if isinstance(outcome, records.Answer):
@@ -190,38 +190,40 @@
     def stream(self):
         """Write directly until the end or until the socket is full."""
         self.wake.clear()
-        self.direct = True
-        self.plain = self.shape is None and self.handler.response_use_chunked
+        self.writes_directly = True
+        self.forwards_chunks = (
+            self.shape is None and self.handler.response_use_chunked
+        )
         self.fileno = self.handler.socket.fileno()
-        self.push()
+        self.write_available()
         try:
-            if self.run.outcome is None and self.direct:
+            if self.run.outcome is None and self.writes_directly:
                 self.wake.wait()
         finally:
-            self.direct = False
+            self.writes_directly = False
         self.drain()
-        if self.gone:
-            raise CallerGone
+        if self.is_disconnected:
+            raise CallerDisconnected
         self.check_caller()
 
-    def push(self):
+    def write_available(self):
         """Write what has come, without waiting."""
         if self.run.outcome is not None:
-            self.direct = False
+            self.writes_directly = False
             self.wake.set()
             return
-        data = self.take()
+        data = self.take_output()
         if data:
-            self.idle = False
-            self.write(self.framed(data))
+            self.is_idle = False
+            self.write(self.to_chunk(data))
 
     def keep_alive(self):
         """Show an idle caller that its connection and node live."""
-        if self.direct and self.idle:
-            self.write(self.framed(KEEP_ALIVE))
-        self.idle = True
+        if self.writes_directly and self.is_idle:
+            self.write(self.to_chunk(KEEP_ALIVE))
+        self.is_idle = True
 
-    def framed(self, data):
+    def to_chunk(self, data):
         """Return data as a chunk of the HTTP answer."""
         if self.handler.response_use_chunked:
             return b'%x\r\n%b\r\n' % (len(data), data)
@@ -234,12 +236,12 @@
         except BlockingIOError:
             sent = 0
         except OSError:
-            self.gone = True
+            self.is_disconnected = True
             sent = len(data)
         if sent < len(data):
             self.backlog = data[sent:]
-        if self.backlog or self.gone:
-            self.direct = False
+        if self.backlog or self.is_disconnected:
+            self.writes_directly = False
             self.wake.set()
 
     def drain(self):
@@ -249,11 +251,11 @@
         good; without progress for ``stall_s`` its connection is closed.
         """
         peer = self.handler.socket
-        while self.backlog and not self.gone:
+        while self.backlog and not self.is_disconnected:
             try:
                 with gevent.Timeout(self.stall_s, TimeoutError('stalled')):
                     sent = peer.send(self.backlog)
             except OSError:
-                self.gone = True
+                self.is_disconnected = True
                 break
             self.backlog = self.backlog[sent:]
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -120,7 +120,7 @@
             self.begin_output()
         self.pieces.append(block)
         for follower in self.subscribers:
-            follower.pass_on(block, framed)
+            follower.deliver(block, framed)
 
     def begin_output(self):
         """Hook before the first output."""
@@ -135,7 +135,7 @@
         finally:
             self.ended.set()
             for follower in list(self.subscribers):
-                follower.notify()
+                follower.handle_end()
 
     def abandon(self):
         """Stop: nobody wants the answer."""
--- a/magnoliadyke/tablewatch.py
+++ b/magnoliadyke/tablewatch.py
@@ -49,7 +49,7 @@
         self.owner.post(StoreRead(outcome, sent_s))
         return outcome
 
-    def read_later(self):
+    def read_in_background(self):
         """Read once in the background, unless a read is under way."""
         if not self.busy:
             self.busy = True
@@ -98,11 +98,11 @@
         each quiet watch finds that out.
         """
         while True:
-            after = self.settle(self.reader.read())
+            after = self.revision_to_watch(self.reader.read())
             while after is not None:
-                after = self.settle(self.follow(after))
+                after = self.revision_to_watch(self.watch_once(after))
 
-    def follow(self, after):
+    def watch_once(self, after):
         """Watch once; return what it, or the read after it, showed."""
         sent_s = self.clock.now_s()
         self.after = after
@@ -114,7 +114,7 @@
         self.owner.post(StoreRead(outcome, sent_s))
         return outcome
 
-    def settle(self, outcome):
+    def revision_to_watch(self, outcome):
         """Return the revision to watch from, None to read again."""
         match outcome:
             case keyvalue.Found(revision=revision):
--- a/tests/test_fleetqueries.py
+++ b/tests/test_fleetqueries.py
@@ -34,7 +34,7 @@
     One host is paused: its kernel accepts the connection and nobody reads.
     Without a bound the report would come only after the 30 s of an edit.
     """
-    answers = fleetqueries.ask_others(fakenode.make(), 'secret', '/x')
+    answers = fleetqueries.query_other_hosts(fakenode.make(), 'secret', '/x')
     assert answers['entry-2'] == {'token': 'secret', 'path': '/x'}
     assert answers['entry-3'] is None
     assert answers['entry-8'] is None
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -208,7 +208,7 @@
         done = bench.complete(5, 'host-1', Idempotency_Key=key)
         bench.stop_node('host-1')
         for node in bench.nodes.values():
-            node.callers.homes.home_directory.learn_successors()
+            node.callers.homes.home_directory.record_successors()
         (other,) = set(bench.nodes) - {bench.successor}
         bench.nodes[other].callers.homes.home_directory.successors.clear()
         bench.members.publish(
