--- a/magnoliadyke/responsestream.py
+++ b/magnoliadyke/responsestream.py
@@ -53,7 +53,7 @@
     def wait_for_outcome(self):
         """Return the run's outcome.
 
-        :raises CallerGone: when the caller leaves first
+        :raises CallerDisconnected: when the caller leaves first
         """
         self.watch()
         while self.run.outcome is None:
--- a/tests/test_fleetqueries.py
+++ b/tests/test_fleetqueries.py
@@ -25,7 +25,7 @@
 @pytest.fixture(autouse=True)
 def client(monkeypatch):
     monkeypatch.setattr(fleetqueries.adminclient, 'AdminClient', FakeClient)
-    monkeypatch.setattr(fleetqueries, 'ANSWER_S', 0.05)
+    monkeypatch.setattr(fleetqueries, 'HOST_TIMEOUT_S', 0.05)
 
 
 def test_hosts_that_do_not_answer_do_not_hold_up_the_report():
--- a/tests/test_overview.py
+++ b/tests/test_overview.py
@@ -13,7 +13,7 @@
 def others(monkeypatch):
     """Answer for the other hosts: none is there, unless a test adds one."""
     answers = {'entry-2': None}
-    monkeypatch.setattr(fleetqueries, 'ask_others', lambda *_: answers)
+    monkeypatch.setattr(fleetqueries, 'query_other_hosts', lambda *_: answers)
     return answers
 
 
