--- a/magnoliadyke/claiming.py
+++ b/magnoliadyke/claiming.py
@@ -47,7 +47,7 @@
 
     def __init__(self, action, answer):
         self.action = action
-        self.reply_to_claimants = answer
+        self.answer = answer
 
 
 class ClaimTask(mailbox.Task):
@@ -145,7 +145,7 @@
                     self.queue.append(bucket)
                     self.queued_s[bucket] = self.clock.now_s()
                 case _:
-                    self.reply_to_claimants(action)
+                    self.answer(action)
 
     def advance(self):
         """Start calls for the buckets that are first in line."""
@@ -167,11 +167,11 @@
                     self.in_flight += 1
                     gevent.spawn(self.call_store, action)
                 case _:
-                    self.reply_to_claimants(action)
+                    self.answer(action)
         if not called:
             del self.queued_s[bucket]
 
-    def reply_to_claimants(self, settled):
+    def answer(self, settled):
         """Answer all who asked for a claim."""
         for message in self.waiting.pop(settled.claim.digest, ()):
             message.reply(settled)
