--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -141,7 +141,7 @@
         self.names = [f'h{i}' for i in range(hosts)]
         self.settings = settings_of(self.names, pools)
         monkeypatch.setattr(
-            gossip, 'bind', lambda address, port: FakeSocket(self, address)
+            gossip, 'bind_udp', lambda address, port: FakeSocket(self, address)
         )
 
     def cut(self, one, other):
