--- a/magnoliadyke/claiming.py
+++ b/magnoliadyke/claiming.py
@@ -1,4 +1,4 @@
-"""The task that settles claims of foreign keys with the store."""
+"""Task that claims foreign idempotency keys in the store."""
 
 import collections
 
@@ -12,17 +12,20 @@
 
 KEY_PREFIX = 'claims/'
 BATCH_DELAY_S = 0.005
-#: Calls to the store at a time.
+#: Maximum number of concurrent calls to the store.
 MAX_CONCURRENT_CALLS = 4
-#: Longest wait of a bucket for its call; its claims are refused then.
+#: Longest wait of a bucket for its call; after it, its claims are refused.
 MAX_WAIT_S = 5.0
 MAX_PAUSE_S = 1.0
 
 
 class ClaimKey(mailbox.Ask):
-    """Claim a key; answered with ``Won``, ``Lost`` or ``Refused``.
+    """Request to claim a key for this node.
 
-    :param digest: :func:`magnoliadyke.core.claims.claim_digest`
+    The answer is a ``Won``, ``Lost`` or ``Refused`` of
+    :mod:`magnoliadyke.core.claims`.
+
+    :param digest: :func:`magnoliadyke.core.claims.claim_digest` of the key
     """
 
     def __init__(self, digest):
@@ -31,18 +34,18 @@
 
 
 class Flush:
-    """Time to write the claims that have gathered."""
+    """Write the batched claims; posted ``BATCH_DELAY_S`` after the first."""
 
 
 class ResumeCalls:
-    """Time to make the calls that were put off."""
+    """Make the postponed calls; posted at the end of a pause."""
 
 
 class StoreAnswered:
-    """The store's answer to a call for a bucket.
+    """The outcome of a store call for a bucket.
 
-    :param action: the :class:`claims.Read` or :class:`claims.Write`
-    :param answer: tagged outcome of :mod:`magnoliadyke.keyvalue`
+    :param action: the :class:`claims.Read` or :class:`claims.Write` called for
+    :param answer: an outcome of :mod:`magnoliadyke.keyvalue`
     """
 
     def __init__(self, action, answer):
@@ -53,14 +56,19 @@
 class ClaimTask(mailbox.Task):
     """Owns the node's :class:`claims.ClaimTable`.
 
-    Buckets stand in line for their calls. When the store or the node's own
-    budget puts a call off, the line waits with it, so that no bucket is
-    overtaken until its time is up; claims that come meanwhile share the
+    Buckets are queued for their store calls. When the store or the node's own
+    budget rejects a call as over the rate limit, the bucket returns to the
+    head of the queue and the whole queue pauses, so that other buckets do not
+    overtake it before ``MAX_WAIT_S``. Claims that arrive meanwhile share the
     bucket's call.
 
     :param owner: ``HOST.INCARNATION`` of this node
     :param store: :class:`magnoliadyke.keyvalue.KeyValue`
     :param prefix: start of every store key of the deployment
+    :ivar waiting: :class:`ClaimKey` messages to be answered, by digest
+    :ivar queue: names of the buckets that need a store call, in order
+    :ivar queued_s: monotonic time at which a bucket was queued, by name; kept
+        until its call is answered
     """
 
     def __init__(self, owner, store, prefix, clock):
@@ -76,7 +84,7 @@
         self.paused = False
 
     def handle(self, message):
-        """Act on a wish or on the store's answer."""
+        """Handle one message, then start the store calls that it allows."""
         match message:
             case ClaimKey(digest=digest):
                 self.waiting.setdefault(digest, []).append(message)
@@ -93,13 +101,13 @@
         self.advance()
 
     def schedule_flush(self):
-        """Gather claims for a few milliseconds, then write them."""
+        """Schedule the write of the claims batched until ``BATCH_DELAY_S``."""
         if not self.is_flush_scheduled:
             self.is_flush_scheduled = True
             gevent.spawn_later(BATCH_DELAY_S, self.post, Flush())
 
     def handle_store_answer(self, bucket, answer):
-        """Act on the store's answer to a bucket's call."""
+        """Handle the outcome of a bucket's store call."""
         match answer:
             case keyvalue.RateLimited(retry_after_s=retry_after_s):
                 self.postpone(bucket, retry_after_s)
@@ -108,7 +116,10 @@
                 self.carry_out(self.record_outcome(bucket, answer))
 
     def record_outcome(self, name, answer):
-        """Return what follows from an answer of the store."""
+        """Record the outcome of a store call, and return the next actions.
+
+        :param name: name of the bucket
+        """
         table, wall_s = self.claims, self.clock.wall_s()
         match answer:
             case keyvalue.Found(value=value, revision=revision):
@@ -125,7 +136,13 @@
                 return table.record_failure(name, False)
 
     def postpone(self, bucket, retry_after_s):
-        """Make a bucket's call a little later, unless it waited too long."""
+        """Repeat a bucket's call after a pause, or refuse its claims.
+
+        They are refused if the bucket was queued more than ``MAX_WAIT_S`` ago.
+
+        :param retry_after_s: delay that the store or the budget requires, in
+            seconds; the pause is at most ``MAX_PAUSE_S``
+        """
         if self.clock.now_s() - self.queued_s[bucket] > MAX_WAIT_S:
             del self.queued_s[bucket]
             self.carry_out(self.claims.record_failure(bucket, False))
@@ -138,7 +155,7 @@
             gevent.spawn_later(pause_s, self.post, ResumeCalls())
 
     def carry_out(self, actions):
-        """Answer what is settled; put the buckets of calls in line."""
+        """Answer settled claims, and queue the buckets that need a call."""
         for action in actions:
             match action:
                 case claims.Read(bucket) | claims.Write(bucket):
@@ -148,7 +165,7 @@
                     self.answer(action)
 
     def advance(self):
-        """Start calls for the buckets that are first in line."""
+        """Start calls for the buckets at the head of the queue."""
         while (
             self.queue
             and not self.paused
@@ -157,7 +174,10 @@
             self.spawn_call(self.queue.popleft())
 
     def spawn_call(self, bucket):
-        """Make a bucket's call with all claims that wait for it now."""
+        """Start a bucket's call with all claims that wait for it now.
+
+        No call is made if the bucket's cached entries settle all of them.
+        """
         self.claims.record_postponed(bucket)
         called = False
         for action in self.claims.retry_call(bucket, self.clock.wall_s()):
@@ -172,15 +192,15 @@
             del self.queued_s[bucket]
 
     def answer(self, settled):
-        """Answer all who asked for a claim."""
+        """Answer all messages that requested a claim."""
         for message in self.waiting.pop(settled.claim.digest, ()):
             message.reply(settled)
 
     def fetch_owner(self, digest):
-        """Return who holds a claim, by the store; ``''`` if not known.
+        """Read from the store who owns a key; ``''`` if there is no record.
 
-        Unlike a claim it leaves no trace, so that asking for an answer does
-        not take the key from the request that may still come.
+        Unlike a claim, this writes nothing: a lookup of an answer does not
+        take the key from a request that may still arrive.
         """
         found = self.store.get(self.store_key(self.claims.name_of(digest)))
         if not isinstance(found, keyvalue.Found):
@@ -193,7 +213,7 @@
         return f'{self.prefix}{KEY_PREFIX}{bucket}'
 
     def call_store(self, action):
-        """Make one call to the store."""
+        """Make one call to the store and post its outcome."""
         key = self.store_key(action.bucket)
         match action:
             case claims.Read():
--- a/magnoliadyke/keyvalue.py
+++ b/magnoliadyke/keyvalue.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service behind typed outcomes."""
+"""Client of the platform's key-value store, with typed outcomes."""
 
 import abc
 import collections
@@ -32,12 +32,13 @@
 
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 1.0
-#: A watch that stays silent this long past its own time is on a connection
-#: that something between the two ends has lost track of.
+#: A watch without an answer for this time after its own timeout is taken to be
+#: on a half-open connection.
 WATCH_GRACE_S = 1.5
 MAX_IDLE_CONNECTIONS = 4
-#: What lies between the ends may forget a connection that idles; a new one
-#: costs a round trip, a forgotten one a whole timeout.
+#: Connections that were idle for longer are not reused. A device on the path
+#: may have dropped their state: a new connection costs one round trip, a call
+#: on a half-open one its whole timeout.
 MAX_IDLE_S = 2.0
 DEFAULT_RETRY_AFTER_S = 1.0
 
@@ -53,7 +54,7 @@
 class Stored:
     """The write took effect.
 
-    :param revision: the store's revision of the key
+    :param revision: revision of the key after the write
     """
 
     revision: int
@@ -61,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Found:
-    """The key's value and the store's revision of it."""
+    """A key with its value and its revision in the store."""
 
     key: str
     value: str
@@ -70,19 +71,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Absent:
-    """There is no such key, or no such lease."""
+    """The key or the lease does not exist."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The watch ended without a change; the store answered."""
+    """The watch reached its timeout and the key has not changed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
     """The key did not have the expected revision; nothing was written.
 
-    :param value: the present value, None if the key is absent
+    :param revision: present revision of the key, 0 if it is absent
+    :param value: present value of the key, None if it is absent
     """
 
     revision: int
@@ -98,7 +100,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """A lease was granted or renewed."""
+    """A lease was granted or renewed.
+
+    :param lease: id of the lease
+    """
 
     lease: str
     ttl_s: float
@@ -106,10 +111,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The store did not answer.
+    """The store did not answer, or answered with an unexpected status.
 
-    :param maybe_applied: whether a write may have taken effect all the same;
-        settle it by reading back
+    :param maybe_applied: whether a write may have taken effect nevertheless;
+        only a read can determine it
     """
 
     reason: str
@@ -118,29 +123,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateLimited:
-    """The store, or this node's own budget, refused the call; not applied."""
+    """The call was refused by the store or by this node's own budget.
+
+    It had no effect.
+
+    :param retry_after_s: when to call again, in seconds from now
+    """
 
     retry_after_s: float = DEFAULT_RETRY_AFTER_S
 
 
 class KeyValue(abc.ABC):
-    """Compare-and-swap, leases and watches; no call is ever repeated.
+    """A store with compare-and-swap, leases and watches.
 
-    Every method returns a tagged outcome and raises nothing for a store
-    that is down, slow or over its rate.
+    Calls are never retried. Every method returns a tagged outcome; none
+    raises an error for a store that is unreachable, slow or over its rate
+    limit.
     """
 
     def with_call_kind(self, kind):
-        """Return the same store for calls of another urgency.
+        """Return the same store for calls of another kind.
 
         :param kind: a :class:`magnoliadyke.core.budget.CallKind`
         """
         return self
 
     def abort_watches(self):
-        """Make the waiting watches fail, so that they are begun anew.
+        """Make the watches in progress fail, so that they are restarted.
 
-        For stores whose watches can't go silent there is nothing to do.
+        Does nothing for stores whose watches can't be on a half-open
+        connection.
         """
         return None
 
@@ -152,8 +164,9 @@
     def put(self, key, value, if_revision=None, lease=None):
         """Write a key.
 
-        :param if_revision: expected revision, 0 for absent, None for any
-        :param lease: lease whose end removes the key
+        :param if_revision: revision that the key must have, 0 if it must be
+            absent, None for any
+        :param lease: id of a lease; the key is removed when it ends
         :return: Stored, Conflict, Absent (no such lease), Unavailable or
             RateLimited
         """
@@ -168,8 +181,11 @@
 
     @abc.abstractmethod
     def watch(self, key, after, wait_s):
-        """Wait on a connection of its own for a revision above ``after``.
+        """Wait until the key has a revision higher than ``after``.
+
+        The watch uses a connection of its own.
 
+        :param wait_s: longest wait, in seconds
         :return: Found, Unchanged, Unavailable or RateLimited
         """
 
@@ -187,7 +203,7 @@
 
     @abc.abstractmethod
     def close(self):
-        """Drop all connections."""
+        """Close all connections."""
 
 
 class HttpReply(typing.NamedTuple):
@@ -198,11 +214,15 @@
 
 
 class SingleAttemptPool(connectionpool.ConnectionPool):
-    """Gives out one connection per request and remembers it.
+    """Connection pool that allows one attempt per request.
 
-    The library sends a PUT again by itself when its connection ends early;
-    a compare-and-swap that had taken effect would then report a conflict
-    with itself. With one connection to a request there is no second try.
+    The HTTP library repeats a PUT on a new connection when the first one is
+    closed early; a compare-and-swap that had already taken effect would then
+    report a conflict with itself. The pool refuses the second connection.
+
+    :ivar attempts_left: number of connections that the request may still take
+    :ivar connected: whether the request got a connection, so that a part of
+        it may have been sent
     """
 
     def __init__(self, host, port, timeout_s):
@@ -220,9 +240,9 @@
         self.socket = None
 
     def get_socket(self):
-        """Connect, or reuse the idle connection, once per request.
+        """Return a socket, connected anew or idle, once per request.
 
-        :raises ConnectionError: at the second try
+        :raises ConnectionError: on the second attempt of a request
         """
         if not self.attempts_left:
             raise ConnectionError('connection ended before the answer')
@@ -232,17 +252,18 @@
         return self.socket
 
     def abandon(self):
-        """Close the connection whatever it is doing."""
+        """Close the connection, also while a request is using it."""
         self.close()
         if self.socket is not None:
             self.socket.close()
 
 
 class Connection(client.HTTPClient):
-    """One connection to one HTTP server, never used for a silent retry.
+    """One connection to an HTTP server, without automatic retries.
 
     :param address: ``ip:port``, numeric
-    :param timeout_s: longest silence of the socket, in seconds
+    :param timeout_s: longest time without bytes on the socket, in seconds
+    :ivar last_used_s: monotonic time of the last complete exchange
     """
 
     def __init__(self, address, timeout_s=CALL_TIMEOUT_S):
@@ -253,12 +274,13 @@
         self._connection_pool = self.pool
 
     def exchange(self, method, path, body, headers, timeout_s):
-        """Send one request and read its whole answer.
+        """Send one request and read the complete response.
 
-        :param timeout_s: for all of it, in seconds
+        :param timeout_s: limit for the whole exchange, in seconds
         :return: :class:`HttpReply`
-        :raises Exception: of any kind; the connection is then closed and
-            ``pool.connected`` tells whether a byte may have been sent
+        :raises Exception: of any kind; the connection is then closed, and
+            ``pool.connected`` is true if a part of the request may have been
+            sent
         """
         self.pool.attempts_left = 1
         self.pool.connected = False
@@ -275,7 +297,12 @@
 
 
 class StoreHealth:
-    """Whether the store answers, shared by all kinds of calls."""
+    """Availability of the store, shared by all kinds of calls.
+
+    :ivar last_answer_s: monotonic time of the store's last answer, or None
+    :ivar failing_since_s: monotonic time of the first call without an answer
+        since then, or None
+    """
 
     def __init__(self):
         self.last_answer_s = None
@@ -283,11 +310,10 @@
 
 
 class HttpKeyValue(KeyValue):
-    """The published HTTP protocol of the platform's key-value service.
+    """Client for the HTTP protocol of the platform's key-value service.
 
     :param settings: has ``keyvalue.address`` and ``keyvalue.prefix``
-    :param host: name of this host, sent along so that the platform can see
-        who calls
+    :param host: name of this host, sent in ``X-Sender`` to identify the caller
     :param clock: a :class:`magnoliadyke.clock.Clock`
     :param budget: a :class:`magnoliadyke.core.budget.StoreBudget`, made
         with its defaults if None
@@ -313,19 +339,22 @@
         self.failures = collections.Counter()
 
     def with_call_kind(self, kind):
-        """Share connections, counts and budget under another urgency."""
+        """Return a copy for calls of another kind.
+
+        It shares connections, counters and budget with this one.
+        """
         other = copy.copy(self)
         other.kind = kind
         return other
 
     @property
     def last_answer_s(self):
-        """When the store last answered anything, None if never."""
+        """Monotonic time of the store's last answer, None before the first."""
         return self.health.last_answer_s
 
     @property
     def failing_since_s(self):
-        """Since when no call has been answered, None while all is well."""
+        """Monotonic time of the first failure since an answer, or None."""
         return self.health.failing_since_s
 
     def get(self, key):
@@ -347,7 +376,7 @@
         return self.write_outcome(self.call('delete', 'DELETE', path))
 
     def list_prefix(self, prefix):
-        """Read all keys under a prefix of this deployment."""
+        """Read all keys with a prefix, within the keys of this deployment."""
         query = parse.quote(self.prefix + prefix, safe='')
         outcome = self.call('list', 'GET', f'/kv?prefix={query}')
         match outcome:
@@ -356,7 +385,7 @@
         return self.item_outcome(outcome)
 
     def watch(self, key, after, wait_s):
-        """Wait for the key's revision to pass ``after``."""
+        """Wait until the key has a revision higher than ``after``."""
         path = f'{self.path("watch", key)}?after={after}&wait_s={wait_s:g}'
         connection = self.idle_watches.pop(key, None)
         timeout_s = wait_s + WATCH_GRACE_S
@@ -376,7 +405,7 @@
         return self.item_outcome(outcome)
 
     def grant_lease(self, ttl_s):
-        """Ask for a new lease."""
+        """Request a new lease."""
         outcome = self.call('lease', 'POST', '/leases', {'ttl_s': ttl_s})
         return self.lease_outcome(outcome)
 
@@ -386,7 +415,7 @@
         return self.lease_outcome(self.call('keepalive', 'POST', path, {}))
 
     def revoke(self, lease):
-        """End a lease and remove its keys."""
+        """Revoke a lease, which removes its keys."""
         path = f'/leases/{parse.quote(lease, safe="")}'
         outcome = self.call('revoke', 'DELETE', path)
         match outcome:
@@ -395,23 +424,23 @@
         return self.write_outcome(outcome)
 
     def close(self):
-        """Drop all connections."""
+        """Close all connections."""
         self.close_idle_connections()
         while self.idle_watches:
             _, connection = self.idle_watches.popitem()
             connection.pool.abandon()
 
     def path(self, root, key):
-        """Path of a key of this deployment."""
+        """Return the URL path of a key of this deployment."""
         return f'/{root}/{parse.quote(self.prefix + key, safe="/")}'
 
     def item(self, body):
-        """Item of this deployment, its key without the prefix."""
+        """Return an item, its key without the prefix of the deployment."""
         key = body['key'].removeprefix(self.prefix)
         return Found(key, body['value'], body['revision'])
 
     def item_outcome(self, outcome):
-        """Typed outcome of a read."""
+        """Return the typed outcome of a read."""
         match outcome:
             case HttpReply(status, body) if status == STATUS_OK:
                 return self.item(body)
@@ -422,7 +451,7 @@
         return outcome
 
     def write_outcome(self, outcome):
-        """Typed outcome of a write."""
+        """Return the typed outcome of a write."""
         match outcome:
             case HttpReply(status, body) if status == STATUS_OK:
                 return Stored(body['revision'])
@@ -437,7 +466,7 @@
         return outcome
 
     def lease_outcome(self, outcome):
-        """Typed outcome of a lease call."""
+        """Return the typed outcome of a call that grants or renews a lease."""
         match outcome:
             case HttpReply(status, body) if status == STATUS_OK:
                 return Granted(body['lease'], float(body['ttl_s']))
@@ -448,7 +477,10 @@
         return outcome
 
     def call(self, kind, method, path, body=None):
-        """Exchange on an idle connection, or on a new one."""
+        """Make one call on an idle connection, or on a new one.
+
+        :param kind: name under which the call is counted
+        """
         connection = self.pop_idle_connection() or Connection(self.address)
         outcome = self.call_on(connection, kind, method, path, body)
         match outcome:
@@ -460,7 +492,7 @@
         return outcome
 
     def pop_idle_connection(self):
-        """Return an idle connection that was used lately, or None."""
+        """Return a connection idle for at most ``MAX_IDLE_S``, or None."""
         oldest_s = self.clock.now_s() - MAX_IDLE_S
         while self.idle:
             connection = self.idle.pop()
@@ -478,7 +510,11 @@
         body=None,
         timeout_s=CALL_TIMEOUT_S,
     ):
-        """Count and make one exchange; errors become typed outcomes."""
+        """Make one call on a connection, if the budget permits it.
+
+        :param kind: name under which the call is counted
+        :return: :class:`HttpReply`, Unavailable or RateLimited
+        """
         match self.budget.ask(self.kind, self.clock.now_s()):
             case budgets.Later(after_s):
                 self.failures['held_back'] += 1
@@ -494,7 +530,7 @@
         return self.record_reply(kind, answer)
 
     def record_reply(self, kind, answer):
-        """Note that the store answered, if only to refuse."""
+        """Record an answer of the store, including one over its rate limit."""
         now_s = self.clock.now_s()
         self.health.last_answer_s = now_s
         self.health.failing_since_s = None
@@ -506,11 +542,12 @@
         return answer
 
     def record_failure(self, connection, kind, method, error):
-        """Count a failure and suspect the sibling connections.
+        """Record a failed call and close the connections that may be affected.
 
-        When something between the two ends forgets one connection it has
-        often forgotten them all: the next calls would each wait out the
-        timeout. Dropping the idle ones makes the next call connect anew.
+        When a device on the path drops the state of one connection, it has
+        often dropped that of the others too, and the next calls would each
+        wait for the whole timeout. So all idle connections are closed, and
+        after a timeout the watches in progress as well.
         """
         now_s = self.clock.now_s()
         self.failures[kind] += 1
@@ -525,7 +562,7 @@
         return Unavailable(reason, maybe_applied=sent and method != 'GET')
 
     def abort_watches(self):
-        """Close the connections of the waiting watches."""
+        """Close the connections of the watches in progress."""
         for connection in self.active_watches:
             connection.pool.abandon()
 
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -1,4 +1,4 @@
-"""The duty of planning one pool: lease, engines and their commands."""
+"""Duty of planning one pool: its lease and the commands to its engines."""
 
 import collections
 import json
@@ -18,17 +18,18 @@
 
 __all__ = ['PoolDuty']
 
-#: Longest wait for what runs on an engine to end before its change.
+#: Longest wait for the requests of an engine to end before its role change.
 DRAIN_TIMEOUT_S = 8.0
-#: Requests that were on their way when the notice went out arrive meanwhile.
+#: Shortest drain: requests that other nodes sent before they received the
+#: notice arrive within this time.
 MIN_DRAIN_S = 0.5
 DRAIN_POLL_S = 0.25
-#: A notice lapses after this long unless it is repeated.
+#: A notice expires after this time unless it is repeated.
 NOTICE_TTL_S = 5.0
 NOTICE_INTERVAL_S = 1.0
 PLAN_INTERVAL_S = 1.0
-#: A role is short for this long before an engine is moved to it; an engine
-#: that crashed may be back by then.
+#: A role has too few engines for this time before an engine of the other role
+#: is switched to it; an engine that crashed may have restarted by then.
 SHORTAGE_DELAY_S = 3.0
 MAX_RECENT_CHANGES = 50
 WEIGHT_STORE_TIMEOUT_S = 2.0
@@ -38,7 +39,11 @@
 
 
 class LeaseAnswered(typing.NamedTuple):
-    """The store's answer to a call for the lease of a pool."""
+    """Outcome of a store call for the lease of a pool.
+
+    :param action: ``leases.ReadLease`` or ``leases.WriteLease``
+    :param outcome: an outcome of :mod:`magnoliadyke.keyvalue`
+    """
 
     pool: str
     action: object
@@ -46,7 +51,10 @@
 
 
 class IntentAnswered(typing.NamedTuple):
-    """The store's answer to a call for the intent of an engine."""
+    """Outcome of a store call for the intent of an engine.
+
+    :param outcome: an outcome of :mod:`magnoliadyke.keyvalue`
+    """
 
     pool: str
     engine: str
@@ -54,7 +62,11 @@
 
 
 class StateAnswered(typing.NamedTuple):
-    """An engine's reading, None when it is away."""
+    """State and load of an engine.
+
+    :param reading: :class:`magnoliadyke.enginecontrol.Reading`, or None if
+        the engine could not be read
+    """
 
     pool: str
     engine: str
@@ -62,7 +74,11 @@
 
 
 class CommandAnswered(typing.NamedTuple):
-    """An engine's verdict, None when it is not known."""
+    """An engine's answer to a command.
+
+    :param verdict: :class:`magnoliadyke.enginecontrol.Verdict`, or None if
+        the outcome of the command is unknown
+    """
 
     pool: str
     engine: str
@@ -70,7 +86,11 @@
 
 
 class WeightsAnswered(typing.NamedTuple):
-    """Whether the weight store lets a load begin, or when to come back."""
+    """The weight store's answer to a request to load a model.
+
+    :param granted: whether the load may start now
+    :param retry_after_s: seconds until the next request if it may not
+    """
 
     pool: str
     engine: str
@@ -79,10 +99,17 @@
 
 
 class Engine:
-    """One engine of the pool and what is under way with it.
+    """One engine of the pool, and its change in progress if there is one.
 
     :param settings: its :class:`magnoliadyke.settings.EndpointSettings`
     :param control: an :class:`magnoliadyke.enginecontrol.EngineControl`
+    :ivar reading: last :class:`magnoliadyke.enginecontrol.Reading`, None
+        before the first one and after a failed one
+    :ivar read_s: monotonic time of the last successful reading, or None
+    :ivar draining_since_s: monotonic time at which the drain started, None
+        if the engine is not being drained
+    :ivar is_out_of_use: whether notices tell the nodes to send the engine no
+        new requests
     """
 
     def __init__(self, settings, control):
@@ -101,28 +128,28 @@
         self.next_load_s = 0.0
 
     def record_reading(self, reading, now_s):
-        """Keep what the engine said of itself."""
+        """Record the engine's state and load, or None if it did not answer."""
         self.reading = reading
         if reading is not None:
             self.read_s = now_s
             self.role = reading.state.role
 
     def is_in_unintended_role(self):
-        """Whether the engine is in another role than was last intended.
+        """Whether the engine has another role than was last ordered.
 
-        It will be told to go back. A planner that took its role for real
-        would move another engine in its stead, and the pool would be left
-        with none in one of the roles when both are done.
+        It will be commanded to switch back. If the planner counted it in its
+        present role, it would switch another engine to replace it, and after
+        both changes the pool could have no engine in one of the roles.
         """
         intended = self.commands.role
         return intended is not None and self.role != intended.target
 
 
 class PoolDuty:
-    """Takes part in the election for one pool and plans it when elected.
+    """Contends for the lease of one pool and plans the pool while it holds it.
 
-    All calls that wait run in greenlets of their own and come back to the
-    owning task as messages.
+    Blocking calls run in greenlets of their own, which post the results to
+    the owning task as messages.
 
     :param pool: :class:`magnoliadyke.settings.PoolSettings`
     :param task: the :class:`magnoliadyke.duties.Duties` that owns this
@@ -158,9 +185,9 @@
     # Time.
 
     def tick(self, now_s, contending):
-        """Do what is due.
+        """Renew or claim the lease, drive the engines' commands, and plan.
 
-        :param contending: whether this node wants the duty
+        :param contending: whether this node stands for election
         """
         floor = max(
             int(self.task.clock.wall_s() * 1000), self.highest_fencing + 1
@@ -176,7 +203,7 @@
             self.plan(now_s)
 
     def log_lease_change(self, authority):
-        """Log when the duty is taken or lost."""
+        """Log that the lease was acquired or lost."""
         holds_lease = authority is not None
         if holds_lease != self.holds_lease:
             self.holds_lease = holds_lease
@@ -187,7 +214,11 @@
             )
 
     def tick_engine(self, engine, now_s, authority):
-        """Drive the commands of one engine."""
+        """Advance the commands, notices and drain of one engine.
+
+        The lease is released if the engine has accepted a higher fencing
+        token than this node's.
+        """
         if self.table_state(engine) == 'withdrawn':
             return
         for action in engine.commands.tick(now_s, authority):
@@ -202,23 +233,32 @@
         if engine.draining_since_s is not None:
             self.drain(engine, now_s)
         if engine.commands.is_superseded:
-            heard = engine.commands.highest_fencing
-            self.highest_fencing = max(self.highest_fencing, heard)
+            accepted = engine.commands.highest_fencing
+            self.highest_fencing = max(self.highest_fencing, accepted)
             self.lease.release()
 
     def table_state(self, engine):
-        """State of the engine in the operators' table."""
+        """Return the engine's state in the operators' table.
+
+        It is 'in' as long as this node has no table.
+        """
         view = self.task.view
         return view.endpoint(engine.name).state if view is not None else 'in'
 
     # Planning.
 
     def observe(self, demand, now_s):
-        """Feed the planner; every node does, so that each could take over."""
+        """Record the pool's demand in the planner.
+
+        All nodes record it, so that any of them can take over the planning.
+        """
         self.planner.observe(demand, now_s)
 
     def plan(self, now_s):
-        """Ask the planner; begin the change that it wants."""
+        """Start the role change that the planner proposes, or a model load.
+
+        A change that ends a shortage of engines in a role takes precedence.
+        """
         view = self.task.view
         if view is None:
             return
@@ -239,11 +279,12 @@
             self.load_models(now_s)
 
     def change_for_shortage(self, state, now_s):
-        """Return the change that ends a lack of engines in a role.
+        """Return the role change that ends a shortage of engines in a role.
 
-        The planner never goes below the least numbers of the table, but an
-        engine that dies, or an operator who raises a number, does. This
-        holds with planning off as well: it is how operators ask for roles.
+        The planner never takes a role below its minimum in the table, but an
+        engine that fails or an operator who raises a minimum does. Shortages
+        are also corrected while planning is off: this is how operators then
+        request roles.
         """
         change = change_to_minimum(state)
         if change is None:
@@ -257,7 +298,7 @@
         return change
 
     def engine_view(self, engine):
-        """The engine as the planner wants to know it."""
+        """Return the planner's view of an engine."""
         reading = engine.reading
         active = reading.active if reading is not None else 0
         read_s = engine.read_s if engine.read_s is not None else -1e9
@@ -270,11 +311,16 @@
         )
 
     def planner_state(self, engine):
-        """Whether the planner may count on the engine."""
+        """Return the engine's state for the planner.
+
+        :returns: 'in', 'changing', 'leaving' or 'away'; the planner counts
+            only on engines that are 'in'
+        """
         reading = engine.reading
         if engine.commands.under_way:
-            # Also while it is away: it may have crashed half-way, and comes
-            # back to go on. Another change meanwhile would be one too many.
+            # Also if the engine can't be read: it may have crashed during
+            # the change and continue it after its restart. A second change
+            # started meanwhile would take one engine too many out of use.
             return 'changing'
         if reading is None:
             return 'away'
@@ -285,7 +331,7 @@
         return 'in'
 
     def start_role_change(self, change):
-        """Begin a role change, unless the pool would fall short."""
+        """Request a role change, unless its role would lose its minimum."""
         row = self.task.view.pool(self.name)
         engine = self.engines[change.endpoint]
         working = [
@@ -309,9 +355,10 @@
     # Models.
 
     def load_models(self, now_s):
-        """Load the pool's model where it is missing, one at a time.
+        """Load the pool's model on one engine that lacks it.
 
-        The weight store is shared by all pools, so it is asked first.
+        The weight store is shared by all pools, so its permission for the
+        bytes of the load is requested first.
         """
         for engine in self.engines.values():
             missing = (
@@ -324,7 +371,7 @@
                 return
 
     def request_load_permit(self, engine):
-        """Ask the weight store for the bytes of one load."""
+        """Request permission from the weight store to load the model once."""
         body = json.dumps({'bytes': self.pool.model_bytes}).encode()
         granted, retry_after_s = False, WEIGHT_STORE_RETRY_S
         try:
@@ -341,7 +388,10 @@
         )
 
     def handle_weights_answer(self, answer, now_s):
-        """Begin the load, or wait."""
+        """Request the load if the weight store permits it.
+
+        Nothing is requested if this node no longer holds the lease.
+        """
         engine = self.engines[answer.engine]
         engine.next_load_s = now_s + answer.retry_after_s
         if answer.granted and self.lease.held(now_s) is not None:
@@ -350,10 +400,10 @@
             )
             LOG.event('load_wanted', engine=engine.name, model=self.pool.model)
 
-    # Actions of the core.
+    # Actions of core.commands.
 
     def execute(self, engine, action, now_s):
-        """Carry out one action for an engine."""
+        """Execute one action that ``core.commands`` returned for an engine."""
         match action:
             case commands.ReadState():
                 self.task.spawn(lambda: self.read_state(engine))
@@ -375,7 +425,7 @@
                 self.handle_change_failed(engine, change, reason)
 
     def handle_settled(self, engine, change, generation, corrected):
-        """A change is done; give the engine back to use."""
+        """Return an engine to use whose change is complete, and record it."""
         self.return_to_use(engine)
         LOG.event(
             'engine_settled',
@@ -394,7 +444,7 @@
                 )
 
     def handle_change_failed(self, engine, change, reason):
-        """A change failed; give the engine back to use."""
+        """Return an engine to use whose change failed."""
         self.return_to_use(engine)
         LOG.warning_event(
             'engine_change_failed',
@@ -405,13 +455,16 @@
         )
 
     def return_to_use(self, engine):
-        """Let all nodes place work on the engine again."""
+        """End the drain and notify all nodes that the engine is in use."""
         engine.draining_since_s = None
         engine.is_out_of_use = False
         self.send_notice(engine, changing=False)
 
     def send_notice(self, engine, changing):
-        """Tell all nodes whether to place work on the engine."""
+        """Notify all nodes whether they may send requests to the engine.
+
+        :param changing: whether the engine is out of use for a change
+        """
         authority = self.lease.authority
         if authority is not None:
             notice = notices.EngineNotice(
@@ -422,7 +475,10 @@
     # Draining.
 
     def take_out_of_use(self, engine, change, now_s):
-        """Take the engine out of use before a role change."""
+        """Start to drain the engine before a role change.
+
+        Model loads need no drain and go on at once.
+        """
         if change.kind != 'role':
             for action in engine.commands.record_engine_drained(now_s):
                 self.execute(engine, action, now_s)
@@ -433,10 +489,10 @@
         engine.next_drain_poll_s = now_s + MIN_DRAIN_S
 
     def drain(self, engine, now_s):
-        """Wait until nothing runs on the engine, then go on.
+        """Continue the change once the engine is idle or has timed out.
 
-        What still runs at the end of the wait is frozen during the change
-        and goes on after it; nothing is cut.
+        Requests that still run after ``DRAIN_TIMEOUT_S`` are suspended during
+        the change and resumed after it; none is cancelled.
         """
         waited_s = now_s - engine.draining_since_s
         if now_s >= engine.next_drain_poll_s:
@@ -453,14 +509,14 @@
             for action in engine.commands.record_engine_drained(now_s):
                 self.execute(engine, action, now_s)
 
-    # Calls that wait; each runs in a greenlet of its own.
+    # Blocking calls; each runs in a greenlet of its own.
 
     def spawn_lease_call(self, action):
-        """Make the lease's next call to the store."""
+        """Start the lease's next call to the store in a new greenlet."""
         self.task.spawn(lambda: self.make_lease_call(action))
 
     def make_lease_call(self, action):
-        """Call the store for the lease."""
+        """Read or write the lease in the store, and post the outcome."""
         store = self.task.lease_store
         match action:
             case leases.ReadLease():
@@ -470,19 +526,23 @@
         self.task.post(LeaseAnswered(self.name, action, outcome))
 
     def read_intent(self, engine):
-        """Read the engine's intent from the store."""
+        """Read the engine's intent from the store, and post the outcome."""
         outcome = self.task.intent_store.get(f'intent/{engine.name}')
         self.task.post(IntentAnswered(self.name, engine.name, outcome))
 
     def write_intent(self, engine, intent, if_revision):
-        """Write the engine's intent to the store."""
+        """Write the engine's intent to the store, and post the outcome."""
         outcome = self.task.intent_store.put(
             f'intent/{engine.name}', intent.dump(), if_revision
         )
         self.task.post(IntentAnswered(self.name, engine.name, outcome))
 
     def read_state(self, engine, polled=False):
-        """Read the engine's state; a poll of the drain is for us alone."""
+        """Read the engine's state and load.
+
+        :param polled: whether the drain polls the engine; the reading is then
+            only recorded, and not posted to the engine's commands
+        """
         try:
             reading = engine.control.read()
         except (errors.EndpointUnreachable, ValueError) as error:
@@ -494,7 +554,10 @@
         self.task.post(StateAnswered(self.name, engine.name, reading))
 
     def send_command(self, engine, command, deadline_s):
-        """Send one command, if the authority still stands."""
+        """Send one command if the lease outlives it, and post the verdict.
+
+        :param deadline_s: monotonic time at which the connection is closed
+        """
 
         def may_send():
             now_s = self.task.clock.now_s()
@@ -512,7 +575,7 @@
     # Answers.
 
     def handle_lease_answer(self, answer, now_s):
-        """Tell the lease what the store answered."""
+        """Pass the outcome of a store call to the lease."""
         match answer.outcome:
             case keyvalue.Stored(revision):
                 self.lease.written(now_s, revision)
@@ -528,7 +591,7 @@
                 self.lease.write_unknown(now_s)
 
     def handle_intent_answer(self, answer, now_s):
-        """Tell the engine's commands what the store answered."""
+        """Pass the outcome of a store call to the engine's commands."""
         engine = self.engines[answer.engine]
         match answer.outcome:
             case keyvalue.Stored(revision):
@@ -544,7 +607,7 @@
         self.execute_all(engine, actions, now_s)
 
     def handle_state_answer(self, answer, now_s):
-        """Tell the engine's commands what the engine said."""
+        """Pass the state that was read to the engine's commands."""
         engine = self.engines[answer.engine]
         engine.record_reading(answer.reading, now_s)
         if answer.reading is None:
@@ -554,7 +617,7 @@
         self.execute_all(engine, actions, now_s)
 
     def handle_command_answer(self, answer, now_s):
-        """Tell the engine's commands what became of a command."""
+        """Pass the engine's verdict on a command to its commands."""
         engine = self.engines[answer.engine]
         match answer.verdict:
             case enginecontrol.Verdict(code, highest):
@@ -566,22 +629,22 @@
         self.execute_all(engine, actions, now_s)
 
     def execute_all(self, engine, actions, now_s):
-        """Carry out several actions for an engine."""
+        """Execute several actions for an engine."""
         for action in actions:
             self.execute(engine, action, now_s)
 
-    # Ending and telling.
+    # Release and status.
 
     def has_change_in_progress(self):
-        """Whether a command relies on the lease at this moment."""
+        """Whether a change that relies on the lease is in progress."""
         return any(each.commands.under_way for each in self.engines.values())
 
     def release(self, in_time):
-        """Give the duty up.
+        """Release the lease once no change is in progress.
 
-        :param in_time: False when a change is still under way and can't be
-            waited for: the lease then lapses by itself, and the successor
-            waits for what may be on its way
+        :param in_time: whether there is time to wait for a change in
+            progress. If not, the authority is dropped and the lease expires;
+            the next holder waits for commands that may still be in flight.
         """
         if not in_time:
             self.lease.drop()
@@ -589,7 +652,7 @@
             self.lease.release()
 
     def status(self, now_s):
-        """Return what this node knows of the pool's planning."""
+        """Return the pool's status as far as this node has a record of it."""
         value = self.lease.value
         return poolstatus.PoolStatus(
             self.name,
@@ -601,7 +664,7 @@
         )
 
     def engine_status(self, engine, now_s):
-        """Return how one engine does."""
+        """Return the role, target role and generation of one engine."""
         reading = engine.reading
         intended = engine.commands.role
         target = intended.target if intended is not None else engine.role
@@ -615,14 +678,17 @@
         )
 
     def close(self):
-        """Drop idle connections."""
+        """Close idle connections."""
         self.weight_store.close()
         for engine in self.engines.values():
             engine.control.close()
 
 
 def change_to_minimum(state):
-    """Return the role change that a pool below its least numbers needs.
+    """Return the role change for a pool with a role below its minimum.
+
+    No change is returned while an engine is changing, or if the other role
+    has no engine beyond its own minimum.
 
     :param state: :class:`magnoliadyke.core.roles.PoolState`
     :return: :class:`magnoliadyke.core.roles.RoleChange`, or None
--- a/magnoliadyke/responsestream.py
+++ b/magnoliadyke/responsestream.py
@@ -1,4 +1,4 @@
-"""Write a run's output to a caller's connection as it comes."""
+"""Streaming of a run's output to the connection of a caller."""
 
 import os
 import socket
@@ -18,11 +18,11 @@
 
 
 class CallerDisconnected(Exception):
-    """The caller closed its connection or stopped reading."""
+    """The caller closed its connection or reads no more of the response."""
 
 
 class OutcomeWaiter:
-    """Waits for a run's end while watching the caller's connection.
+    """Waits for a run's outcome while it watches the caller's connection.
 
     :param run: :class:`magnoliadyke.streams.Run`
     :param handler: the connection's WSGI handler
@@ -37,23 +37,26 @@
         run.subscribers.append(self)
 
     def handle_end(self):
-        """The run has ended; called by the run, maybe in the hub."""
+        """Wake the waiting greenlet when the run has ended.
+
+        It may be called in the hub, so it must not block.
+        """
         self.wake.set()
 
     def deliver(self, block, framed):
-        """The run has output; only its end matters here."""
+        """Ignore output of the run; only its outcome is waited for."""
 
     def close(self):
-        """Stop to follow."""
+        """Unsubscribe from the run and stop watching the connection."""
         self.writes_directly = False
         self.unwatch()
         if self in self.run.subscribers:
             self.run.subscribers.remove(self)
 
     def wait_for_outcome(self):
-        """Return the run's outcome.
+        """Wait for the run's outcome and return it.
 
-        :raises CallerDisconnected: when the caller leaves first
+        :raises CallerDisconnected: if the caller closes its connection first
         """
         self.watch()
         while self.run.outcome is None:
@@ -63,7 +66,7 @@
         return self.run.outcome
 
     def watch(self):
-        """Wake when the caller's connection can be read."""
+        """Wake the waiting greenlet when the connection becomes readable."""
         if self.watcher is None:
             loop = gevent.get_hub().loop
             fileno = self.handler.socket.fileno()
@@ -71,23 +74,29 @@
             self.watcher.start(self.handle_readable)
 
     def unwatch(self):
-        """Stop to watch the caller's connection."""
+        """Stop watching the caller's connection."""
         if self.watcher is not None:
             self.watcher.stop()
             self.watcher.close()
             self.watcher = None
 
     def handle_readable(self):
-        """The caller closed, or sent its next request early."""
+        """Wake the waiting greenlet to check the connection.
+
+        It is readable if the caller closed it or sent its next request early.
+        """
         self.watcher.stop()
         self.wake.set()
 
     def check_caller(self):
-        """Raise if the caller has closed its connection."""
+        """Check the connection if it has become readable.
+
+        :raises CallerDisconnected: if the caller has closed it
+        """
         if self.watcher is None or self.watcher.active:
             return
-        # The event may have been spurious: a read that waits would stop the
-        # answer until the caller sends something.
+        # The event may have been spurious: a blocking read would stall the
+        # response until the caller sends something.
         with gevent.Timeout(PEEK_TIMEOUT_S, False):
             try:
                 left = self.handler.socket.recv(1, socket.MSG_PEEK) == b''
@@ -102,13 +111,20 @@
 class ResponseStream(OutcomeWaiter):
     """Streams a run's events to a caller.
 
-    While the caller keeps up, events go from the run straight to its socket
-    without a task switch (``direct``). When the socket is full, the
-    caller's own greenlet takes over until it has drained.
-
-    :param offset: output tokens the caller has already
-    :param shape: turns events into what the caller asked for, or None
-    :param stall_s: longest time without progress of the caller's reading
+    While the socket accepts them, the run writes events to it directly and
+    without a switch of greenlets. When the socket's buffer is full, the
+    greenlet of the caller's request writes the backlog.
+
+    :param offset: number of output tokens that the caller has already received
+    :param shape: converts events to the format that the caller requested, or
+        None to send them as they are
+    :param stall_s: longest time in which the caller reads no bytes, in seconds
+    :ivar writes_directly: whether the run writes to the socket itself
+    :ivar forwards_chunks: whether HTTP chunks of the run are written unchanged
+    :ivar index: number of the run's pieces that were taken
+    :ivar ready: events of pieces that were taken, but not written yet
+    :ivar backlog: bytes that the socket has not accepted yet
+    :ivar is_idle: whether nothing was written since the last keep-alive
     """
 
     def __init__(self, run, handler, offset=0, shape=None, stall_s=20.0):
@@ -127,10 +143,10 @@
         super().__init__(run, handler)
 
     def deliver(self, block, framed):
-        """Write new output, or wake the greenlet that will.
+        """Write new output, or wake the greenlet that writes it.
 
         :param block: events, the newest of the run's pieces
-        :param framed: the same as a chunk of HTTP, or None
+        :param framed: the same events as an HTTP chunk, or None
         """
         if not self.writes_directly:
             self.wake.set()
@@ -142,11 +158,11 @@
             self.write(framed)
 
     def wait_for_first_output(self, longest_s):
-        """Wait until it is clear how the answer begins.
+        """Wait for the first output or the outcome, to choose the HTTP status.
 
-        :param longest_s: after so long the answer begins without a token,
-            and whatever goes wrong later is told inside the stream
-        :return: whether there is output or an end
+        :param longest_s: longest wait, in seconds; the response then starts
+            without a token, and later errors are sent within the stream
+        :return: whether there is output or an outcome
         """
         self.watch()
         with gevent.Timeout(longest_s, False):
@@ -160,7 +176,7 @@
         return False
 
     def take_output(self):
-        """Return the output that came since the last call."""
+        """Return the output since the last call, in the caller's format."""
         pieces = self.run.pieces
         data = self.ready + b''.join(pieces[self.index :])
         self.ready = b''
@@ -168,9 +184,9 @@
         return self.shape(data) if self.shape and data else data
 
     def __iter__(self):
-        """Yield the first part to the server, then write to the socket.
+        """Yield the first and the last part; write the rest to the socket.
 
-        The server sends the head of the answer with the first part.
+        The server sends the response head together with the first part.
         """
         try:
             yield self.take_output() or KEEP_ALIVE
@@ -181,14 +197,17 @@
             self.close()
 
     def final_events(self):
-        """Return the last events, by the run's outcome."""
+        """Return the final events of the stream, according to the outcome."""
         outcome = self.run.outcome
         if isinstance(outcome, records.Answer):
             return attempts.DONE
         return forms.error_event(outcome)
 
     def stream(self):
-        """Write directly until the end or until the socket is full."""
+        """Let the run write directly until it ends or the socket is full.
+
+        Then write the backlog.
+        """
         self.wake.clear()
         self.writes_directly = True
         self.forwards_chunks = (
@@ -207,7 +226,11 @@
         self.check_caller()
 
     def write_available(self):
-        """Write what has come, without waiting."""
+        """Write the available output without blocking.
+
+        Once the run has ended, wakes the greenlet that writes the final
+        events instead.
+        """
         if self.run.outcome is not None:
             self.writes_directly = False
             self.wake.set()
@@ -218,19 +241,22 @@
             self.write(self.to_chunk(data))
 
     def keep_alive(self):
-        """Show an idle caller that its connection and node live."""
+        """Write a keep-alive comment if the last interval had no output.
+
+        It shows the caller that its connection and the node are alive.
+        """
         if self.writes_directly and self.is_idle:
             self.write(self.to_chunk(KEEP_ALIVE))
         self.is_idle = True
 
     def to_chunk(self, data):
-        """Return data as a chunk of the HTTP answer."""
+        """Return data as an HTTP chunk if the response uses chunks."""
         if self.handler.response_use_chunked:
             return b'%x\r\n%b\r\n' % (len(data), data)
         return data
 
     def write(self, data):
-        """Write without waiting; what does not fit waits in the backlog."""
+        """Write without blocking; unwritten bytes become the backlog."""
         try:
             sent = os.write(self.fileno, data)
         except BlockingIOError:
@@ -245,10 +271,11 @@
             self.wake.set()
 
     def drain(self):
-        """Write the backlog, as fast as the caller reads.
+        """Write the backlog as fast as the caller reads.
 
-        A caller that stops reading would hold its answer in memory for
-        good; without progress for ``stall_s`` its connection is closed.
+        Without a limit, the response to a caller that stops reading would
+        stay in memory forever; its connection is closed if it reads nothing
+        for ``stall_s``.
         """
         peer = self.handler.socket
         while self.backlog and not self.is_disconnected:
