--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -500,7 +500,7 @@
 def bind_udp(address, port):
     """Return a UDP socket bound to a numeric address and a port."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    bound.bind_udp((address, port))
+    bound.bind((address, port))
     return bound
 
 
