--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -280,7 +280,7 @@
 def test_a_model_is_loaded_when_the_weight_store_allows(fleet):
     (holder,) = holders(fleet)
     weights = FakeWeights(fleet.clock, 7.0)
-    duty(fleet, holder).weights = weights
+    duty(fleet, holder).weight_store = weights
     engine = fleet.controls['e2']
     engine.taken.clear()
     engine.models.clear()
