--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -1,4 +1,4 @@
-"""The UDP task that keeps this node's view of the others."""
+"""Task that runs the membership protocol with the other nodes over UDP."""
 
 import math
 import typing
@@ -17,46 +17,54 @@
 from magnoliadyke.wire import constants
 
 __all__ = [
-    'SendEngineNotice',
     'Gossip',
-    'TableAdopted',
-    'Leave',
     'HostsListed',
+    'Leave',
     'OwnDigest',
     'OwnState',
     'PeerDigest',
-    'PromptsReceived',
     'PromptsAssigned',
+    'PromptsReceived',
+    'SendEngineNotice',
     'Standing',
     'StoreConfirmed',
     'Survey',
+    'TableAdopted',
 ]
 
 TICK_INTERVAL_S = 0.1
-#: Most other members that are told of each prompt.
+#: Largest number of other members to which prompt notices are sent.
 MAX_PROMPT_RECEIVERS = 16
 RECEIVE_BYTES = 65_507
-#: Evidence has to hold for this share of its time from now on to be relied
-#: on; else the store is read, and a survey made when it does not answer.
+#: A quorum counts as lasting if its evidence stays valid for this share of
+#: ``stale_after_s``. Otherwise the store is read, and if it does not answer,
+#: all members are probed.
 MIN_REMAINING_SHARE = 0.5
-#: Age of the store's word, as a share likewise, at which it counts as out.
+#: The store counts as unreachable when its last confirmation is older than
+#: this share of ``stale_after_s``.
 STORE_UNREACHABLE_SHARE = 0.7
 SURVEY_INTERVAL_S = 1.0
-#: Larger quorums can't be asked at once; the store's word serves instead.
+#: A larger quorum can't be probed at once; it relies on the store alone.
 MAX_SURVEYED_QUORUM = 32
 
 LOG = logs.get('gossip')
 
 
 class TableAdopted(typing.NamedTuple):
-    """This node now holds this table."""
+    """This node now holds a table with these revisions.
+
+    :param staged_revision: revision of its last staged edit
+    """
 
     table_revision: int
     staged_revision: int
 
 
 class StoreConfirmed(typing.NamedTuple):
-    """A read of the store, begun at ``sent_s``, showed these revisions."""
+    """A read of the store returned a table with these revisions.
+
+    :param sent_s: monotonic time at which the read was sent
+    """
 
     sent_s: float
     table_revision: int
@@ -64,10 +72,12 @@
 
 
 class OwnState(typing.NamedTuple):
-    """What this node tells of itself; None leaves a field alone.
+    """A change of the state that this node sends to its peers.
 
-    :param spare: share of its capacity that is free, 0 to 1
-    :param takes_work: False while it stops or drains
+    :param spare: share of its capacity that is free, 0 to 1; None keeps the
+        last value
+    :param takes_work: whether the node accepts requests, False while it stops
+        or drains; None keeps the last value
     """
 
     spare: float | None = None
@@ -75,13 +85,13 @@
 
 
 class OwnDigest(typing.NamedTuple):
-    """This node's digest for the others, already encoded."""
+    """The encoded digest that this node sends to its peers."""
 
     data: bytes
 
 
 class SendEngineNotice(typing.NamedTuple):
-    """Tell all members, this node included, of one engine.
+    """Send an engine notice to all members, and apply it on this node.
 
     :param notice: a :class:`magnoliadyke.core.notices.EngineNotice`
     """
@@ -90,7 +100,7 @@
 
 
 class HostsListed(typing.NamedTuple):
-    """The platform's list of hosts was read.
+    """The platform's host list was read.
 
     :param hosts: a :class:`magnoliadyke.core.hostdiscovery.HostList`
     """
@@ -99,35 +109,40 @@
 
 
 class PromptsAssigned(typing.NamedTuple):
-    """Tell the other members what this node has given to engines.
+    """Notify the other members of prompts that this node sent to engines.
 
-    :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
+    :param prompts: tuple of :class:`magnoliadyke.core.notices.PromptNotice`
     """
 
     prompts: tuple
 
 
 class PromptsReceived(typing.NamedTuple):
-    """Another node's prompts, as it told of them."""
+    """Prompts that another node sent to engines, from its notification.
+
+    :param prompts: tuple of :class:`magnoliadyke.core.notices.PromptNotice`
+    """
 
     prompts: tuple
 
 
 class Survey(typing.NamedTuple):
-    """Probe all members now instead of one a period."""
+    """Probe all members at once instead of one in each period."""
 
 
 class PeerDigest(typing.NamedTuple):
-    """Another node's digest."""
+    """The encoded digest of another node."""
 
     host: str
     data: bytes
 
 
 class Leave(mailbox.Ask):
-    """Announce that this node leaves; answers when it has been sent.
+    """Announce to all members that this node leaves.
 
-    :param successor: host that got this node's records, or ''
+    It is answered when the datagrams have been sent.
+
+    :param successor: host that took over this node's records, or ''
     """
 
     def __init__(self, successor=''):
@@ -136,18 +151,21 @@
 
 
 class Standing(typing.NamedTuple):
-    """What this node may conclude from its evidence of the others.
-
-    :param at_s: monotonic time of the conclusion
-    :param fresh: it may rely on its table
-    :param takes_work: it takes new work
-    :param quorate: enough others know no newer table, and will do so for a
-        while
-    :param wants_store: a read of the store is due
-    :param unconfirmed: the store's last word is old
-    :param newer_at: ``ip:port`` of a peer with a newer table, or ''
-    :param newest: newest revision heard of, staged or accepted
-    :param acceptance: an outcome of :mod:`magnoliadyke.core.freshness`
+    """Conclusions of ``core.freshness`` from this node's evidence.
+
+    :param at_s: monotonic time of the evaluation
+    :param fresh: whether the node may rely on its table
+    :param takes_work: whether the node accepts requests
+    :param has_quorum: whether the evidence from enough peers that they hold no
+        newer table stays valid for ``MIN_REMAINING_SHARE``
+    :param is_store_read_due: whether the store has to be read
+    :param acts_on_staged: whether the last confirmation by the store is so old
+        that staged edits may have to be put in force
+    :param newer_table_address: ``ip:port`` of a peer with a newer table, or ''
+    :param newest: highest revision that a member has reported, staged or
+        accepted
+    :param acceptance: whether the staged edit may be accepted, an outcome of
+        :mod:`magnoliadyke.core.freshness`; None without a staged edit
     """
 
     at_s: float
@@ -162,17 +180,20 @@
 
 
 class Gossip(mailbox.Task):
-    """Owns the UDP socket on this host's peer port and its membership.
-
-    Topics: ``members`` (:class:`magnoliadyke.core.membership.MembersView`),
-    ``standings`` (:class:`Standing`), ``digests`` (:class:`PeerDigest`, each
-    as it comes), ``uses`` (``core.notices.EngineUse``, each as it comes),
-    ``prompts`` (:class:`PromptsHeard`, each as it comes),
-    ``pauses`` (``core.membership.Paused``) and ``superseded``
-    (``core.membership.Superseded``: another process runs for this host; the
-    node has to stop). Takes :class:`HoldTable`, :class:`StoreConfirmed`,
-    :class:`OwnState`, :class:`OwnDigest`, :class:`Announce`,
-    :class:`PromptsSent`, :class:`Listed`, :class:`Survey` and :class:`Leave`.
+    """Owns the UDP socket on this host's peer port and the membership state.
+
+    It publishes the topics ``members``
+    (:class:`magnoliadyke.core.membership.MembersView`), ``standings``
+    (:class:`Standing`), ``digests`` (every :class:`PeerDigest` received),
+    ``engine_uses`` (every ``core.notices.EngineUse``), ``prompts`` (every
+    :class:`PromptsReceived`), ``pauses`` (``core.membership.Paused``) and
+    ``superseded`` (``core.membership.Superseded``: another process runs for
+    this host, and this node has to stop).
+
+    It accepts :class:`TableAdopted`, :class:`StoreConfirmed`,
+    :class:`OwnState`, :class:`OwnDigest`, :class:`SendEngineNotice`,
+    :class:`PromptsAssigned`, :class:`HostsListed`, :class:`Survey` and
+    :class:`Leave`.
 
     :param settings: the deployment's settings
     :param host: name of this host
@@ -214,14 +235,14 @@
         self.reader = None
 
     def start(self):
-        """Bind the socket, then work."""
+        """Bind the socket, then start the task and the reader."""
         own = self.membership.own
         self.socket = bind_udp(own.address, own.peer_port)
         super().start()
         self.reader = gevent.spawn(self.read)
 
     def stop(self, deadline_s=5.0):
-        """End the tasks, then close the socket."""
+        """Stop the task and the reader, then close the socket."""
         super().stop(deadline_s)
         if self.reader is not None:
             self.reader.kill()
@@ -229,19 +250,19 @@
             self.socket.close()
 
     def read(self):
-        """Post each datagram to the task."""
+        """Post each received datagram to the task."""
         while True:
             try:
                 data, _ = self.socket.recvfrom(RECEIVE_BYTES)
             except ConnectionRefusedError:
-                continue  # an earlier datagram of ours met a closed port
+                continue  # ICMP: a datagram was sent to a closed port
             except OSError:
                 return
             self.received_bytes += len(data)
             self.post(data)
 
     def handle(self, message):
-        """Act on one message."""
+        """Handle one message or received datagram."""
         now_s = self.clock.now_s()
         match message:
             case bytes():
@@ -269,7 +290,12 @@
                 message.reply(True)
 
     def update_host_list(self, listed):
-        """Knock at hosts that only the list knows; forget those it lost."""
+        """Apply a new host list to the hosts that are probed.
+
+        Hosts that are only on the list become seeds. Hosts that are neither
+        on it nor in the settings are no longer seeds. An older list than the
+        present one is ignored.
+        """
         if listed.at_s < self.host_list.at_s:
             return
         self.host_list = listed
@@ -284,7 +310,10 @@
             known.add_seed(peer)
 
     def view(self):
-        """Return the members as the rest of the node is to see them."""
+        """Return the members, with those that leave marked as such.
+
+        A host that the host list shows as leaving takes no work.
+        """
         view = self.membership.view()
         own = self.membership.own.host
         members = hostdiscovery.without_leaving(
@@ -293,19 +322,19 @@
         return view._replace(members=members)
 
     def record_table(self, held, now_s):
-        """Tell the others which table this node holds."""
+        """Record the revisions of this node's table, and publish changes."""
         self.membership.set_table(*held)
         self.publish(now_s)
 
     def update_own_state(self, state):
-        """Tell the others of a change in this node."""
+        """Record a change of the state that is sent to the peers."""
         if state.spare is not None:
             self.membership.set_spare(state.spare)
         if state.takes_work is not None:
             self.membership.accepts = state.takes_work
 
     def send_notice(self, notice, now_s):
-        """Send a notice to all members and heed it here."""
+        """Send an engine notice to all members, and apply it on this node."""
         own = self.membership.own
         message = gossip_codec.Notice(own, notice)
         data = gossip_codec.encode_notice(self.deployment, message)
@@ -315,11 +344,11 @@
         self.publish_engine_uses(self.notices.apply(notice, now_s))
 
     def send_prompts(self, prompts):
-        """Send word of prompts to all members of a small fleet.
+        """Send prompt notices to all members of a small fleet.
 
-        Each node pays for each prompt of the others. Where there are many,
-        that would be most of the traffic for control; nodes of a large
-        fleet rely on load reports alone.
+        Every node processes the notices of all prompts in the fleet. In a
+        large fleet these would be most of the control traffic; its nodes rely
+        on load reports alone.
         """
         others = [
             member
@@ -334,13 +363,13 @@
             self.send_data((member.address, member.peer_port), data)
 
     def publish_engine_uses(self, uses):
-        """Publish each engine whose use changed."""
+        """Log and publish each engine that was taken out of or into use."""
         for use in uses:
             LOG.event('engine_use', engine=use.engine, state=use.state)
             self.engine_uses.publish(use)
 
     def tick(self):
-        """Drive the protocol's timers."""
+        """Run the timers of the notices and of the membership protocol."""
         now_s = self.clock.now_s()
         self.publish_engine_uses(self.notices.expire(now_s))
         self.execute(self.membership.tick(now_s))
@@ -348,13 +377,13 @@
         self.publish(now_s)
 
     def survey_before_expiry(self, now_s):
-        """Ask all members at once before the evidence of them runs out.
+        """Probe all members at once before the evidence from them expires.
 
-        When half the fleet is cut off, probe after probe goes to hosts that
-        do not answer, each waited for the longer the more of them fail.
-        Meanwhile the evidence of the reachable half grows old, and a group
-        that may go on serving would stop for seconds. With the store's word
-        at hand nothing depends on that evidence; it is left to run out.
+        When half of the fleet is unreachable, many probes in a row go to
+        hosts that don't answer, and the probe timeout grows with the failures.
+        Meanwhile the evidence from the reachable half expires, and a group
+        that may continue to serve would stop for seconds. While the store
+        confirms the table nothing depends on this evidence, and it may expire.
         """
         known = self.membership.freshness
         store_out_s = STORE_UNREACHABLE_SHARE * known.settings.stale_s
@@ -364,14 +393,18 @@
             self.execute(self.membership.survey(now_s))
 
     def has_quorum(self):
-        """Whether the evidence of the others will do for a while."""
+        """Whether the evidence from a quorum stays valid for long enough.
+
+        It has to last for ``MIN_REMAINING_SHARE`` of the time after which
+        evidence expires.
+        """
         known = self.membership.freshness
         lasts_s = MIN_REMAINING_SHARE * known.settings.stale_s
         soon_s = self.clock.now_s() + lasts_s
         return len(known.group(soon_s)) >= known.quorum
 
     def receive(self, data, now_s):
-        """Take one datagram in."""
+        """Decode and handle one datagram; a malformed one is logged."""
         try:
             message = gossip_codec.decode(self.deployment, data)
         except errors.ProtocolError as error:
@@ -389,7 +422,7 @@
             self.publish(now_s)
 
     def execute(self, actions):
-        """Carry out what the core decided."""
+        """Execute the actions returned by ``core.membership``."""
         for action in actions:
             match action:
                 case membership.SendDatagram(address, message):
@@ -404,17 +437,23 @@
                     self.superseded.publish(action)
 
     def send(self, address, message):
-        """Send one datagram; a lost one is the protocol's matter."""
+        """Send one datagram, without the updates that exceed its size limit.
+
+        The membership protocol handles lost datagrams.
+        """
         data = gossip_codec.encode(self.deployment, message)
         while len(data) > constants.MAX_DATAGRAM_BYTES and message.updates:
-            # Long names and a full digest at once. Members are told of
-            # several times over; the digest of this second goes out once.
+            # Only with long host names and a full digest. Updates are sent
+            # several times, but the digest of this second only once.
             message = message._replace(updates=message.updates[:-1])
             data = gossip_codec.encode(self.deployment, message)
         self.send_data(address, data)
 
     def send_data(self, address, data):
-        """Send the bytes of one datagram."""
+        """Send the bytes of one datagram; an error is logged.
+
+        :param address: IP address and port
+        """
         try:
             self.socket.sendto(data, address)
         except OSError as error:
@@ -423,7 +462,7 @@
         self.sent_bytes += len(data)
 
     def publish(self, now_s):
-        """Publish the view and the standing if they say something new."""
+        """Publish the members and the standing if they have changed."""
         view = self.view()
         if view != self.members.last:
             self.log_changes(self.members.last, view)
@@ -433,7 +472,7 @@
             self.standings.publish(standing)
 
     def build_standing(self, now_s):
-        """Return this node's :class:`Standing`."""
+        """Return this node's :class:`Standing` at ``now_s``."""
         known = self.membership.freshness
         staged = known.staged_revision > known.table_revision
         newest = max(
@@ -456,10 +495,11 @@
         )
 
     def host_with_newer_revision(self):
-        """A live host that told of a newer table than this node holds.
+        """Return a live host that has reported a newer table, or None.
 
-        Its word comes with any datagram, sooner than evidence, which comes
-        with answers to own probes only; it is enough to ask for the table.
+        Members report their revisions in every datagram, so this is known
+        before there is evidence, which only answers to this node's own probes
+        provide. It is sufficient for fetching the table.
         """
         known = self.membership.freshness
         for member in self.members.last.alive():
@@ -469,7 +509,10 @@
         return None
 
     def acceptance(self, now_s):
-        """Whether the staged edit may be accepted."""
+        """Return whether the staged edit may be accepted.
+
+        :returns: an outcome of :mod:`magnoliadyke.core.freshness`
+        """
         left = [
             host
             for host, member in self.membership.members.items()
@@ -478,14 +521,17 @@
         return self.membership.freshness.acceptance(now_s, left)
 
     def peer_address(self, host):
-        """Peer address of a member as ``ip:port``, '' if unknown."""
+        """Return a member's peer address as ``ip:port``.
+
+        :returns: '' if there is no record of the host
+        """
         member = self.membership.members.get(host)
         if member is None:
             return ''
         return f'{member.address}:{member.peer_port}'
 
     def log_changes(self, before, after):
-        """Log members that came, went or changed their state."""
+        """Log the members that are new or have changed their state."""
         for host, member in after.members.items():
             known = before.members.get(host)
             if known is None or known.state != member.state:
@@ -505,7 +551,7 @@
 
 
 def seed_member(host):
-    """Member to join by, from the settings of a host."""
+    """Return the seed member for a host of the settings."""
     return membership.Member(
         host=host.name,
         incarnation=0,
--- a/magnoliadyke/gossip_codec.py
+++ b/magnoliadyke/gossip_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol as compact thrift."""
+"""Encoding of the membership protocol's datagrams in compact thrift."""
 
 import math
 import typing
@@ -22,7 +22,8 @@
     'encode_prompts',
 ]
 
-#: An age above this is as good as never; it keeps the field small.
+#: Higher ages are sent as this one, or as absent, to keep the field small;
+#: evidence of this age has expired long since.
 MAX_AGE_S = 3600.0
 MAX_STRING_BYTES = 64 * 1024
 MAX_ITEMS = 1024
@@ -43,16 +44,20 @@
 
 
 class Notice(typing.NamedTuple):
-    """A datagram that tells of one engine."""
+    """A datagram with a notice on one engine.
+
+    :param source: state of the sender
+    """
 
     source: membership.Member
     notice: notices.EngineNotice
 
 
 class Prompts(typing.NamedTuple):
-    """Prompts that the source has given to engines.
+    """A datagram with prompts that the sender has assigned to engines.
 
-    :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
+    :param source: state of the sender
+    :param prompts: tuple of :class:`magnoliadyke.core.notices.PromptNotice`
     """
 
     source: membership.Member
@@ -60,7 +65,7 @@
 
 
 def encode_prompts(deployment, message):
-    """Return the bytes of :class:`Prompts`."""
+    """Return the datagram for :class:`Prompts`, as bytes."""
     datagram = ttypes.Datagram(
         version=constants.VERSION,
         kind=ttypes.MessageKind.PROMPTS,
@@ -76,16 +81,16 @@
 
 
 def decode_prompts(datagram):
-    """Message of a datagram of kind PROMPTS."""
-    told = tuple(
+    """Return the :class:`Prompts` in a datagram of kind PROMPTS."""
+    prompts = tuple(
         notices.PromptNotice(each.engine, each.read_ms / 1000)
         for each in datagram.prompts or ()
     )
-    return Prompts(decode_member(datagram.source), told)
+    return Prompts(decode_member(datagram.source), prompts)
 
 
 def encode_notice(deployment, message):
-    """Return the bytes of a :class:`Notice`."""
+    """Return the datagram for a :class:`Notice`, as bytes."""
     notice = message.notice
     datagram = ttypes.Datagram(
         version=constants.VERSION,
@@ -105,7 +110,7 @@
 
 
 def decode_notice(datagram):
-    """Message of a datagram of kind NOTICE."""
+    """Return the :class:`Notice` in a datagram of kind NOTICE."""
     notice = datagram.notice
     return Notice(
         decode_member(datagram.source),
@@ -119,9 +124,10 @@
 
 
 def encode(deployment, message):
-    """Return the bytes of one datagram.
+    """Return the datagram for a message, as bytes.
 
-    :param deployment: name of the deployment; others ignore the datagram
+    :param deployment: name of the deployment; nodes of other deployments
+        ignore the datagram
     :param message: a message of :mod:`magnoliadyke.core.membership`
     """
     datagram = ttypes.Datagram(
@@ -136,9 +142,10 @@
     match message:
         case membership.Ping():
             datagram.kind = ttypes.MessageKind.PING
-            # A digest on every answer as well would double its cost.
+            # Sending the digest with answers too would double its cost.
             datagram.digest = message.digest or None
-            sightings = sightings[:1]  # of others, only answers are evidence
+            # Sightings of other hosts are evidence only in answers.
+            sightings = sightings[:1]
         case membership.Ack():
             datagram.kind = ttypes.MessageKind.ACK
         case membership.PingRequest():
@@ -155,15 +162,17 @@
 def decode(deployment, data):
     """Return the message in a datagram.
 
-    :raises magnoliadyke.errors.ProtocolError: when it is malformed, of
-        another deployment or of a kind that this version doesn't know
+    :param deployment: name of the deployment
+    :param data: bytes of the datagram
+    :raises magnoliadyke.errors.ProtocolError: if it is malformed, of another
+        deployment or of a kind that this version does not support
     """
     try:
         datagram = TSerialization.deserialize(
             ttypes.Datagram(), data, PROTOCOL_FACTORY
         )
     except Exception as error:
-        # The C codec raises half a dozen unrelated kinds for bad bytes.
+        # The C codec raises many unrelated exceptions for malformed bytes.
         raise malformed(f'{type(error).__name__}: {error}') from error
     if datagram.deployment != deployment:
         raise malformed(f'it is of deployment {datagram.deployment!r}')
@@ -174,7 +183,7 @@
 
 
 def malformed(reason):
-    """Error for a datagram that can't be used."""
+    """Return the error for a datagram that can't be decoded."""
     return errors.ProtocolError(
         f'datagram ignored: {reason}',
         'check that only nodes of this deployment use its peer ports',
@@ -182,7 +191,10 @@
 
 
 def decode_message(datagram):
-    """Message of a datagram whose bytes were whole."""
+    """Return the message of a datagram that was deserialized.
+
+    :raises magnoliadyke.errors.ProtocolError: if its kind is not supported
+    """
     if datagram.kind == ttypes.MessageKind.NOTICE:
         return decode_notice(datagram)
     if datagram.kind == ttypes.MessageKind.PROMPTS:
@@ -217,7 +229,7 @@
 
 
 def encode_member(member):
-    """A member as it travels."""
+    """Return the thrift structure of a member."""
     return ttypes.Member(
         host=member.host,
         incarnation=member.incarnation,
@@ -236,7 +248,7 @@
 
 
 def decode_member(member):
-    """A member as the core knows it."""
+    """Return the member in a thrift structure."""
     return membership.Member(
         host=member.host,
         incarnation=member.incarnation,
@@ -255,7 +267,11 @@
 
 
 def encode_sighting(sighting, source):
-    """A sighting as it travels, relative to the datagram's source."""
+    """Return the thrift structure of a sighting.
+
+    Incarnation and table revision are encoded as differences from those of
+    the datagram's sender, the staged revision as one from the table revision.
+    """
     store_age_ms = None
     if sighting.store_age_s < MAX_AGE_S:
         store_age_ms = milliseconds(sighting.store_age_s)
@@ -279,7 +295,11 @@
 
 
 def decode_sighting(sighting, source):
-    """A sighting as the core knows it."""
+    """Return the sighting in a thrift structure.
+
+    :param source: the datagram's sender, to whose numbers the differences are
+        added
+    """
     store_age_s = math.inf
     if sighting.store_age_ms is not None:
         store_age_s = sighting.store_age_ms / 1000
@@ -298,15 +318,18 @@
 
 
 def nonzero_difference(number, base):
-    """How far a number is ahead; None, which takes no room, if it is equal."""
+    """Return the difference of a number to a base.
+
+    It is None instead of 0, since an absent field takes no space.
+    """
     return number - base or None
 
 
 def milliseconds(seconds):
-    """Whole milliseconds, rounded up: evidence never looks younger."""
+    """Return whole milliseconds, rounded up so that no age gets smaller."""
     return math.ceil(seconds * 1000)
 
 
 def percent(share):
-    """A share as a small whole number."""
+    """Return a share as a percentage, rounded to an integer."""
     return round(100 * share)
--- a/magnoliadyke/peer.py
+++ b/magnoliadyke/peer.py
@@ -1,4 +1,4 @@
-"""Calls between nodes: framed compact thrift over TCP."""
+"""Calls between nodes, in framed compact thrift over TCP."""
 
 import gevent
 from gevent import pool
@@ -19,27 +19,27 @@
 
 __all__ = ['PeerClients', 'PeerServer']
 
-#: Longest message either side accepts; the table is under a megabyte.
+#: Largest message that either side accepts; a table is below 1 MB.
 MAX_FRAME_BYTES = 4_000_000
 MAX_CONNECTIONS = 1024
-#: The server ends connections that stay idle this long.
+#: The server closes connections that were idle for this time.
 SERVER_IDLE_TIMEOUT_S = 60.0
 CONNECT_TIMEOUT_S = 0.5
 CALL_TIMEOUT_S = 2.0
 PROBE_TIMEOUT_S = 0.3
-#: An operator waits for the status.
+#: Shorter than other calls, since an operator waits for the status.
 STATUS_TIMEOUT_S = 0.5
-#: A connection idle for longer is probed before it carries a call.
+#: A connection that was idle for longer is probed before it is used.
 PROBE_AFTER_IDLE_S = 2.0
 
-#: How a connection or a call on it fails, other than by our own mistake.
+#: Errors of a connection or of a call on it, as opposed to programming errors.
 FAILURES = (OSError, EOFError, Thrift.TException, TProtocol.TProtocolException)
 
 LOG = logs.get('peer')
 
 
 def protocol_over(handle):
-    """Framed compact protocol over a connected socket.
+    """Return a framed compact protocol over a connected socket.
 
     :param handle: the socket
     """
@@ -55,7 +55,10 @@
 
 
 def connect(address):
-    """Return a socket connected to ``ip:port``."""
+    """Return a socket connected to ``ip:port``.
+
+    :raises OSError: if the connection fails or exceeds ``CONNECT_TIMEOUT_S``
+    """
     ip, _, port = address.rpartition(':')
     handle = socket.socket()
     try:
@@ -77,10 +80,12 @@
     :param incarnation: number of this process
     :param clock: a :class:`magnoliadyke.clock.Clock`
 
-    The node sets what answers: ``fetch_table(known_revision)`` returns
-    (revision, text or None); ``take_records(host, incarnation, records,
-    last)`` returns the number taken, None to refuse;
-    ``pool_status(pool)`` returns JSON text, None if another node plans it.
+    The node sets the functions that handle the calls:
+    ``fetch_table(known_revision)`` returns (revision, text), with None as text
+    if the table is not newer; ``take_records(host, incarnation, records,
+    last)`` returns the number of records accepted, or None to refuse them;
+    ``pool_status(pool)`` returns JSON text, or None if another node plans the
+    pool.
     """
 
     def __init__(self, settings, host, incarnation, clock):
@@ -98,15 +103,15 @@
         )
 
     def start(self):
-        """Listen."""
+        """Start to accept connections."""
         self.listener.start()
 
     def stop(self, deadline_s):
-        """Stop listening and end the connections."""
+        """Stop accepting connections, and close the open ones."""
         self.listener.stop(min(deadline_s, CALL_TIMEOUT_S))
 
     def serve(self, handle, address):
-        """Answer calls on one connection until it ends or idles."""
+        """Answer calls on one connection until it is closed or idle."""
         handle.settimeout(SERVER_IDLE_TIMEOUT_S)
         protocol = protocol_over(handle)
         processor = Peer.Processor(PeerHandler(self))
@@ -120,26 +125,29 @@
 
 
 class PeerHandler(Peer.Iface):
-    """Maps the thrift service to the callables of the server."""
+    """Handles the calls of the thrift service with the server's functions.
+
+    :param owner: the :class:`PeerServer`
+    """
 
     def __init__(self, owner):
         self.owner = owner
 
     def probe(self, version):
-        """Show that the connection and this process live."""
+        """Return this host and its incarnation, to prove that it is alive."""
         return ttypes.ProbeReply(
             constants.VERSION, self.owner.host, self.owner.incarnation
         )
 
     def fetch_table(self, version, known_revision):
-        """Return the table if it is newer than what the peer knows."""
+        """Return the table if it is newer than the caller's revision."""
         if self.owner.fetch_table is None:
             return ttypes.TableReply(constants.VERSION, 0)
         revision, text = self.owner.fetch_table(known_revision)
         return ttypes.TableReply(constants.VERSION, revision, text)
 
     def handover(self, batch):
-        """Take over records of requests from a node that leaves."""
+        """Accept request records from a node that leaves."""
         taken = None
         if self.owner.take_records is not None:
             taken = self.owner.take_records(
@@ -150,7 +158,7 @@
         )
 
     def pool_status(self, version, pool):
-        """Tell what this node knows of a pool that it plans."""
+        """Return the status of a pool that this node plans."""
         status = None
         if self.owner.pool_status is not None:
             status = self.owner.pool_status(pool)
@@ -162,6 +170,8 @@
 
     :param address: ``ip:port``, numeric
     :param clock: a :class:`magnoliadyke.clock.Clock`
+    :ivar last_used_s: monotonic time of the last completed call
+    :raises OSError: if the connection fails
     """
 
     def __init__(self, address, clock):
@@ -171,9 +181,10 @@
         self.last_used_s = clock.now_s()
 
     def call(self, name, *arguments, timeout_s=CALL_TIMEOUT_S):
-        """Call the peer; any failure closes the connection.
+        """Call the peer; the connection is closed if the call fails.
 
-        :param timeout_s: for all of the call, in seconds
+        :param name: method of the thrift service
+        :param timeout_s: limit for the whole call, in seconds
         """
         try:
             with gevent.Timeout(timeout_s, TimeoutError('no answer in time')):
@@ -187,9 +198,9 @@
     def is_usable(self):
         """Whether the connection still reaches the peer.
 
-        A connection that idled may have gone silent for good: a call on it
-        would wait out its whole timeout. A probe with a short one finds out
-        first, and the call then goes over a new connection.
+        An idle connection may be half-open, and a call on it would take its
+        whole timeout. A probe with a shorter timeout detects this, so that
+        the call can be made on a new connection.
         """
         if self.clock.now_s() - self.last_used_s < PROBE_AFTER_IDLE_S:
             return True
@@ -201,10 +212,10 @@
 
 
 class PeerClients:
-    """Connections to other nodes, made when needed.
+    """Client for the calls to other nodes, with one idle connection to each.
 
-    All calls may be repeated, so a call that fails on an idle connection is
-    made once more on a new one.
+    All calls are idempotent, so a call that fails on an idle connection is
+    retried once on a new one.
 
     :param settings: the deployment's settings
     :param host: name of this host
@@ -217,9 +228,9 @@
         self.idle = {}
 
     def fetch_table(self, address, known_revision):
-        """:return: (revision, text), or None if the peer has none newer
+        """:return: (revision, text), or None if the peer has no newer table
 
-        :raises magnoliadyke.errors.HostUnreachable: when it doesn't answer
+        :raises magnoliadyke.errors.HostUnreachable: if it does not answer
         """
         reply = self.call(
             address, 'fetch_table', constants.VERSION, known_revision
@@ -229,9 +240,11 @@
         return reply.revision, reply.document
 
     def handover(self, address, incarnation, records, last):
-        """:return: number of records taken, None if refused
+        """:return: number of records accepted, None if they were refused
 
-        :raises magnoliadyke.errors.HostUnreachable: when it doesn't answer
+        :param incarnation: incarnation of this host, whose records they are
+        :param last: whether this is the last batch
+        :raises magnoliadyke.errors.HostUnreachable: if it does not answer
         """
         batch = ttypes.RecordBatch(
             constants.VERSION, self.host, incarnation, records, last
@@ -242,7 +255,7 @@
     def pool_status(self, address, name):
         """:return: JSON text, None if the host does not plan that pool
 
-        :raises magnoliadyke.errors.HostUnreachable: when it doesn't answer
+        :raises magnoliadyke.errors.HostUnreachable: if it does not answer
         """
         return self.call(
             address,
@@ -253,9 +266,9 @@
         ).status
 
     def call(self, address, name, *arguments, timeout_s=CALL_TIMEOUT_S):
-        """Call on an idle connection that is proved alive, or on a new one.
+        """Call on an idle connection that is still usable, or on a new one.
 
-        :raises magnoliadyke.errors.HostUnreachable: when it doesn't answer
+        :raises magnoliadyke.errors.HostUnreachable: if it does not answer
         """
         connection = self.idle.pop(address, None)
         if connection is not None and connection.is_usable():
@@ -279,7 +292,7 @@
             ) from error
 
     def call_on(self, connection, address, name, arguments, timeout_s):
-        """Call, then keep the connection for the next call."""
+        """Call on a connection, then keep it idle for the next call."""
         reply = connection.call(name, *arguments, timeout_s=timeout_s)
         spare = self.idle.pop(address, None)
         if spare is not None:
@@ -288,7 +301,7 @@
         return reply
 
     def close(self):
-        """Drop all connections."""
+        """Close the idle connections."""
         while self.idle:
             _, connection = self.idle.popitem()
             connection.handle.close()
