--- a/magnoliadyke/streammigration.py
+++ b/magnoliadyke/streammigration.py
@@ -13,10 +13,10 @@
 from magnoliadyke import errors
 from magnoliadyke import logs
 
-__all__ = ['MIN_REMAINING_S', 'StreamMigration']
+__all__ = ['MIGRATE_AFTER_S', 'StreamMigration']
 
 #: Answers that end within this time of the notice stay where they are.
-MIN_REMAINING_S = 2.0
+MIGRATE_AFTER_S = 2.0
 PLACE_TIMEOUT_S = 2.0
 MAX_TARGETS = 3
 
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -605,7 +605,7 @@
             if run.job is None:
                 continue  # a relay: the answer's home moves it
             since_s = changing.get(run.engine.name, math.inf)
-            if now_s - since_s >= streammigration.MIN_REMAINING_S:
+            if now_s - since_s >= streammigration.MIGRATE_AFTER_S:
                 run.move(again=self.ticks % MOVE_TICKS == 0)
 
     def report_progress(self):
