--- a/magnoliadyke/duties.py
+++ b/magnoliadyke/duties.py
@@ -1,4 +1,4 @@
-"""Duties that one node at a time performs: role planning of each pool."""
+"""Duties held by one node at a time: planning the engines of each pool."""
 
 import hashlib
 import typing
@@ -30,9 +30,9 @@
 PoolStatus = poolstatus.PoolStatus
 
 TICK_INTERVAL_S = 0.1
-#: Nodes that stand for election for one pool. Each of them reads the lease
-#: every second, so their number bounds the calls to the store at any size
-#: of the fleet; with three, two may die together.
+#: Maximum number of nodes that contend for the lease of one pool. Each reads
+#: the lease every second, so this limits the calls to the store for a fleet
+#: of any size; with three, two may fail at the same time.
 MAX_CANDIDATES = 3
 RELEASE_TIMEOUT_S = 3.0
 
@@ -40,7 +40,7 @@
 
 
 class Demands(typing.NamedTuple):
-    """Demand of the pools as this node's scheduler sees the fleet's.
+    """The fleet's demand by pool, as estimated by this node's scheduler.
 
     :param pools: pool name to ``core.scheduler.Demand``
     """
@@ -49,13 +49,17 @@
 
 
 class ShowPoolStatuses(mailbox.Ask):
-    """Ask for the duties; the answer maps pool to :class:`PoolStatus`."""
+    """Request for the status of all pools.
+
+    The answer maps names of pools to :class:`PoolStatus`.
+    """
 
 
 class ReleaseDuties(mailbox.Ask):
-    """Give all duties up; answers when that is done.
+    """Request to release all leases; it is answered when that is done.
 
-    :param end_s: monotonic time at which to stop waiting for changes
+    :param end_s: monotonic time at which to stop waiting for changes in
+        progress
     """
 
     def __init__(self, end_s):
@@ -64,10 +68,11 @@
 
 
 class Duties(mailbox.Task):
-    """Takes part in the election of each pool's planner; plans if elected.
+    """Contends for the lease of each pool, and plans the pools that it holds.
 
-    Answers :class:`RoleStatus`. Subscribes to ``gossip.pauses`` and
-    ``configuration.views``; wants :class:`Demands` every second.
+    It answers :class:`ShowPoolStatuses`, expects :class:`Demands` every
+    second, and subscribes to ``gossip.members``, ``gossip.pauses``,
+    ``configuration.views`` and ``configuration.permits``.
 
     :param settings: the deployment's settings
     :param host: name of this host
@@ -76,8 +81,9 @@
     :param keyvalue: a :class:`magnoliadyke.keyvalue.KeyValue`
     :param gossip: the :class:`magnoliadyke.gossip.Gossip` of this node
     :param configuration: :class:`magnoliadyke.configuration.Configuration`
-    :param control_for: makes an engine's
-        :class:`magnoliadyke.enginecontrol.EngineControl` from its address
+    :param control_for: function that returns the
+        :class:`magnoliadyke.enginecontrol.EngineControl` for the settings of
+        an endpoint; HTTP if None
     :param metrics: :class:`magnoliadyke.metrics.Metrics`, or None
     """
 
@@ -122,13 +128,13 @@
         }
 
     def make_http_control(self, endpoint):
-        """Control of an engine of the settings."""
+        """Return the control of an engine of the settings, over HTTP."""
         return enginecontrol.HttpEngineControl(
             endpoint.address, self.host, self.clock
         )
 
     def start(self):
-        """Listen to the other tasks, then work."""
+        """Start the task and subscribe to the topics of other tasks."""
         super().start()
         self.gossip.members.subscribe(self)
         self.gossip.pauses.subscribe(self)
@@ -136,7 +142,7 @@
         self.configuration.permits.subscribe(self)
 
     def stop(self, deadline_s=5.0):
-        """Give the duties up, so that others take them at once."""
+        """Release the leases, so that other nodes can claim them at once."""
         wait_s = min(deadline_s, RELEASE_TIMEOUT_S)
         release = ReleaseDuties(self.clock.now_s() + wait_s)
         try:
@@ -148,13 +154,13 @@
             duty.close()
 
     def spawn(self, work):
-        """Run a call that waits; it posts its answer."""
+        """Run a blocking call in a new greenlet; it posts its own result."""
         gevent.spawn(work)
 
     # Messages.
 
     def handle(self, message):
-        """Act on one message."""
+        """Handle one message."""
         match message:
             case Demands(pools):
                 self.observe(pools)
@@ -174,7 +180,7 @@
                 self.handle_answer(message)
 
     def handle_answer(self, message):
-        """Hand an answer to the duty that waits for it."""
+        """Pass the result of a blocking call to the duty of its pool."""
         now_s = self.clock.now_s()
         duty = self.pools[message.pool]
         match message:
@@ -190,23 +196,23 @@
                 duty.handle_weights_answer(message, now_s)
 
     def observe(self, pools):
-        """Feed the planners."""
+        """Record the demand of each pool in its planner."""
         now_s = self.clock.now_s()
         for name, demand in pools.items():
             if name in self.pools:
                 self.pools[name].observe(demand, now_s)
 
     def drop_leases(self):
-        """Stop acting at once: this process had stood still.
+        """Drop the authority of all leases, after this process was paused.
 
-        Its leases may have passed to others meanwhile; whatever it was about
-        to send must not go out.
+        Other nodes may hold the leases by now, so commands that were about to
+        be sent must not be.
         """
         for duty in self.pools.values():
             duty.lease.drop()
 
     def tick(self):
-        """Do what is due for each pool."""
+        """Release the leases if requested, then run each pool's duty."""
         now_s = self.clock.now_s()
         if self.release is not None:
             self.release_leases(now_s)
@@ -214,7 +220,11 @@
             duty.tick(now_s, self.is_candidate(name))
 
     def release_leases(self, now_s):
-        """Release, wait for the store, then answer."""
+        """Release the leases; answer the request once none is held.
+
+        Shortly before the end of the wait, leases are dropped even if a change
+        is in progress.
+        """
         held = [
             duty
             for duty in self.pools.values()
@@ -243,19 +253,26 @@
         return self.host in candidates(pool, hosts)
 
     def is_host_out_of_use(self):
-        """Whether the operators' table takes this host out of use."""
+        """Whether the operators' table takes this host out of use.
+
+        This is also assumed while the node has no table.
+        """
         if self.view is None:
             return True
         return self.view.host(self.host).state != 'in'
 
-    # What operators ask.
+    # Status for operators.
 
     def pool_statuses(self):
-        """Status of every pool, from its planner where that is another."""
+        """Return the status of every pool, by name."""
         return {name: self.pool_status_of(name) for name in self.pools}
 
     def pool_status_of(self, name):
-        """Status of one pool."""
+        """Return the status of one pool.
+
+        It is requested from the node that holds the pool's lease. If that
+        node does not answer, the records of this node are returned.
+        """
         duty = self.pools[name]
         now_s = self.clock.now_s()
         if duty.lease.held(now_s) is not None:
@@ -270,7 +287,11 @@
         return duty.status(now_s)._replace(holder=holder, fencing=fencing)
 
     def fetch_holder(self, duty):
-        """Host that holds the lease and its number, by the store."""
+        """Read the holder of a lease and its fencing token from the store.
+
+        :returns: host, '' if there is none, and fencing token; if the store
+            has no answer, the last known holder and 0
+        """
         match self.lease_store.get(duty.key):
             case keyvalues.Found(value=text):
                 value = leases.LeaseValue.parse(text)
@@ -279,7 +300,10 @@
         return duty.lease.holder() or '', 0
 
     def fetch_planner_status(self, name, member):
-        """Status of a pool as its planner tells it, None if it doesn't."""
+        """Request the status of a pool from the node that plans it.
+
+        :returns: :class:`PoolStatus`, None if the node gives no status
+        """
         address = f'{member.address}:{member.peer_port}'
         try:
             text = self.peers.pool_status(address, name)
@@ -289,7 +313,11 @@
         return PoolStatus.parse(text) if text else None
 
     def pool_status(self, name):
-        """Answer a peer; see :class:`magnoliadyke.peer.PeerServer`."""
+        """Return the status of a pool that this node plans, for a peer.
+
+        :returns: JSON text, None if another node plans the pool; see
+            :class:`magnoliadyke.peer.PeerServer`
+        """
         duty = self.pools.get(name)
         now_s = self.clock.now_s()
         if duty is None or duty.lease.held(now_s) is None:
@@ -298,10 +326,13 @@
 
 
 def candidates(pool, hosts):
-    """The hosts that stand for election for a pool.
+    """Return the hosts that contend for the lease of a pool.
+
+    They are chosen by rendezvous hashing (highest random weight): all nodes
+    with the same view choose the same hosts, and if one of them fails the
+    others remain chosen.
 
-    Highest random weight: every node draws the same few hosts from the same
-    view, and the loss of one changes nothing for the others.
+    :param hosts: names of the hosts that can hold the lease
     """
 
     def weight(host):
--- a/magnoliadyke/enginecontrol.py
+++ b/magnoliadyke/enginecontrol.py
@@ -1,4 +1,4 @@
-"""Reading an engine's state and sending it commands."""
+"""Client for reading an engine's state and sending it commands."""
 
 import abc
 import json
@@ -19,15 +19,17 @@
 STATUS_OK = 200
 STATUS_COMMAND_ACCEPTED = 202
 
-#: Closing sends a reset and drops bytes that have not left yet.
+#: SO_LINGER of 0 s: closing sends a reset and discards unsent bytes.
 RESET_ON_CLOSE = b'\x01\x00\x00\x00\x00\x00\x00\x00'
 
 
 class Reading(typing.NamedTuple):
-    """An engine's own word.
+    """State and load of an engine, read from the engine itself.
 
-    :param takes_work: False while it is leaving or has left
-    :param active: requests that run or wait in it
+    :param state: :class:`magnoliadyke.core.commands.EngineState`
+    :param takes_work: whether it accepts requests; False while it is leaving
+        and afterwards
+    :param active: number of requests that are running or queued in it
     """
 
     state: commands.EngineState
@@ -38,8 +40,9 @@
 class Verdict(typing.NamedTuple):
     """An engine's answer to a command.
 
-    :param code: '' when taken, else the code of the refusal
-    :param highest_fencing: highest number that it has seen, if it said so
+    :param code: '' if the command was accepted, else the error code
+    :param highest_fencing: highest fencing token that the engine has received,
+        0 if it did not report one
     """
 
     code: str
@@ -47,37 +50,40 @@
 
 
 class EngineControl(abc.ABC):
-    """What a planner does to one engine."""
+    """Interface of a planner to one engine."""
 
     @abc.abstractmethod
     def read(self):
         """:return: :class:`Reading`
 
-        :raises magnoliadyke.errors.EndpointUnreachable: when it is away
+        :raises magnoliadyke.errors.EndpointUnreachable: if the engine does
+            not answer
         """
 
     @abc.abstractmethod
     def send(self, command, left_s, may_send):
-        """Send a command, asking once more before its last byte leaves.
+        """Send a command, unless ``may_send`` refuses its last byte.
 
         :param command: a :class:`magnoliadyke.core.commands.Command`
         :param left_s: time until the connection is closed, in seconds
-        :param may_send: called right before the last byte
+        :param may_send: called right before the last byte is sent; if it
+            returns False, the byte is not sent and the engine ignores the
+            incomplete command
         :return: :class:`Verdict`
-        :raises magnoliadyke.errors.EndpointUnreachable: when there was no
-            answer in time, or nothing was sent
+        :raises magnoliadyke.errors.EndpointUnreachable: if the command was not
+            sent completely, or not answered in time
         """
 
     @abc.abstractmethod
     def close(self):
-        """Drop idle connections."""
+        """Close idle connections."""
 
 
 class HttpEngineControl(EngineControl):
-    """The published HTTP protocol of the platform's engines.
+    """Client for the HTTP protocol of the platform's engines.
 
     :param address: ``ip:port``, numeric
-    :param host: name of this host, sent along for the engine's records
+    :param host: name of this host, sent in ``X-Sender`` for the engine's log
     :param clock: a :class:`magnoliadyke.clock.Clock`
     """
 
@@ -92,7 +98,7 @@
         )
 
     def read(self):
-        """Read state and load."""
+        """Read the engine's state and load."""
         state = self.get('/v1/state')
         load = self.get('/v1/load')
         try:
@@ -112,7 +118,11 @@
             ) from error
 
     def get(self, path):
-        """Return one JSON document."""
+        """Return the JSON document at a path of the engine.
+
+        :raises magnoliadyke.errors.EndpointUnreachable: if the engine does not
+            answer with status 200
+        """
         reply = self.connections.call(
             'GET', path, b'', self.headers, STATE_TIMEOUT_S
         )
@@ -123,11 +133,12 @@
         return reply.json()
 
     def send(self, command, left_s, may_send):
-        """Send on a connection of its own, closed at the deadline.
+        """Send a command on a connection of its own, closed at the deadline.
 
-        A command held up on its way could take effect after the successor
-        has begun to act. Closing at the deadline with a reset drops what is
-        still in this host's buffers; the successor waits that long.
+        A delayed command could take effect after the next lease holder has
+        started to send commands. Closing the connection with a reset at the
+        deadline discards bytes that are still in this host's buffers, and the
+        next holder waits until that deadline.
         """
         timeout = errors.EndpointUnreachable(
             f'{self.address}: the command had no answer in time', sent=True
@@ -147,7 +158,10 @@
                 connection.close()
 
     def exchange(self, connection, command, left_s, may_send):
-        """Send all but the last byte, ask, send it, read the answer."""
+        """Send the request, with ``may_send`` before its last byte.
+
+        :return: :class:`Verdict`
+        """
         data = endpoint.request_bytes(
             'POST',
             '/v1/commands',
@@ -169,12 +183,12 @@
         return parse_verdict(endpoint.reply_of(connection.parser, text))
 
     def close(self):
-        """Drop idle connections."""
+        """Close idle connections."""
         self.connections.close()
 
 
 def command_body(command):
-    """A command as the engine's protocol has it."""
+    """Return a command as the JSON object of the engine's protocol."""
     kind, target = command.change
     return {
         'id': command.id,
@@ -187,7 +201,7 @@
 
 
 def parse_verdict(reply):
-    """What an engine's answer means."""
+    """Return the :class:`Verdict` in an engine's HTTP response."""
     if reply.status == STATUS_COMMAND_ACCEPTED:
         return Verdict('')
     try:
--- a/magnoliadyke/fleetqueries.py
+++ b/magnoliadyke/fleetqueries.py
@@ -1,4 +1,4 @@
-"""Asks the admin listeners of the other hosts, for figures of the fleet."""
+"""Queries to the admin ports of the other hosts, for fleet-wide figures."""
 
 import gevent
 from gevent import pool
@@ -6,21 +6,22 @@
 from magnoliadyke import adminclient
 from magnoliadyke import errors
 
-__all__ = ['query_other_hosts', 'operator_token']
+__all__ = ['operator_token', 'query_other_hosts']
 
-#: Hosts asked at a time.
+#: Maximum number of hosts queried at the same time.
 MAX_CONCURRENT_QUERIES = 16
 
-#: Longest wait for one host, in seconds. A paused host accepts connections
-#: and says nothing; the report would wait for it as long as for an edit.
+#: Longest wait for one host. A paused host accepts connections but does not
+#: answer; without this limit a report would wait for it as long as an edit may
+#: take.
 HOST_TIMEOUT_S = 2.0
 
 
 def operator_token(request):
-    """Return the operators' token that a request came with.
+    """Return the operators' token of a request.
 
-    A node knows only the digest of the token, so it asks the others with
-    the token of the operator who asks it.
+    A node stores only the digest of the token, so it queries the other hosts
+    with the token of the request that it handles.
 
     :param request: the falcon request
     """
@@ -28,12 +29,12 @@
 
 
 def query_other_hosts(node, token, path):
-    """Ask all other hosts of the settings.
+    """Query all other hosts of the settings.
 
-    :param node: the :class:`magnoliadyke.node.Node` that is asked
+    :param node: the :class:`magnoliadyke.node.Node` that handles the request
     :param token: the operators' token
-    :param path: path and query
-    :returns: mapping of host to its answer, None for one that gave none
+    :param path: path and query of the URL
+    :returns: mapping of host name to its answer, None for a host without one
     """
     others = [host for host in node.settings.hosts if host.name != node.host]
     answers = pool.Pool(MAX_CONCURRENT_QUERIES).map(
--- a/magnoliadyke/homedirectory.py
+++ b/magnoliadyke/homedirectory.py
@@ -1,4 +1,4 @@
-"""Find the node that has the records of a home."""
+"""Lookup of the node that holds the request records of a home."""
 
 import json
 from urllib import parse
@@ -12,22 +12,28 @@
 HOMES_PATH = '/v1/homes/'
 REACHABLE = ('alive', 'suspect')
 MAX_SUCCESSORS = 10_000
-#: Nodes asked about a home that this one has never heard of.
+#: Number of nodes queried about a home that this node has no record of.
 MAX_NODES_ASKED = 4
 ASK_TIMEOUT_S = 0.5
-#: How long "nobody knows it" is believed, in seconds.
+#: Time for which a home that was not found is not queried again.
 NOT_FOUND_CACHE_S = 1.0
 MAX_NOT_FOUND_ENTRIES = 1000
 
 
 class HomeDirectory:
-    """Homes, their successors, and connections to the nodes.
+    """Directory of homes and their successors, with connections to the nodes.
 
-    A home is ``HOST.INCARNATION``. A node that stopped named the host that
-    took its records over; a chain of such names leads to the present one.
+    A home is ``HOST.INCARNATION``. A node that stops announces its successor,
+    the host that takes over its records; the chain of successors leads to the
+    node that holds the records now.
 
-    :param home: of this node
+    :param home: home of this node
+    :param host: name of this host
     :param members: Topic of :class:`magnoliadyke.core.membership.MembersView`
+    :ivar successors: home of the successor, by home; for lack of a record of
+        its incarnation only the host name
+    :ivar not_found_s: monotonic time of the last query that found no
+        successor, by home
     """
 
     def __init__(self, home, host, members, clock, rng):
@@ -41,10 +47,11 @@
         self.not_found_s = {}
 
     def locate(self, home):
-        """Return the connections to the node that has a home's records.
+        """Return the connections to the node that holds a home's records.
 
-        :return: :class:`magnoliadyke.endpoint.Connections`, or None when
-            the home is gone without a successor
+        :return: :class:`magnoliadyke.endpoint.Connections`, or None if this
+            node holds them, or if neither the home nor a successor is
+            reachable
         """
         member = self.current_holder(home)
         if member is None and self.query_other_nodes(home):
@@ -52,7 +59,10 @@
         return self.connections_to(member) if member is not None else None
 
     def current_holder(self, home):
-        """Return the member at the end of a home's chain, or None."""
+        """Return the first reachable member in a home's chain of successors.
+
+        :returns: None if there is none, or if it is this host
+        """
         self.record_successors()
         seen = set()
         while home not in seen:
@@ -64,7 +74,10 @@
         return None
 
     def reachable_member(self, home):
-        """Return the member that is this home and can be reached, or None."""
+        """Return the member with this host and incarnation, if reachable.
+
+        :returns: None if the host is not reachable or has another incarnation
+        """
         host, _, incarnation = home.rpartition('.')
         member = self.members_by_host().get(host)
         if member is None or str(member.incarnation) != incarnation:
@@ -72,12 +85,12 @@
         return member if member.state in REACHABLE else None
 
     def members_by_host(self):
-        """Return the members by host; none before gossip has begun."""
+        """Return the members by host; empty before gossip has started."""
         view = self.members.last
         return view.members if view is not None else {}
 
     def record_successors(self):
-        """Remember who took over from the members that have left."""
+        """Record the successors of the members that have left."""
         for member in self.members_by_host().values():
             if member.successor:
                 home = tickets.home_name(member.host, member.incarnation)
@@ -87,14 +100,18 @@
             self.successors.pop(next(iter(self.successors)))
 
     def home_of_host(self, host):
-        """Return ``HOST.INCARNATION`` of a member named by its host."""
+        """Return the home of a host's present incarnation.
+
+        :returns: ``HOST.INCARNATION``, or only the host name if it is not a
+            member
+        """
         member = self.members_by_host().get(host)
         if member is None:
             return host
         return tickets.home_name(member.host, member.incarnation)
 
     def connections_to(self, member):
-        """Return the connections to another node's caller listener."""
+        """Return the connections to the caller port of another node."""
         address = f'{member.address}:{member.caller_port}'
         if address not in self.connections_by_address:
             self.connections_by_address[address] = endpoints.Connections(
@@ -103,13 +120,13 @@
         return self.connections_by_address[address]
 
     def query_other_nodes(self, home):
-        """Ask some other nodes who has a home's records.
+        """Query some other nodes for the successor of a home, and record it.
 
-        A node that started after the home had left never heard of its
-        successor: members are remembered by host, and the host may have a
-        new incarnation.
+        A node that started after the home had left may have no record of the
+        successor: members are stored by host, and the host may have a new
+        incarnation.
 
-        :return: whether something new was learned
+        :return: whether a successor was found
         """
         now_s = self.clock.now_s()
         if (
@@ -135,7 +152,11 @@
         return False
 
     def query_successor(self, member, home):
-        """Ask one node for a home's successor; return it or ``''``."""
+        """Query one node for the successor of a home.
+
+        :returns: home of the successor, ``''`` if the node has no record of it
+            or does not answer
+        """
         path = HOMES_PATH + parse.quote(home)
         try:
             reply = self.connections_to(member).call(
--- a/magnoliadyke/hostlistreader.py
+++ b/magnoliadyke/hostlistreader.py
@@ -1,4 +1,4 @@
-"""The task that reads the platform's list of hosts now and then."""
+"""Task that reads the platform's host list periodically."""
 
 import gevent
 
@@ -13,21 +13,22 @@
 
 TIMEOUT_S = 2.0
 STATUS_OK = 200
-#: Nodes that start together do not read together.
+#: Nodes that start at the same time spread their reads by this share of the
+#: interval.
 JITTER_SHARE = 0.5
 
 LOG = logs.get('hostlist')
 
 
 class HostListReader(app.Component):
-    """Reads the list and tells :class:`magnoliadyke.gossip.Gossip` of it.
+    """Reads the host list and posts it to the gossip task.
 
-    A list that can't be read changes nothing: the last one stays.
+    If it can't be read, the last list stays in use.
 
     :param settings: the deployment's settings
     :param clock: a :class:`magnoliadyke.clock.Clock`
     :param rng: source of randomness
-    :param gossip: where lists are posted
+    :param gossip: the :class:`magnoliadyke.gossip.Gossip` of this node
     """
 
     def __init__(self, settings, clock, rng, gossip):
@@ -40,17 +41,17 @@
         self.greenlet = None
 
     def start(self):
-        """Begin to read."""
+        """Start to read in a new greenlet."""
         self.greenlet = gevent.spawn(self.read_forever)
 
     def stop(self, deadline_s):
-        """End."""
+        """Stop reading and close the connections."""
         if self.greenlet is not None:
             self.greenlet.kill()
         self.connections.close()
 
     def read_forever(self):
-        """Read, then wait, for good."""
+        """Read the list at intervals that grow with the number of hosts."""
         while True:
             self.read()
             alive = len(self.gossip.members.last.alive())
@@ -58,7 +59,7 @@
             self.clock.sleep(hostdiscovery.poll_interval_s(alive) * share)
 
     def read(self):
-        """Read the list once."""
+        """Read the list once and post it; a failure is logged."""
         try:
             reply = self.connections.call('GET', '/hosts', b'', (), TIMEOUT_S)
             if reply.status != STATUS_OK:
--- a/magnoliadyke/responsestream.py
+++ b/magnoliadyke/responsestream.py
@@ -10,7 +10,7 @@
 from magnoliadyke.core import records
 from magnoliadyke import forms
 
-__all__ = ['CallerDisconnected', 'ResponseStream', 'OutcomeWaiter']
+__all__ = ['CallerDisconnected', 'OutcomeWaiter', 'ResponseStream']
 
 KEEP_ALIVE = b': keep-alive\n\n'
 READABLE = 1
--- a/magnoliadyke/streammigration.py
+++ b/magnoliadyke/streammigration.py
@@ -1,10 +1,10 @@
-"""Take a running answer to another engine, with its KV cache.
+"""Migration of a running stream to another engine, with its KV cache.
 
-An engine runs nothing while it changes its role. What would not end in time
-is taken elsewhere before: the place is found first, then the old engine
-stops the stream and keeps its KV cache, and the new engine fetches that and
-goes on at the same offset. It is no second attempt, so it is done for
-requests that may not be repeated as well.
+An engine runs nothing while it changes its role, so streams that would not
+end in time are migrated before.  A target engine is chosen first; then the old
+engine stops the stream and keeps its KV cache, and the target fetches it and
+continues at the same offset.  This is not a second attempt, so requests that
+may not be repeated are migrated as well.
 """
 
 import gevent
@@ -15,7 +15,7 @@
 
 __all__ = ['MIGRATE_AFTER_S', 'StreamMigration']
 
-#: Answers that end within this time of the notice stay where they are.
+#: A stream is migrated if it still runs this long after the engine's notice.
 MIGRATE_AFTER_S = 2.0
 PLACE_TIMEOUT_S = 2.0
 MAX_TARGETS = 3
@@ -24,9 +24,13 @@
 
 
 class StreamMigration:
-    """One answer on its way to another engine.
+    """Migration of one stream.
 
-    :param run: :class:`magnoliadyke.streams.ModelRun`
+    :param run: :class:`magnoliadyke.streams.ModelRun` of the stream
+    :ivar engine: control of the engine that the stream leaves
+    :ivar target: name of the target engine, '' if there is none
+    :ivar kv: handle of the exported KV cache, None before the export
+    :ivar targets_requested: number of targets requested so far
     """
 
     def __init__(self, run):
@@ -39,7 +43,7 @@
         self.greenlet = gevent.spawn(self.export_stream)
 
     def export_stream(self):
-        """Find a place, then stop the stream where it is."""
+        """Request a target, then export the stream from its engine."""
         self.target = self.request_target()
         if not self.target:
             return
@@ -49,7 +53,7 @@
             LOG.repeated('export_failed', self.attempt_id, error=str(error))
 
     def request_target(self):
-        """Ask for another engine; '' when there is none."""
+        """Request another engine from the dispatcher; '' if there is none."""
         message = dispatch.MoveStream(self.run.job.id)
         try:
             return self.run.dispatcher.ask(message, PLACE_TIMEOUT_S)
@@ -57,7 +61,7 @@
             return ''
 
     def wait_for_export(self):
-        """Wait; return whether the answer has left its engine."""
+        """Wait for the export to end, and return whether it succeeded."""
         self.greenlet.join()
         if self.kv is not None:
             LOG.event(
@@ -66,11 +70,15 @@
         return self.kv is not None
 
     def has_failed(self):
-        """Whether it is over and the answer is where it was."""
+        """Whether the export failed and the stream is still on its engine."""
         return self.greenlet.ready() and self.kv is None
 
     def request_next_target(self):
-        """Return a further engine, '' when enough have refused."""
+        """Request another target after one refused the stream.
+
+        :returns: name of the engine; '' if there is none, or if
+            ``MAX_TARGETS`` have been requested
+        """
         self.targets_requested += 1
         return (
             self.request_target()
--- a/magnoliadyke/tablewatch.py
+++ b/magnoliadyke/tablewatch.py
@@ -1,4 +1,4 @@
-"""Reads of the table's key: one watch, and single reads when needed."""
+"""Reader and watch of the key that holds the table document."""
 
 import typing
 
@@ -10,19 +10,20 @@
 
 __all__ = ['KEY', 'StoreRead', 'TableReader', 'TableWatch']
 
-#: The key that holds the table's document.
+#: The key that holds the table document.
 KEY = 'table'
-#: Longest wait of one watch; the store counts each as a call.
+#: Timeout of one watch; the store counts each watch as one call.
 WATCH_WAIT_S = 20.0
-#: Pause after a failure, before the budget's own pauses are added.
+#: Shortest pause after a failure; the budget's backoff comes on top of it.
 MIN_PAUSE_S = 0.05
 
 
 class StoreRead(typing.NamedTuple):
-    """What a read of the table's key showed.
+    """The outcome of a read of the table's key.
 
-    :param outcome: Found, Absent, Unchanged, Unavailable or RateLimited
-    :param sent_s: monotonic time at which the read began
+    :param outcome: Found, Absent, Unavailable or RateLimited, of
+        :mod:`magnoliadyke.keyvalue`
+    :param sent_s: monotonic time at which the read was sent
     """
 
     outcome: object
@@ -30,10 +31,11 @@
 
 
 class TableReader:
-    """Reads the key and posts what it shows.
+    """Reads the key and posts the outcomes.
 
-    :param owner: task that gets :class:`StoreRead`
+    :param owner: task to which each :class:`StoreRead` is posted
     :param store: a :class:`magnoliadyke.keyvalue.KeyValue`
+    :ivar busy: whether a read in the background is in flight
     """
 
     def __init__(self, owner, store, clock):
@@ -43,20 +45,20 @@
         self.busy = False
 
     def read(self):
-        """Read once; return the outcome."""
+        """Read the key once, post the outcome and return it."""
         sent_s = self.clock.now_s()
         outcome = self.store.get(KEY)
         self.owner.post(StoreRead(outcome, sent_s))
         return outcome
 
     def read_in_background(self):
-        """Read once in the background, unless a read is under way."""
+        """Read once in a new greenlet, unless such a read is in flight."""
         if not self.busy:
             self.busy = True
             gevent.spawn(self.read_once)
 
     def read_once(self):
-        """Read, then allow the next read."""
+        """Read once, then allow the next read in the background."""
         try:
             self.read()
         finally:
@@ -64,12 +66,13 @@
 
 
 class TableWatch(app.Component):
-    """Follows the key; pauses with jitter while the store is away.
+    """Watches the key; pauses with jitter while the store does not answer.
 
-    :param owner: task that gets :class:`StoreRead`
+    :param owner: task to which each :class:`StoreRead` is posted
     :param store: a :class:`magnoliadyke.keyvalue.KeyValue`
     :param rng: source of randomness
-    :ivar after: revision that the watch under way waits to pass, or None
+    :ivar after: the watch in flight waits for a higher revision than this one;
+        None if there is no watch in flight
     """
 
     def __init__(self, owner, store, clock, rng):
@@ -82,20 +85,20 @@
         self.greenlet = None
 
     def start(self):
-        """Follow the key in a greenlet of its own."""
+        """Start to watch the key in a new greenlet."""
         self.greenlet = gevent.spawn(self.run)
 
     def stop(self, deadline_s):
-        """End; a waiting call is dropped."""
+        """Stop watching; a call in flight is abandoned."""
         if self.greenlet is not None:
             self.greenlet.kill()
 
     def run(self):
-        """Read, then watch from the revision that the read showed.
+        """Read the key, then watch for revisions above the one that was read.
 
-        A store that was restored to an older copy counts on from an older
-        revision, and a watch for a later one stays silent. The read after
-        each quiet watch finds that out.
+        A store that was restored from a backup continues at an older
+        revision, and a watch for a higher one ends without a change. The read
+        after each such watch detects this.
         """
         while True:
             after = self.revision_to_watch(self.reader.read())
@@ -103,7 +106,11 @@
                 after = self.revision_to_watch(self.watch_once(after))
 
     def watch_once(self, after):
-        """Watch once; return what it, or the read after it, showed."""
+        """Watch once; return the outcome.
+
+        If the key did not change, it is read and the outcome of the read is
+        returned.
+        """
         sent_s = self.clock.now_s()
         self.after = after
         outcome = self.store.watch(KEY, after, WATCH_WAIT_S)
@@ -115,7 +122,10 @@
         return outcome
 
     def revision_to_watch(self, outcome):
-        """Return the revision to watch from, None to read again."""
+        """Return the revision after which to watch.
+
+        :returns: None, after a pause, if the key has to be read again
+        """
         match outcome:
             case keyvalue.Found(revision=revision):
                 return revision
@@ -128,6 +138,9 @@
         return None
 
     def pause(self, least_s):
-        """Wait; nodes that fail together don't come back together."""
+        """Sleep with jitter, so that nodes do not retry at the same time.
+
+        :param least_s: shortest pause, in seconds
+        """
         spread_s = max(least_s, MIN_PAUSE_S) * self.rng.random()
         self.clock.sleep(least_s + MIN_PAUSE_S + spread_s)
