--- a/magnoliadyke/enginecontrol.py
+++ b/magnoliadyke/enginecontrol.py
@@ -114,7 +114,7 @@
             )
         except (KeyError, TypeError, ValueError) as error:
             raise errors.EndpointUnreachable(
-                f'{self.address} gave no usable state: {error}', sent=True
+                f'{self.address} sent an invalid state: {error}', sent=True
             ) from error
 
     def get(self, path):
@@ -141,7 +141,8 @@
         next holder waits until that deadline.
         """
         timeout = errors.EndpointUnreachable(
-            f'{self.address}: the command had no answer in time', sent=True
+            f'{self.address}: command not answered in time',
+            sent=True,
         )
         connection = None
         try:
@@ -173,7 +174,7 @@
             connection.socket.sendall(data[:-1])
             if not may_send():
                 raise errors.EndpointUnreachable(
-                    f'{self.address}: authority ended before the last byte'
+                    f'{self.address}: command not sent, lease ends too early'
                 )
             connection.send('POST', data[-1:])
         except OSError as error:
--- a/magnoliadyke/gossip_codec.py
+++ b/magnoliadyke/gossip_codec.py
@@ -175,11 +175,11 @@
         # The C codec raises many unrelated exceptions for malformed bytes.
         raise malformed(f'{type(error).__name__}: {error}') from error
     if datagram.deployment != deployment:
-        raise malformed(f'it is of deployment {datagram.deployment!r}')
+        raise malformed(f'sent by deployment {datagram.deployment!r}')
     try:
         return decode_message(datagram)
     except (AttributeError, KeyError, TypeError) as error:
-        raise malformed(f'a field is absent: {error}') from error
+        raise malformed(f'missing field: {error}') from error
 
 
 def malformed(reason):
@@ -225,7 +225,7 @@
                 datagram.target_port,
                 *piggybacked,
             )
-    raise malformed(f'kind {datagram.kind} is unknown')
+    raise malformed(f'unsupported kind {datagram.kind}')
 
 
 def encode_member(member):
--- a/magnoliadyke/keyvalue.py
+++ b/magnoliadyke/keyvalue.py
@@ -245,7 +245,7 @@
         :raises ConnectionError: on the second attempt of a request
         """
         if not self.attempts_left:
-            raise ConnectionError('connection ended before the answer')
+            raise ConnectionError('connection closed before the response')
         self.attempts_left -= 1
         self.socket = super().get_socket()
         self.connected = True
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -108,8 +108,8 @@
     :ivar read_s: monotonic time of the last successful reading, or None
     :ivar draining_since_s: monotonic time at which the drain started, None
         if the engine is not being drained
-    :ivar is_out_of_use: whether notices tell the nodes to send the engine no
-        new requests
+    :ivar is_out_of_use: whether notices are repeated by which all nodes send
+        the engine no new requests
     """
 
     def __init__(self, settings, control):
