--- a/magnoliadyke/admin.py
+++ b/magnoliadyke/admin.py
@@ -20,7 +20,7 @@
 MAX_CONNECTIONS = 64
 
 #: Longest silence of an operator's connection, in seconds.
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 
 #: Largest body; a table has at most a megabyte.
 MAX_BODY_BYTES = 1_000_000
@@ -40,7 +40,7 @@
         self.server = pywsgi.WSGIServer(
             (host.admin_address, host.admin_port),
             create_application(node),
-            handler_class=Handler,
+            handler_class=TimeoutHandler,
             spawn=pool.Pool(MAX_CONNECTIONS),
             log=None,
             error_log=ErrorLog(),
@@ -55,7 +55,7 @@
         self.server.stop(timeout=deadline_s)
 
 
-class Handler(pywsgi.WSGIHandler):
+class TimeoutHandler(pywsgi.WSGIHandler):
     """Ends connections that stall.
 
     Someone who opens connections and sends nothing would otherwise hold
@@ -63,7 +63,7 @@
     """
 
     def __init__(self, sock, address, server):
-        sock.settimeout(IDLE_S)
+        sock.settimeout(IDLE_TIMEOUT_S)
         super().__init__(sock, address, server)
 
 
@@ -92,7 +92,7 @@
     :param node: the :class:`magnoliadyke.node.Node` to serve
     """
     application = falcon.App(
-        middleware=[Guard(node.settings.admin_token)], cors_enable=False
+        middleware=[RequestGuard(node.settings.admin_token)], cors_enable=False
     )
     adminerrors.install(application)
     routes = {
@@ -111,7 +111,7 @@
     return application
 
 
-class Guard:
+class RequestGuard:
     """Lets only those in who know the operators' token.
 
     :param digest: ``sha256:HEX`` of the token
--- a/magnoliadyke/adminclient.py
+++ b/magnoliadyke/adminclient.py
@@ -12,9 +12,9 @@
 
 __all__ = ['AdminAddress', 'AdminAnswer', 'AdminClient', 'EditConflict']
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 #: A host that lost its store may hold an edit back for a while.
-ANSWER_S = 30.0
+ANSWER_TIMEOUT_S = 30.0
 
 UNAUTHORIZED = 401
 CONFLICT = 409
@@ -106,7 +106,7 @@
         tried = []
         for address in self.addresses:
             try:
-                return self._ask(address, method, path, body)
+                return self._send(address, method, path, body)
             except (OSError, httpclient.HTTPParseError) as error:
                 reason = str(error) or type(error).__name__
                 tried.append(f'{address.host}: {reason}')
@@ -115,7 +115,7 @@
             'check that the hosts run and that the addresses are right',
         )
 
-    def _ask(
+    def _send(
         self,
         address: AdminAddress,
         method: str,
@@ -127,8 +127,8 @@
         http = httpclient.HTTPClient(
             address.address,
             address.port,
-            connection_timeout=CONNECT_S,
-            network_timeout=ANSWER_S,
+            connection_timeout=CONNECT_TIMEOUT_S,
+            network_timeout=ANSWER_TIMEOUT_S,
         )
         headers = {'Connection': 'close'}
         if self.token:
@@ -149,7 +149,7 @@
             http.close()
         decoded = _decode(address, content)
         if status >= 400:
-            raise _refusal(address, status, decoded)
+            raise _refusal_of(address, status, decoded)
         return AdminAnswer(address.host, status, decoded)
 
 
@@ -164,7 +164,7 @@
         ) from error
 
 
-def _refusal(
+def _refusal_of(
     address: AdminAddress, status: int, body: Any
 ) -> errors.MagnoliadykeError:
     error = body.get('error', {}) if isinstance(body, dict) else {}
--- a/magnoliadyke/adminerrors.py
+++ b/magnoliadyke/adminerrors.py
@@ -8,7 +8,7 @@
 
 from magnoliadyke import errors
 
-__all__ = ['Refusal', 'ask', 'install', 'require_text', 'text_of']
+__all__ = ['Refusal', 'ask', 'install', 'require_text', 'optional_text']
 
 #: Longest name of an operator or an edit, in characters.
 NAME_LENGTH = 128
@@ -58,7 +58,7 @@
         ) from None
 
 
-def text_of(body: dict[str, Any], field: str) -> str:
+def optional_text(body: dict[str, Any], field: str) -> str:
     """Read an optional name from a body, empty if it is not given.
 
     :param body: the request's JSON
@@ -83,7 +83,7 @@
 
 def require_text(body: dict[str, Any], field: str) -> str:
     """Read a name that has to be there."""
-    value = text_of(body, field)
+    value = optional_text(body, field)
     if not value:
         raise Refusal(
             400, 'invalid', f'{field} is missing', f'send {field} in the body'
--- a/magnoliadyke/admintable.py
+++ b/magnoliadyke/admintable.py
@@ -20,7 +20,7 @@
 
 #: Waits for an edit to be in force, in seconds.
 DEFAULT_WAIT_S = 10.0
-LONGEST_WAIT_S = 60.0
+MAX_WAIT_S = 60.0
 
 #: Beyond the wait: time for the store to answer, in seconds.
 EDIT_MARGIN_S = 10.0
@@ -45,7 +45,7 @@
 
     def on_post(self, request, response):
         """Change cells."""
-        body = _body_of(request)
+        body = _read_body(request)
         cells = body.get('cells')
         if not isinstance(cells, dict) or not cells:
             raise adminerrors.Refusal(
@@ -54,14 +54,14 @@
                 'cells is not a mapping of cell to value',
                 'send {"cells": {"SHEET/ROW/COLUMN": VALUE}}',
             )
-        edit = Edit(
+        edit = EditRequest(
             cells,
             body.get('base_revision'),
             adminerrors.require_text(body, 'operator'),
-            adminerrors.text_of(body, 'edit') or uuid.uuid4().hex,
+            adminerrors.optional_text(body, 'edit') or uuid.uuid4().hex,
             bool(body.get('override')),
         )
-        edit.run(self.node, _wait_of(body), response)
+        edit.run(self.node, _read_wait_s(body), response)
 
 
 class HistoryResource:
@@ -76,7 +76,7 @@
         changes = adminerrors.ask(
             self.node.configuration, tablemessages.History(), READ_TIMEOUT_S
         )
-        staged = {edit['edit'] for edit in _staged(self.node)}
+        staged = {edit['edit'] for edit in _staged_edits(self.node)}
         entries = _history_entries(
             [change for change in changes if change['id'] not in staged]
         )
@@ -91,15 +91,15 @@
 
     def on_post(self, request, response):
         """Accept the named edit and those staged before it, or all."""
-        body = _body_of(request)
-        edit = Edit(
+        body = _read_body(request)
+        edit = EditRequest(
             {},
             None,
             adminerrors.require_text(body, 'operator'),
-            adminerrors.text_of(body, 'edit'),
+            adminerrors.optional_text(body, 'edit'),
             True,
         )
-        edit.run(self.node, _wait_of(body), response)
+        edit.run(self.node, _read_wait_s(body), response)
 
 
 class DrainResource:
@@ -110,31 +110,31 @@
 
     def on_post(self, request, response):
         """Edit the state cell of the host or the endpoint."""
-        body = _body_of(request)
+        body = _read_body(request)
         named = {
-            sheet: adminerrors.text_of(body, field)
+            sheet: adminerrors.optional_text(body, field)
             for sheet, field in (('hosts', 'host'), ('endpoints', 'endpoint'))
         }
-        chosen = [(sheet, name) for sheet, name in named.items() if name]
-        if len(chosen) != 1:
+        named_rows = [(sheet, name) for sheet, name in named.items() if name]
+        if len(named_rows) != 1:
             raise adminerrors.Refusal(
                 400,
                 'invalid',
                 'one host or one endpoint has to be named',
                 'send {"host": NAME} or {"endpoint": NAME}',
             )
-        sheet, name = chosen[0]
-        edit = Edit(
+        sheet, name = named_rows[0]
+        edit = EditRequest(
             {f'{sheet}/{name}/state': None if body.get('undo') else 'drain'},
             None,
             adminerrors.require_text(body, 'operator'),
-            adminerrors.text_of(body, 'edit') or uuid.uuid4().hex,
+            adminerrors.optional_text(body, 'edit') or uuid.uuid4().hex,
             False,
         )
-        edit.run(self.node, _wait_of(body), response)
+        edit.run(self.node, _read_wait_s(body), response)
 
 
-class Edit:
+class EditRequest:
     """One edit on its way through the configuration task."""
 
     def __init__(self, cells, base_revision, operator, edit_id, override):
@@ -244,7 +244,7 @@
     ]
 
 
-def _known_rows(settings):
+def _configured_rows(settings):
     """Name the rows that exist with no cell of theirs set."""
     models = [pool for pool in settings.pools if pool.kind == 'model']
     return {
@@ -259,15 +259,15 @@
     }
 
 
-def _table_body(node, shown, only):
-    known_rows = _known_rows(node.settings)
+def _table_body(node, shown, only_sheet):
+    configured_rows = _configured_rows(node.settings)
     sheets = {
         sheet: {
             'columns': _columns(sheet),
-            'rows': {row: {} for row in known_rows[sheet]},
+            'rows': {row: {} for row in configured_rows[sheet]},
         }
         for sheet in table.SHEETS
-        if only in (None, sheet)
+        if only_sheet in (None, sheet)
     }
     for cell, state in shown.cells.items():
         sheet, row, column = cell.split('/')
@@ -278,16 +278,16 @@
     return {
         'revision': shown.revision,
         'staged_revision': shown.staged_revision,
-        'staged': _staged(node),
+        'staged': _staged_edits(node),
         'sheets': sheets,
         'in_force': shown.in_force,
     }
 
 
-def _staged(node):
+def _staged_edits(node):
     """Tell the edits that are not accepted yet, and what they wait for."""
     document = node.configuration.documents.last.document or table.empty()
-    waiting = list(_waited_for(node.gossip.standings.last.acceptance))
+    waiting = list(_awaited_hosts(node.gossip.standings.last.acceptance))
     return [
         {
             'revision': change['revision'],
@@ -301,7 +301,7 @@
     ]
 
 
-def _waited_for(acceptance):
+def _awaited_hosts(acceptance):
     match acceptance:
         case freshness.Wait(laggards=hosts):
             return hosts
@@ -357,7 +357,7 @@
     }
 
 
-def _body_of(request):
+def _read_body(request):
     body = request.get_media(default_when_empty={})
     if not isinstance(body, dict):
         raise adminerrors.Refusal(
@@ -366,10 +366,10 @@
     return body
 
 
-def _wait_of(body):
+def _read_wait_s(body):
     wait_s = body.get('wait_s', DEFAULT_WAIT_S)
     if isinstance(wait_s, bool) or not isinstance(wait_s, int | float):
         raise adminerrors.Refusal(
             400, 'invalid', 'wait_s is not a number', 'send seconds'
         )
-    return min(max(0.0, wait_s), LONGEST_WAIT_S)
+    return min(max(0.0, wait_s), MAX_WAIT_S)
--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -20,23 +20,23 @@
 HOSTS_PATH = '/v1/hosts'
 #: Reasons of NotRun that another host cures at once; retries for them don't
 #: add load and so need no budget.
-ELSEWHERE = frozenset(
+OTHER_HOST_REASONS = frozenset(
     {'stopping', 'no_table', 'stale_table', 'home_unreachable'}
 )
 #: Given before the home of the key was asked: after an earlier copy may
 #: have been received, it says nothing about that copy.
-NOT_FROM_HOME = frozenset({'no_table', 'claims_unavailable'})
-BUDGET = 'client'
+REASONS_WITHOUT_HOME = frozenset({'no_table', 'claims_unavailable'})
+BUDGET_NAME = 'client'
 RETRY_SHARE = 0.1
-PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 #: A host's word on when to come back is a forecast. After a fault it can be
 #: a minute, and the engines are idle long before.
-LONGEST_RETRY_S = 10.0
-NOBODY = outcomes.NotRun(
+MAX_RETRY_AFTER_S = 10.0
+NO_HOST = outcomes.NotRun(
     'no_host', 'check the network and the list of hosts', 1.0
 )
-LOST = outcomes.Unknown(
+NO_ANSWER = outcomes.Unknown(
     'no_answer_in_time',
     'ask again with the same key, or look up the effect',
 )
@@ -141,9 +141,9 @@
         self.credential = credential
         self.settings = settings
         self.seeds = list(hosts)
-        self.seen = {}
+        self.last_seen_s = {}
         self.session = None
-        self.links = {}
+        self.connections_by_address = {}
         self.budget = retries.RetryBudgets()
 
     # Public calls.
@@ -217,7 +217,7 @@
 
         :raises HostUnreachable: when no known host answers
         """
-        document = self.ask_any_host()
+        document = self.query_any_host()
         return [HostSeen(**each) for each in document['hosts']]
 
     # One request.
@@ -239,24 +239,26 @@
         """
         longest_s = deadline_s or self.settings.deadline_s
         end_s = self.clock.now_s() + longest_s
-        self.budget.deposit(BUDGET, RETRY_SHARE)
+        self.budget.deposit(BUDGET_NAME, RETRY_SHARE)
         tries = 1
         while True:
             outcome = self.run_key(request, end_s)
             match outcome:
                 case outcomes.NotRun(reason, _, retry_after_s):
-                    pause_s = min(retry_after_s, LONGEST_RETRY_S)
-                    free = reason in ELSEWHERE
+                    pause_s = min(retry_after_s, MAX_RETRY_AFTER_S)
+                    switch_host = reason in OTHER_HOST_REASONS
                 case outcomes.Unknown() if request.repeatable:
-                    pause_s, free = PAUSE_S, False
+                    pause_s, switch_host = INITIAL_BACKOFF_S, False
                 case _:
                     return outcome
             if self.clock.now_s() + pause_s >= end_s:
                 return outcome
-            if not free and not self.budget.withdraw(BUDGET, tries):
+            if not switch_host and not self.budget.withdraw(
+                BUDGET_NAME, tries
+            ):
                 return outcome
-            tries += 0 if free else 1
-            self.leave_host(free)
+            tries += 0 if switch_host else 1
+            self.leave_host(switch_host)
             self.clock.sleep(pause_s * (0.75 + self.rng.random() / 2))
 
     def leave_host(self, leave):
@@ -270,24 +272,24 @@
         Every copy has the same key, so the request runs once at most.
         """
         progress = None
-        pause_s = PAUSE_S
+        pause_s = INITIAL_BACKOFF_S
         while self.clock.now_s() < end_s:
             session = self.open_session()
             if session is None:
                 self.clock.sleep(pause_s)
-                pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
+                pause_s = min(2 * pause_s, MAX_BACKOFF_S)
                 continue
             if progress is None:
                 progress = Progress(session.new_key())
             outcome = self.try_host(session.address, request, progress)
-            if outcome is not None and not inconclusive(outcome, progress):
+            if outcome is not None and not is_inconclusive(outcome, progress):
                 return outcome
             self.session = None
             self.clock.sleep(pause_s * self.rng.random())
-            pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
+            pause_s = min(2 * pause_s, MAX_BACKOFF_S)
         if progress is None or not progress.sent:
-            return NOBODY
-        return LOST
+            return NO_HOST
+        return NO_ANSWER
 
     def try_host(self, address, request, progress):
         """Send one copy; return the outcome, or None if there is none.
@@ -315,7 +317,7 @@
 
     def exchange(self, address, request, progress):
         """Make one whole call."""
-        reply = self.link(address).call(
+        reply = self.connections_to(address).call(
             request.method,
             request.path,
             request.body,
@@ -335,12 +337,12 @@
 
     def stream(self, address, request, progress):
         """Read a stream, from where an earlier one ended."""
-        link = self.link(address)
-        reply = self.open_stream(link, request, progress)
+        connections = self.connections_to(address)
+        reply = self.open_stream(connections, request, progress)
         progress.sent = True
         if reply.status != 200:
             whole = reply.whole()
-            return forms.outcome_from(whole) or LOST
+            return forms.outcome_from(whole) or NO_ANSWER
         connection = reply.connection
         label = id(connection)
         progress.assembly.begin(label)
@@ -349,15 +351,15 @@
         except (OSError, responses.HTTPParseError) as error:
             connection.fail(error)
         finally:
-            link.give_back(connection)
-        return self.judge(progress)
+            connections.give_back(connection)
+        return self.stream_outcome(progress)
 
-    def open_stream(self, link, request, progress):
+    def open_stream(self, connections, request, progress):
         """Send the request, or resume its answer by key and offset."""
         headers = self.key_headers(request, progress)
         offset = progress.assembly.offset
         if not offset:
-            return link.stream(
+            return connections.stream(
                 request.method,
                 request.path,
                 request.body,
@@ -367,7 +369,7 @@
             )
         key = parse.quote(progress.key, safe='')
         path = f'/v1/answers/{key}?offset={offset}'
-        return link.stream(
+        return connections.stream(
             'GET', path, b'', headers, self.settings.head_s, fresh=False
         )
 
@@ -377,13 +379,13 @@
         connection.socket.settimeout(self.settings.silence_s)
         data = reply.first
         while True:
-            self.take(data, request, progress, label)
+            self.add_data(data, request, progress, label)
             if connection.parser.message_complete:
                 return
             connection.feed(connection.socket.recv(endpoints.RECEIVE_BYTES))
             data = connection.parser.take_body()
 
-    def take(self, data, request, progress, label):
+    def add_data(self, data, request, progress, label):
         """Add bytes of the stream to the answer."""
         offset = progress.assembly.offset
         events = progress.assembly.feed(label, data)
@@ -394,16 +396,16 @@
         if request.on_text is not None and text:
             request.on_text(text, offset)
 
-    def judge(self, progress):
+    def stream_outcome(self, progress):
         """Return the outcome of a stream that ended, None if it was cut."""
         assembly = progress.assembly
         if assembly.finished is not None:
-            return self.answered(progress)
+            return self.complete_answer(progress)
         if assembly.error is not None:
             return forms.error_outcome(assembly.error)
         return None
 
-    def answered(self, progress):
+    def complete_answer(self, progress):
         """Return the whole answer."""
         final = json.loads(progress.assembly.finished[len(b'data: ') :])
         usage = final.get('usage') or {}
@@ -417,18 +419,18 @@
 
     # Finding a host.
 
-    def link(self, address):
+    def connections_to(self, address):
         """Return the connections to a host."""
-        if address not in self.links:
+        if address not in self.connections_by_address:
             times = endpoints.EndpointSettings(
                 connect_s=self.settings.connect_s,
                 idle_s=self.settings.idle_s,
                 head_s=self.settings.head_s,
             )
-            self.links[address] = endpoints.Connections(
+            self.connections_by_address[address] = endpoints.Connections(
                 address, self.clock, times
             )
-        return self.links[address]
+        return self.connections_by_address[address]
 
     def open_session(self):
         """Return the present session, or a new one; None if nobody answers.
@@ -451,17 +453,17 @@
 
     def start_session(self, address):
         """Ask one host for a ticket; return whether it gave one."""
-        document = self.ask_host(address)
+        document = self.query_host(address)
         if document is None:
             return False
         until_s = self.clock.now_s() + document['keep_s']
         self.session = Session(address, document['ticket'], until_s)
         return True
 
-    def ask_any_host(self):
+    def query_any_host(self):
         """Ask hosts in random order until one names hosts to use."""
         for address in self.known_addresses():
-            document = self.ask_host(address)
+            document = self.query_host(address)
             if document is not None and document['hosts']:
                 return document
         raise errors.HostUnreachable(
@@ -472,16 +474,16 @@
     def known_addresses(self):
         """Return addresses to ask: those seen lately first, then seeds."""
         oldest_s = self.clock.now_s() - self.settings.remember_s
-        seen = [a for a, at_s in self.seen.items() if at_s >= oldest_s]
+        seen = [a for a, at_s in self.last_seen_s.items() if at_s >= oldest_s]
         rest = [address for address in self.seeds if address not in seen]
         self.rng.shuffle(seen)
         self.rng.shuffle(rest)
         return seen + rest
 
-    def ask_host(self, address):
+    def query_host(self, address):
         """Return one host's answer, or None; remember whom it names."""
         try:
-            reply = self.link(address).call(
+            reply = self.connections_to(address).call(
                 'GET', HOSTS_PATH, b'', (), self.settings.head_s
             )
             document = reply.json()
@@ -491,23 +493,23 @@
             return None
         now_s = self.clock.now_s()
         for each in listed:
-            self.seen[each] = now_s
+            self.last_seen_s[each] = now_s
         return document
 
     def forget_host(self, address):
         """A host did not answer: ask it last."""
-        self.seen.pop(address, None)
+        self.last_seen_s.pop(address, None)
         if self.session is not None and self.session.address == address:
             self.session = None
 
     def close(self):
         """Close all connections."""
-        for link in self.links.values():
-            link.close()
+        for connections in self.connections_by_address.values():
+            connections.close()
 
 
-def inconclusive(outcome, progress):
+def is_inconclusive(outcome, progress):
     """Tell whether an outcome leaves open what became of earlier copies."""
     if not isinstance(outcome, outcomes.NotRun) or progress.copies == 1:
         return False
-    return outcome.reason in NOT_FROM_HOME and progress.sent
+    return outcome.reason in REASONS_WITHOUT_HOME and progress.sent
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -20,22 +20,22 @@
 
 TICK_INTERVAL_S = 0.1
 #: A starting node listens this long for peers that have a table.
-JOIN_S = 1.0
+JOIN_WAIT_S = 1.0
 #: The watch brings a newer table within milliseconds; a peer is asked when
 #: it has not come after this long.
-FETCH_AFTER_S = 0.25
+FETCH_DELAY_S = 0.25
 FETCH_INTERVAL_S = 0.5
 READ_INTERVAL_S = 0.5
 #: The node that took an edit accepts it. When that node is gone another one
 #: does, after this long and a random part of it.
-ACCEPT_FOR_OTHERS_S = 2.0
+ACCEPT_FOR_OTHERS_DELAY_S = 2.0
 #: Nodes that find an older table in the store spread out over this long;
 #: the first one mends it for all.
-RESTORE_SPREAD_S = 1.0
+MAX_RESTORE_DELAY_S = 1.0
 DOCUMENT_TIMEOUT_S = 2.0
 
 INITIAL_EDIT = 'initial'
-INITIAL_AUTHOR = 'settings'
+INITIAL_OPERATOR = 'settings'
 
 LOG = logs.get('configuration')
 
@@ -83,20 +83,20 @@
         self.keyvalue = keyvalue
         self.gossip = gossip
         self.peers = peers
-        self.inventory = inventory_of(settings)
+        self.configured_names = configured_names_of(settings)
         self.views = mailbox.Topic()
         self.permits = mailbox.Topic(WorkPermit(False, 'no_table'))
-        self.documents = mailbox.Topic(edits.Held())
+        self.documents = mailbox.Topic(edits.HeldDocument())
         self.standing = gossips.Standing(clock.now_s())
         self.members = membership.MembersView({})
         self.watch = tablewatch.TableWatch(self, keyvalue, clock, rng)
-        self.writer = edits.Writer(self, keyvalue, clock)
+        self.writer = edits.DocumentWriter(self, keyvalue, clock)
         self.own_revisions = set()
         self.overrides = {}
-        self.busy = set()
+        self.background_work = set()
         self.started_s = clock.now_s()
-        self.newer_since_s = None
-        self.missed_since_s = None
+        self.behind_since_s = None
+        self.watch_behind_since_s = None
         self.next_fetch_s = 0.0
         self.next_read_s = 0.0
 
@@ -118,20 +118,20 @@
         """Act on one message."""
         match message:
             case tablewatch.StoreRead(outcome, sent_s):
-                self.take_store_read(outcome, sent_s)
+                self.handle_store_read(outcome, sent_s)
             case PeerRead(text):
-                self.take_text(text, self.clock.now_s())
+                self.handle_peer_document(text, self.clock.now_s())
             case gossips.Standing():
                 self.standing = message
-                self.consider_acceptance()
+                self.accept_staged_if_allowed()
                 self.publish_permit()
             case membership.MembersView():
-                self.take_members(message)
+                self.handle_members(message)
             case tablemessages.EditCells():
-                gevent.spawn(edits.EditRun(message, self).run)
+                gevent.spawn(edits.EditTask(message, self).run)
             case edits.Override(revision, author):
                 self.overrides[revision] = author
-                self.consider_acceptance()
+                self.accept_staged_if_allowed()
             case tablemessages.ShowTable():
                 message.reply(self.show())
             case tablemessages.History():
@@ -143,11 +143,11 @@
         self.read_if_due()
         self.check_watch()
         self.initialise_if_due()
-        self.consider_acceptance()
-        self.act_on_staged_if_due()
+        self.accept_staged_if_allowed()
+        self.apply_staged_if_unconfirmed()
         self.publish_permit()
 
-    def take_members(self, view):
+    def handle_members(self, view):
         """Note who is there; the store's rate is shared by them."""
         self.members = view
         budget = getattr(self.keyvalue, 'budget', None)
@@ -156,17 +156,17 @@
 
     # Documents that come in.
 
-    def take_store_read(self, outcome, sent_s):
+    def handle_store_read(self, outcome, sent_s):
         """Take in what the store showed."""
         match outcome:
             case keyvalues.Found(value=text, revision=revision):
                 document = self.parse(text)
                 if document is not None:
-                    self.take_stored(document, revision, sent_s)
+                    self.handle_stored_document(document, revision, sent_s)
             case keyvalues.Absent():
-                self.take_absent(sent_s)
+                self.handle_absent_document(sent_s)
 
-    def take_stored(self, document, store_revision, sent_s):
+    def handle_stored_document(self, document, store_revision, sent_s):
         """Take in the store's document: newer, the same or older."""
         held = self.documents.last
         if self.is_newer(document):
@@ -190,7 +190,7 @@
             )
         )
 
-    def take_absent(self, sent_s):
+    def handle_absent_document(self, sent_s):
         """The store has no table: it is new, or lost what it had."""
         held = self.documents.last
         if held.document is None:
@@ -199,7 +199,7 @@
             self.documents.publish(held._replace(store_revision=0))
             self.restore('absent')
 
-    def take_text(self, text, now_s):
+    def handle_peer_document(self, text, now_s):
         """Take in a document from a peer; the watch should have brought it."""
         document = self.parse(text) if text is not None else None
         if document is not None and self.is_newer(document):
@@ -223,7 +223,9 @@
         """Hold a newer document and tell everybody."""
         now_s = self.clock.now_s()
         staged = table.staged_revision(document)
-        self.documents.publish(edits.Held(document, store_revision, now_s))
+        self.documents.publish(
+            edits.HeldDocument(document, store_revision, now_s)
+        )
         self.gossip.post(gossips.HoldTable(document['revision'], staged))
         LOG.event('table', revision=document['revision'], staged=staged)
         self.publish_view(table.view(document))
@@ -253,15 +255,15 @@
 
     def spawn_once(self, name, work):
         """Run ``work`` in the background unless it is running already."""
-        if name in self.busy:
+        if name in self.background_work:
             return
-        self.busy.add(name)
+        self.background_work.add(name)
 
         def run():
             try:
                 work()
             finally:
-                self.busy.discard(name)
+                self.background_work.discard(name)
 
         gevent.spawn(run)
 
@@ -270,12 +272,12 @@
         now_s = self.clock.now_s()
         address = self.standing.newer_at
         if not address:
-            self.newer_since_s = None
+            self.behind_since_s = None
             return
-        if self.newer_since_s is None:
-            self.newer_since_s = now_s
-        waited_s = now_s - self.newer_since_s
-        if waited_s >= FETCH_AFTER_S and now_s >= self.next_fetch_s:
+        if self.behind_since_s is None:
+            self.behind_since_s = now_s
+        waited_s = now_s - self.behind_since_s
+        if waited_s >= FETCH_DELAY_S and now_s >= self.next_fetch_s:
             self.next_fetch_s = now_s + FETCH_INTERVAL_S
             self.spawn_once('fetch', lambda: self.fetch(address))
 
@@ -314,11 +316,11 @@
         after = self.watch.after
         seen = self.documents.last.store_revision
         if after is None or seen is None or seen <= after:
-            self.missed_since_s = None
-        elif self.missed_since_s is None:
-            self.missed_since_s = now_s
-        elif now_s - self.missed_since_s > FETCH_AFTER_S:
-            self.missed_since_s = None
+            self.watch_behind_since_s = None
+        elif self.watch_behind_since_s is None:
+            self.watch_behind_since_s = now_s
+        elif now_s - self.watch_behind_since_s > FETCH_DELAY_S:
+            self.watch_behind_since_s = None
             self.keyvalue.end_watches()
 
     def initialise_if_due(self):
@@ -327,7 +329,7 @@
         waited_s = self.clock.now_s() - self.started_s
         if held.document is not None or held.store_revision != 0:
             return
-        if self.standing.newest == 0 and waited_s >= JOIN_S:
+        if self.standing.newest == 0 and waited_s >= JOIN_WAIT_S:
             self.spawn_once('initialise', self.initialise)
 
     def initialise(self):
@@ -339,11 +341,11 @@
             for column, value in columns.items()
         }
         edit = table.Edit(
-            INITIAL_EDIT, INITIAL_AUTHOR, 0, cells, self.clock.wall_s()
+            INITIAL_EDIT, INITIAL_OPERATOR, 0, cells, self.clock.wall_s()
         )
-        match table.stage(table.empty(), edit, self.inventory):
+        match table.stage(table.empty(), edit, self.configured_names):
             case table.Staged(document, revision):
-                self.clock.sleep(self.rng.random() * JOIN_S / 4)
+                self.clock.sleep(self.rng.random() * JOIN_WAIT_S / 4)
                 if self.documents.last.document is None:
                     self.writer.write(table.accept(document, revision), 0)
             case table.Invalid(problems):
@@ -360,12 +362,12 @@
         the newest table they know, and the compare-and-swap lets just one
         of them put it back.
         """
-        self.spawn_once('restore', lambda: self.put_back(found))
+        self.spawn_once('restore', lambda: self.restore_if_still_older(found))
 
-    def put_back(self, found):
+    def restore_if_still_older(self, found):
         """Read again after a random wait; write if it is still older."""
         LOG.warning_event('store_has_older_table', found=found)
-        self.clock.sleep(self.rng.random() * RESTORE_SPREAD_S)
+        self.clock.sleep(self.rng.random() * MAX_RESTORE_DELAY_S)
         held = self.documents.last
         match self.watch.reader.read():
             case keyvalues.Found(value=text, revision=revision):
@@ -376,7 +378,7 @@
             case keyvalues.Absent():
                 self.writer.write(held.document, 0)
 
-    def act_on_staged_if_due(self):
+    def apply_staged_if_unconfirmed(self):
         """Put staged edits in force when cut off from the store.
 
         Others may have accepted them on the acknowledgement of this node
@@ -392,30 +394,30 @@
 
     # Acceptance.
 
-    def consider_acceptance(self):
+    def accept_staged_if_allowed(self):
         """Accept staged edits when the rule allows and it is our turn."""
         document = self.documents.last.document
         if document is None or not document['staged']:
             return
         match self.standing.acceptance:
-            case freshness.Accept(revision=revision) if self.is_our_turn():
+            case freshness.Accept(revision=revision) if self.is_acceptor():
                 self.spawn_once('accept', lambda: self.accept(revision, ''))
             case freshness.Blocked(revision=revision):
-                author = self.override_of(revision)
+                author = self.overriding_operator(revision)
                 if author:
                     self.spawn_once(
                         'accept', lambda: self.accept(revision, author)
                     )
 
-    def is_our_turn(self):
+    def is_acceptor(self):
         """Whether this node took the edit, or whoever did seems gone."""
         if self.own_revisions:
             return True
         held_s = self.clock.now_s() - self.documents.last.adopted_s
-        wait_s = ACCEPT_FOR_OTHERS_S * (1 + self.rng.random())
+        wait_s = ACCEPT_FOR_OTHERS_DELAY_S * (1 + self.rng.random())
         return held_s > wait_s
 
-    def override_of(self, revision):
+    def overriding_operator(self, revision):
         """Operator who overrides for this revision, '' if none."""
         for overridden, author in self.overrides.items():
             if overridden >= revision:
@@ -434,7 +436,7 @@
 
     # What edits and pages ask.
 
-    def may_edit(self):
+    def can_stage(self):
         """Whether this node knows enough to base an edit on its table."""
         held = self.documents.last
         if held.document is None or held.store_revision is None:
@@ -450,7 +452,7 @@
         """
         wall_ms = int(self.clock.wall_s() * 1000)
         floor = max(self.standing.newest + 1, wall_ms)
-        return table.stage(document, edit, self.inventory, floor)
+        return table.stage(document, edit, self.configured_names, floor)
 
     def await_document(self, revision):
         """Wait until the held document reaches a staged revision."""
@@ -512,7 +514,7 @@
         return revision, table.dump(document)
 
 
-def inventory_of(settings):
+def configured_names_of(settings):
     """Names that cross-row checks of the table need."""
     return table.ConfiguredNames(
         pools={
--- a/magnoliadyke/edits.py
+++ b/magnoliadyke/edits.py
@@ -11,7 +11,7 @@
 from magnoliadyke import tablemessages as messages
 from magnoliadyke import tablewatch
 
-__all__ = ['EditRun', 'Held', 'Writer']
+__all__ = ['EditTask', 'HeldDocument', 'DocumentWriter']
 
 #: Time for writing the staged edit.
 STAGE_TIMEOUT_S = 5.0
@@ -23,15 +23,15 @@
 IN_FORCE_TIMEOUT_S = 5.0
 POLL_S = 0.01
 #: Times between surveys of the members grow up to this.
-FIRST_SURVEY_S = 0.02
-LONGEST_SURVEY_S = 0.5
+INITIAL_PROBE_INTERVAL_S = 0.02
+MAX_PROBE_INTERVAL_S = 0.5
 #: Pause after losing a compare-and-swap to another editor.
 CONFLICT_PAUSE_S = 0.03
 
 LOG = logs.get('edits')
 
 
-class Held(typing.NamedTuple):
+class HeldDocument(typing.NamedTuple):
     """The document that this node holds.
 
     :param document: a ``core.table.Document``, None before the first
@@ -45,7 +45,7 @@
     adopted_s: float = 0.0
 
 
-class Writer:
+class DocumentWriter:
     """Writes the table's key and posts what the store then holds.
 
     :param owner: task that gets :class:`magnoliadyke.tablewatch.StoreRead`
@@ -84,21 +84,21 @@
         self.owner.post(tablewatch.StoreRead(outcome, sent_s))
 
 
-class EditRun:
+class EditTask:
     """Carries one edit through; runs in a greenlet of its own.
 
     :param ask: the :class:`magnoliadyke.tablemessages.EditCells`
     :param task: the :class:`magnoliadyke.configuration.Configuration`
     """
 
-    def __init__(self, ask, task):
-        self.ask = ask
-        self.task = task
-        self.clock = task.clock
-        self.began_s = task.clock.now_s()
+    def __init__(self, request, configuration):
+        self.request = request
+        self.configuration = configuration
+        self.clock = configuration.clock
+        self.started_s = configuration.clock.now_s()
         self.maybe_applied = False
-        self.survey_s = FIRST_SURVEY_S
-        self.next_survey_s = self.began_s
+        self.probe_interval_s = INITIAL_PROBE_INTERVAL_S
+        self.next_probe_s = self.started_s
         self.blocked_since_s = None
 
     def run(self):
@@ -108,18 +108,18 @@
             reply = self.await_acceptance(reply)
         LOG.event(
             'edit',
-            edit=self.ask.edit_id,
-            operator=self.ask.author,
+            edit=self.request.edit_id,
+            operator=self.request.author,
             result=type(reply).__name__.lower(),
             revision=getattr(reply, 'revision', 0),
-            took_s=self.clock.now_s() - self.began_s,
+            took_s=self.clock.now_s() - self.started_s,
         )
-        self.ask.reply(reply)
+        self.request.reply(reply)
 
     @property
     def document(self):
         """The document held at this moment."""
-        return self.task.documents.last.document
+        return self.configuration.documents.last.document
 
     # Staging.
 
@@ -128,22 +128,24 @@
 
         :return: its revision, or the answer if it was not staged
         """
-        end_s = self.began_s + STAGE_TIMEOUT_S
+        end_s = self.started_s + STAGE_TIMEOUT_S
         while self.clock.now_s() < end_s:
-            held = self.task.documents.last
-            if not self.task.may_edit():
+            held = self.configuration.documents.last
+            if not self.configuration.can_stage():
                 self.clock.sleep(POLL_S)
                 continue
-            reply = self.try_stage(held)
+            reply = self.stage_once(held)
             if reply is not None:
                 return reply
         return messages.StoreUnavailable(self.maybe_applied)
 
-    def try_stage(self, held):
+    def stage_once(self, held):
         """Try once; None means try again."""
-        if not self.ask.edits:
-            return self.named_revision(held.document)
-        match self.task.stage(held.document, self.edit(held.document)):
+        if not self.request.edits:
+            return self.overridden_revision(held.document)
+        match self.configuration.stage(
+            held.document, self.build_edit(held.document)
+        ):
             case table.Conflict(cells, revision, operators):
                 return messages.Conflict(dict(cells), revision, operators)
             case table.Invalid(problems):
@@ -153,31 +155,31 @@
             case table.Staged(document, revision):
                 return self.write_staged(held, document, revision)
 
-    def named_revision(self, document):
+    def overridden_revision(self, document):
         """Revision of the staged edit that an override names."""
-        known = table.edit_revision(document, self.ask.edit_id or '')
+        known = table.edit_revision(document, self.request.edit_id or '')
         if known is not None:
             return known.revision
         return table.staged_revision(document)
 
-    def edit(self, document):
+    def build_edit(self, document):
         """The edit, against the base that the operator looked at."""
-        base = self.ask.base_revision
+        base = self.request.base_revision
         if base is None:
             base = table.staged_revision(document)
         return table.Edit(
-            self.ask.edit_id,
-            self.ask.author,
+            self.request.edit_id,
+            self.request.author,
             base,
-            self.ask.edits,
+            self.request.edits,
             self.clock.wall_s(),
         )
 
     def write_staged(self, held, document, revision):
         """Write; return the revision once it is known to be staged."""
-        match self.task.writer.write(document, held.store_revision):
+        match self.configuration.writer.write(document, held.store_revision):
             case keyvalue.Stored():
-                self.task.await_document(revision)
+                self.configuration.await_document(revision)
                 return revision
             case keyvalue.Unavailable(maybe_applied=maybe):
                 self.maybe_applied = self.maybe_applied or maybe
@@ -190,30 +192,30 @@
 
     def pause(self, seconds):
         """Wait between half and one and a half of that long."""
-        self.clock.sleep(seconds * (0.5 + self.task.rng.random()))
+        self.clock.sleep(seconds * (0.5 + self.configuration.rng.random()))
 
     # Acceptance.
 
     def await_acceptance(self, revision):
         """Wait until the staged edit is accepted, then until in force."""
-        if self.ask.override:
-            self.task.post(Override(revision, self.ask.author))
-        self.task.own_revisions.add(revision)
+        if self.request.override:
+            self.configuration.post(Override(revision, self.request.author))
+        self.configuration.own_revisions.add(revision)
         end_s = self.clock.now_s() + ACCEPT_TIMEOUT_S
         try:
             while self.document['revision'] < revision:
-                if self.clock.now_s() > end_s or self.blocked():
-                    return messages.Pending(revision, self.missing())
-                self.survey()
+                if self.clock.now_s() > end_s or self.is_blocked_too_long():
+                    return messages.Pending(revision, self.awaited_hosts())
+                self.probe_members_if_due()
                 self.clock.sleep(POLL_S)
         finally:
-            self.task.own_revisions.discard(revision)
+            self.configuration.own_revisions.discard(revision)
         return self.await_in_force(revision)
 
-    def blocked(self):
+    def is_blocked_too_long(self):
         """Whether the edit has been blocked for a while."""
         now_s = self.clock.now_s()
-        acceptance = self.task.standing.acceptance
+        acceptance = self.configuration.standing.acceptance
         if not isinstance(acceptance, freshness.Blocked):
             self.blocked_since_s = None
             return False
@@ -221,9 +223,9 @@
             self.blocked_since_s = now_s
         return now_s - self.blocked_since_s > BLOCKED_REPORT_S
 
-    def missing(self):
+    def awaited_hosts(self):
         """Hosts that the acceptance waits for."""
-        match self.task.standing.acceptance:
+        match self.configuration.standing.acceptance:
             case freshness.Blocked(missing=missing):
                 return missing
             case freshness.Wait(laggards=laggards):
@@ -233,23 +235,25 @@
     def await_in_force(self, revision):
         """Wait until all live nodes confirm, or name the laggards."""
         end_s = self.clock.now_s() + IN_FORCE_TIMEOUT_S
-        self.survey_s = FIRST_SURVEY_S
-        self.next_survey_s = self.clock.now_s()
-        laggards = self.task.laggards(revision)
+        self.probe_interval_s = INITIAL_PROBE_INTERVAL_S
+        self.next_probe_s = self.clock.now_s()
+        laggards = self.configuration.laggards(revision)
         while laggards and self.clock.now_s() < end_s:
-            self.survey()
+            self.probe_members_if_due()
             self.clock.sleep(POLL_S)
-            laggards = self.task.laggards(revision)
-        took_s = self.clock.now_s() - self.began_s
+            laggards = self.configuration.laggards(revision)
+        took_s = self.clock.now_s() - self.started_s
         return messages.Accepted(revision, took_s, laggards)
 
-    def survey(self):
+    def probe_members_if_due(self):
         """Probe all members at growing intervals while waiting."""
         now_s = self.clock.now_s()
-        if now_s >= self.next_survey_s:
-            self.task.gossip.post(gossip.Survey())
-            self.next_survey_s = now_s + self.survey_s
-            self.survey_s = min(LONGEST_SURVEY_S, 2 * self.survey_s)
+        if now_s >= self.next_probe_s:
+            self.configuration.gossip.post(gossip.Survey())
+            self.next_probe_s = now_s + self.probe_interval_s
+            self.probe_interval_s = min(
+                MAX_PROBE_INTERVAL_S, 2 * self.probe_interval_s
+            )
 
 
 class Override(typing.NamedTuple):
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -26,7 +26,7 @@
 from magnoliadyke import nodeparts
 from magnoliadyke import peer
 
-__all__ = ['Bridge', 'Departure', 'Node', 'run']
+__all__ = ['Bridge', 'LeaveAnnouncer', 'Node', 'run']
 
 #: How often a node tells its peers whether it takes work, in seconds.
 OWN_STATE_INTERVAL_S = 0.25
@@ -46,11 +46,11 @@
     tick_interval_s = OWN_STATE_INTERVAL_S
 
     def __init__(
-        self, clock, status, stop_asked, members, table, work, planning
+        self, clock, status, stop_requested, members, table, work, planning
     ):
         super().__init__('bridge', clock)
         self.status = status
-        self.stop_asked = stop_asked
+        self.stop_requested = stop_requested
         self.members = members
         self.work = work
         self.planning = planning
@@ -68,9 +68,9 @@
         """Pass one message on to whom it concerns."""
         match message:
             case gossip.PeerDigest(host=host, data=data):
-                self.pass_digest(host, data)
+                self.forward_digest(host, data)
             case configuration.WorkPermit(allowed=allowed, reason=reason):
-                self.permit(allowed, reason)
+                self.apply_permit(allowed, reason)
             case notices.EngineUse(engine=engine, state=state):
                 self.work.post(dispatch.StateSeen(engine, state))
             case gossip.PromptsHeard(prompts=prompts):
@@ -78,7 +78,7 @@
             case membership.Superseded():
                 self.stop_superseded()
             case dispatch.CrashSeen(digest=digest):
-                self.spread_at_once(digest)
+                self.broadcast_crash_digest(digest)
             case scheduler.Digest():
                 self.members.post(gossip.OwnDigest(message.to_bytes()))
             case dispatch.PromptsPlaced(prompts=prompts):
@@ -86,7 +86,7 @@
             case dispatch.Demands(pools=pools):
                 self.planning.post(duties.Demands(pools))
 
-    def pass_digest(self, host, data):
+    def forward_digest(self, host, data):
         """Decode a peer's digest; one that can't be read is dropped.
 
         During a rollout a newer node may send a digest of another shape. It
@@ -99,7 +99,7 @@
             return
         self.work.post(dispatch.PeerDigest(host, digest))
 
-    def spread_at_once(self, digest):
+    def broadcast_crash_digest(self, digest):
         """Tell the peers now which requests may have crashed an endpoint.
 
         One probe a period takes seconds to reach all. A caller that is told
@@ -117,9 +117,9 @@
         sent to a host that is left out a moment later.
         """
         self.log.event('node_superseded')
-        self.stop_asked.set()
+        self.stop_requested.set()
 
-    def permit(self, allowed, reason):
+    def apply_permit(self, allowed, reason):
         """Take new work or stop taking it, and say so when it changes."""
         if self.status.fresh != allowed:
             self.log.event('work_permit', allowed=allowed, reason=reason)
@@ -134,7 +134,7 @@
         )
 
 
-class Departure(app.Component):
+class LeaveAnnouncer(app.Component):
     """Announces that this node leaves, after its last request has ended.
 
     Without the announcement the peers would find the node dead only after
@@ -158,7 +158,7 @@
             logs.get('node').event('leave_unannounced')
 
 
-class Closer(app.Component):
+class ConnectionCloser(app.Component):
     """Closes connections that no task owns."""
 
     def __init__(self, *owners):
@@ -190,7 +190,7 @@
         # its wall clock does not run backwards across a restart.
         self.incarnation = int(clock.wall_s() * 1000)
         self.status = callers.NodeStatus()
-        self.stop_asked = event.Event()
+        self.stop_requested = event.Event()
         self.app = app.Application(clock)
         self.build()
 
@@ -202,9 +202,9 @@
         self.build_coordination()
         self.build_request_path()
         self.admin = self.app.add(admin.Admin(self))
-        self.app.add(Departure(self.status, self.gossip))
+        self.app.add(LeaveAnnouncer(self.status, self.gossip))
         self.callers = self.app.add(self.build_callers())
-        self.join_peers()
+        self.connect_peer_server()
         self.add_gauges()
 
     def build_coordination(self):
@@ -212,7 +212,7 @@
         settings, host, clock = self.settings, self.host, self.clock
         self.keyvalue = keyvalue.HttpKeyValue(settings, host, clock)
         self.peers = peer.PeerClients(settings, host, clock)
-        self.app.add(Closer(self.keyvalue, self.peers))
+        self.app.add(ConnectionCloser(self.keyvalue, self.peers))
         self.peer_server = self.app.add(
             peer.PeerServer(settings, host, self.incarnation, clock)
         )
@@ -262,7 +262,7 @@
             Bridge(
                 self.clock,
                 self.status,
-                self.stop_asked,
+                self.stop_requested,
                 self.gossip,
                 self.configuration,
                 self.dispatcher,
@@ -287,7 +287,7 @@
             parts, self.dispatcher, self.status, self.metrics
         )
 
-    def join_peers(self):
+    def connect_peer_server(self):
         """Let the peer server answer from the tasks of this node."""
         self.peer_server.fetch_table = self.configuration.fetch_table
         self.peer_server.take_records = self.callers.take_records
@@ -339,13 +339,13 @@
     node = Node(settings, host, clock)
 
     def on_signal():
-        if node.stop_asked.is_set():
+        if node.stop_requested.is_set():
             os._exit(EXIT_FORCED)
-        node.stop_asked.set()
+        node.stop_requested.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, on_signal)
     node.start()
-    node.stop_asked.wait()
+    node.stop_requested.wait()
     node.stop()
     return 0
--- a/magnoliadyke/porcelain.py
+++ b/magnoliadyke/porcelain.py
@@ -215,7 +215,7 @@
     :param client: the admin client.
     :param cell: ``SHEET/ROW/COLUMN``.
     """
-    sheet, row, column = _split(cell)
+    sheet, row, column = _split_cell(cell)
     content = table_show(client, sheet)['sheets'][sheet]
     known = {item['name']: item for item in content['columns']}
     if column not in known:
@@ -248,14 +248,14 @@
     :param wait_s: longest wait.
     """
     for cell in cells:
-        _split(cell)
+        _split_cell(cell)
     if not cells:
         return EditResult('unchanged', {})
     answer = client.post(
         '/admin/table',
         {
             'edit': uuid.uuid4().hex,
-            'operator': operator or _user(),
+            'operator': operator or _login_name(),
             'base_revision': base_revision,
             'cells': dict(cells),
             'wait_s': wait_s,
@@ -337,7 +337,7 @@
     """
     answer = client.post(
         '/admin/table/override',
-        {'edit': edit or None, 'operator': operator or _user()},
+        {'edit': edit or None, 'operator': operator or _login_name()},
     )
     return EditResult(answer.body['state'], answer.body)
 
@@ -375,7 +375,7 @@
     """
     answer = client.post(
         '/admin/drain',
-        {kind: name, 'undo': undo, 'operator': operator or _user()},
+        {kind: name, 'undo': undo, 'operator': operator or _login_name()},
     )
     return EditResult(answer.body['state'], answer.body)
 
@@ -501,7 +501,7 @@
     return ()
 
 
-def _split(cell: str) -> tuple[str, str, str]:
+def _split_cell(cell: str) -> tuple[str, str, str]:
     parts = cell.split('/')
     if len(parts) != 3 or not all(parts):
         raise errors.UsageError(
@@ -511,7 +511,7 @@
     return parts[0], parts[1], parts[2]
 
 
-def _user() -> str:
+def _login_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -52,8 +52,8 @@
         def cut(text, offset):
             if offset > 20 and not broken:
                 broken.append(caller.session.address)
-                caller.links[broken[0]].stream = refuse
-                caller.links[broken[0]].call = refuse
+                caller.connections_by_address[broken[0]].stream = refuse
+                caller.connections_by_address[broken[0]].call = refuse
                 raise ConnectionResetError('cut by the test')
 
         outcome = caller.complete(
@@ -95,7 +95,7 @@
 def test_gives_up_when_no_host_answers():
     nobody = client.Client(['127.0.0.1:1'], requestpath.KEY)
     outcome = nobody.complete('m', 'p', deadline_s=0.3)
-    assert outcome == client.NOBODY
+    assert outcome == client.NO_HOST
 
 
 def test_a_servers_own_error_is_not_the_services_answer():
