--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -6,12 +6,12 @@
 
 import falcon
 
+from magnoliadyke import caller_codec
 from magnoliadyke.core import attempts
 from magnoliadyke.core import outcomes
 from magnoliadyke.core import records
 from magnoliadyke import directory
 from magnoliadyke import followers
-from magnoliadyke import forms
 from magnoliadyke import homes
 from magnoliadyke import streams
 
@@ -48,7 +48,7 @@
     app.add_route(f'{directory.HOMES_PATH}{{home}}', HomesResource(owner))
     app.add_sink(AnswersSink(owner), ANSWERS)
     app.add_sink(ServicesSink(owner), SERVICES)
-    app.add_error_handler(forms.OutcomeError, tell_error)
+    app.add_error_handler(caller_codec.OutcomeError, tell_error)
     app.add_error_handler(followers.CallerGone, caller_gone)
     return app
 
@@ -116,10 +116,10 @@
         """Return the priority a request asks for."""
         number = req.get_header('X-Priority-Number')
         if number is not None and number.isdigit():
-            return min(max(int(number), forms.MOST_URGENT), 9)
+            return min(max(int(number), caller_codec.MOST_URGENT), 9)
         row = self.owner.table.last.customers[customer]
         text = req.get_header('X-Priority') or ''
-        return forms.read_priority(text, row.priority)
+        return caller_codec.read_priority(text, row.priority)
 
     def repeatable(self, req):
         """Return whether the caller lets the request run twice."""
@@ -157,12 +157,14 @@
     def __init__(self, owner, chat):
         super().__init__(owner)
         self.chat = chat
-        self.read_work = forms.read_chat if chat else forms.read_completion
+        self.read_work = (
+            caller_codec.read_chat if chat else caller_codec.read_completion
+        )
 
     def on_post(self, req, resp):
         """Run a completion, or follow one whose key is known."""
         customer = self.customer(req)
-        document = forms.read_object(self.owner.read_body(req))
+        document = caller_codec.read_object(self.owner.read_body(req))
         request = self.request(req, customer, self.read_work(document))
         place = self.homes.place(request)
         reader = Reader(self, req, resp, self.chat, request.key)
@@ -170,10 +172,10 @@
 
     def request(self, req, customer, work):
         """Return the :class:`forms.ModelRequest` of a request."""
-        digest = forms.request_digest(
+        digest = caller_codec.request_digest(
             customer, work['model'], str(work['max_tokens']), work['prompt']
         )
-        return forms.ModelRequest(
+        return caller_codec.ModelRequest(
             work=work,
             repeatable=self.repeatable(req),
             digest=digest,
@@ -187,12 +189,12 @@
     def __call__(self, req, resp, key):
         """Follow the answer of a key from an offset on."""
         offset = req.get_param_as_int('offset', min_value=0, default=0)
-        request = forms.ModelRequest(
+        request = caller_codec.ModelRequest(
             key=parse.unquote(key),
             customer=self.customer(req),
             credential=req.get_header('Authorization'),
             work={},
-            priority=forms.MOST_URGENT,
+            priority=caller_codec.MOST_URGENT,
             repeatable=False,
             digest='',
             hops=self.hops(req),
@@ -260,12 +262,12 @@
         else:
             self.resp.content_type = JSON
             key = self.resp.get_header('X-Request-Key')
-            self.resp.data = forms.render_answer(key, events, self.chat)
+            self.resp.data = caller_codec.render_answer(key, events, self.chat)
 
     def replay(self, events):
         """Return kept events as the rest of a stream."""
         rest = attempts.events_from(events, self.offset)
-        shaped = forms.chat_events(rest) if self.chat else rest
+        shaped = caller_codec.chat_events(rest) if self.chat else rest
         return shaped + attempts.DONE
 
     def follow(self, run):
@@ -274,7 +276,7 @@
             run,
             self.req.env[HANDLER],
             self.offset,
-            forms.chat_events if self.chat else None,
+            caller_codec.chat_events if self.chat else None,
             self.owner.settings.limits.write_stall_s,
         )
         stream = CallerStream(follower, self.owner, bool(self.key))
@@ -353,14 +355,14 @@
             for each in PASSED_HEADERS
             if req.get_header(each)
         )
-        return forms.ServiceRequest(
+        return caller_codec.ServiceRequest(
             service=name,
             method=req.method,
             path=path,
             headers=headers,
             body=body,
             repeatable=may_repeat and self.repeatable(req),
-            digest=forms.request_digest(
+            digest=caller_codec.request_digest(
                 customer, name, req.method, path, body
             ),
             **self.common(req, customer),
@@ -391,7 +393,7 @@
         return f'/{mark}{query}'
     segments = parse.unquote(rest.partition('?')[0]).split('/')
     if '..' in segments or '.' in segments:
-        raise forms.OutcomeError(BAD_PATH)
+        raise caller_codec.OutcomeError(BAD_PATH)
     return f'/{rest}'
 
 
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -7,10 +7,10 @@
 from gevent import pywsgi
 from gevent import socket
 
+from magnoliadyke import caller_codec
 from magnoliadyke import callerroutes
 from magnoliadyke.core import outcomes
 from magnoliadyke import followers
-from magnoliadyke import forms
 from magnoliadyke import homes
 from magnoliadyke import logs
 from magnoliadyke import reports
@@ -278,13 +278,13 @@
         """
         view = self.table.last
         if view is None:
-            raise forms.OutcomeError(self.elsewhere('no_table'))
+            raise caller_codec.OutcomeError(self.elsewhere('no_table'))
         if view is not self.key_ring_view:
-            self.key_ring = forms.KeyRing(view)
+            self.key_ring = caller_codec.KeyRing(view)
             self.key_ring_view = view
         customer = self.key_ring.customer(credential)
         if customer is None:
-            raise forms.OutcomeError(UNKNOWN_CALLER)
+            raise caller_codec.OutcomeError(UNKNOWN_CALLER)
         return customer
 
     def read_body(self, req):
@@ -292,16 +292,16 @@
         limits = self.settings.limits
         if (req.content_length or 0) > limits.body_bytes:
             req.env[callerroutes.HANDLER].close_connection = True
-            raise forms.OutcomeError(TOO_LARGE)
+            raise caller_codec.OutcomeError(TOO_LARGE)
         try:
             with gevent.Timeout(limits.read_s, TimeoutError('slow sender')):
                 body = req.env['wsgi.input'].read(limits.body_bytes + 1)
         except OSError as error:
             req.env[callerroutes.HANDLER].close_connection = True
-            raise forms.OutcomeError(TOO_SLOW) from error
+            raise caller_codec.OutcomeError(TOO_SLOW) from error
         if len(body) > limits.body_bytes:
             req.env[callerroutes.HANDLER].close_connection = True
-            raise forms.OutcomeError(TOO_LARGE)
+            raise caller_codec.OutcomeError(TOO_LARGE)
         return body
 
     # Hosts.
--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -7,13 +7,13 @@
 
 from geventhttpclient import response as responses
 
+from magnoliadyke import caller_codec
 from magnoliadyke import clock as clocks
 from magnoliadyke.core import attempts
 from magnoliadyke.core import outcomes
 from magnoliadyke.core import retries
 from magnoliadyke import endpoint as endpoints
 from magnoliadyke import errors
-from magnoliadyke import forms
 
 __all__ = ['Client', 'ClientSettings', 'HostSeen']
 
@@ -152,7 +152,7 @@
         self,
         model,
         prompt,
-        max_tokens=forms.DEFAULT_MAX_TOKENS,
+        max_tokens=caller_codec.DEFAULT_MAX_TOKENS,
         priority='normal',
         repeatable=True,
         on_text=None,
@@ -325,7 +325,7 @@
             self.settings.service_s,
         )
         progress.sent = True
-        outcome = forms.outcome_from(reply)
+        outcome = caller_codec.outcome_from(reply)
         if outcome is not None:
             return outcome
         if not reply.request_key:
@@ -342,7 +342,7 @@
         progress.sent = True
         if reply.status != 200:
             whole = reply.whole()
-            return forms.outcome_from(whole) or NO_ANSWER
+            return caller_codec.outcome_from(whole) or NO_ANSWER
         connection = reply.connection
         label = id(connection)
         progress.assembly.begin(label)
@@ -402,7 +402,7 @@
         if assembly.finished is not None:
             return self.complete_answer(progress)
         if assembly.error is not None:
-            return forms.error_outcome(assembly.error)
+            return caller_codec.error_outcome(assembly.error)
         return None
 
     def complete_answer(self, progress):
--- a/magnoliadyke/followers.py
+++ b/magnoliadyke/followers.py
@@ -6,9 +6,9 @@
 import gevent
 from gevent import event
 
+from magnoliadyke import caller_codec
 from magnoliadyke.core import attempts
 from magnoliadyke.core import records
-from magnoliadyke import forms
 
 __all__ = ['CallerGone', 'Follower', 'Waiter']
 
@@ -185,7 +185,7 @@
         outcome = self.run.outcome
         if isinstance(outcome, records.Answer):
             return attempts.DONE
-        return forms.error_event(outcome)
+        return caller_codec.error_event(outcome)
 
     def stream(self):
         """Write directly until the end or until the socket is full."""
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -5,6 +5,7 @@
 
 import gevent
 
+from magnoliadyke import caller_codec
 from magnoliadyke import claiming
 from magnoliadyke.core import claims
 from magnoliadyke.core import jobs
@@ -13,7 +14,6 @@
 from magnoliadyke.core import records
 from magnoliadyke.core import tickets
 from magnoliadyke import directory
-from magnoliadyke import forms
 from magnoliadyke import handover
 from magnoliadyke import relay
 from magnoliadyke import streams
@@ -309,9 +309,9 @@
     def build(self, request, record):
         """Return the run of a request, or ``Rejected``."""
         match request:
-            case forms.ModelRequest():
+            case caller_codec.ModelRequest():
                 return self.build_model(request, record.key)
-            case forms.ServiceRequest():
+            case caller_codec.ServiceRequest():
                 return self.build_service(request, record.key)
 
     def build_model(self, request, key):
@@ -450,7 +450,7 @@
             self.relay_end,
         )
         match request:
-            case forms.ServiceRequest():
+            case caller_codec.ServiceRequest():
                 run = relay.ServiceRelay(*arguments)
             case _:
                 run = relay.ModelRelay(*arguments, offset, resume_only)
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -23,8 +23,8 @@
 from magnoliadyke import logs
 from magnoliadyke import mailbox
 from magnoliadyke import metrics
-from magnoliadyke import nodeparts
 from magnoliadyke import peer
+from magnoliadyke import requestdependencies
 
 __all__ = ['Bridge', 'LeaveAnnouncer', 'Node', 'run']
 
@@ -272,7 +272,7 @@
 
     def build_callers(self):
         """Make the listener for callers."""
-        parts = nodeparts.NodeParts(
+        dependencies = requestdependencies.RequestDependencies(
             settings=self.settings,
             host=self.host,
             incarnation=self.incarnation,
@@ -284,7 +284,7 @@
             peers=self.peers,
         )
         return callers.Callers(
-            parts, self.dispatcher, self.status, self.metrics
+            dependencies, self.dispatcher, self.status, self.metrics
         )
 
     def connect_peer_server(self):
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -2,12 +2,12 @@
 
 from urllib import parse
 
+from magnoliadyke import caller_codec
 from magnoliadyke.core import attempts
 from magnoliadyke.core import outcomes
 from magnoliadyke.core import records
 from magnoliadyke import endpoint as endpoints
 from magnoliadyke import errors
-from magnoliadyke import forms
 from magnoliadyke import pumps
 from magnoliadyke import streams
 
@@ -183,7 +183,7 @@
         if self.read(home, reply):
             return self.answered()
         if self.assembly.error is not None:
-            return forms.error_outcome(self.assembly.error)
+            return caller_codec.error_outcome(self.assembly.error)
         return None
 
     def open(self, home):
@@ -204,7 +204,7 @@
     def refused(self, reply):
         """Return the outcome that the home answered instead of a stream."""
         whole = reply.whole()
-        return forms.outcome_from(whole) or outcomes.Unknown(
+        return caller_codec.outcome_from(whole) or outcomes.Unknown(
             'home_error', 'look up the effect before asking again'
         )
 
@@ -247,7 +247,7 @@
             home.settings.service_s,
             fresh=True,
         )
-        outcome = forms.outcome_from(reply)
+        outcome = caller_codec.outcome_from(reply)
         if outcome is not None:
             return outcome
         if not reply.request_key:
--- a/magnoliadyke/nodeparts.py
+++ b/magnoliadyke/requestdependencies.py
@@ -9,10 +9,10 @@
 from magnoliadyke import peer
 from magnoliadyke import settings as settings_module
 
-__all__ = ['NodeParts']
+__all__ = ['RequestDependencies']
 
 
-class NodeParts(typing.NamedTuple):
+class RequestDependencies(typing.NamedTuple):
     """One node's identity and the parts that its requests need.
 
     :param host: name of the host
--- a/tests/requestpath.py
+++ b/tests/requestpath.py
@@ -21,7 +21,7 @@
 from magnoliadyke.lab import service
 from magnoliadyke.lab import standin
 from magnoliadyke import mailbox
-from magnoliadyke import nodeparts
+from magnoliadyke import requestdependencies
 from magnoliadyke import settings as settings_module
 
 KEY = 'lease-key'
@@ -257,7 +257,7 @@
             self.settings, self.clock, rng, self.table, self.members, name
         )
         peers = Peers(self, name)
-        parts = nodeparts.NodeParts(
+        parts = requestdependencies.RequestDependencies(
             settings=self.settings,
             host=name,
             incarnation=7,
--- a/tests/test_forms.py
+++ b/tests/test_caller_codec.py
@@ -6,10 +6,10 @@
 from hypothesis import strategies
 import pytest
 
+from magnoliadyke import caller_codec
 from magnoliadyke.core import outcomes
 from magnoliadyke.core import table
 from magnoliadyke import endpoint
-from magnoliadyke import forms
 from tests import requestpath
 
 BAD_COMPLETIONS = [
@@ -25,28 +25,28 @@
 
 @pytest.mark.parametrize('document', BAD_COMPLETIONS)
 def test_bad_completions_are_rejected(document):
-    with pytest.raises(forms.OutcomeError) as caught:
-        forms.read_completion(document)
+    with pytest.raises(caller_codec.OutcomeError) as caught:
+        caller_codec.read_completion(document)
     assert isinstance(caught.value.outcome, outcomes.Rejected)
 
 
 @pytest.mark.parametrize('document', BAD_CHATS)
 def test_bad_chats_are_rejected(document):
-    with pytest.raises(forms.OutcomeError):
-        forms.read_chat({'model': 'm', **document})
+    with pytest.raises(caller_codec.OutcomeError):
+        caller_codec.read_chat({'model': 'm', **document})
 
 
 @given(strategies.binary())
 def test_any_bytes_are_an_object_or_rejected(body):
     try:
-        assert isinstance(forms.read_object(body), dict)
-    except forms.OutcomeError as error:
+        assert isinstance(caller_codec.read_object(body), dict)
+    except caller_codec.OutcomeError as error:
         assert error.outcome.reason == 'bad_json'
 
 
 def test_finds_the_customer_by_key():
     row = table.CustomerRow(keys=(requestpath.hashed('a'),))
-    ring = forms.KeyRing(table.View(1, {'lease': row}, {}, {}, {}))
+    ring = caller_codec.KeyRing(table.View(1, {'lease': row}, {}, {}, {}))
     assert ring.customer('Bearer a') == 'lease'
     assert ring.customer('Bearer b') is None
     assert ring.customer('Basic a') is None
@@ -54,7 +54,9 @@
 
 
 def test_the_digest_tells_parts_apart():
-    assert forms.request_digest('ab', 'c') != forms.request_digest('a', 'bc')
+    assert caller_codec.request_digest(
+        'ab', 'c'
+    ) != caller_codec.request_digest('a', 'bc')
 
 
 @pytest.mark.parametrize(
@@ -69,11 +71,11 @@
     answer = outcomes.to_http(outcome)
     kind = type(outcome).__name__
     reply = endpoint.Reply(answer.status, '', answer.body, kind)
-    assert forms.outcome_from(reply) == outcome
-    error = json.loads(forms.error_event(outcome).split(b'data: ')[1])
-    assert forms.error_outcome(error['error'], 400) == outcome
+    assert caller_codec.outcome_from(reply) == outcome
+    error = json.loads(caller_codec.error_event(outcome).split(b'data: ')[1])
+    assert caller_codec.error_outcome(error['error'], 400) == outcome
 
 
 def test_a_services_own_error_is_not_an_outcome():
     body = b'{"error": {"type": "not_run", "code": "x"}}'
-    assert forms.outcome_from(endpoint.Reply(400, '', body)) is None
+    assert caller_codec.outcome_from(endpoint.Reply(400, '', body)) is None
--- a/tests/test_callerroutes.py
+++ b/tests/test_callerroutes.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from magnoliadyke import caller_codec
 from magnoliadyke import callerroutes
-from magnoliadyke import forms
 
 
 @pytest.mark.parametrize(
@@ -24,7 +24,7 @@
 )
 def test_a_path_that_leaves_its_route_is_rejected(rest):
     """A route below which calls may be repeated must not lead to another."""
-    with pytest.raises(forms.OutcomeError) as caught:
+    with pytest.raises(caller_codec.OutcomeError) as caught:
         callerroutes.service_path(f'/v1/services/portal/{rest}')
     assert caught.value.outcome.reason == 'bad_path'
 
