--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -171,7 +171,7 @@
         reader.answer(place, bool(document.get('stream')))
 
     def request(self, req, customer, work):
-        """Return the :class:`forms.ModelRequest` of a request."""
+        """Return the :class:`caller_codec.ModelRequest` of a request."""
         digest = caller_codec.request_digest(
             customer, work['model'], str(work['max_tokens']), work['prompt']
         )
@@ -345,7 +345,7 @@
         resp.data = answer.body
 
     def request(self, req, customer, name):
-        """Return the :class:`forms.ServiceRequest` of a call."""
+        """Return the :class:`caller_codec.ServiceRequest` of a call."""
         body = self.owner.read_body(req)
         path = service_path(req.env[HANDLER].path)
         route = path.partition('?')[0]
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -113,7 +113,7 @@
     requests end until the deadline, hands the records to a successor and
     only then closes the listener.
 
-    :param parts: :class:`magnoliadyke.nodeparts.NodeParts`
+    :param parts: :class:`magnoliadyke.requestdependencies.RequestDependencies`
     :param dispatcher: :class:`magnoliadyke.dispatch.Dispatcher`
     :param status: :class:`NodeStatus` shared with gossip
     :param metrics: :class:`magnoliadyke.metrics.Metrics`, or None
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -66,7 +66,7 @@
 class Homes:
     """The request records of this node and the ways to those of others.
 
-    :param parts: :class:`magnoliadyke.nodeparts.NodeParts`
+    :param parts: :class:`magnoliadyke.requestdependencies.RequestDependencies`
     :param runner: :class:`magnoliadyke.streams.Streams`
     :param closed: called with the customer's name; returns ``NotRun`` when no
         new work is taken, or None
@@ -514,8 +514,8 @@
     def find(self, request, offset):
         """Return the place of an answer that a caller wants to go on with.
 
-        :param request: :class:`forms.ModelRequest` that has a key, and no
-            work
+        :param request: :class:`caller_codec.ModelRequest` that has a key, and
+            no work
         :param offset: output tokens the caller has already
         """
         key = tickets.parse_key(request.key)
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -34,8 +34,8 @@
 
     Sending it to its home again is safe: the home runs a key once.
 
-    :param request: :class:`forms.ModelRequest` or
-        :class:`forms.ServiceRequest`
+    :param request: :class:`caller_codec.ModelRequest` or
+        :class:`caller_codec.ServiceRequest`
     :param key: the key to send
     :param locate: called with no argument; returns the home's
         :class:`magnoliadyke.endpoint.Connections`, or None when it is gone
--- a/tests/test_caller_codec.py
+++ b/tests/test_caller_codec.py
@@ -1,4 +1,4 @@
-"""Tests of magnoliadyke.forms."""
+"""Tests of magnoliadyke.caller_codec."""
 
 import json
 
