--- a/magnoliadyke/adminclient.py
+++ b/magnoliadyke/adminclient.py
@@ -1,6 +1,7 @@
-"""Client of the admin listeners: asks one host after another."""
+"""Client of the admin listeners that tries the hosts in turn."""
 
 import json
+import reprlib
 import socket
 from typing import Any
 from typing import NamedTuple
@@ -8,23 +9,27 @@
 
 from geventhttpclient import client as httpclient
 
+from magnoliadyke.core import table
 from magnoliadyke import errors
 
 __all__ = ['AdminAddress', 'AdminAnswer', 'AdminClient', 'EditConflict']
 
 CONNECT_TIMEOUT_S = 1.0
-#: A host that lost its store may hold an edit back for a while.
+#: A host without its store replies to an edit only after its own time limits.
 ANSWER_TIMEOUT_S = 30.0
 
+#: Shown in place of a value that must not be printed.
+HIDDEN = '(hidden)'
+
 UNAUTHORIZED = 401
 CONFLICT = 409
 
 
 class AdminAddress(NamedTuple):
-    """Where a host listens for operators.
+    """Address of a host's admin listener.
 
-    :param host: name of the host, or the address where it isn't known.
-    :param address: IP number.
+    :param host: name of the host, or ``IP:PORT`` if it is unknown.
+    :param address: IP address.
     :param port: TCP port.
     """
 
@@ -34,7 +39,7 @@
 
 
 class AdminAnswer(NamedTuple):
-    """What a host answered.
+    """A host's answer that is not an error.
 
     :param host: host that answered.
     :param status: HTTP status, 200 or 202.
@@ -47,10 +52,10 @@
 
 
 class EditConflict(errors.AdminRefused):
-    """Another operator changed the same cells.
+    """Cells of the edit were changed after its base revision.
 
-    :param conflicts: mappings with cell, base_value, your_value,
-        their_value and revision.
+    :param conflicts: mappings with cell, your_value, their_value (the
+        current one) and revision (the newest of the table).
     """
 
     def __init__(
@@ -61,10 +66,10 @@
 
 
 class AdminClient:
-    """Asks the admin listeners, the first that answers counts.
+    """Sends each request to the hosts in turn until one answers.
 
-    Asking the next host after a lost answer is safe: reads change nothing,
-    and an edit carries an id, so that it is applied once.
+    A retry at the next host after a lost answer is safe: reads change
+    nothing, and an edit has an idempotency key, so that it is applied once.
 
     :param addresses: listeners, in the order in which they are tried.
     :param token: the operators' token.
@@ -75,22 +80,23 @@
         self.token = token
 
     def get(self, path: str) -> Any:
-        """Read something.
+        """Send a GET request.
 
         :param path: path with query.
         :returns: the decoded body.
         :raises HostUnreachable: if no host answers.
-        :raises AdminRefused: if a host refuses.
+        :raises AdminRefused: if a host answers with an error.
         """
         return self.request('GET', path, None).body
 
     def post(self, path: str, body: dict[str, Any]) -> AdminAnswer:
-        """Ask for a change.
+        """Send a POST request.
 
         :param path: path of the resource.
         :param body: sent as JSON.
         :raises HostUnreachable: if no host answers.
-        :raises AdminRefused: if a host refuses.
+        :raises EditConflict: if the edit is in conflict with another one.
+        :raises AdminRefused: if a host answers with another error.
         """
         return self.request('POST', path, body)
 
@@ -102,6 +108,8 @@
         :param method: HTTP method.
         :param path: path with query.
         :param body: sent as JSON, ``None`` for no body.
+        :raises HostUnreachable: if no host answers.
+        :raises AdminRefused: if a host answers with an error.
         """
         tried = []
         for address in self.addresses:
@@ -112,7 +120,7 @@
                 tried.append(f'{address.host}: {reason}')
         raise errors.HostUnreachable(
             'no host answered (' + '; '.join(tried) + ')',
-            'check that the hosts run and that the addresses are right',
+            'check that the hosts run and that their addresses are correct',
         )
 
     def _send(
@@ -122,8 +130,8 @@
         path: str,
         body: dict[str, Any] | None,
     ) -> AdminAnswer:
-        # One connection for one request: nothing is ever sent again on a
-        # connection that went stale.
+        # A new connection for each request: one that is kept may have been
+        # closed by the host, and the request would fail.
         http = httpclient.HTTPClient(
             address.address,
             address.port,
@@ -143,7 +151,7 @@
             status = response.status_code
         except socket.gaierror as error:
             raise errors.UsageError(
-                f'{address.address} is no IP number', 'write IP:PORT'
+                f'{address.address!r} is not an IP address', 'write IP:PORT'
             ) from error
         finally:
             http.close()
@@ -158,12 +166,21 @@
         return json.loads(content) if content else {}
     except ValueError as error:
         raise errors.AdminRefused(
-            f'{address.host} answered something that is not JSON',
+            f'{address.host} answered {reprlib.repr(content)}, not JSON',
             f'check that {address.address}:{address.port} is the admin port',
             status=502,
         ) from error
 
 
+def _shown_value(cell: str, value: Any) -> str:
+    # A key in the clear may have been written in place of its digest, also
+    # to a column whose name is misspelt.
+    column = table.column_of(cell)
+    if column is None or column.kind == 'keys':
+        return HIDDEN
+    return reprlib.repr(value)
+
+
 def _refusal_of(
     address: AdminAddress, status: int, body: Any
 ) -> errors.MagnoliadykeError:
@@ -175,7 +192,9 @@
     if status == CONFLICT:
         return EditConflict(message, remedy, error.get('conflicts', ()))
     for problem in error.get('problems', ()):
-        message += f'\n  {problem.get("cell", "")}: {problem.get("message")}'
+        cell = problem.get('cell', '')
+        shown = _shown_value(cell, problem.get('value'))
+        message += f'\n  {cell}={shown}: {problem.get("message")}'
         if problem.get('remedy'):
             message += f'; {problem["remedy"]}'
     if status == UNAUTHORIZED:
--- a/magnoliadyke/adminerrors.py
+++ b/magnoliadyke/adminerrors.py
@@ -1,6 +1,7 @@
-"""Refusals of the admin listener as JSON."""
+"""Error answers of the admin listener, as JSON."""
 
 import json
+import reprlib
 from typing import Any
 
 import falcon
@@ -8,16 +9,19 @@
 
 from magnoliadyke import errors
 
-__all__ = ['Refusal', 'ask', 'install', 'require_text', 'optional_text']
+__all__ = ['Refusal', 'ask', 'install', 'optional_text', 'require_text']
 
-#: Longest name of an operator or an edit, in characters.
+#: Maximum length of the name of an operator or an edit, in characters.
 NAME_LENGTH = 128
 
 
 class Refusal(errors.AdminRefused):
-    """A request of an operator that is not carried out.
+    """An error answer to an operator's request.
 
-    :param code: short machine-readable word
+    :param status: HTTP status
+    :param code: machine-readable code
+    :param message: the cause
+    :param remedy: action that corrects it
     :param extra: further fields of the body, such as ``conflicts``
     """
 
@@ -27,12 +31,12 @@
         self.extra = extra
 
     def to_body(self) -> dict[str, Any]:
-        """Return the body as a mapping."""
+        """Return the body of the answer."""
         return _body(self.code, self.message, self.remedy, self.extra)
 
 
 def install(application) -> None:
-    """Let a falcon application answer all errors in the same shape.
+    """Make a falcon application answer all errors in the same format.
 
     :param application: the :class:`falcon.App`
     """
@@ -41,11 +45,12 @@
 
 
 def ask(task, message, timeout_s: float) -> Any:
-    """Ask a task of this node; its silence becomes a refusal.
+    """Send a message to a task of this node and return its reply.
 
     :param task: the :class:`magnoliadyke.mailbox.Task`
     :param message: the :class:`magnoliadyke.mailbox.Ask`
-    :param timeout_s: longest wait in seconds
+    :param timeout_s: time limit in seconds
+    :raises Refusal: with status 503, if it does not reply in time
     """
     try:
         return task.ask(message, timeout_s)
@@ -53,16 +58,17 @@
         raise Refusal(
             503,
             'busy',
-            'this host did not get to it in time',
-            'ask again, with the same edit id, or ask another host',
+            f'this host did not process the request within {timeout_s:g} s',
+            'send it again with the same edit id, or to another host',
         ) from None
 
 
 def optional_text(body: dict[str, Any], field: str) -> str:
-    """Read an optional name from a body, empty if it is not given.
+    """Return an optional text field of a body, ``''`` if it is missing.
 
     :param body: the request's JSON
     :param field: name of the field
+    :raises Refusal: if it is not a short printable string
     """
     value = body.get(field)
     if value is None:
@@ -75,18 +81,26 @@
         raise Refusal(
             400,
             'invalid',
-            f'{field} is no name',
+            f'{field!r} is {reprlib.repr(value)}, not short printable text',
             f'send a string of at most {NAME_LENGTH} printable characters',
         )
     return value
 
 
 def require_text(body: dict[str, Any], field: str) -> str:
-    """Read a name that has to be there."""
+    """Return a required text field of a body.
+
+    :param body: the request's JSON
+    :param field: name of the field
+    :raises Refusal: if it is missing, empty or not a short printable string
+    """
     value = optional_text(body, field)
     if not value:
         raise Refusal(
-            400, 'invalid', f'{field} is missing', f'send {field} in the body'
+            400,
+            'invalid',
+            f'{field!r} is missing or empty',
+            f'send a string of at most {NAME_LENGTH} printable characters',
         )
     return value
 
--- a/magnoliadyke/admintable.py
+++ b/magnoliadyke/admintable.py
@@ -1,6 +1,7 @@
-"""Admin routes of the table: read, edit, override, drain."""
+"""Admin routes of the table: read, edit, override and drain."""
 
 import datetime
+import reprlib
 import uuid
 
 from magnoliadyke import adminerrors
@@ -15,27 +16,32 @@
     'TableResource',
 ]
 
-#: Longest wait for an answer that needs no other host, in seconds.
+#: Time limit of a request that involves no other host, in seconds.
 READ_TIMEOUT_S = 5.0
 
-#: Waits for an edit to be in force, in seconds.
+#: Default and maximum of ``wait_s``, how long a request waits until its edit
+#: is in force, in seconds.
 DEFAULT_WAIT_S = 10.0
 MAX_WAIT_S = 60.0
 
-#: Beyond the wait: time for the store to answer, in seconds.
+#: Time limit for the store's replies, in addition to ``wait_s``, in seconds.
 EDIT_MARGIN_S = 10.0
 
+#: Default number of edits in the answer of the history.
 HISTORY_LIMIT = 50
 
 
 class TableResource:
-    """The table with the state of each cell; edits."""
+    """``/admin/table``: the table with its staged edits, and edits of it.
+
+    :param node: the :class:`magnoliadyke.node.Node` that serves the request
+    """
 
     def __init__(self, node):
         self.node = node
 
     def on_get(self, request, response):
-        """Answer all sheets, or the one that the query names."""
+        """Answer with all sheets, or the one that the query names."""
         shown = adminerrors.ask(
             self.node.configuration, tablemessages.ShowTable(), READ_TIMEOUT_S
         )
@@ -44,14 +50,18 @@
         )
 
     def on_post(self, request, response):
-        """Change cells."""
+        """Change cells in one edit.
+
+        :raises Refusal: the body is malformed, or the edit is refused
+        """
         body = _read_body(request)
         cells = body.get('cells')
         if not isinstance(cells, dict) or not cells:
             raise adminerrors.Refusal(
                 400,
                 'invalid',
-                'cells is not a mapping of cell to value',
+                f"'cells' is {_json_type(cells)}, "
+                'not an object with at least one cell',
                 'send {"cells": {"SHEET/ROW/COLUMN": VALUE}}',
             )
         edit = EditRequest(
@@ -65,13 +75,16 @@
 
 
 class HistoryResource:
-    """Edits that were accepted."""
+    """``/admin/table/history``: the accepted edits.
+
+    :param node: the :class:`magnoliadyke.node.Node` that serves the request
+    """
 
     def __init__(self, node):
         self.node = node
 
     def on_get(self, request, response):
-        """Answer the newest edits first."""
+        """Answer with the accepted edits, newest first."""
         limit = request.get_param_as_int('limit', default=HISTORY_LIMIT)
         changes = adminerrors.ask(
             self.node.configuration, tablemessages.History(), READ_TIMEOUT_S
@@ -84,13 +97,19 @@
 
 
 class OverrideResource:
-    """Accepts staged edits although hosts are missing."""
+    """``/admin/table/override``: accepts edits although hosts are missing.
+
+    :param node: the :class:`magnoliadyke.node.Node` that serves the request
+    """
 
     def __init__(self, node):
         self.node = node
 
     def on_post(self, request, response):
-        """Accept the named edit and those staged before it, or all."""
+        """Accept the named edit and those staged before it, or all staged.
+
+        :raises Refusal: the body is malformed, or the store did not answer
+        """
         body = _read_body(request)
         edit = EditRequest(
             {},
@@ -103,13 +122,19 @@
 
 
 class DrainResource:
-    """Takes new work away from a host or an endpoint, or gives it back."""
+    """``/admin/drain``: drains a host or an endpoint, or ends its drain.
+
+    :param node: the :class:`magnoliadyke.node.Node` that serves the request
+    """
 
     def __init__(self, node):
         self.node = node
 
     def on_post(self, request, response):
-        """Edit the state cell of the host or the endpoint."""
+        """Set or reset the state cell of the host or the endpoint.
+
+        :raises Refusal: the body is malformed, or the edit is refused
+        """
         body = _read_body(request)
         named = {
             sheet: adminerrors.optional_text(body, field)
@@ -120,7 +145,8 @@
             raise adminerrors.Refusal(
                 400,
                 'invalid',
-                'one host or one endpoint has to be named',
+                f'{len(named_rows)} names are given in host and endpoint, '
+                'not exactly one',
                 'send {"host": NAME} or {"endpoint": NAME}',
             )
         sheet, name = named_rows[0]
@@ -135,7 +161,15 @@
 
 
 class EditRequest:
-    """One edit on its way through the configuration task."""
+    """One request for an edit, sent to the configuration task.
+
+    :param cells: cell to its new value, None for the default
+    :param base_revision: revision that the operator had read, None for the
+        newest
+    :param operator: name of the operator
+    :param edit_id: idempotency key of the edit
+    :param override: accept even if hosts are missing
+    """
 
     def __init__(self, cells, base_revision, operator, edit_id, override):
         self.cells = cells
@@ -145,16 +179,20 @@
         self.override = override
 
     def run(self, node, wait_s, response):
-        """Make the edit and answer what became of it.
+        """Send the edit to the configuration task and answer its outcome.
 
+        :param node: the :class:`magnoliadyke.node.Node`
         :param wait_s: longest wait for all hosts, in seconds
+        :param response: the falcon response, which gets status and body
+        :raises Refusal: the edit is invalid or in conflict, or a time limit
+            was exceeded
         """
         base = self.base_revision
         if base is not None and not isinstance(base, int):
             raise adminerrors.Refusal(
                 400,
                 'invalid',
-                'base_revision is not a whole number',
+                f"'base_revision' is {reprlib.repr(base)}, not a whole number",
                 'send the revision that GET /admin/table gave, or null',
             )
         message = tablemessages.EditCells(
@@ -188,16 +226,17 @@
             raise adminerrors.Refusal(
                 409,
                 'conflict',
-                'someone else changed the same cells: '
+                f'{len(result.cells)} cell(s) of this edit were changed after '
+                'its base revision; operators who have changed them: '
                 + ', '.join(result.operators or ('unknown',)),
-                'look at both values, then send the edit again',
+                'compare both values, then send the edit again',
                 conflicts=_conflicts(result),
             )
         case tablemessages.Invalid():
             raise adminerrors.Refusal(
                 400,
                 'invalid',
-                'the table can’t take these values',
+                'the edit is invalid',
                 'correct each cell; nothing was changed',
                 problems=_problems(result.problems),
             )
@@ -205,7 +244,12 @@
             raise adminerrors.Refusal(
                 503,
                 'store_unavailable',
-                'the key-value service did not answer',
+                'the edit was not confirmed by the key-value service in time; '
+                + (
+                    'it may have been staged'
+                    if result.maybe_applied
+                    else 'it was not staged'
+                ),
                 'send the edit again with the same edit id',
                 maybe_applied=result.maybe_applied,
             )
@@ -245,7 +289,10 @@
 
 
 def _configured_rows(settings):
-    """Name the rows that exist with no cell of theirs set."""
+    """Return the rows that each sheet shows even if none of its cells is set.
+
+    They are the names in the settings.
+    """
     models = [pool for pool in settings.pools if pool.kind == 'model']
     return {
         'customers': (),
@@ -285,7 +332,7 @@
 
 
 def _staged_edits(node):
-    """Tell the edits that are not accepted yet, and what they wait for."""
+    """Return the edits not yet accepted, with the hosts they wait for."""
     document = node.configuration.documents.last.document or table.empty()
     waiting = list(_awaited_hosts(node.gossip.standings.last.acceptance))
     return [
@@ -328,10 +375,9 @@
 
 
 def _history_entries(changes):
-    """Pair each value with the one before it, newest edit first.
+    """Return the edits with old and new values, newest edit first.
 
-    The old value of a cell that no older edit in the history names is not
-    known and reads as null.
+    The old value is null if no older edit in the history changed the cell.
     """
     values = {}
     entries = []
@@ -357,11 +403,28 @@
     }
 
 
+def _json_type(value):
+    """Name the type only: the value may hold keys in the clear."""
+    match value:
+        case None:
+            return 'missing or null'
+        case dict():
+            return f'an object with {len(value)} values'
+        case list():
+            return f'an array with {len(value)} values'
+        case str():
+            return 'a string'
+    return 'a number or a boolean'
+
+
 def _read_body(request):
     body = request.get_media(default_when_empty={})
     if not isinstance(body, dict):
         raise adminerrors.Refusal(
-            400, 'invalid', 'the body is not a JSON object', 'send one'
+            400,
+            'invalid',
+            f'the body is {_json_type(body)}, not a JSON object',
+            'send a JSON object',
         )
     return body
 
@@ -370,6 +433,9 @@
     wait_s = body.get('wait_s', DEFAULT_WAIT_S)
     if isinstance(wait_s, bool) or not isinstance(wait_s, int | float):
         raise adminerrors.Refusal(
-            400, 'invalid', 'wait_s is not a number', 'send seconds'
+            400,
+            'invalid',
+            f"'wait_s' is {reprlib.repr(wait_s)}, not a number",
+            'send a number of seconds',
         )
     return min(max(0.0, wait_s), MAX_WAIT_S)
--- a/magnoliadyke/core/schema.py
+++ b/magnoliadyke/core/schema.py
@@ -390,10 +390,13 @@
         return _unknown(cell, value)
     name = cell.split('/')[1]
     if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
+        reason = f'the row name has {len(name)} characters'
+        if not name.isprintable():
+            reason = f'the row name {name!r} has unprintable characters'
         return Problem(
             cell,
             value,
-            'the row name is empty, too long or not printable',
+            reason,
             f'use 1 to {MAX_NAME_LENGTH} printable characters without a slash',
         )
     if value is None or _is_valid(column, value):
@@ -421,20 +424,44 @@
 
 
 def _unknown(cell: str, value: Cell) -> Problem:
-    known = ', '.join(f'{c.sheet}/ROW/{c.name}' for c in SCHEMA)
-    return Problem(cell, value, 'no such cell', f'use one of {known}')
+    parts = cell.split('/')
+    if len(parts) != 3:
+        reason = 'the cell is not of the form SHEET/ROW/COLUMN'
+        remedy = 'write it such as customers/lease/weight'
+    elif parts[0] not in SHEETS:
+        reason = f'there is no sheet {parts[0]!r}'
+        remedy = 'use one of ' + ', '.join(SHEETS)
+    else:
+        reason = f'sheet {parts[0]} has no column {parts[2]!r}'
+        columns = [c.name for c in SCHEMA if c.sheet == parts[0]]
+        remedy = 'use one of ' + ', '.join(columns)
+    return Problem(cell, value, reason, remedy)
 
 
 def _out_of_range(cell: str, value: Cell, column: Column) -> Problem:
     if column.kind == 'choice':
+        reason = f'not a {column.name}'
         remedy = 'use one of ' + ', '.join(column.choices)
     elif column.kind == 'keys':
-        remedy = 'use a list of sha256: with 64 lower-case hex digits'
+        reason = _key_reason(value)
+        remedy = "use a list of 'sha256:' with 64 lower-case hex digits each"
     else:
         whole = 'a whole number' if column.kind == 'count' else 'a number'
+        reason = f'not {whole} in the range of {column.name}'
         remedy = f'use {whole} from {column.low:g} to {column.high:g}'
         remedy += f' ({column.unit})'
-    return Problem(cell, value, f'not a valid {column.name}', remedy)
+    if not isinstance(value, list | tuple) and value in ('', None):
+        reason = 'the value is empty'
+        remedy += ', or unset the cell to have its default'
+    return Problem(cell, value, reason, remedy)
+
+
+def _key_reason(value: Cell) -> str:
+    if not isinstance(value, list | tuple):
+        return 'not a list of key digests'
+    # The entry is not repeated: it may be a key in the clear.
+    numbers = [n for n, key in enumerate(value, 1) if not _is_key(key)]
+    return f'entry {numbers[0]} of {len(value)} is not a key digest'
 
 
 def _frozen(value: Cell) -> Cell:
--- a/magnoliadyke/core/tablerules.py
+++ b/magnoliadyke/core/tablerules.py
@@ -47,7 +47,7 @@
         for key in value:
             owner = owners.setdefault(key, cell)
             if owner != cell:
-                remedy = 'give each customer keys of its own'
+                remedy = 'remove it there in the same edit, or use another key'
                 reason = f'the key is also in {owner}'
                 problems.append(schema.Problem(cell, key, reason, remedy))
     return problems
@@ -68,7 +68,7 @@
             names = ', '.join(sorted(known[sheet]))
             reason = f'the settings name no {row!r} among the {sheet}'
             problems.append(
-                schema.Problem(cell, value, reason, f'use {names}')
+                schema.Problem(cell, value, reason, f'use one of {names}')
             )
     return problems
 
@@ -87,10 +87,14 @@
         ):
             continue
         reason = (
-            f"{len(working)} endpoints have state 'in'; "
-            f'at least {required} are required'
+            f"{len(working)} endpoints of the pool have state 'in'; "
+            f'at least {required} are required '
+            f'(min_prefill {row.min_prefill} + min_decode {row.min_decode})'
+        )
+        remedy = (
+            'in the same edit, lower min_prefill or min_decode or set '
+            "endpoints to 'in'"
         )
-        remedy = "lower min_prefill or min_decode, or set endpoints to 'in'"
         cell = f'pools/{pool}/min_decode'
         problems.append(schema.Problem(cell, row.min_decode, reason, remedy))
     return problems
@@ -114,5 +118,8 @@
     if not configured_names.hosts or configured_names.hosts - drained:
         return []
     cell = f'hosts/{min(drained)}/state'
-    remedy = "leave one host 'in'"
-    return [schema.Problem(cell, 'drain', 'no host would take work', remedy)]
+    reason = (
+        f"all {len(configured_names.hosts)} hosts would have state 'drain'"
+    )
+    remedy = "leave at least one host 'in'"
+    return [schema.Problem(cell, 'drain', reason, remedy)]
--- a/magnoliadyke/porcelain.py
+++ b/magnoliadyke/porcelain.py
@@ -1,6 +1,6 @@
-"""What a user can ask for: one function for each verb.
+"""The commands as functions: one for each verb of the command line.
 
-The functions take plain values, return plain values and raise the errors of
+The functions take and return plain values and raise the errors of
 :mod:`magnoliadyke.errors`; :mod:`magnoliadyke.cli` is a thin layer over them.
 """
 
@@ -51,15 +51,16 @@
     'table_unset',
 ]
 
-#: Changes read to find what an exported sheet looked like.
+#: Maximum number of edits that an import reads to restore the cells at the
+#: revision of the exported sheet.
 HISTORY_LIMIT = 1000
 
 
 class EditResult(NamedTuple):
-    """What became of an edit.
+    """Outcome of an edit that was not refused.
 
     :param state: ``in_force``, ``accepted``, ``pending`` or ``unchanged``.
-    :param body: the host's answer.
+    :param body: the host's answer, empty if nothing was sent.
     """
 
     state: str
@@ -67,11 +68,12 @@
 
 
 def node(settings_path: str, host: str) -> int:
-    """Run one host of a deployment until it is told to stop.
+    """Run the node of one host until it gets a stop signal.
 
     :param settings_path: the settings file.
     :param host: name of the host.
     :returns: the exit status.
+    :raises UsageError: if the settings name no such host.
     """
     settings = settings_module.load(settings_path)
     settings.host(host)
@@ -81,7 +83,7 @@
 
 
 def check(settings_path: str) -> list[settings_module.Problem]:
-    """Find all problems of a settings file; start nothing.
+    """Return all problems of a settings file, without starting a node.
 
     :param settings_path: the settings file.
     """
@@ -91,17 +93,18 @@
 def admin_client(
     settings_path: str = '', address: str = '', token: str = ''
 ) -> adminclient.AdminClient:
-    """Make the client that the verbs below need.
+    """Return a client of the admin listeners.
 
-    :param settings_path: settings whose hosts are asked in turn.
-    :param address: ``IP:PORT`` of the one listener to ask, instead.
+    :param settings_path: settings whose hosts are tried in turn.
+    :param address: ``IP:PORT`` of a single listener, instead.
     :param token: the operators' token.
+    :raises UsageError: if the address is malformed, or neither is given.
     """
     if address:
         ip, _, port = address.rpartition(':')
         if not ip or not port.isdigit():
             raise errors.UsageError(
-                f'{address!r} is no admin address', 'write IP:PORT'
+                f'{address!r} is not an admin address', 'write IP:PORT'
             )
         where = [adminclient.AdminAddress(address, ip, int(port))]
     elif settings_path:
@@ -113,7 +116,7 @@
         ]
     else:
         raise errors.UsageError(
-            'no deployment is named',
+            'neither settings nor an admin address are given',
             'give --settings=FILE or --admin=IP:PORT, or set '
             'MAGNOLIADYKE_SETTINGS',
         )
@@ -123,11 +126,12 @@
 def caller_client(
     settings_path: str = '', address: str = '', key: str = ''
 ) -> client_module.Client:
-    """Make a client that calls as a customer.
+    """Return a client that sends the requests of a customer.
 
-    :param settings_path: settings whose hosts are known at the start.
-    :param address: ``IP:PORT`` of the one host known at the start, instead.
+    :param settings_path: settings whose hosts it starts from.
+    :param address: ``IP:PORT`` of a single host to start from, instead.
     :param key: the customer's key.
+    :raises UsageError: if neither settings nor an address are given.
     """
     if address:
         known = [address]
@@ -138,7 +142,7 @@
         ]
     else:
         raise errors.UsageError(
-            'no deployment is named',
+            'neither settings nor the address of a host are given',
             'give --settings=FILE or --entry=IP:PORT, or set '
             'MAGNOLIADYKE_SETTINGS',
         )
@@ -146,9 +150,10 @@
 
 
 def hosts(client: client_module.Client) -> list[client_module.HostSeen]:
-    """Ask which hosts to use, the best first.
+    """Return the hosts to send requests to, best first.
 
     :param client: the client of a customer.
+    :raises HostUnreachable: if no host answers.
     """
     return client.hosts()
 
@@ -160,12 +165,12 @@
     max_tokens: int,
     **options: Any,
 ) -> outcomes.Outcome:
-    """Let a model answer a prompt.
+    """Send a prompt to a model and return the outcome.
 
     :param client: the client of a customer.
     :param model: name of the model.
     :param prompt: the prompt.
-    :param max_tokens: longest answer.
+    :param max_tokens: maximum length of the answer, in tokens.
     :param options: as for :meth:`magnoliadyke.client.Client.complete`.
     """
     return client.complete(model, prompt, max_tokens, **options)
@@ -187,19 +192,23 @@
     :param path: path and query below the service's name.
     :param body: sent in UTF-8.
     :param options: as for :meth:`magnoliadyke.client.Client.call`.
+    :raises UsageError: if the path does not start with ``/``.
     """
     if not path.startswith('/'):
-        raise errors.UsageError(f'{path!r} is no path', "start it with '/'")
+        raise errors.UsageError(
+            f"the path {path!r} does not start with '/'", "start it with '/'"
+        )
     return client.call(name, method.upper(), path, body.encode(), **options)
 
 
 def table_show(
     client: adminclient.AdminClient, sheet: str = ''
 ) -> dict[str, Any]:
-    """Read the table with its staged edits.
+    """Return the table with its staged edits.
 
     :param client: the admin client.
-    :param sheet: the only sheet wanted, ``''`` for all.
+    :param sheet: name of a single sheet, ``''`` for all.
+    :raises UsageError: if there is no such sheet.
     """
     if sheet and sheet not in table.SHEETS:
         raise errors.UsageError(
@@ -210,10 +219,11 @@
 
 
 def table_get(client: adminclient.AdminClient, cell: str) -> Any:
-    """Read one cell, or its column's default where it is not set.
+    """Return the value of a cell, the default of its column if not set.
 
     :param client: the admin client.
     :param cell: ``SHEET/ROW/COLUMN``.
+    :raises UsageError: if there is no such sheet, row or column.
     """
     sheet, row, column = _split_cell(cell)
     content = table_show(client, sheet)['sheets'][sheet]
@@ -238,14 +248,16 @@
     base_revision: int | None = None,
     wait_s: float = 10.0,
 ) -> EditResult:
-    """Change cells and wait until the change is in force everywhere.
+    """Change cells in one edit and wait until it is in force on all hosts.
 
     :param client: the admin client.
     :param cells: new value of each, ``None`` to unset it.
-    :param operator: who asks, for the history.
-    :param base_revision: revision that the operator looked at; a cell that
-        was changed since is then a conflict.
-    :param wait_s: longest wait.
+    :param operator: name for the history; by default the login name.
+    :param base_revision: revision that the operator had read; a cell that
+        was changed after it is then a conflict.
+    :param wait_s: maximum wait in seconds.
+    :raises EditConflict: if a cell was changed after the base revision.
+    :raises AdminRefused: if the edit is invalid.
     """
     for cell in cells:
         _split_cell(cell)
@@ -267,7 +279,7 @@
 def table_unset(
     client: adminclient.AdminClient, cells: Sequence[str], **options: Any
 ) -> EditResult:
-    """Bring cells back to their column's default.
+    """Reset cells to the defaults of their columns.
 
     :param client: the admin client.
     :param cells: the cells.
@@ -277,10 +289,11 @@
 
 
 def table_export(client: adminclient.AdminClient, sheet: str) -> str:
-    """Write one sheet as CSV.
+    """Return one sheet as CSV.
 
     :param client: the admin client.
     :param sheet: name of the sheet.
+    :raises UsageError: if there is no such sheet.
     """
     shown = table_show(client, sheet)
     return sheets.write_csv(sheets.cells_of(shown), sheet, shown['revision'])
@@ -289,20 +302,21 @@
 def table_import(
     client: adminclient.AdminClient, path: str, **options: Any
 ) -> EditResult:
-    """Apply what was changed in an exported sheet, as one edit.
+    """Apply the changes made in an exported sheet, as one edit.
 
-    Only cells that differ from the exported revision are part of the edit,
-    so that changes of others since then stay.
+    The edit has only the cells that differ from the exported revision, so
+    that later changes by other operators are kept.
 
     :param client: the admin client.
     :param path: the CSV file.
     :param options: as for :func:`table_set`.
+    :raises UsageError: if the file is unreadable or holds invalid cells.
     """
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8-sig')
     except (OSError, UnicodeDecodeError) as error:
         raise errors.UsageError(
-            f'{path} cannot be read: {error}', 'name a CSV file in UTF-8'
+            f'{path} cannot be read: {error}', 'give a CSV file in UTF-8'
         ) from error
     imported = sheets.read_csv(text)
     shown = table_show(client, imported.name)
@@ -318,10 +332,10 @@
 def table_history(
     client: adminclient.AdminClient, limit: int = 20
 ) -> list[dict[str, Any]]:
-    """Read the accepted edits, newest first.
+    """Return the accepted edits, newest first.
 
     :param client: the admin client.
-    :param limit: most edits wanted.
+    :param limit: maximum number of edits.
     """
     return client.get(f'/admin/table/history?limit={limit}')['history']
 
@@ -329,11 +343,11 @@
 def table_override(
     client: adminclient.AdminClient, edit: str = '', operator: str = ''
 ) -> EditResult:
-    """Accept a pending edit without the hosts that are missing.
+    """Accept a pending edit although hosts are missing.
 
     :param client: the admin client.
     :param edit: id of the edit, ``''`` for all that are pending.
-    :param operator: who asks, for the history.
+    :param operator: name for the history; by default the login name.
     """
     answer = client.post(
         '/admin/table/override',
@@ -343,7 +357,7 @@
 
 
 def status(client: adminclient.AdminClient) -> dict[str, Any]:
-    """Read the state of hosts, endpoints and customers.
+    """Return the state of hosts, endpoints and customers.
 
     :param client: the admin client.
     """
@@ -351,7 +365,7 @@
 
 
 def roles(client: adminclient.AdminClient) -> dict[str, Any]:
-    """Read the engines' roles and the plans for them.
+    """Return the engines' roles and the plans for them.
 
     :param client: the admin client.
     """
@@ -365,13 +379,13 @@
     undo: bool = False,
     operator: str = '',
 ) -> EditResult:
-    """Take new work away from a host or an endpoint.
+    """Drain a host or an endpoint, or end its drain.
 
     :param client: the admin client.
     :param kind: ``host`` or ``endpoint``.
     :param name: its name.
-    :param undo: give it new work again.
-    :param operator: who asks, for the history.
+    :param undo: end the drain.
+    :param operator: name for the history; by default the login name.
     """
     answer = client.post(
         '/admin/drain',
@@ -381,7 +395,7 @@
 
 
 def report_burn(client: adminclient.AdminClient) -> dict[str, Any]:
-    """Read how fast each customer's error budget burns.
+    """Return the burn rate of each customer's error budget.
 
     :param client: the admin client.
     """
@@ -389,10 +403,11 @@
 
 
 def plot_burn(report: Mapping[str, Any], path: str) -> None:
-    """Draw burn rates by window and bad requests by cause.
+    """Plot burn rates by window and bad requests by cause.
 
-    :param report: what :func:`report_burn` gave.
+    :param report: the report of :func:`report_burn`.
     :param path: PNG file to write.
+    :raises UsageError: if matplotlib is not installed.
     """
     try:
         from magnoliadyke import burnplot
@@ -407,17 +422,17 @@
 def lab(argv: Sequence[str]) -> int:
     """Run a program of the lab.
 
-    :param argv: its name and its arguments.
+    :param argv: name of the program and its arguments.
     :returns: its exit status.
     """
     return labverbs.run(argv)
 
 
 def parse_value(cell: str, text: str) -> Any:
-    """Read what an operator wrote for a cell; the hosts check it.
+    """Parse the value of a cell from the command line; the hosts check it.
 
     :param cell: the cell.
-    :param text: JSON, a plain word, or keys with blanks between them.
+    :param text: JSON, a plain word, or key digests separated by blanks.
     """
     column = table.column_of(cell)
     if column is not None and column.kind == 'keys':
@@ -429,11 +444,12 @@
 
 
 def read_token(environ: Mapping[str, str] = os.environ) -> str:
-    """Read the operators' token from the environment.
+    """Return the operators' token from the environment, ``''`` if not set.
 
-    A token on the command line would stand in every list of processes.
+    A token on the command line would be visible in the list of processes.
 
     :param environ: the environment.
+    :raises UsageError: if its file cannot be read.
     """
     path = environ.get('MAGNOLIADYKE_TOKEN_FILE')
     if not path:
@@ -442,31 +458,34 @@
         return pathlib.Path(path).read_text(encoding='utf-8').strip()
     except OSError as error:
         raise errors.UsageError(
-            f'{path} cannot be read: {error.strerror}',
+            f'the token file {path} cannot be read: {error.strerror}',
             'correct MAGNOLIADYKE_TOKEN_FILE',
         ) from error
 
 
 class Explanation(NamedTuple):
-    """What the logs say of a request.
+    """Log lines that explain a request.
 
-    :param lines: that name it
-    :param beliefs: changes shortly before that may have decided it
+    :param lines: lines that name the request
+    :param beliefs: lines on state changes shortly before, which may have
+        affected it
     """
 
     lines: list[explanation.Line]
     beliefs: list[explanation.Line]
 
 
-#: How long before a request a change may have decided it, in seconds: a
-#: host waits no longer than this for the store's word.
+#: State changes up to this long before a request are shown, in seconds: a
+#: host waits no longer than this for a reply of the store.
 EXPLAIN_BEFORE_S = 5.0
 
 
 def explain(request_id: str, paths: Sequence[str]) -> Explanation:
-    """Gather what all hosts logged of a request.
+    """Return the log lines of all hosts that explain a request.
 
+    :param request_id: id of the request in the logs
     :param paths: log files of the hosts
+    :raises UsageError: if a log file cannot be read
     """
     texts: list[str] = []
     for path in paths:
@@ -475,7 +494,7 @@
         except OSError as error:
             raise errors.UsageError(
                 f'{path} cannot be read: {error.strerror}',
-                'name the log files of the hosts',
+                'give the log files of the hosts',
             ) from error
         texts += content.splitlines()
     lines = explanation.gather(request_id, texts)
@@ -484,9 +503,10 @@
 
 
 def platform(settings: str | None, check: bool) -> Sequence[object]:
-    """Run a node on the platform, or check its settings only.
+    """Run a node on the platform, or only check its settings.
 
-    :param settings: the settings file; that of the environment if None
+    :param settings: the settings file; None for that of the environment
+    :param check: do not run the node
     :returns: problems of the settings
     """
     from magnoliadyke.platform import __main__ as program
@@ -505,8 +525,8 @@
     parts = cell.split('/')
     if len(parts) != 3 or not all(parts):
         raise errors.UsageError(
-            f'{cell!r} is no cell',
-            'write SHEET/ROW/COLUMN such as customers/lease/weight',
+            f'the cell {cell!r} is not of the form SHEET/ROW/COLUMN',
+            'write it such as customers/lease/weight',
         )
     return parts[0], parts[1], parts[2]
 
--- a/magnoliadyke/sheets.py
+++ b/magnoliadyke/sheets.py
@@ -14,10 +14,11 @@
 
 
 class Sheet(NamedTuple):
-    """What a CSV file says.
+    """A sheet that was read from a CSV file.
 
     :param name: name of the sheet.
-    :param revision: revision that it was exported from, if it tells.
+    :param revision: revision of the table that the file was exported from,
+        None if its heading names none.
     :param lines: the heading and the rows, as texts.
     """
 
@@ -26,18 +27,18 @@
     lines: list[list[str]]
 
     def changes(self, base: Mapping[str, Any]) -> dict[str, Any]:
-        """Tell which cells the file changes.
+        """Return the cells that the file changes, with their new values.
 
-        A row that was left out is removed only if the file was exported:
-        a file written by hand may name just the rows that it is about.
+        A missing row is removed only if the file was exported: a file
+        written by hand may list only the rows to change.
 
-        :param base: the cells that the file started from.
-        :raises UsageError: if a cell cannot be read.
+        :param base: the cells at the revision that the file was made from.
+        :raises UsageError: if a column is unknown or a value is no number.
         """
         result = table.changes_from_rows(base, self.lines)
         if isinstance(result, table.Invalid):
             raise errors.UsageError(
-                'the file holds cells that cannot be read:\n  '
+                f'{len(result.problems)} cell(s) of the file are invalid:\n  '
                 + '\n  '.join(str(problem) for problem in result.problems),
                 'correct them; nothing was changed',
             )
@@ -50,9 +51,9 @@
 
 
 def write_csv(cells: Mapping[str, Any], sheet: str, revision: int) -> str:
-    """Write one sheet; its revision stands in the first heading.
+    """Return one sheet as CSV; the first heading is ``SHEET@REVISION``.
 
-    :param cells: the set cells of the table.
+    :param cells: the cells of the table that are set.
     :param sheet: name of the sheet.
     :param revision: revision of the table.
     """
@@ -65,10 +66,10 @@
 
 
 def read_csv(text: str) -> Sheet:
-    """Read a sheet that ``write_csv`` or a spreadsheet wrote.
+    """Parse a sheet that ``write_csv`` or a spreadsheet wrote.
 
     :param text: content of the file.
-    :raises UsageError: if it is no such sheet.
+    :raises UsageError: if the heading names no sheet, or a row is too long.
     """
     lines = [
         [value.strip() for value in line]
@@ -78,7 +79,8 @@
     name, _, revision = lines[0][0].partition('@') if lines else ('', '', '')
     if name not in table.SHEETS or (revision and not revision.isdigit()):
         raise errors.UsageError(
-            'the first heading names no sheet',
+            f'the first heading {lines[0][0] if lines else ""!r} names no '
+            'sheet',
             'write SHEET or SHEET@REVISION there, SHEET being one of '
             + ', '.join(table.SHEETS),
         )
@@ -86,8 +88,9 @@
     for number, row in enumerate(rows, start=2):
         if len(row) > len(heading):
             raise errors.UsageError(
-                f'row {number} has more values than the heading',
-                'remove them or quote the values that hold commas',
+                f'row {number} has more values than the heading: {len(row)}, '
+                f'not {len(heading)} or fewer',
+                'remove them, or quote the values that contain commas',
             )
     return Sheet(
         name,
@@ -97,9 +100,9 @@
 
 
 def cells_of(shown: Mapping[str, Any]) -> dict[str, Any]:
-    """Give the set cells of a table, by cell id.
+    """Return the cells of a table that are set, by cell name.
 
-    :param shown: the table as the admin interface gives it.
+    :param shown: the table as ``GET /admin/table`` returns it.
     """
     return {
         f'{sheet}/{row}/{column}': value
@@ -114,9 +117,9 @@
     history: Iterable[Mapping[str, Any]],
     revision: int,
 ) -> dict[str, Any]:
-    """Give the cells as they were at an older revision.
+    """Return the cells that were set at an older revision.
 
-    :param cells: the set cells of today.
+    :param cells: the cells that are set now.
     :param history: the accepted edits, newest first.
     :param revision: the older revision.
     """
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -7,6 +7,7 @@
 
 import magnoliadyke
 from magnoliadyke import cli
+from magnoliadyke.core import schema
 from magnoliadyke.core import table
 from magnoliadyke import tablemessages
 from tests import adminserver
@@ -69,7 +70,7 @@
             (table.Problem(WEIGHT, 3, 'too heavy', 'use 1'),)
         ),
         cli.REFUSED,
-        f'{WEIGHT}: too heavy; use 1',
+        f'{WEIGHT}=3: too heavy; use 1',
     ),
     (
         tablemessages.StoreUnavailable(True),
@@ -93,6 +94,20 @@
     assert bool(err) == in_error
 
 
+@pytest.mark.parametrize('column', ['keys', 'kyes'])
+def test_key_in_the_clear_is_not_printed(node, run, column):
+    # An operator writes a key in place of its digest. The message goes to a
+    # terminal or a log, so it must not hold the key.
+    keys = f'customers/portal/{column}'
+    (problem,) = schema.cell_problems({keys: ['a-key-in-the-clear']})
+    invalid = tablemessages.Invalid((problem,))
+    node.configuration.answers[tablemessages.EditCells] = invalid
+    status, out, err = run('table', 'set', keys, 'a-key-in-the-clear')
+    assert status == cli.REFUSED
+    assert keys in err
+    assert 'a-key-in-the-clear' not in out + err
+
+
 def test_edit_for_programs(node, run):
     node.configuration.answers[tablemessages.EditCells] = (
         tablemessages.Accepted(13, 0.5)
--- a/tests/test_tablerules.py
+++ b/tests/test_tablerules.py
@@ -15,11 +15,11 @@
 @pytest.mark.parametrize(
     ('cells', 'reason'),
     [
-        ({'endpoints/nobody/state': 'drain'}, 'use e1, e2, e3, s1'),
+        ({'endpoints/nobody/state': 'drain'}, 'use one of e1, e2, e3, s1'),
         ({'pools/lease-model/min_decode': 3}, 'lower min_prefill'),
         (
             {'endpoints/e1/state': 'drain', 'endpoints/e2/state': 'drain'},
-            "1 endpoints have state 'in'; at least 2 are required",
+            "1 endpoints of the pool have state 'in'; at least 2 are required",
         ),
         (
             {'customers/a/keys': [KEY], 'customers/b/keys': [KEY]},
@@ -27,7 +27,7 @@
         ),
         (
             {'hosts/h1/state': 'drain', 'hosts/h2/state': 'drain'},
-            'no host would take work',
+            "all 2 hosts would have state 'drain'",
         ),
     ],
 )
