--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -1,4 +1,4 @@
-"""The task that owns this node's copy of the table document."""
+"""Task that holds this node's copy of the table and accepts its edits."""
 
 import typing
 
@@ -19,18 +19,19 @@
 __all__ = ['Configuration', 'WorkPermit']
 
 TICK_INTERVAL_S = 0.1
-#: A starting node listens this long for peers that have a table.
+#: A starting node waits this long for a peer that has a table before it
+#: writes the initial one.
 JOIN_WAIT_S = 1.0
-#: The watch brings a newer table within milliseconds; a peer is asked when
-#: it has not come after this long.
+#: The watch delivers a newer table within milliseconds; after this delay the
+#: node fetches it from a peer instead.
 FETCH_DELAY_S = 0.25
 FETCH_INTERVAL_S = 0.5
 READ_INTERVAL_S = 0.5
-#: The node that took an edit accepts it. When that node is gone another one
-#: does, after this long and a random part of it.
+#: The node that staged an edit also accepts it. In case that node has
+#: failed, the others accept it after one to two times this delay.
 ACCEPT_FOR_OTHERS_DELAY_S = 2.0
-#: Nodes that find an older table in the store spread out over this long;
-#: the first one mends it for all.
+#: Nodes that find an older table in the store write theirs after a random
+#: delay up to this, so that mostly one of them writes.
 MAX_RESTORE_DELAY_S = 1.0
 DOCUMENT_TIMEOUT_S = 2.0
 
@@ -41,9 +42,9 @@
 
 
 class WorkPermit(typing.NamedTuple):
-    """Whether this node may take new work, and why not.
+    """Whether this node may accept new requests.
 
-    :param reason: '' when it may; 'no_table', 'isolated'
+    :param reason: '' if allowed; otherwise 'no_table' or 'isolated'
     """
 
     allowed: bool
@@ -51,18 +52,22 @@
 
 
 class PeerRead(typing.NamedTuple):
-    """What a peer answered; ``text`` is None when it had nothing newer."""
+    """A peer's reply to a fetch of the table.
+
+    :param text: the serialized document, None if the peer has none newer
+    """
 
     text: str | None
 
 
 class Configuration(mailbox.Task):
-    """Owns this node's copy of the table document.
+    """Holds this node's copy of the table document and keeps it current.
 
-    Topics: ``views`` (:class:`magnoliadyke.core.table.View`, each newer one),
-    ``permits`` (:class:`WorkPermit`) and ``documents``
-    (:class:`magnoliadyke.edits.Held`). Answers ``EditCells``,
-    ``ShowTable`` and ``History`` of :mod:`magnoliadyke.tablemessages`.
+    Publishes the topics ``views`` (:class:`magnoliadyke.core.table.View`, one
+    for each newer revision), ``permits`` (:class:`WorkPermit`) and
+    ``documents`` (:class:`magnoliadyke.edits.HeldDocument`). Replies to
+    ``EditCells``, ``ShowTable`` and ``History`` of
+    :mod:`magnoliadyke.tablemessages`.
 
     :param settings: the deployment's settings
     :param host: name of this host
@@ -71,6 +76,13 @@
     :param keyvalue: a :class:`magnoliadyke.keyvalue.KeyValue`
     :param gossip: the :class:`magnoliadyke.gossip.Gossip` of this node
     :param peers: a :class:`magnoliadyke.peer.PeerClients`
+    :ivar own_revisions: staged revisions of edits that this node runs
+    :ivar overrides: staged revision to the operator who overrides for it
+    :ivar background_work: names of the work running in the background
+    :ivar behind_since_s: when a peer first reported a newer table, None if
+        none does
+    :ivar watch_behind_since_s: since when the watch is behind a revision
+        that a read returned, None if it is not
     """
 
     tick_interval_s = TICK_INTERVAL_S
@@ -101,21 +113,21 @@
         self.next_read_s = 0.0
 
     def start(self):
-        """Follow the store and the peers."""
+        """Start the watch of the store and subscribe to gossip."""
         super().start()
         self.gossip.standings.subscribe(self)
         self.gossip.members.subscribe(self)
         self.watch.start()
 
     def stop(self, deadline_s=5.0):
-        """Stop following the store, then end."""
+        """Stop the watch of the store, then the task."""
         self.watch.stop(deadline_s)
         super().stop(deadline_s)
 
     # Messages.
 
     def handle(self, message):
-        """Act on one message."""
+        """Process one message of the mailbox."""
         match message:
             case tablewatch.StoreRead(outcome, sent_s):
                 self.handle_store_read(outcome, sent_s)
@@ -138,7 +150,7 @@
                 message.reply(self.history())
 
     def tick(self):
-        """Do what is due."""
+        """Run the periodic checks of the table and its staged edits."""
         self.fetch_if_due()
         self.read_if_due()
         self.check_watch()
@@ -148,16 +160,19 @@
         self.publish_permit()
 
     def handle_members(self, view):
-        """Note who is there; the store's rate is shared by them."""
+        """Store the members; the nodes alive share the store's rate limit."""
         self.members = view
         budget = getattr(self.keyvalue, 'budget', None)
         if budget is not None:
             budget.set_nodes(len(view.alive()))
 
-    # Documents that come in.
+    # Documents received from the store and from peers.
 
     def handle_store_read(self, outcome, sent_s):
-        """Take in what the store showed."""
+        """Process the outcome of a read of the table key.
+
+        :param sent_s: monotonic time at which the read was sent
+        """
         match outcome:
             case keyvalues.Found(value=text, revision=revision):
                 document = self.parse(text)
@@ -167,7 +182,11 @@
                 self.handle_absent_document(sent_s)
 
     def handle_stored_document(self, document, store_revision, sent_s):
-        """Take in the store's document: newer, the same or older."""
+        """Adopt the store's document if newer; restore it if older.
+
+        :param store_revision: the store's revision of the key
+        :param sent_s: monotonic time at which the read was sent
+        """
         held = self.documents.last
         if self.is_newer(document):
             self.adopt(document, store_revision)
@@ -176,14 +195,14 @@
                 held._replace(store_revision=store_revision)
             )
         elif sent_s > held.adopted_s:
-            # An edit may now be written over it, the held table with it.
+            # Lets the next edit, which contains the held table, replace it.
             self.documents.publish(
                 held._replace(store_revision=store_revision)
             )
             self.restore('older')
             return
         else:
-            return  # the read began before a newer table came
+            return  # the read was sent before the held table was adopted
         self.gossip.post(
             gossips.StoreConfirmed(
                 sent_s, document['revision'], table.staged_revision(document)
@@ -191,7 +210,10 @@
         )
 
     def handle_absent_document(self, sent_s):
-        """The store has no table: it is new, or lost what it had."""
+        """Process an absent key: the store is new, or lost its data.
+
+        :param sent_s: monotonic time at which the read was sent
+        """
         held = self.documents.last
         if held.document is None:
             self.documents.publish(held._replace(store_revision=0))
@@ -200,14 +222,20 @@
             self.restore('absent')
 
     def handle_peer_document(self, text, now_s):
-        """Take in a document from a peer; the watch should have brought it."""
+        """Adopt a newer document of a peer and restart the watch.
+
+        The watch should have delivered it before.
+
+        :param text: the serialized document, or None
+        :param now_s: unused
+        """
         document = self.parse(text) if text is not None else None
         if document is not None and self.is_newer(document):
             self.adopt(document, self.documents.last.store_revision)
             self.keyvalue.end_watches()
 
     def parse(self, text):
-        """Return the document, or None if it is not one."""
+        """Parse a document; log it and return None if it is malformed."""
         try:
             return table.parse(text)
         except ValueError as error:
@@ -215,12 +243,16 @@
             return None
 
     def is_newer(self, document):
-        """Whether the document takes the place of the one held."""
+        """Whether the document is newer than the one held."""
         held = self.documents.last.document
         return held is None or table.newest(held, document) is document
 
     def adopt(self, document, store_revision):
-        """Hold a newer document and tell everybody."""
+        """Replace the held document; publish it and announce it to peers.
+
+        :param store_revision: the store's revision of the key, None if not
+            yet read
+        """
         now_s = self.clock.now_s()
         staged = table.staged_revision(document)
         self.documents.publish(
@@ -236,13 +268,13 @@
         }
 
     def publish_view(self, view):
-        """Put a view in force unless a newer one is."""
+        """Publish a view if its revision is higher than the last one's."""
         last = self.views.last
         if view.revision and (last is None or view.revision > last.revision):
             self.views.publish(view)
 
     def publish_permit(self):
-        """Tell whether this node may take new work."""
+        """Publish whether this node may accept new requests, on change."""
         allowed = self.standing.takes_work
         reason = '' if allowed else 'isolated'
         if self.documents.last.document is None:
@@ -251,10 +283,10 @@
         if permit != self.permits.last:
             self.permits.publish(permit)
 
-    # What is due.
+    # Periodic work.
 
     def spawn_once(self, name, work):
-        """Run ``work`` in the background unless it is running already."""
+        """Run ``work`` in a greenlet unless one of that name is running."""
         if name in self.background_work:
             return
         self.background_work.add(name)
@@ -268,7 +300,7 @@
         gevent.spawn(run)
 
     def fetch_if_due(self):
-        """Fetch a newer table from the peer that showed it."""
+        """Fetch the newer table that a peer reports, after a delay."""
         now_s = self.clock.now_s()
         address = self.standing.newer_at
         if not address:
@@ -282,7 +314,10 @@
             self.spawn_once('fetch', lambda: self.fetch(address))
 
     def fetch(self, address):
-        """Fetch the table from one peer."""
+        """Fetch the table from one peer.
+
+        :param address: address of the peer's server
+        """
         held = self.documents.last.document
         known = held['revision'] if held is not None else 0
         try:
@@ -293,11 +328,11 @@
         self.post(PeerRead(reply[1] if reply is not None else None))
 
     def read_if_due(self):
-        """Read the store when the evidence of its word grows old.
+        """Read the store if peers cannot confirm that the table is current.
 
-        As long as enough peers are seen that know no newer table this is
-        not needed; then one waiting watch a node is all that the store has
-        to bear.
+        While a quorum of peers reports no newer table, and no edit is
+        staged, no read is needed: the store then serves only one pending
+        watch per node.
         """
         now_s = self.clock.now_s()
         staged = self.standing.acceptance is not None
@@ -307,10 +342,10 @@
             self.watch.reader.read_later()
 
     def check_watch(self):
-        """Begin the watch anew when it missed what a read has shown.
+        """Restart the watch if it missed a revision that a read returned.
 
-        Its connection may have gone silent for good: every later table
-        would come late by the time of a whole watch.
+        Its connection may be half open: each later table would then be
+        delayed until the watch times out.
         """
         now_s = self.clock.now_s()
         after = self.watch.after
@@ -324,7 +359,7 @@
             self.keyvalue.end_watches()
 
     def initialise_if_due(self):
-        """Write the table of the settings when nobody has any."""
+        """Write the initial table if neither store nor peers have one."""
         held = self.documents.last
         waited_s = self.clock.now_s() - self.started_s
         if held.document is not None or held.store_revision != 0:
@@ -333,7 +368,7 @@
             self.spawn_once('initialise', self.initialise)
 
     def initialise(self):
-        """Write the first table, if it is still the first."""
+        """Write the table of the settings if there is still no other."""
         cells = {
             f'{sheet}/{row}/{column}': value
             for sheet, rows in self.settings.initial_table.items()
@@ -355,17 +390,21 @@
                     )
 
     def restore(self, found):
-        """Write the held table over an older one, as from a backup.
+        """Replace an older table in the store by the held one.
+
+        A store restored from a backup would otherwise undo an accepted edit
+        on nodes that start later. All nodes keep the newest table that they
+        have received; the compare-and-swap lets only one of them write it.
 
-        Operators would see an accepted edit undone, and a starting node
-        would take the older table: the store was restored. The nodes keep
-        the newest table they know, and the compare-and-swap lets just one
-        of them put it back.
+        :param found: 'older' or 'absent', for the log
         """
         self.spawn_once('restore', lambda: self.restore_if_still_older(found))
 
     def restore_if_still_older(self, found):
-        """Read again after a random wait; write if it is still older."""
+        """Read again after a random delay; write if still older or absent.
+
+        :param found: 'older' or 'absent', for the log
+        """
         LOG.warning_event('store_has_older_table', found=found)
         self.clock.sleep(self.rng.random() * MAX_RESTORE_DELAY_S)
         held = self.documents.last
@@ -379,10 +418,10 @@
                 self.writer.write(held.document, 0)
 
     def apply_staged_if_unconfirmed(self):
-        """Put staged edits in force when cut off from the store.
+        """Apply staged edits while this node is cut off from the store.
 
-        Others may have accepted them on the acknowledgement of this node
-        while it can't learn of that; see ``core.freshness``.
+        This node has acknowledged them, so other nodes may have accepted
+        them without its being able to receive that; see ``core.freshness``.
         """
         held = self.documents.last
         held_s = self.clock.now_s() - held.adopted_s
@@ -395,7 +434,7 @@
     # Acceptance.
 
     def accept_staged_if_allowed(self):
-        """Accept staged edits when the rule allows and it is our turn."""
+        """Accept staged edits if freshness or an override allows it."""
         document = self.documents.last.document
         if document is None or not document['staged']:
             return
@@ -410,7 +449,11 @@
                     )
 
     def is_acceptor(self):
-        """Whether this node took the edit, or whoever did seems gone."""
+        """Whether this node is to accept the staged edits.
+
+        It is if it runs one of them, or if they have been staged for so long
+        that the node that runs them has probably failed.
+        """
         if self.own_revisions:
             return True
         held_s = self.clock.now_s() - self.documents.last.adopted_s
@@ -418,14 +461,18 @@
         return held_s > wait_s
 
     def overriding_operator(self, revision):
-        """Operator who overrides for this revision, '' if none."""
+        """Return the operator who overrides for a revision, '' if none."""
         for overridden, author in self.overrides.items():
             if overridden >= revision:
                 return author
         return ''
 
     def accept(self, revision, override):
-        """Make the staged edits up to ``revision`` accepted ones."""
+        """Write the document with the edits up to ``revision`` accepted.
+
+        :param override: operator who accepts although hosts are missing, or
+            ''
+        """
         held = self.documents.last
         if held.store_revision is None:
             self.watch.reader.read()
@@ -434,35 +481,41 @@
         if document is not held.document:
             self.writer.write(document, held.store_revision)
 
-    # What edits and pages ask.
+    # Calls of edits, operators and peers.
 
     def can_stage(self):
-        """Whether this node knows enough to base an edit on its table."""
+        """Whether an edit can be staged on the held table.
+
+        The store's revision of the key must be known for the
+        compare-and-swap, and no member may report a newer table.
+        """
         held = self.documents.last
         if held.document is None or held.store_revision is None:
             return False
         return self.standing.newest <= table.staged_revision(held.document)
 
     def stage(self, document, edit):
-        """Stage an edit with a revision that was never given before.
+        """Stage an edit under a revision that was never assigned before.
 
-        A store that was restored to an older copy, and a node that knows
-        nothing newer, would else give a number to another edit for a second
-        time; nodes that hold the first would never take the second.
+        After the store is restored from a backup, a node that has received
+        no newer table could otherwise assign a revision twice; nodes that
+        hold the first edit of that revision would never adopt the second.
+
+        :return: outcome of :func:`magnoliadyke.core.table.stage`
         """
         wall_ms = int(self.clock.wall_s() * 1000)
         floor = max(self.standing.newest + 1, wall_ms)
         return table.stage(document, edit, self.configured_names, floor)
 
     def await_document(self, revision):
-        """Wait until the held document reaches a staged revision."""
+        """Wait until the held document has a staged revision."""
         self.documents.wait_for(
             lambda held: table.staged_revision(held.document) >= revision,
             DOCUMENT_TIMEOUT_S,
         )
 
     def in_force(self):
-        """Revision in force on each live host."""
+        """Return the revision in force on each live host."""
         revisions = {
             member.host: member.table_revision
             for member in self.members.alive()
@@ -472,7 +525,7 @@
         return revisions
 
     def laggards(self, revision):
-        """Live hosts that have not confirmed a revision yet."""
+        """Return the live hosts that have not confirmed a revision yet."""
         return tuple(
             host
             for host, known in sorted(self.in_force().items())
@@ -504,7 +557,11 @@
         return [*document['history'], *document['staged']]
 
     def fetch_table(self, known_revision):
-        """Answer a peer; see :class:`magnoliadyke.peer.PeerServer`."""
+        """Serve a peer's fetch; see :class:`magnoliadyke.peer.PeerServer`.
+
+        :param known_revision: newest accepted revision that the peer has
+        :return: (revision, serialized document or None if not newer)
+        """
         document = self.documents.last.document
         if document is None:
             return 0, None
@@ -515,7 +572,7 @@
 
 
 def configured_names_of(settings):
-    """Names that cross-row checks of the table need."""
+    """Return the names in the settings that the table's checks need."""
     return table.ConfiguredNames(
         pools={
             pool.name: tuple(each.name for each in pool.endpoints)
--- a/magnoliadyke/edits.py
+++ b/magnoliadyke/edits.py
@@ -1,4 +1,4 @@
-"""One edit of the table on its way: staged, accepted, in force."""
+"""Stages one edit of the table and waits until it is in force."""
 
 import typing
 
@@ -11,33 +11,34 @@
 from magnoliadyke import tablemessages as messages
 from magnoliadyke import tablewatch
 
-__all__ = ['EditTask', 'HeldDocument', 'DocumentWriter']
+__all__ = ['DocumentWriter', 'EditTask', 'HeldDocument']
 
-#: Time for writing the staged edit.
+#: Time limit for writing the staged edit to the store.
 STAGE_TIMEOUT_S = 5.0
-#: Time for its acceptance; afterwards the answer is that it is pending.
+#: Time limit for its acceptance; then the reply is that it is pending.
 ACCEPT_TIMEOUT_S = 9.0
-#: An edit known to be blocked for this long is reported as pending at once.
+#: An edit that missing hosts block for this long is reported as pending
+#: before the time limit.
 BLOCKED_REPORT_S = 2.0
-#: Time for all live nodes to confirm that it is in force.
+#: Time limit for all live nodes to confirm that it is in force.
 IN_FORCE_TIMEOUT_S = 5.0
 POLL_S = 0.01
-#: Times between surveys of the members grow up to this.
+#: While it waits, an edit probes all members; the interval doubles each time.
 INITIAL_PROBE_INTERVAL_S = 0.02
 MAX_PROBE_INTERVAL_S = 0.5
-#: Pause after losing a compare-and-swap to another editor.
+#: Mean pause after another editor won the compare-and-swap.
 CONFLICT_PAUSE_S = 0.03
 
 LOG = logs.get('edits')
 
 
 class HeldDocument(typing.NamedTuple):
-    """The document that this node holds.
+    """The table document that this node holds.
 
     :param document: a ``core.table.Document``, None before the first
-    :param store_revision: the store's revision of its key when last seen;
-        0 if absent, None if never seen
-    :param adopted_s: monotonic time at which the document was taken up
+    :param store_revision: the store's revision of the key when last read or
+        written; 0 if the key was absent, None if it was never read
+    :param adopted_s: monotonic time at which the document was adopted
     """
 
     document: dict | None = None
@@ -46,9 +47,10 @@
 
 
 class DocumentWriter:
-    """Writes the table's key and posts what the store then holds.
+    """Writes the table's key and posts the value that the store then holds.
 
-    :param owner: task that gets :class:`magnoliadyke.tablewatch.StoreRead`
+    :param owner: task that receives
+        :class:`magnoliadyke.tablewatch.StoreRead`
     :param store: a :class:`magnoliadyke.keyvalue.KeyValue`
     """
 
@@ -58,8 +60,9 @@
         self.clock = clock
 
     def write(self, document, store_revision):
-        """Compare and swap; settle a lost answer by reading back.
+        """Write by compare-and-swap; read back if the reply was lost.
 
+        :param store_revision: the store's revision that is to be replaced
         :return: outcome of the write itself
         """
         sent_s = self.clock.now_s()
@@ -80,15 +83,22 @@
         return outcome
 
     def post(self, outcome, sent_s):
-        """Tell the owner."""
+        """Send the value found in the store to the owner.
+
+        :param sent_s: monotonic time at which the call was sent
+        """
         self.owner.post(tablewatch.StoreRead(outcome, sent_s))
 
 
 class EditTask:
-    """Carries one edit through; runs in a greenlet of its own.
-
-    :param ask: the :class:`magnoliadyke.tablemessages.EditCells`
-    :param task: the :class:`magnoliadyke.configuration.Configuration`
+    """Stages one edit and replies once it is in force; runs in a greenlet.
+
+    :param request: the :class:`magnoliadyke.tablemessages.EditCells`
+    :param configuration: the
+        :class:`magnoliadyke.configuration.Configuration`
+    :ivar maybe_applied: whether a write without a reply may have staged it
+    :ivar blocked_since_s: since when missing hosts block the acceptance,
+        None if they do not
     """
 
     def __init__(self, request, configuration):
@@ -102,7 +112,7 @@
         self.blocked_since_s = None
 
     def run(self):
-        """Carry the edit through and answer the operator."""
+        """Stage the edit, wait until it is in force, and send the reply."""
         reply = self.stage()
         if isinstance(reply, int):
             reply = self.await_acceptance(reply)
@@ -118,15 +128,15 @@
 
     @property
     def document(self):
-        """The document held at this moment."""
+        """The document that the node holds now."""
         return self.configuration.documents.last.document
 
     # Staging.
 
     def stage(self):
-        """Write the edit as staged.
+        """Stage the edit, with retries until the time limit.
 
-        :return: its revision, or the answer if it was not staged
+        :return: its revision, or the reply if it was not staged
         """
         end_s = self.started_s + STAGE_TIMEOUT_S
         while self.clock.now_s() < end_s:
@@ -140,7 +150,11 @@
         return messages.StoreUnavailable(self.maybe_applied)
 
     def stage_once(self, held):
-        """Try once; None means try again."""
+        """Stage the edit on the held document.
+
+        :param held: the :class:`HeldDocument`
+        :return: its revision, the reply if it is refused, or None to retry
+        """
         if not self.request.edits:
             return self.overridden_revision(held.document)
         match self.configuration.stage(
@@ -156,14 +170,18 @@
                 return self.write_staged(held, document, revision)
 
     def overridden_revision(self, document):
-        """Revision of the staged edit that an override names."""
+        """Return the revision up to which an override accepts.
+
+        That of the edit with the id of the override, or the newest staged
+        one if there is no such edit.
+        """
         known = table.edit_revision(document, self.request.edit_id or '')
         if known is not None:
             return known.revision
         return table.staged_revision(document)
 
     def build_edit(self, document):
-        """The edit, against the base that the operator looked at."""
+        """Return the edit with its base revision, by default the newest."""
         base = self.request.base_revision
         if base is None:
             base = table.staged_revision(document)
@@ -176,7 +194,11 @@
         )
 
     def write_staged(self, held, document, revision):
-        """Write; return the revision once it is known to be staged."""
+        """Write the document to the store.
+
+        :return: the revision once this node holds it as staged, or None
+            after a pause if the write failed
+        """
         match self.configuration.writer.write(document, held.store_revision):
             case keyvalue.Stored():
                 self.configuration.await_document(revision)
@@ -191,13 +213,16 @@
         return None
 
     def pause(self, seconds):
-        """Wait between half and one and a half of that long."""
+        """Sleep for 0.5 to 1.5 times ``seconds``, at random."""
         self.clock.sleep(seconds * (0.5 + self.configuration.rng.random()))
 
     # Acceptance.
 
     def await_acceptance(self, revision):
-        """Wait until the staged edit is accepted, then until in force."""
+        """Wait until the staged edit is accepted, then until it is in force.
+
+        :return: ``Accepted``, or ``Pending`` if it was not accepted in time
+        """
         if self.request.override:
             self.configuration.post(Override(revision, self.request.author))
         self.configuration.own_revisions.add(revision)
@@ -213,7 +238,7 @@
         return self.await_in_force(revision)
 
     def is_blocked_too_long(self):
-        """Whether the edit has been blocked for a while."""
+        """Whether missing hosts have blocked it for BLOCKED_REPORT_S."""
         now_s = self.clock.now_s()
         acceptance = self.configuration.standing.acceptance
         if not isinstance(acceptance, freshness.Blocked):
@@ -224,7 +249,7 @@
         return now_s - self.blocked_since_s > BLOCKED_REPORT_S
 
     def awaited_hosts(self):
-        """Hosts that the acceptance waits for."""
+        """Return the hosts whose acknowledgement is still missing."""
         match self.configuration.standing.acceptance:
             case freshness.Blocked(missing=missing):
                 return missing
@@ -233,7 +258,10 @@
         return ()
 
     def await_in_force(self, revision):
-        """Wait until all live nodes confirm, or name the laggards."""
+        """Wait until all live nodes have confirmed the revision.
+
+        :return: ``Accepted``, with the hosts that did not confirm in time
+        """
         end_s = self.clock.now_s() + IN_FORCE_TIMEOUT_S
         self.probe_interval_s = INITIAL_PROBE_INTERVAL_S
         self.next_probe_s = self.clock.now_s()
@@ -246,7 +274,7 @@
         return messages.Accepted(revision, took_s, laggards)
 
     def probe_members_if_due(self):
-        """Probe all members at growing intervals while waiting."""
+        """Probe all members if the interval since the last probe is over."""
         now_s = self.clock.now_s()
         if now_s >= self.next_probe_s:
             self.configuration.gossip.post(gossip.Survey())
@@ -257,7 +285,11 @@
 
 
 class Override(typing.NamedTuple):
-    """An operator accepts staged edits although hosts are missing."""
+    """An operator's override: accept staged edits although hosts are missing.
+
+    :param revision: the edits staged up to this revision are accepted
+    :param author: the operator
+    """
 
     revision: int
     author: str
