--- a/magnoliadyke/admin.py
+++ b/magnoliadyke/admin.py
@@ -1,4 +1,4 @@
-"""The listener for operators."""
+"""The admin listener: HTTP routes and page for operators."""
 
 import hashlib
 import hmac
@@ -19,20 +19,21 @@
 
 MAX_CONNECTIONS = 64
 
-#: Longest silence of an operator's connection, in seconds.
+#: A connection without data for this long is closed.
 IDLE_TIMEOUT_S = 30.0
 
-#: Largest body; a table has at most a megabyte.
+#: Maximum request body; the store holds a table of at most 1 MB.
 MAX_BODY_BYTES = 1_000_000
 
-#: Paths that need no token: the page holds no data and asks for the token.
+#: Paths without authentication: the page holds no data and asks for the
+#: token itself.
 OPEN_PATHS = frozenset({'/'})
 
 
 class Admin(app.Component):
     """Serves the table, the state and the metrics to operators.
 
-    :param node: the :class:`magnoliadyke.node.Node` it belongs to
+    :param node: the :class:`magnoliadyke.node.Node` to serve
     """
 
     def __init__(self, node):
@@ -47,19 +48,19 @@
         )
 
     def start(self):
-        """Listen."""
+        """Start listening."""
         self.server.start()
 
     def stop(self, deadline_s):
-        """Stop listening, then let running answers end."""
+        """Stop listening; running requests may end within the deadline."""
         self.server.stop(timeout=deadline_s)
 
 
 class TimeoutHandler(pywsgi.WSGIHandler):
-    """Ends connections that stall.
+    """Closes connections that stall.
 
-    Someone who opens connections and sends nothing would otherwise hold
-    all :data:`MAX_CONNECTIONS` of them, and operators would wait for ever.
+    A client that opens connections and sends nothing could otherwise occupy
+    all :data:`MAX_CONNECTIONS` and lock the operators out.
     """
 
     def __init__(self, sock, address, server):
@@ -68,7 +69,7 @@
 
 
 class ErrorLog:
-    """Takes what the server has to say into the event log."""
+    """File object that writes the server's errors to the event log."""
 
     def __init__(self):
         self.log = logs.get('admin')
@@ -87,7 +88,7 @@
 
 
 def create_application(node):
-    """Make the WSGI application; tests call it without a socket.
+    """Return the WSGI application; tests call it without a socket.
 
     :param node: the :class:`magnoliadyke.node.Node` to serve
     """
@@ -112,7 +113,7 @@
 
 
 class RequestGuard:
-    """Lets only those in who know the operators' token.
+    """Middleware that checks the operators' token and the size of the body.
 
     :param digest: ``sha256:HEX`` of the token
     """
@@ -121,7 +122,11 @@
         self.digest = digest
 
     def process_request(self, request, _response):
-        """Refuse a request without the token, or with a huge body."""
+        """Check the token and the size of the body.
+
+        :raises Refusal: if the token is missing or wrong, or the body too
+            large
+        """
         if request.path not in OPEN_PATHS:
             scheme, _, token = (request.auth or '').partition(' ')
             if scheme != 'Bearer' or not token_matches(token, self.digest):
@@ -129,24 +134,25 @@
                     401,
                     'unauthorized',
                     'the operators’ token is missing or wrong',
-                    'send it as Authorization: Bearer TOKEN',
+                    'send the header Authorization: Bearer TOKEN',
                 )
         if (request.content_length or 0) > MAX_BODY_BYTES:
             raise adminerrors.Refusal(
                 413,
                 'too_large',
-                f'the body is larger than {MAX_BODY_BYTES} bytes',
-                'send the edit in parts',
+                f'the body has {request.content_length} bytes; at most '
+                f'{MAX_BODY_BYTES} are allowed',
+                'split the edit into several',
             )
 
 
 def token_matches(token: str, digest: str) -> bool:
-    """Compare a token with its digest.
+    """Return whether a token has the given digest.
 
-    The time does not depend on where the two differ: a caller could else
-    find the digest byte by byte.
+    The comparison takes constant time: otherwise a client could find the
+    digest byte by byte from the response times.
 
-    :param token: what the operator sent
+    :param token: token that the client sent
     :param digest: ``sha256:HEX``
     """
     found = hashlib.sha256(token.encode('utf-8', 'surrogateescape'))
@@ -156,12 +162,15 @@
 
 
 class MetricsResource:
-    """Answers scrapes."""
+    """``/metrics``: the node's metrics in the Prometheus text format.
+
+    :param metrics: the :class:`magnoliadyke.metrics.Metrics`
+    """
 
     def __init__(self, metrics):
         self.metrics = metrics
 
     def on_get(self, _request, response):
-        """Render all metrics."""
+        """Answer with all metrics."""
         response.content_type = 'text/plain; version=0.0.4; charset=utf-8'
         response.data = self.metrics.render_prometheus()
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -1,4 +1,4 @@
-"""One node: builds the tasks, joins them, starts and stops them."""
+"""The node of one host: builds, connects, starts and stops its tasks."""
 
 import os
 import random
@@ -28,19 +28,24 @@
 
 __all__ = ['Bridge', 'LeaveAnnouncer', 'Node', 'run']
 
-#: How often a node tells its peers whether it takes work, in seconds.
+#: Interval at which a node reports to its peers whether it accepts requests.
 OWN_STATE_INTERVAL_S = 0.25
-#: Time for telling the peers that this node leaves, in seconds.
+#: Time limit for announcing to the peers that this node leaves.
 LEAVE_TIMEOUT_S = 2.0
 #: Exit status after a second stop signal.
 EXIT_FORCED = 3
 
 
 class Bridge(mailbox.Task):
-    """Carries messages between tasks that don't know each other.
+    """Forwards messages between tasks that hold no reference to each other.
 
+    :param clock: a :class:`magnoliadyke.clock.Clock`
     :param status: :class:`magnoliadyke.callers.NodeStatus`
-    :param stop_asked: event that makes the process stop gracefully
+    :param stop_requested: event that makes the process stop gracefully
+    :param members: the :class:`magnoliadyke.gossip.Gossip`
+    :param table: the :class:`magnoliadyke.configuration.Configuration`
+    :param work: the :class:`magnoliadyke.dispatch.Dispatcher`
+    :param planning: the :class:`magnoliadyke.duties.Duties`
     """
 
     tick_interval_s = OWN_STATE_INTERVAL_S
@@ -65,7 +70,7 @@
         work.demand.subscribe(self)
 
     def handle(self, message):
-        """Pass one message on to whom it concerns."""
+        """Forward one message to the task that processes it."""
         match message:
             case gossip.PeerDigest(host=host, data=data):
                 self.forward_digest(host, data)
@@ -87,10 +92,13 @@
                 self.planning.post(duties.Demands(pools))
 
     def forward_digest(self, host, data):
-        """Decode a peer's digest; one that can't be read is dropped.
+        """Forward a peer's digest to the dispatcher; drop a malformed one.
+
+        During a rollout a newer node may send a digest of another format.
+        Digests only correct how limits are shared, so dropping one is safe.
 
-        During a rollout a newer node may send a digest of another shape. It
-        corrects shares of limits only, so doing without it is safe.
+        :param host: the peer
+        :param data: the encoded :class:`magnoliadyke.core.scheduler.Digest`
         """
         try:
             digest = scheduler.Digest.from_bytes(data)
@@ -100,33 +108,38 @@
         self.work.post(dispatch.PeerDigest(host, digest))
 
     def broadcast_crash_digest(self, digest):
-        """Tell the peers now which requests may have crashed an endpoint.
+        """Send all peers at once the requests that may crash an endpoint.
 
-        One probe a period takes seconds to reach all. A caller that is told
-        the outcome and sends the request again would be faster, and the
-        request would crash an endpoint for each host that has not heard.
+        One probe per gossip period takes seconds to reach all peers. A
+        caller that retries at once after the failure would be faster, and
+        its request would crash another endpoint at each host that has not
+        received the digest.
         """
         self.members.post(gossip.OwnDigest(digest.to_bytes()))
         self.members.post(gossip.Survey())
 
     def stop_superseded(self):
-        """Stop: a newer process runs under this host's name.
+        """Stop the node, since a newer process runs under its host's name.
 
-        This one was paused so long that it was replaced. If both went on,
-        peers would take turns in believing either, and callers would be
-        sent to a host that is left out a moment later.
+        This process was paused for so long that it was replaced. If both
+        continued, the peers' view of the host would alternate between them,
+        and callers would be sent to a host that is removed a moment later.
         """
         self.log.event('node_superseded')
         self.stop_requested.set()
 
     def apply_permit(self, allowed, reason):
-        """Take new work or stop taking it, and say so when it changes."""
+        """Start or stop accepting requests; log each change.
+
+        :param allowed: whether the table allows it
+        :param reason: why not, '' if allowed
+        """
         if self.status.fresh != allowed:
             self.log.event('work_permit', allowed=allowed, reason=reason)
         self.status.fresh = allowed
 
     def tick(self):
-        """Tell the peers how this node does."""
+        """Report to the peers spare capacity and whether it accepts work."""
         self.members.post(
             gossip.OwnState(
                 spare=self.status.spare, takes_work=self.status.takes_work
@@ -137,9 +150,12 @@
 class LeaveAnnouncer(app.Component):
     """Announces that this node leaves, after its last request has ended.
 
-    Without the announcement the peers would find the node dead only after
-    probes time out, and until then would relay to it requests whose records
-    it has handed over; their callers would see ``Unknown``.
+    Without the announcement the peers would detect its end only when probes
+    time out. Until then they would relay requests to it whose records it has
+    handed over, and the callers would get ``Unknown``.
+
+    :param status: :class:`magnoliadyke.callers.NodeStatus`
+    :param members: the :class:`magnoliadyke.gossip.Gossip`
     """
 
     def __init__(self, status, members):
@@ -150,7 +166,10 @@
         """Do nothing."""
 
     def stop(self, deadline_s):
-        """Name the successor of this node's records to the peers."""
+        """Announce the leave, with the successor for the request records.
+
+        :param deadline_s: time limit in seconds
+        """
         leave = gossip.Leave(self.status.successor)
         try:
             self.members.ask(leave, min(deadline_s, LEAVE_TIMEOUT_S))
@@ -159,7 +178,10 @@
 
 
 class ConnectionCloser(app.Component):
-    """Closes connections that no task owns."""
+    """Closes the connections of objects that are not tasks, at the stop.
+
+    :param owners: objects with a ``close`` method
+    """
 
     def __init__(self, *owners):
         self.owners = owners
@@ -168,13 +190,13 @@
         """Do nothing."""
 
     def stop(self, deadline_s):
-        """Close them."""
+        """Close the connections."""
         for owner in self.owners:
             owner.close()
 
 
 class Node:
-    """Everything that runs in the process of one host.
+    """All components of the process of one host.
 
     :param settings: :class:`magnoliadyke.settings.Settings`
     :param host: name of this host
@@ -186,8 +208,8 @@
         self.host = host
         self.clock = clock
         self.rng = random.SystemRandom()
-        # Larger than those of earlier processes on this host, as long as
-        # its wall clock does not run backwards across a restart.
+        # Larger than those of earlier processes on this host, unless its
+        # wall clock is set back across a restart.
         self.incarnation = int(clock.wall_s() * 1000)
         self.status = callers.NodeStatus()
         self.stop_requested = event.Event()
@@ -195,7 +217,7 @@
         self.build()
 
     def build(self):
-        """Make all components, in the order in which they start."""
+        """Create all components, in the order in which they start."""
         self.metrics = self.app.add(
             metrics.Metrics(self.settings, self.host, self.clock)
         )
@@ -208,7 +230,7 @@
         self.add_gauges()
 
     def build_coordination(self):
-        """Make what the nodes agree through."""
+        """Create store client, gossip, configuration and duties."""
         settings, host, clock = self.settings, self.host, self.clock
         self.keyvalue = keyvalue.HttpKeyValue(settings, host, clock)
         self.peers = peer.PeerClients(settings, host, clock)
@@ -247,7 +269,7 @@
         )
 
     def build_request_path(self):
-        """Make what places requests."""
+        """Create the dispatcher and the bridge."""
         self.dispatcher = self.app.add(
             dispatch.Dispatcher(
                 self.settings,
@@ -271,7 +293,7 @@
         )
 
     def build_callers(self):
-        """Make the listener for callers."""
+        """Return the listener for callers."""
         dependencies = requestdependencies.RequestDependencies(
             settings=self.settings,
             host=self.host,
@@ -288,13 +310,13 @@
         )
 
     def connect_peer_server(self):
-        """Let the peer server answer from the tasks of this node."""
+        """Give the peer server the handlers of its calls."""
         self.peer_server.fetch_table = self.configuration.fetch_table
         self.peer_server.take_records = self.callers.take_records
         self.peer_server.pool_status = self.duties.pool_status
 
     def add_gauges(self):
-        """Let the cost of control be read from the metrics."""
+        """Add metrics of the traffic between nodes and to the store."""
         self.metrics.gauge(
             'magnoliadyke.peer_bytes',
             'Bytes of membership datagrams since the start.',
@@ -318,17 +340,17 @@
         logs.get('node').event('node_started', incarnation=self.incarnation)
 
     def stop(self):
-        """Stop gracefully, within the time of the settings."""
+        """Stop gracefully, within ``timing.stop_s`` of the settings."""
         logs.get('node').event('node_stopping')
         self.app.stop(self.settings.timing.stop_s)
         logs.get('node').event('node_stopped')
 
 
 def run(settings, host):
-    """Run a node until a stop signal; the process's whole life.
+    """Run a node until a stop signal.
 
     The first SIGTERM or SIGINT stops it gracefully. A second one ends the
-    process at once, for operators who can't wait.
+    process at once, with status EXIT_FORCED.
 
     :param settings: :class:`magnoliadyke.settings.Settings`
     :param host: name of this host
--- a/magnoliadyke/poolstatus.py
+++ b/magnoliadyke/poolstatus.py
@@ -1,4 +1,4 @@
-"""What operators see of the planning of a pool."""
+"""Status of the role planning of a pool, for operators."""
 
 import json
 import typing
@@ -7,9 +7,13 @@
 
 
 class EngineStatus(typing.NamedTuple):
-    """An engine as the planner of its pool last read it back.
+    """State of an engine as last read by the planner of its pool.
 
-    :param target: role that it was last told to take
+    :param name: name of the engine
+    :param role: its role
+    :param target: role that it was last ordered to take
+    :param generation: generation of the newest command it accepted
+    :param changing: whether a role change is in progress
     :param seen_s: age of the reading in seconds, negative if there is none
     """
 
@@ -22,12 +26,14 @@
 
 
 class PoolStatus(typing.NamedTuple):
-    """Who plans a pool and what was done.
+    """Planner of a pool and its last actions.
 
-    :param holder: host, '' if nobody is known to
-    :param fencing: fencing number of the holder's lease
+    :param pool: name of the pool
+    :param holder: host that holds the planner's lease, '' if unknown
+    :param fencing: fencing token of the holder's lease
+    :param engines: state of each engine
     :param changes: last role changes, newest last: (wall_s, engine, role)
-    :param last_plan: why the planner did what it did last
+    :param last_plan: reason for the planner's last decision
     """
 
     pool: str
@@ -38,13 +44,13 @@
     last_plan: str = ''
 
     def dump(self):
-        """Return it as JSON text."""
+        """Serialize the status as JSON."""
         engines = [each._asdict() for each in self.engines]
         return json.dumps(self._replace(engines=engines)._asdict())
 
     @classmethod
     def parse(cls, text):
-        """Read what :meth:`dump` wrote."""
+        """Parse the output of :meth:`dump`."""
         fields = json.loads(text)
         fields['engines'] = tuple(
             EngineStatus(**each) for each in fields['engines']
--- a/magnoliadyke/requestdependencies.py
+++ b/magnoliadyke/requestdependencies.py
@@ -1,4 +1,4 @@
-"""What the request path takes from the rest of its node."""
+"""Components of a node that its request path depends on."""
 
 import random
 import typing
@@ -13,16 +13,19 @@
 
 
 class RequestDependencies(typing.NamedTuple):
-    """One node's identity and the parts that its requests need.
+    """Identity of a node and the components that serve its requests.
 
+    :param settings: the deployment's settings
     :param host: name of the host
     :param incarnation: number of this process, larger than those before it
+    :param clock: clock of the node
     :param rng: source of randomness (``random.SystemRandom`` outside tests)
     :param table: Topic of :class:`magnoliadyke.core.table.View`
     :param members: Topic of :class:`magnoliadyke.core.membership.MembersView`
-    :param store: for claims of keys that callers made themselves
-    :param peers: its ``handover`` delivers records to a successor, whose
-        ``take_records`` should be that of its ``Callers``
+    :param store: key-value store, for the claims of foreign keys (made
+        without a ticket)
+    :param peers: clients of the peers; ``handover`` delivers request records
+        to the ``take_records`` of the successor's ``Callers``
     """
 
     settings: settings_module.Settings
