--- a/magnoliadyke/caller_codec.py
+++ b/magnoliadyke/caller_codec.py
@@ -1,4 +1,4 @@
-"""Read what callers send; shape what they get."""
+"""Parsing of caller requests and building of their answers."""
 
 import hashlib
 import hmac
@@ -24,6 +24,7 @@
     'request_digest',
 ]
 
+#: Length of an answer in tokens, if the caller gives none.
 DEFAULT_MAX_TOKENS = 256
 MAX_MAX_TOKENS = 1 << 20
 MOST_URGENT = 1
@@ -37,7 +38,11 @@
 
 
 class OutcomeError(Exception):
-    """Ends the handling of a request with an outcome."""
+    """Ends the processing of a request with an outcome.
+
+    :param outcome: the outcome to answer, of
+        :mod:`magnoliadyke.core.outcomes`
+    """
 
     def __init__(self, outcome):
         super().__init__(outcome)
@@ -45,20 +50,28 @@
 
 
 def reject(reason, remedy, status=400):
-    """Raise a rejection."""
+    """Reject the request.
+
+    :param reason: machine-readable code
+    :param remedy: what the caller has to correct
+    :param status: HTTP status
+    :raises OutcomeError: always
+    """
     raise OutcomeError(outcomes.Rejected(reason, remedy, status))
 
 
 class ModelRequest(typing.NamedTuple):
-    """A completion that a caller asks for.
+    """A completion request of a caller.
 
     :param key: idempotency key of the caller, or ``''``
+    :param customer: name of the customer
     :param credential: value of the Authorization header, for a relay
     :param work: ``model``, ``prompt``, ``max_tokens`` and further fields
         for the engine
     :param priority: 0 (urgent) to 9
-    :param digest: the same for every copy of the request
-    :param first: whether the caller vouches that it is the first copy
+    :param repeatable: whether it may be executed more than once
+    :param digest: digest of its content, equal for all copies
+    :param first: whether the caller states that it is the first copy
     :param hops: hosts that relayed the request here, in order
     """
 
@@ -74,10 +87,15 @@
 
 
 class ServiceRequest(typing.NamedTuple):
-    """A call of a plain service.
+    """A caller's request to a plain service.
+
+    The other fields are those of :class:`ModelRequest`.
 
+    :param service: name of the service
+    :param method: HTTP method
     :param path: raw path and query below the service's name
-    :param headers: those that are passed on, as pairs
+    :param headers: headers to forward, as pairs
+    :param body: body to forward, as bytes
     """
 
     key: str
@@ -96,10 +114,10 @@
 
 
 class KeyRing:
-    """Find the customer of a caller's key.
+    """Finds the customer of a caller's key.
 
-    The table holds digests only. They are looked up by their first digits;
-    the rest is compared in constant time.
+    The table holds only digests of keys. They are indexed by their first
+    digits and compared in constant time.
 
     :param view: :class:`magnoliadyke.core.table.View`
     """
@@ -113,7 +131,7 @@
                 found.append((digest, name))
 
     def customer(self, credential):
-        """Return the customer's name, or None.
+        """Return the customer of a credential, or None if it has none.
 
         :param credential: value of the Authorization header
         """
@@ -129,20 +147,25 @@
 
 
 def read_object(body):
-    """Return a JSON object that a caller sent."""
+    """Parse the body of a request, which has to be a JSON object.
+
+    :param body: bytes
+    :raises OutcomeError: if it is not
+    """
     try:
         document = json.loads(body)
     except ValueError:
         document = None
     if not isinstance(document, dict):
-        reject('bad_json', 'send a JSON object')
+        reject('bad_json', 'the body is no JSON object; send one')
     return document
 
 
 def read_completion(document):
-    """Return the engine's work for a completion request.
+    """Return the fields for the engine of a completion request.
 
     :param document: body of ``/v1/completions`` as a dict
+    :raises OutcomeError: if a field is missing or invalid
     """
     prompt = document.get('prompt')
     if not isinstance(prompt, str) or not prompt.strip():
@@ -151,12 +174,13 @@
 
 
 def read_chat(document):
-    """Return the engine's work for a chat request.
+    """Return the fields for the engine of a chat request.
 
     The prompt is one line ``role: content`` for each message, and
     ``assistant:`` at the end.
 
     :param document: body of ``/v1/chat/completions`` as a dict
+    :raises OutcomeError: if a field is missing or invalid
     """
     messages = document.get('messages')
     if not isinstance(messages, list) or not messages:
@@ -167,7 +191,10 @@
 
 
 def read_message(message):
-    """Return one chat message as a line of the prompt."""
+    """Return the line of the prompt for one chat message.
+
+    :raises OutcomeError: if its role or content is not text
+    """
     if not isinstance(message, dict):
         reject('bad_messages', "give each message 'role' and 'content'")
     role, content = message.get('role'), message.get('content')
@@ -177,32 +204,42 @@
 
 
 def read_work(document, prompt):
-    """Return model, prompt and limit of a request."""
+    """Return model, prompt and token limit of a request.
+
+    :raises OutcomeError: if model or limit is missing or invalid
+    """
     model = document.get('model')
     if not isinstance(model, str):
         reject('bad_model', "name a model in 'model'")
     limit = document.get('max_tokens', DEFAULT_MAX_TOKENS)
     if not isinstance(limit, int) or not 1 <= limit <= MAX_MAX_TOKENS:
-        reject('bad_max_tokens', "send 'max_tokens' as a number above 0")
+        reject(
+            'bad_max_tokens',
+            f"send 'max_tokens' as a whole number from 1 to {MAX_MAX_TOKENS}",
+        )
     return {'model': model, 'prompt': prompt, 'max_tokens': limit}
 
 
 def read_priority(text, row_priority):
-    """Return the priority a caller asks for.
+    """Return the priority of a request.
 
     :param text: value of ``X-Priority``, or ``''``
-    :param row_priority: the customer's own, from the table
+    :param row_priority: priority of the customer in the table
+    :raises OutcomeError: if the header has another value
     """
     if text and text not in PRIORITIES:
-        reject('bad_priority', 'use urgent, normal or background')
+        reject(
+            'bad_priority',
+            'send X-Priority as urgent, normal or background',
+        )
     chosen = PRIORITIES.get(text)
     return row_priority if chosen is None else chosen
 
 
 def request_digest(*parts):
-    """Return the digest of what a request asks for.
+    """Return the digest of a request's content, which identifies copies.
 
-    :param parts: text or bytes
+    :param parts: parts of the content, text or bytes
     """
     digest = hashlib.sha256()
     for part in parts:
@@ -213,14 +250,15 @@
 
 
 def chat_events(events):
-    """Return completion events in the shape of chat events."""
+    """Convert completion events to the format of chat events."""
     events = attempts.TEXT.sub(CHAT_DELTA, events)
     return events.replace(TEXT_OBJECT, CHAT_OBJECT)
 
 
 def render_answer(key, events, chat):
-    """Return a whole model answer as one JSON document (bytes).
+    """Return a complete model answer as one JSON document (bytes).
 
+    :param key: idempotency key, which becomes the id of the answer
     :param events: all events of the answer
     :param chat: whether the caller used the chat route
     """
@@ -244,12 +282,12 @@
 
 
 def error_event(outcome):
-    """Return the event that ends a stream with an outcome."""
+    """Return the error event with which an outcome ends a stream."""
     return ERROR_EVENT % outcomes.to_http(outcome).body
 
 
 def error_outcome(error, status=400):
-    """Return the outcome that another node's error stands for.
+    """Return the outcome that the error of another node represents.
 
     :param error: the ``error`` object as a dict
     :param status: HTTP status it came with
@@ -267,7 +305,7 @@
 
 
 def outcome_from(reply):
-    """Return the outcome in another node's answer, or None if it has none.
+    """Return the outcome in another node's reply, or None if it has none.
 
     :param reply: :class:`magnoliadyke.endpoint.Reply`
     """
--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -1,4 +1,4 @@
-"""The caller library: finds hosts, resumes answers, repeats what may be."""
+"""Client library of callers: host selection, retries, resumed streams."""
 
 import json
 import random
@@ -18,38 +18,43 @@
 __all__ = ['Client', 'ClientSettings', 'HostSeen']
 
 HOSTS_PATH = '/v1/hosts'
-#: Reasons of NotRun that another host cures at once; retries for them don't
-#: add load and so need no budget.
+#: Reasons of NotRun that concern one host only. A retry at another host
+#: succeeds at once and adds no load, so it is not charged to the retry budget.
 OTHER_HOST_REASONS = frozenset(
     {'stopping', 'no_table', 'stale_table', 'home_unreachable'}
 )
-#: Given before the home of the key was asked: after an earlier copy may
-#: have been received, it says nothing about that copy.
+#: Reasons of NotRun given by a host without a query of the key's home: they
+#: do not show whether an earlier copy of the request was executed.
 REASONS_WITHOUT_HOME = frozenset({'no_table', 'claims_unavailable'})
 BUDGET_NAME = 'client'
 RETRY_SHARE = 0.1
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
-#: A host's word on when to come back is a forecast. After a fault it can be
-#: a minute, and the engines are idle long before.
+#: The retry delay that a host gives is a forecast. After a fault it can be a
+#: minute, although the engines are idle long before.
 MAX_RETRY_AFTER_S = 10.0
 NO_HOST = outcomes.NotRun(
     'no_host', 'check the network and the list of hosts', 1.0
 )
 NO_ANSWER = outcomes.Unknown(
     'no_answer_in_time',
-    'ask again with the same key, or look up the effect',
+    'retry with the same key, or look up the effect',
 )
 
 
 class ClientSettings(typing.NamedTuple):
-    """Times of the client, in seconds.
-
-    :param silence_s: a stream without even a comment for so long has lost
-        its host; nodes send a comment each second
-    :param service_s: longest wait for one call of a plain service, after
-        which it is asked for again under the same key
-    :param remember_s: how long hosts that were seen are remembered
+    """Time limits of the client, in seconds.
+
+    :param connect_s: for a connection
+    :param head_s: for the head of a response
+    :param silence_s: for data of a stream; nodes send at least a comment
+        each second, so the host is unreachable after this time
+    :param service_s: for one call of a plain service, after which it is
+        sent again under the same key
+    :param deadline_s: for a request with all its retries
+    :param remember_s: how long an address from a list of hosts is preferred
+        to the initial ones
+    :param idle_s: how long an idle connection is kept
     """
 
     connect_s: float = 1.0
@@ -62,9 +67,11 @@
 
 
 class HostSeen(typing.NamedTuple):
-    """A host as a hosts answer named it.
+    """A host in the answer of ``/v1/hosts``.
 
+    :param host: name of the host
     :param address: ``ip:port``
+    :param failure_domain: failure domain of the host
     """
 
     host: str
@@ -73,9 +80,11 @@
 
 
 class Session:
-    """One host and the ticket it gave; makes keys.
+    """A host and its ticket, from which idempotency keys are made.
 
-    :param until_s: monotonic seconds until which it may be kept
+    :param address: ``ip:port`` of the host
+    :param ticket: ticket that the host issued
+    :param until_s: monotonic time until which the ticket may be used
     """
 
     def __init__(self, address, ticket, until_s):
@@ -85,15 +94,18 @@
         self.number = 0
 
     def new_key(self):
-        """Return a key that was never used."""
+        """Return a new idempotency key."""
         self.number += 1
         return f'{self.ticket}/{self.number}'
 
 
 class Request(typing.NamedTuple):
-    """What a client sends, whatever the attempt.
+    """The parts of a request that are the same in all attempts.
 
+    :param headers: headers as pairs
+    :param repeatable: whether it may be executed more than once
     :param stream: whether the answer is an event stream
+    :param on_text: called with each piece of text and its offset, or None
     """
 
     method: str
@@ -106,9 +118,13 @@
 
 
 class Progress:
-    """How far one key is.
+    """Progress of a request under one idempotency key.
 
+    :param key: the idempotency key
     :ivar sent: whether a copy of the request may have been received
+    :ivar copies: number of copies that were sent
+    :ivar assembly: the answer so far
+    :ivar pieces: the texts of the answer so far
     """
 
     def __init__(self, key):
@@ -123,14 +139,17 @@
 
 
 class Client:
-    """Calls a deployment on behalf of one customer.
+    """Sends requests to a deployment on behalf of one customer.
 
-    It asks any known host which host to use, keeps the answer as long as
-    that says, and connects there. Its methods return tagged outcomes and
-    raise nothing for hosts that are gone.
+    It queries any host for the list of hosts, and sends its requests to the
+    best of them while the ticket is valid. ``complete`` and ``call`` return
+    outcomes and do not raise if hosts are unreachable.
 
     :param hosts: addresses ``ip:port`` to start from
     :param credential: the customer's key
+    :param clock: a :class:`magnoliadyke.clock.Clock`
+    :param rng: source of randomness
+    :param settings: :class:`ClientSettings`
     """
 
     def __init__(
@@ -158,12 +177,17 @@
         on_text=None,
         deadline_s=None,
     ):
-        """Ask a model to complete a prompt.
+        """Send a prompt to a model.
 
+        :param model: name of the model
+        :param prompt: the prompt
+        :param max_tokens: maximum length of the answer
         :param priority: ``urgent``, ``normal`` or ``background``
+        :param repeatable: False if the request must not be executed twice
         :param on_text: called with each piece of text and its offset in
-            output tokens; offset 0 again means: forget what came before
-        :param deadline_s: longest time in seconds
+            output tokens; a second offset 0 means that the answer starts
+            again and the earlier text is to be discarded
+        :param deadline_s: time limit with all retries, in seconds
         :return: ``Answered``, ``NotRun``, ``Unknown`` or ``Rejected``
         """
         work = {
@@ -195,10 +219,14 @@
     ):
         """Call a plain service.
 
+        :param service: name of the service
+        :param method: HTTP method
         :param path: path and query below the service's name
         :param body: bytes
-        :param repeatable: False when the call must not run twice; a route
-            that the settings call not repeatable never does
+        :param priority: ``urgent``, ``normal`` or ``background``
+        :param repeatable: False if the call must not be executed twice; a
+            route that is not repeatable in the settings never is
+        :param deadline_s: time limit with all retries, in seconds
         :return: ``Answered`` (its text is the body, its finish reason the
             HTTP status), ``NotRun``, ``Unknown`` or ``Rejected``
         """
@@ -213,9 +241,10 @@
         return self.run(request, deadline_s)
 
     def hosts(self):
-        """Return the hosts to use, best first (:class:`HostSeen`).
+        """Return the hosts to send requests to, best first.
 
-        :raises HostUnreachable: when no known host answers
+        :return: list of :class:`HostSeen`
+        :raises HostUnreachable: if no host answers
         """
         document = self.query_any_host()
         return [HostSeen(**each) for each in document['hosts']]
@@ -223,7 +252,7 @@
     # One request.
 
     def headers(self, priority, repeatable):
-        """Return the headers that all attempts share."""
+        """Return the headers that are the same in all attempts."""
         return (
             ('Authorization', f'Bearer {self.credential}'),
             ('Content-Type', 'application/json'),
@@ -232,10 +261,14 @@
         )
 
     def run(self, request, deadline_s):
-        """Attempt until there is an outcome to tell.
+        """Send a request until it has a final outcome.
+
+        A retry under a new key may execute the request again. It is made
+        only after ``NotRun``, or for a repeatable request, and within the
+        retry budget.
 
-        A new key is a new run: it is taken only after ``NotRun``, or for a
-        request that may be repeated, and within the budget.
+        :param deadline_s: time limit in seconds, None for that of the
+            settings
         """
         longest_s = deadline_s or self.settings.deadline_s
         end_s = self.clock.now_s() + longest_s
@@ -262,14 +295,21 @@
             self.clock.sleep(pause_s * (0.75 + self.rng.random() / 2))
 
     def leave_host(self, leave):
-        """Choose a host anew for the next attempt."""
+        """Drop the session if the next attempt is to use another host.
+
+        :param leave: whether it is
+        """
         if leave:
             self.session = None
 
     def run_key(self, request, end_s):
-        """Send one key, to as many hosts as it takes, until it has an end.
+        """Send a request under one key, to several hosts if needed.
 
-        Every copy has the same key, so the request runs once at most.
+        All copies have the same idempotency key, so the request is executed
+        at most once.
+
+        :param end_s: monotonic time of the deadline
+        :return: the outcome
         """
         progress = None
         pause_s = INITIAL_BACKOFF_S
@@ -292,9 +332,11 @@
         return NO_ANSWER
 
     def try_host(self, address, request, progress):
-        """Send one copy; return the outcome, or None if there is none.
+        """Send one copy of a request to a host.
 
+        :param address: ``ip:port`` of the host
         :param progress: :class:`Progress` of the key
+        :return: the outcome, or None if there is none yet
         """
         progress.copies += 1
         try:
@@ -307,7 +349,7 @@
             return None
 
     def key_headers(self, request, progress):
-        """Return the headers of one copy."""
+        """Return the headers of one copy of a request."""
         first = 'false' if progress.sent else 'true'
         return (
             *request.headers,
@@ -316,7 +358,10 @@
         )
 
     def exchange(self, address, request, progress):
-        """Make one whole call."""
+        """Send one copy of a service call and wait for its response.
+
+        :return: the outcome, or None if there is none yet
+        """
         reply = self.connections_to(address).call(
             request.method,
             request.path,
@@ -329,14 +374,17 @@
         if outcome is not None:
             return outcome
         if not reply.request_key:
-            # Not the service's answer but an HTTP server's own, such as a
-            # plain 500: what became of the call is not known yet.
+            # An error of the HTTP server itself, such as a plain 500, not
+            # the service's response: the outcome is still unknown.
             return None
         text = reply.body.decode('utf-8', 'replace')
         return outcomes.Answered(progress.key, text, str(reply.status))
 
     def stream(self, address, request, progress):
-        """Read a stream, from where an earlier one ended."""
+        """Read an event stream, from the offset where the last one broke off.
+
+        :return: the outcome, or None if the stream broke off
+        """
         connections = self.connections_to(address)
         reply = self.open_stream(connections, request, progress)
         progress.sent = True
@@ -355,7 +403,11 @@
         return self.stream_outcome(progress)
 
     def open_stream(self, connections, request, progress):
-        """Send the request, or resume its answer by key and offset."""
+        """Send the request, or resume its answer by key and offset.
+
+        :param connections: the connections to the host
+        :return: the response, with its head read
+        """
         headers = self.key_headers(request, progress)
         offset = progress.assembly.offset
         if not offset:
@@ -374,7 +426,11 @@
         )
 
     def read(self, reply, request, progress, label):
-        """Read events to the end of the stream."""
+        """Read events up to the end of the stream.
+
+        :param reply: the response
+        :param label: id of the stream in the assembly
+        """
         connection = reply.connection
         connection.socket.settimeout(self.settings.silence_s)
         data = reply.first
@@ -386,7 +442,10 @@
             data = connection.parser.take_body()
 
     def add_data(self, data, request, progress, label):
-        """Add bytes of the stream to the answer."""
+        """Add data of the stream to the answer; pass new text to the caller.
+
+        :param data: bytes
+        """
         offset = progress.assembly.offset
         events = progress.assembly.feed(label, data)
         if not events:
@@ -397,7 +456,7 @@
             request.on_text(text, offset)
 
     def stream_outcome(self, progress):
-        """Return the outcome of a stream that ended, None if it was cut."""
+        """Return the outcome of a stream, None if it broke off."""
         assembly = progress.assembly
         if assembly.finished is not None:
             return self.complete_answer(progress)
@@ -406,7 +465,7 @@
         return None
 
     def complete_answer(self, progress):
-        """Return the whole answer."""
+        """Return ``Answered`` with the complete answer."""
         final = json.loads(progress.assembly.finished[len(b'data: ') :])
         usage = final.get('usage') or {}
         return outcomes.Answered(
@@ -433,10 +492,10 @@
         return self.connections_by_address[address]
 
     def open_session(self):
-        """Return the present session, or a new one; None if nobody answers.
+        """Return the session, a new one if needed; None if no host answers.
 
-        The ticket comes from the host that will be used: it is the home of
-        the keys, and other hosts would have to relay to it.
+        The ticket is issued by the host that gets the requests: that host is
+        the home of the keys, and other hosts would have to relay to it.
         """
         if self.session is not None:
             if self.clock.now_s() < self.session.until_s:
@@ -452,7 +511,7 @@
         return self.session
 
     def start_session(self, address):
-        """Ask one host for a ticket; return whether it gave one."""
+        """Start a session with a host; return whether it answered."""
         document = self.query_host(address)
         if document is None:
             return False
@@ -461,7 +520,10 @@
         return True
 
     def query_any_host(self):
-        """Ask hosts in random order until one names hosts to use."""
+        """Query hosts in random order until one returns a list of hosts.
+
+        :raises HostUnreachable: if none does
+        """
         for address in self.known_addresses():
             document = self.query_host(address)
             if document is not None and document['hosts']:
@@ -472,7 +534,7 @@
         )
 
     def known_addresses(self):
-        """Return addresses to ask: those seen lately first, then seeds."""
+        """Return the addresses to query: recently listed ones, then seeds."""
         oldest_s = self.clock.now_s() - self.settings.remember_s
         seen = [a for a, at_s in self.last_seen_s.items() if at_s >= oldest_s]
         rest = [address for address in self.seeds if address not in seen]
@@ -481,7 +543,10 @@
         return seen + rest
 
     def query_host(self, address):
-        """Return one host's answer, or None; remember whom it names."""
+        """Return a host's answer to ``/v1/hosts``, None if it gives none.
+
+        The addresses in it are recorded.
+        """
         try:
             reply = self.connections_to(address).call(
                 'GET', HOSTS_PATH, b'', (), self.settings.head_s
@@ -497,7 +562,7 @@
         return document
 
     def forget_host(self, address):
-        """A host did not answer: ask it last."""
+        """Remove a host that did not answer from the recently listed ones."""
         self.last_seen_s.pop(address, None)
         if self.session is not None and self.session.address == address:
             self.session = None
@@ -509,7 +574,7 @@
 
 
 def is_inconclusive(outcome, progress):
-    """Tell whether an outcome leaves open what became of earlier copies."""
+    """Whether an earlier copy may have been executed despite the outcome."""
     if not isinstance(outcome, outcomes.NotRun) or progress.copies == 1:
         return False
     return outcome.reason in REASONS_WITHOUT_HOME and progress.sent
