--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -195,7 +195,7 @@
                 held._replace(store_revision=store_revision)
             )
         elif sent_s > held.adopted_s:
-            # Lets the next edit, which contains the held table, replace it.
+            # The next edit, based on the held table, may replace this one.
             self.documents.publish(
                 held._replace(store_revision=store_revision)
             )
@@ -227,7 +227,7 @@
         The watch should have delivered it before.
 
         :param text: the serialized document, or None
-        :param now_s: unused
+        :param now_s: monotonic time (not used)
         """
         document = self.parse(text) if text is not None else None
         if document is not None and self.is_newer(document):
