--- a/magnoliadyke/admin.py
+++ b/magnoliadyke/admin.py
@@ -76,7 +76,7 @@
     def write(self, text):
         """Log one piece of text."""
         if text.strip():
-            self.log.repeated('admin_server', '', text=text.strip())
+            self.log.throttled_warning('admin_server', '', text=text.strip())
 
     def writelines(self, lines):
         """Log several pieces of text."""
--- a/magnoliadyke/burnplot.py
+++ b/magnoliadyke/burnplot.py
@@ -13,7 +13,7 @@
 SIZE_INCHES = (9, 4)
 #: The window whose causes are drawn, in seconds.
 CAUSES_WINDOW_S = 3600
-LABELS = {
+WINDOW_LABELS = {
     300: '5 min',
     1800: '30 min',
     3600: '1 h',
@@ -51,7 +51,7 @@
 
 def _label(window: Mapping[str, Any]) -> str:
     seconds = window['window_s']
-    return LABELS.get(seconds, f'{seconds} s')
+    return WINDOW_LABELS.get(seconds, f'{seconds} s')
 
 
 def _draw_causes(axes: Any, customers: Sequence[Mapping[str, Any]]) -> None:
@@ -63,7 +63,7 @@
         drawn = [
             below + count for below, count in zip(drawn, counts, strict=True)
         ]
-    axes.set(ylabel=f'bad requests in {LABELS[CAUSES_WINDOW_S]}')
+    axes.set(ylabel=f'bad requests in {WINDOW_LABELS[CAUSES_WINDOW_S]}')
     axes.legend()
 
 
--- a/magnoliadyke/burnreport.py
+++ b/magnoliadyke/burnreport.py
@@ -17,7 +17,7 @@
     def on_get(self, request, response):
         """Answer the report; ``scope=host`` gives this host's part alone."""
         if request.get_param('scope') == 'host':
-            response.media = _own_part(self.node)
+            response.media = _local_counts(self.node)
             return
         response.media = collect(self.node, fleet.token_of(request))
 
@@ -28,7 +28,7 @@
     :param node: the :class:`magnoliadyke.node.Node` that is asked
     :param token: the operators' token, for the others
     """
-    own = _own_part(node)
+    own = _local_counts(node)
     others = fleet.ask_others(node, token, '/admin/burn?scope=host')
     parts = [own, *(part for part in others.values() if part is not None)]
     missing = [host for host, part in others.items() if part is None]
@@ -49,7 +49,7 @@
     return report | {'text': render_text(report)}
 
 
-def _own_part(node):
+def _local_counts(node):
     snapshot = node.metrics.burn_snapshot()
     return {
         'host': node.host,
--- a/magnoliadyke/cli.py
+++ b/magnoliadyke/cli.py
@@ -99,7 +99,7 @@
 UNKNOWN = 7
 INTERRUPTED = 130
 
-LOGIN_NAME = 'the login name'
+DEFAULT_OPERATOR = 'the login name'
 
 Args = Mapping[str, Any]
 
@@ -142,10 +142,10 @@
 
 def _run(argv: list[str]) -> int:
     # The arguments of lab programs are their own: docopt must not see them.
-    if argv[:1] == ['lab'] and len(argv) > 1 and not _asks_help(argv[1]):
+    if argv[:1] == ['lab'] and len(argv) > 1 and not _is_help_flag(argv[1]):
         return porcelain.lab(argv[1:])
     if argv[:1] == ['lab']:
-        return _show_lab()
+        return _list_lab_programs()
     args = docopt.docopt(__doc__, argv, version=magnoliadyke.__version__)
     for words, command in COMMANDS.items():
         if all(args[word] for word in words.split()):
@@ -153,11 +153,11 @@
     raise errors.UsageError('no command was given', 'see --help')
 
 
-def _asks_help(word: str) -> bool:
+def _is_help_flag(word: str) -> bool:
     return word in ('-h', '--help')
 
 
-def _show_lab() -> int:
+def _list_lab_programs() -> int:
     rows = sorted(labverbs.VERBS.items())
     width = max(len(name) for name, _ in rows)
     print('Programs of the lab: magnoliadyke lab VERB [ARGS...]')
@@ -191,14 +191,14 @@
 def _call_model(args: Args) -> int:
     options = _call_options(args)
     streams = args['--stream'] and not args['--json']
-    printer = _Printer()
+    printer = _StreamPrinter()
     if streams:
         options['on_text'] = printer.take
     outcome = porcelain.call_model(
         _caller(args),
         args['MODEL'],
         args['PROMPT'],
-        int(_number(args, '--max-tokens')),
+        int(_parse_number(args, '--max-tokens')),
         **options,
     )
     match outcome:
@@ -224,7 +224,7 @@
     return status
 
 
-class _Printer:
+class _StreamPrinter:
     """Prints pieces of an answer as they come."""
 
     def __init__(self):
@@ -262,7 +262,7 @@
 
 def _table_get(args: Args) -> int:
     value = porcelain.table_get(_admin(args), args['CELL'][0])
-    return _show(args, value, _plain)
+    return _show(args, value, _format_value)
 
 
 def _table_set(args: Args) -> int:
@@ -300,7 +300,7 @@
 
 
 def _table_history(args: Args) -> int:
-    limit = int(_number(args, '--limit'))
+    limit = int(_parse_number(args, '--limit'))
     entries = porcelain.table_history(_admin(args), limit)
     return _show(args, entries, render.history)
 
@@ -411,7 +411,7 @@
     return {
         'priority': args['--priority'],
         'repeatable': not args['--once'],
-        'deadline_s': _number(args, '--timeout'),
+        'deadline_s': _parse_number(args, '--timeout'),
     }
 
 
@@ -421,17 +421,17 @@
         'operator': _operator(args),
         'base_revision': None
         if base is None
-        else int(_number(args, '--base')),
-        'wait_s': _number(args, '--wait'),
+        else int(_parse_number(args, '--base')),
+        'wait_s': _parse_number(args, '--wait'),
     }
 
 
 def _operator(args: Args) -> str:
     given = args['--operator']
-    return '' if given == LOGIN_NAME else given
+    return '' if given == DEFAULT_OPERATOR else given
 
 
-def _number(args: Args, option: str) -> float:
+def _parse_number(args: Args, option: str) -> float:
     try:
         value = float(args[option])
     except ValueError:
@@ -459,7 +459,7 @@
     return DONE if result.state in ('in_force', 'unchanged') else NOT_IN_FORCE
 
 
-def _plain(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return value if isinstance(value, str) else json.dumps(value)
 
 
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -286,7 +286,7 @@
         try:
             reply = self.peers.fetch_table(address, known)
         except errors.HostUnreachable as error:
-            LOG.repeated('fetch_failed', address, error=str(error))
+            LOG.throttled_warning('fetch_failed', address, error=str(error))
             return
         self.post(PeerRead(reply[1] if reply is not None else None))
 
@@ -348,7 +348,7 @@
                     self.writer.write(table.accept(document, revision), 0)
             case table.Invalid(problems):
                 for problem in problems:
-                    LOG.repeated(
+                    LOG.throttled_warning(
                         'initial_table', problem.cell, problem=str(problem)
                     )
 
--- a/magnoliadyke/duties.py
+++ b/magnoliadyke/duties.py
@@ -274,7 +274,9 @@
         try:
             text = self.peers.pool_status(address, name)
         except errors.HostUnreachable as error:
-            LOG.repeated('planner_silent', member.host, error=str(error))
+            LOG.throttled_warning(
+                'planner_silent', member.host, error=str(error)
+            )
             return None
         return PoolStatus.parse(text) if text else None
 
--- a/magnoliadyke/explain.py
+++ b/magnoliadyke/explain.py
@@ -5,13 +5,13 @@
 import re
 from typing import NamedTuple
 
-__all__ = ['Line', 'gather', 'nearby']
+__all__ = ['Line', 'find_request_lines', 'find_state_changes']
 
 _AT = re.compile(r'\bat=(\S+)')
 _HOST = re.compile(r'\bhost=(\S+)')
 _ENDPOINT = re.compile(r'\bendpoint=(\S+)')
 #: Events that change what a host believes; one of them may be the cause.
-BELIEFS = (
+STATE_CHANGE_EVENTS = (
     'configuration',
     'endpoint',
     'endpoint_doubted',
@@ -42,7 +42,7 @@
     text: str
 
 
-def gather(request_id: str, lines: Iterable[str]) -> list[Line]:
+def find_request_lines(request_id: str, lines: Iterable[str]) -> list[Line]:
     """The lines that name a request, in order of time.
 
     :param lines: of the logs of all hosts
@@ -52,7 +52,7 @@
     return sorted(line for line in found if line is not None)
 
 
-def nearby(
+def find_state_changes(
     lines: Iterable[str], around: list[Line], seconds: float
 ) -> list[Line]:
     """Changes of belief that may have decided a request.
@@ -70,7 +70,9 @@
     from_at = around[0].at - datetime.timedelta(seconds=seconds)
     found = []
     for text in lines:
-        if not any(f'event={event} ' in f'{text} ' for event in BELIEFS):
+        if not any(
+            f'event={event} ' in f'{text} ' for event in STATE_CHANGE_EVENTS
+        ):
             continue
         line = _parse(text)
         if line is None or not from_at <= line.at <= around[-1].at:
--- a/magnoliadyke/gateway/autoscaling.py
+++ b/magnoliadyke/gateway/autoscaling.py
@@ -86,7 +86,7 @@
         except ValueError:
             wanted = None
         if not isinstance(wanted, int) or wanted < 0:
-            LOG.repeated('fleet_size_ignored', item.key, key=item.key)
+            LOG.throttled_warning('fleet_size_ignored', item.key, key=item.key)
             return
         self.wanted[item.key.removeprefix(FLEET_PREFIX)] = wanted
 
--- a/magnoliadyke/gateway/crashreports.py
+++ b/magnoliadyke/gateway/crashreports.py
@@ -60,7 +60,7 @@
             self.sent_in_window = 0
         self.sent_in_window += 1
         if self.sent_in_window > MAX_NOTIFICATIONS_PER_S:
-            LOG.repeated(
+            LOG.throttled_warning(
                 'broken_request_untold', endpoint, told=self.sent_in_window
             )
             return
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -255,7 +255,7 @@
             # applied, the state kept for the endpoint would be dropped twice:
             # now, and when the entry of the new process is read again.
             self.unusable['former endpoint'] += 1
-            LOG.repeated('endpoint_former', item.key, key=item.key)
+            LOG.throttled_warning('endpoint_former', item.key, key=item.key)
             return
         if self.stale_entries.is_stale(
             endpoint.name, item.position, self.clock.now_s()
@@ -283,7 +283,7 @@
     def _ignore_endpoint(self, item: store.Item, reason: str) -> None:
         """Ignore an entry that is not usable, and drop its endpoint."""
         self.unusable['endpoint'] += 1
-        LOG.repeated(
+        LOG.throttled_warning(
             'endpoint_ignored',
             item.key,
             key=item.key,
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -274,7 +274,9 @@
         try:
             record = HostRecord.parse(value)
         except (ValueError, KeyError, TypeError) as error:
-            LOG.repeated('host_record_ignored', 'record', error=str(error))
+            LOG.throttled_warning(
+                'host_record_ignored', 'record', error=str(error)
+            )
             return
         self.records[record.host] = record
         self.listed.add(record.host)
@@ -358,7 +360,9 @@
             try:
                 message = gossip_codec.decode(DEPLOYMENT, data)
             except errors.ProtocolError as error:
-                LOG.repeated('datagram_ignored', 'gossip', reason=str(error))
+                LOG.throttled_warning(
+                    'datagram_ignored', 'gossip', reason=str(error)
+                )
                 continue
             self._act(self.membership.receive(message, self.clock.now_s()))
             self._log_changes()
@@ -393,7 +397,7 @@
         try:
             self.socket.sendto(data, address)
         except OSError as error:
-            LOG.repeated('send_failed', address[0], error=str(error))
+            LOG.throttled_warning('send_failed', address[0], error=str(error))
             return
         self.sent_bytes += len(data)
 
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -99,7 +99,9 @@
                 protocol, protocol
             )
         except peer.FAILURES as error:
-            LOG.repeated('state_not_told', address[0], error=str(error))
+            LOG.throttled_warning(
+                'state_not_told', address[0], error=str(error)
+            )
         finally:
             sock.close()
 
@@ -172,7 +174,7 @@
             reply = client.fetch(constants.VERSION, known.revision, known.era)
             return _decode(reply)
     except (*peer.FAILURES, errors.ProtocolError) as error:
-        LOG.repeated('state_not_fetched', address, error=str(error))
+        LOG.throttled_warning('state_not_fetched', address, error=str(error))
         return None
     finally:
         if sock is not None:
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -398,7 +398,7 @@
                 return waiting.decided.get()
         self.leader_retry_at_s = self.clock.now_s() + LEADER_COOLDOWN_S
         self.counts['silent'] += 1
-        LOG.repeated('placing_host_silent', leader, leader=leader)
+        LOG.throttled_warning('placing_host_silent', leader, leader=leader)
         return None
 
     def _with_relative_times(self, job: promptjobs.Job) -> promptjobs.Job:
@@ -551,7 +551,9 @@
             try:
                 message = placement_codec.decode(data)
             except errors.ProtocolError as error:
-                LOG.repeated('datagram_ignored', sender[0], reason=str(error))
+                LOG.throttled_warning(
+                    'datagram_ignored', sender[0], reason=str(error)
+                )
                 continue
             self._receive(message, sender[0])
 
@@ -698,7 +700,7 @@
         try:
             self.socket._sock.sendto(data, (address, self.port))
         except OSError as error:
-            LOG.repeated('send_failed', address, error=str(error))
+            LOG.throttled_warning('send_failed', address, error=str(error))
 
 
 def request_timeout_s(link_mbps: float) -> float:
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -189,7 +189,7 @@
         try:
             used = self.parts.upstream.acquire(endpoint, 0, repeatable=True)
         except upstream.NoConnection as error:
-            LOG.repeated('handle_kept', endpoint.id, cause=str(error))
+            LOG.throttled_warning('handle_kept', endpoint.id, cause=str(error))
             return
         try:
             with gevent.Timeout(
@@ -203,5 +203,5 @@
             http.PeerClosed,
         ) as error:
             used.close()
-            LOG.repeated('handle_kept', endpoint.id, cause=str(error))
+            LOG.throttled_warning('handle_kept', endpoint.id, cause=str(error))
         self.parts.upstream.release(endpoint, used)
--- a/magnoliadyke/gateway/smallserver.py
+++ b/magnoliadyke/gateway/smallserver.py
@@ -62,7 +62,9 @@
                 with gevent.Timeout(IDLE_TIMEOUT_S, http.OutOfTime('idle')):
                     self._serve_one(caller, reader)
         except http.BrokenMessage as error:
-            LOG.repeated('call_unreadable', address[0], reason=str(error))
+            LOG.throttled_warning(
+                'call_unreadable', address[0], reason=str(error)
+            )
         except (callers.CallerLeft, http.OutOfTime, http.PeerClosed):
             # Callers may disconnect, or leave a connection idle.
             pass
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -240,7 +240,9 @@
         try:
             read = self.reports.parse(item.value)
         except (ValueError, TypeError) as error:
-            LOG.repeated('reports_ignored', item.key, error=str(error))
+            LOG.throttled_warning(
+                'reports_ignored', item.key, error=str(error)
+            )
             return
         if self.key is None or item.position > self.key.position:
             self.key = item
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -373,7 +373,9 @@
         try:
             message = gossip_codec.decode(self.deployment, data)
         except errors.ProtocolError as error:
-            LOG.repeated('datagram_ignored', 'datagram', reason=str(error))
+            LOG.throttled_warning(
+                'datagram_ignored', 'datagram', reason=str(error)
+            )
             return
         match message:
             case gossip_codec.Notice(notice=notice):
@@ -416,7 +418,7 @@
         try:
             self.socket.sendto(data, address)
         except OSError as error:
-            LOG.repeated('send_failed', address[0], error=str(error))
+            LOG.throttled_warning('send_failed', address[0], error=str(error))
             return
         self.sent_bytes += len(data)
 
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -300,7 +300,7 @@
 
     def close_refused(self, request, record, outcome):
         """End the record of a request that does not run."""
-        self.reports.refused(request.customer, outcome)
+        self.reports.record_refusal(request.customer, outcome)
         if request.key:
             self.records.settle(record, outcome)
         else:
@@ -395,7 +395,7 @@
     def on_end(self, run):
         """Keep the outcome of a run that ended."""
         self.runs.pop(run.key, None)
-        self.reports.ended(run)
+        self.reports.record_run_end(run)
         record = run.record
         match run.outcome:
             case records.Answer():
--- a/magnoliadyke/hostlist.py
+++ b/magnoliadyke/hostlist.py
@@ -65,6 +65,8 @@
                 raise ValueError(f'status {reply.status}')
             listed = hostdiscovery.parse_host_list(reply.json())
         except (errors.EndpointUnreachable, ValueError) as error:
-            LOG.repeated('host_list_unread', 'host_list', error=str(error))
+            LOG.throttled_warning(
+                'host_list_unread', 'host_list', error=str(error)
+            )
             return
         self.gossip.post(gossips.Listed(listed))
--- a/magnoliadyke/lab/scrape.py
+++ b/magnoliadyke/lab/scrape.py
@@ -62,7 +62,7 @@
     metrics = metrics_module.Metrics(settings, settings.hosts[0].name, clock)
     tracemalloc.start()
     for number in range(customers):
-        metrics.request_finished(f'c{number}', 'answered', TIMINGS, 9, 9)
+        metrics.record_request_end(f'c{number}', 'answered', TIMINGS, 9, 9)
     state_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     watcher = Watcher()
--- a/magnoliadyke/labverbs.py
+++ b/magnoliadyke/labverbs.py
@@ -8,10 +8,10 @@
 
 from magnoliadyke import errors
 
-__all__ = ['STAND_INS', 'VERBS', 'find', 'run']
+__all__ = ['STAND_IN_PROGRAMS', 'VERBS', 'find', 'run']
 
 #: Stand-ins: small servers whose arguments are an address and a JSON object.
-STAND_INS = {
+STAND_IN_PROGRAMS = {
     'engine': 'stand-in for a model engine',
     'hostlist': "stand-in for the platform's host list",
     'keyvalue': "stand-in for the platform's key-value service",
@@ -21,7 +21,7 @@
 }
 
 #: Load and experiments, which describe their own arguments.
-EXPERIMENTS = {
+EXPERIMENT_PROGRAMS = {
     'capacity': 'measure the slopes behind docs/CAPACITY.md',
     'demo': 'run the small Dala deployment and check every answer',
     'faults': 'faults with real processes behind the faulty proxy',
@@ -32,13 +32,13 @@
 }
 
 #: Started by other programs of the lab only.
-INTERNAL = {
+INTERNAL_PROGRAMS = {
     'worker': 'a process that works for lab policy',
 }
 
-VERBS = STAND_INS | EXPERIMENTS | INTERNAL
+VERBS = STAND_IN_PROGRAMS | EXPERIMENT_PROGRAMS | INTERNAL_PROGRAMS
 
-HELP_WORDS = frozenset(('-h', '--help'))
+HELP_FLAGS = frozenset(('-h', '--help'))
 
 
 def run(argv: Sequence[str]) -> int:
@@ -49,11 +49,11 @@
     """
     verb, *rest = argv
     module = find(verb)
-    if verb in STAND_INS:
-        if HELP_WORDS.intersection(rest):
+    if verb in STAND_IN_PROGRAMS:
+        if HELP_FLAGS.intersection(rest):
             print(_stand_in_help(verb, module))
             return 0
-        _check_stand_in(verb, rest, module)
+        _check_stand_in_args(verb, rest, module)
     return module.main(rest) or 0
 
 
@@ -93,7 +93,7 @@
     return text + '\n\nFields of JSON, with defaults:\n' + '\n'.join(shown)
 
 
-def _check_stand_in(
+def _check_stand_in_args(
     verb: str, rest: Sequence[str], module: types.ModuleType
 ) -> None:
     remedy = f"use 'magnoliadyke lab {verb} IP:PORT [JSON]'"
--- a/magnoliadyke/logs.py
+++ b/magnoliadyke/logs.py
@@ -23,14 +23,14 @@
 REPEAT_INTERVAL_S = 10.0
 
 #: Innermost frames that an error's line names.
-TRACE_DEPTH = 6
+MAX_TRACE_FRAMES = 6
 
 #: Most repeated events remembered at a time.
-MAX_REPEATED = 1000
+MAX_THROTTLED_EVENTS = 1000
 
-_PLAIN = re.compile(r'[A-Za-z0-9_.:/@+,*%\[\]-]+\Z')
+_UNQUOTED = re.compile(r'[A-Za-z0-9_.:/@+,*%\[\]-]+\Z')
 
-_GROUP = logbook.LoggerGroup(level=logbook.INFO)
+_LOGGERS = logbook.LoggerGroup(level=logbook.INFO)
 
 
 def format_fields(fields):
@@ -48,7 +48,7 @@
     if isinstance(value, float):
         return f'{value:.6g}'
     text = value if isinstance(value, str) else str(value)
-    if _PLAIN.match(text):
+    if _UNQUOTED.match(text):
         return text
     return json.dumps(text)
 
@@ -63,8 +63,8 @@
     def __init__(self, name, clock=None):
         super().__init__(name)
         self.clock = clock or clocks.SystemClock()
-        self.repeats = {}
-        _GROUP.add_logger(self)
+        self.throttled = {}
+        _LOGGERS.add_logger(self)
 
     def event(self, name, /, **fields):
         """Log something that happens in ordinary work."""
@@ -88,7 +88,7 @@
             fields = fields | _error_fields(error)
         self._emit(logbook.ERROR, name, fields)
 
-    def repeated(self, name, key, /, **fields):
+    def throttled_warning(self, name, key, /, **fields):
         """Log a warning, at most once an interval for each ``key``.
 
         An endpoint that is down fails each request that tries it: without
@@ -98,13 +98,13 @@
         :param key: what the event is about, such as an endpoint's name
         """
         now_s = self.clock.now_s()
-        last_s, held_back = self.repeats.get((name, key), (None, 0))
+        last_s, held_back = self.throttled.get((name, key), (None, 0))
         if last_s is not None and now_s - last_s < REPEAT_INTERVAL_S:
-            self.repeats[name, key] = last_s, held_back + 1
+            self.throttled[name, key] = last_s, held_back + 1
             return
-        if len(self.repeats) >= MAX_REPEATED:
-            self.repeats.clear()
-        self.repeats[name, key] = now_s, 0
+        if len(self.throttled) >= MAX_THROTTLED_EVENTS:
+            self.throttled.clear()
+        self.throttled[name, key] = now_s, 0
         if held_back:
             fields['held_back'] = held_back
         self._emit(logbook.WARNING, name, fields)
@@ -116,7 +116,7 @@
 
 def _error_fields(error):
     fields = {'error': type(error).__name__, 'message': str(error)}
-    frames = traceback.extract_tb(error.__traceback__)[-TRACE_DEPTH:]
+    frames = traceback.extract_tb(error.__traceback__)[-MAX_TRACE_FRAMES:]
     if frames:
         fields['where'] = '<'.join(
             f'{os.path.basename(frame.filename)}:{frame.lineno}'
@@ -163,7 +163,7 @@
 
     def emit(self, record):
         """Write one record, or count it as lost."""
-        if not _has_room(self.stream):
+        if not _is_writable(self.stream):
             self.lost_lines += 1
             return
         line = self.format(record).encode()[: MAX_LINE_BYTES - 1]
@@ -172,7 +172,7 @@
         self.stream.flush()
 
 
-def _has_room(stream):
+def _is_writable(stream):
     try:
         descriptor = stream.fileno()
     except (AttributeError, OSError, ValueError):
@@ -196,7 +196,7 @@
 
     def emit(self, record):
         """Log one message as an event."""
-        self.log.repeated(
+        self.log.throttled_warning(
             'library_warning',
             record.name,
             library=record.name,
@@ -226,7 +226,7 @@
     :param level: least level that is written
     :returns: the handler; its ``pop_application()`` undoes the set-up
     """
-    _GROUP.level = level
+    _LOGGERS.level = level
     handler = LineHandler(stream, clock or clocks.SystemClock(), host, level)
     handler.push_application()
     logging.basicConfig(
--- a/magnoliadyke/metrics.py
+++ b/magnoliadyke/metrics.py
@@ -37,7 +37,7 @@
 
 #: Outcomes that neither meet nor miss an objective: the caller or the
 #: customer's row asked for them, or another host decides.
-UNJUDGED = frozenset({'limited', 'rejected', 'cancelled', 'declined'})
+UNSCORED_OUTCOMES = frozenset({'limited', 'rejected', 'cancelled', 'declined'})
 
 # Few bounds: with 270 customers each one is 270 more lines of every scrape.
 FIRST_TOKEN_BOUNDS_S = (0.1, 0.25, 0.42, 0.7, 1, 2, 5, 20)
@@ -105,23 +105,23 @@
             'magnoliadyke.role_changes',
             description='Role changes that this node commanded.',
         )
-        self.first_token = self.seconds(
+        self.first_token = self.create_seconds_histogram(
             'magnoliadyke.first_token',
             'Time from arrival to the first token.',
             FIRST_TOKEN_BOUNDS_S,
         )
-        self.per_token = self.seconds(
+        self.per_token = self.create_seconds_histogram(
             'magnoliadyke.per_token',
             'Mean time between the tokens of a request.',
             PER_TOKEN_BOUNDS_S,
         )
-        self.queued = self.seconds(
+        self.queued = self.create_seconds_histogram(
             'magnoliadyke.queued',
             'Time in the queue of this node.',
             QUEUED_BOUNDS_S,
         )
 
-    def seconds(self, name, description, bounds_s):
+    def create_seconds_histogram(self, name, description, bounds_s):
         """Create a histogram of times."""
         return self.meter.create_histogram(
             name,
@@ -130,7 +130,7 @@
             explicit_bucket_boundaries_advisory=bounds_s,
         )
 
-    def gauge(self, name, description, read, unit=''):
+    def add_gauge(self, name, description, read, unit=''):
         """Add a value that is read whenever metrics are collected.
 
         :param name: such as ``magnoliadyke.members``
@@ -147,7 +147,7 @@
             name, callbacks=[observe], unit=unit, description=description
         )
 
-    def request_finished(
+    def record_request_end(
         self, customer, outcome, timings=None, prompt_tokens=0, output_tokens=0
     ):
         """Count a request that has ended, whatever became of it.
@@ -159,7 +159,7 @@
         """
         timings = timings or burn.Timings()
         verdict = burn.Verdict(True)
-        if outcome not in UNJUDGED:
+        if outcome not in UNSCORED_OUTCOMES:
             verdict = burn.judge(timings, outcome == 'answered')
             self.burn_counters.record(customer, verdict, self.clock.now_s())
         self.totals[customer][outcome] += 1
@@ -177,7 +177,7 @@
             self.tokens.add(output_tokens, labels | {'direction': 'output'})
         return verdict
 
-    def role_change(self, pool, endpoint, role):
+    def record_role_change(self, pool, endpoint, role):
         """Count a role change that this node has commanded."""
         self.role_changes.add(
             1, {'pool': pool, 'endpoint': endpoint, 'role': role}
@@ -200,7 +200,9 @@
         """
         parts = []
         for family in self.registry.collect():
-            parts.append(prometheus_client.generate_latest(Families([family])))
+            parts.append(
+                prometheus_client.generate_latest(FamilyCollector([family]))
+            )
             gevent.sleep(0)
         return b''.join(parts)
 
@@ -216,7 +218,7 @@
         self.provider.shutdown()
 
 
-class Families:
+class FamilyCollector:
     """Metric families in the place of a registry."""
 
     def __init__(self, families):
@@ -227,7 +229,7 @@
         return self.families
 
 
-class HandOverReader(export.MetricReader):
+class OnDemandReader(export.MetricReader):
     """Collects when told to and keeps the result for whoever told it."""
 
     def __init__(self):
@@ -237,7 +239,7 @@
     def _receive_metrics(self, metrics_data, timeout_millis=0, **kwargs):
         self.collected = metrics_data
 
-    def take(self):
+    def collect_now(self):
         """Collect now and return the metrics."""
         self.collect()
         collected, self.collected = self.collected, None
@@ -264,7 +266,7 @@
         from opentelemetry.exporter.otlp.proto.http import metric_exporter
 
         self.tick_interval_s = settings.export_s
-        self.reader = HandOverReader()
+        self.reader = OnDemandReader()
         self.log = logs.get('metrics')
         self.exporter = metric_exporter.OTLPMetricExporter(
             endpoint=settings.otlp_endpoint, timeout=PUSH_TIMEOUT_S
@@ -272,16 +274,18 @@
 
     def tick(self):
         """Push once; the next push carries the same sums if this fails."""
-        collected = self.reader.take()
+        collected = self.reader.collect_now()
         if collected is None:
             return
         try:
             result = self.exporter.export(collected)
         except Exception as error:
-            self.log.repeated('push_failed', '', error=str(error))
+            self.log.throttled_warning('push_failed', '', error=str(error))
             return
         if result is not export.MetricExportResult.SUCCESS:
-            self.log.repeated('push_failed', '', error='refused or no answer')
+            self.log.throttled_warning(
+                'push_failed', '', error='refused or no answer'
+            )
 
     def on_stop(self):
         """Push the last counts and close the connection."""
--- a/magnoliadyke/moves.py
+++ b/magnoliadyke/moves.py
@@ -46,7 +46,9 @@
         try:
             self.kv = self.engine.export(self.attempt_id)
         except errors.EndpointUnreachable as error:
-            LOG.repeated('export_failed', self.attempt_id, error=str(error))
+            LOG.throttled_warning(
+                'export_failed', self.attempt_id, error=str(error)
+            )
 
     def place(self):
         """Ask for another engine; '' when there is none."""
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -95,7 +95,9 @@
         try:
             digest = scheduler.Digest.from_bytes(data)
         except (ValueError, TypeError, KeyError) as error:
-            self.log.repeated('digest_unreadable', host, error=str(error))
+            self.log.throttled_warning(
+                'digest_unreadable', host, error=str(error)
+            )
             return
         self.work.post(dispatch.PeerDigest(host, digest))
 
@@ -295,7 +297,7 @@
 
     def add_gauges(self):
         """Let the cost of control be read from the metrics."""
-        self.metrics.gauge(
+        self.metrics.add_gauge(
             'magnoliadyke.peer_bytes',
             'Bytes of membership datagrams since the start.',
             lambda: [
@@ -303,7 +305,7 @@
                 ({'direction': 'received'}, self.gossip.received_bytes),
             ],
         )
-        self.metrics.gauge(
+        self.metrics.add_gauge(
             'magnoliadyke.store_calls',
             'Calls to the key-value service since the start.',
             lambda: [
--- a/magnoliadyke/overview.py
+++ b/magnoliadyke/overview.py
@@ -16,7 +16,7 @@
 SHOWN_OUTCOMES = ('answered', 'not_run', 'unknown', 'rejected')
 
 #: Figures of a customer that add up over the hosts.
-COUNTED = ('running', 'queued', *metrics.OUTCOMES)
+SUMMED_FIELDS = ('running', 'queued', *metrics.OUTCOMES)
 
 
 class StatusResource:
@@ -32,7 +32,7 @@
             token = fleet.token_of(request)
             path = '/admin/status?scope=host'
             others = fleet.ask_others(self.node, token, path)
-            _add_customers(own, [a for a in others.values() if a])
+            _add_customer_counts(own, [a for a in others.values() if a])
         response.media = own
 
 
@@ -141,7 +141,7 @@
     return seen._asdict() if seen is not None else {}
 
 
-def _add_customers(own, others):
+def _add_customer_counts(own, others):
     """Add the counts of the other hosts; what runs is a fleet's figure."""
     totals = {customer['name']: customer for customer in own['customers']}
     for status_of_other in others:
@@ -149,7 +149,7 @@
             total = totals.get(customer['name'])
             if total is None:
                 continue
-            for field in COUNTED:
+            for field in SUMMED_FIELDS:
                 if field in total or field in customer:
                     total[field] = total.get(field, 0) + customer.get(field, 0)
 
--- a/magnoliadyke/peer.py
+++ b/magnoliadyke/peer.py
@@ -264,7 +264,7 @@
                     connection, address, name, arguments, timeout_s
                 )
             except FAILURES as error:
-                LOG.repeated(
+                LOG.throttled_warning(
                     'peer_call_failed', address, call=name, error=str(error)
                 )
         try:
--- a/magnoliadyke/platform/store.py
+++ b/magnoliadyke/platform/store.py
@@ -336,7 +336,9 @@
             )
         if self.era is not None and era < self.era:
             reason = _earlier_era_reason(era, self.era)
-            LOG.repeated('answer_of_earlier_era', 'store', reason=reason)
+            LOG.throttled_warning(
+                'answer_of_earlier_era', 'store', reason=reason
+            )
             return store.Unavailable(reason, True)
         before, self.era = self.era, era
         if before is not None and era > before:
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -331,7 +331,9 @@
             if not granted:
                 retry_after_s = float(reply.json()['retry_after_s'])
         except (errors.EndpointUnreachable, ValueError, KeyError) as error:
-            LOG.repeated('weight_store_failed', self.name, error=str(error))
+            LOG.throttled_warning(
+                'weight_store_failed', self.name, error=str(error)
+            )
         self.task.post(
             WeightsAnswered(self.name, engine.name, granted, retry_after_s)
         )
@@ -385,7 +387,7 @@
             at_s = self.task.clock.wall_s()
             self.changes.append((at_s, engine.name, change.target))
             if self.task.metrics is not None:
-                self.task.metrics.role_change(
+                self.task.metrics.record_role_change(
                     self.name, engine.name, change.target
                 )
 
@@ -482,7 +484,7 @@
         try:
             reading = engine.control.read()
         except (errors.EndpointUnreachable, ValueError) as error:
-            LOG.repeated('engine_away', engine.name, error=str(error))
+            LOG.throttled_warning('engine_away', engine.name, error=str(error))
             reading = None
         if polled:
             engine.take_reading(reading, self.task.clock.now_s())
@@ -502,7 +504,9 @@
             if left_s > 0:
                 verdict = engine.control.send(command, left_s, may_send)
         except errors.EndpointUnreachable as error:
-            LOG.repeated('command_unknown', engine.name, error=str(error))
+            LOG.throttled_warning(
+                'command_unknown', engine.name, error=str(error)
+            )
         self.task.post(CommandAnswered(self.name, engine.name, verdict))
 
     # Answers.
--- a/magnoliadyke/porcelain.py
+++ b/magnoliadyke/porcelain.py
@@ -478,8 +478,8 @@
                 'name the log files of the hosts',
             ) from error
         texts += content.splitlines()
-    lines = explanation.gather(request_id, texts)
-    near = explanation.nearby(texts, lines, EXPLAIN_BEFORE_S)
+    lines = explanation.find_request_lines(request_id, texts)
+    near = explanation.find_state_changes(texts, lines, EXPLAIN_BEFORE_S)
     return Explanation(lines, near)
 
 
--- a/magnoliadyke/render.py
+++ b/magnoliadyke/render.py
@@ -20,8 +20,8 @@
 ]
 
 #: Longest text shown for a cell, in characters.
-SHOWN_CHARACTERS = 48
-NOTHING = '-'
+MAX_SHOWN_CHARACTERS = 48
+NO_VALUE = '-'
 
 
 def columns(heading: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
@@ -39,7 +39,7 @@
 
 def _column(texts: Sequence[str]) -> list[str]:
     width = max(len(text) for text in texts)
-    values = [text for text in texts[1:] if text != NOTHING]
+    values = [text for text in texts[1:] if text != NO_VALUE]
     if values and all(_is_number(text) for text in values):
         return [text.rjust(width) for text in texts]
     return [text.ljust(width) for text in texts]
@@ -52,7 +52,7 @@
     """
     match value:
         case None:
-            return NOTHING
+            return NO_VALUE
         case bool():
             return 'yes' if value else 'no'
         case float():
@@ -62,11 +62,11 @@
         ):
             return f'{len(value)} hashed'
         case list():
-            text = ','.join(str(item) for item in value) or NOTHING
+            text = ','.join(str(item) for item in value) or NO_VALUE
         case _:
             text = str(value)
-    if len(text) > SHOWN_CHARACTERS:
-        return text[: SHOWN_CHARACTERS - 3] + '...'
+    if len(text) > MAX_SHOWN_CHARACTERS:
+        return text[: MAX_SHOWN_CHARACTERS - 3] + '...'
     return text
 
 
@@ -328,7 +328,7 @@
 
 
 def _seconds(value: float | None) -> str:
-    return NOTHING if value is None else f'{value:.2f} s'
+    return NO_VALUE if value is None else f'{value:.2f} s'
 
 
 def _is_number(text: str) -> bool:
--- a/magnoliadyke/reports.py
+++ b/magnoliadyke/reports.py
@@ -6,14 +6,14 @@
 from magnoliadyke import logs
 from magnoliadyke import streams
 
-__all__ = ['Reports', 'outcome_word']
+__all__ = ['Reports', 'outcome_label']
 
 LOG = logs.get('requests')
 
 SERVER_ERROR = 500
 
 #: Ends of requests that an operator should be able to find in the log.
-LOGGED = frozenset({'failed', 'not_run', 'unknown'})
+LOGGED_OUTCOMES = frozenset({'failed', 'not_run', 'unknown'})
 #: Refusals for lack of capacity.
 SHED_REASONS = frozenset({'overloaded', 'queue_full'})
 #: A request that is shed at once has not waited: it is blamed on a role change
@@ -21,7 +21,7 @@
 SHED_LOOK_BACK_S = 1.0
 
 
-def outcome_word(outcome):
+def outcome_label(outcome):
     """Return the word that the metrics use for an outcome."""
     match outcome:
         case records.Answer(status=status):
@@ -57,16 +57,16 @@
         self.dispatcher = dispatcher
         self.clock = clock
 
-    def refused(self, customer, outcome):
+    def record_refusal(self, customer, outcome):
         """Count a request that was refused before it had a run."""
         if self.metrics is not None:
-            word = outcome_word(outcome)
+            word = outcome_label(outcome)
             # The caller goes on at another host, and is counted there.
             if word == 'not_run':
                 word = 'declined'
-            self.metrics.request_finished(customer, word)
+            self.metrics.record_request_end(customer, word)
 
-    def ended(self, run):
+    def record_run_end(self, run):
         """Count a run that has ended.
 
         :param run: :class:`magnoliadyke.streams.EndpointRun`
@@ -77,17 +77,17 @@
         if isinstance(run.outcome, records.Answer):
             prompt_tokens = run.outcome.prompt_tokens
             output_tokens = run.outcome.output_tokens
-        word = outcome_word(run.outcome)
-        verdict = self.metrics.request_finished(
+        word = outcome_label(run.outcome)
+        verdict = self.metrics.record_request_end(
             run.job.customer,
             word,
             self.timings(run, output_tokens),
             prompt_tokens,
             output_tokens,
         )
-        if word in LOGGED:
+        if word in LOGGED_OUTCOMES:
             reason = getattr(run.outcome, 'reason', 'endpoint_error')
-            LOG.repeated(
+            LOG.throttled_warning(
                 'request_failed',
                 (run.job.customer, word, reason),
                 key=run.key,
--- a/magnoliadyke/settings_checks.py
+++ b/magnoliadyke/settings_checks.py
@@ -14,9 +14,9 @@
 __all__ = ['Problem', 'find_problems']
 
 #: Stands for a value that must not be printed.
-HIDDEN = '(hidden)'
+REDACTED = '(hidden)'
 #: Longest value that a problem repeats, in characters.
-SHOWN_CHARACTERS = 60
+MAX_SHOWN_CHARACTERS = 60
 
 
 class Problem(NamedTuple):
@@ -46,23 +46,23 @@
 
     :param document: the settings as read from JSON.
     """
-    problems = list(_schema_problems(document))
+    problems = list(_find_schema_problems(document))
     if isinstance(document, dict):
         for find in CROSS_CHECKS:
             problems.extend(find(document))
     return problems
 
 
-def _schema_problems(document: Any) -> Iterator[Problem]:
+def _find_schema_problems(document: Any) -> Iterator[Problem]:
     validator = jsonschema.Draft202012Validator(settings_schema.SCHEMA)
     found = sorted(
         validator.iter_errors(document), key=lambda error: error.json_path
     )
     for error in found:
-        yield from _explain(error)
+        yield from _to_problems(error)
 
 
-def _explain(error: jsonschema.ValidationError) -> Iterator[Problem]:
+def _to_problems(error: jsonschema.ValidationError) -> Iterator[Problem]:
     path = error.json_path.removeprefix('$').removeprefix('.')
     kind, wanted = error.validator, error.validator_value
     if kind == 'required':
@@ -80,7 +80,7 @@
     value = error.instance
     if wanted == settings_schema.HASH_PATTERN:
         # Whoever writes the key itself here must not find it in a log too.
-        value = HIDDEN
+        value = REDACTED
     yield _problem(path or '$', value, _MESSAGES.get(kind, kind), remedy)
 
 
@@ -103,12 +103,12 @@
 def _problem(path: str, value: Any, message: str, remedy: str) -> Problem:
     if value is None:
         shown = ''
-    elif value is HIDDEN:
-        shown = HIDDEN
+    elif value is REDACTED:
+        shown = REDACTED
     else:
         shown = repr(value)
-        if len(shown) > SHOWN_CHARACTERS:
-            shown = shown[: SHOWN_CHARACTERS - 3] + '...'
+        if len(shown) > MAX_SHOWN_CHARACTERS:
+            shown = shown[: MAX_SHOWN_CHARACTERS - 3] + '...'
     return Problem(path, shown, message, remedy)
 
 
@@ -136,7 +136,7 @@
     ]
 
 
-def _addresses(document: dict[str, Any]) -> Iterator[Problem]:
+def _check_addresses(document: dict[str, Any]) -> Iterator[Problem]:
     for path, host in _items(document, 'hosts'):
         for key in ('address', 'admin_address'):
             yield from _check_ip(f'{path}.{key}', host.get(key))
@@ -180,7 +180,7 @@
     yield from _check_ip(path, ip, shown=value)
 
 
-def _clashing_ports(document: dict[str, Any]) -> Iterator[Problem]:
+def _check_port_conflicts(document: dict[str, Any]) -> Iterator[Problem]:
     users = collections.defaultdict(list)
     for path, host in _items(document, 'hosts'):
         for address_key, port_key in (
@@ -204,7 +204,7 @@
             )
 
 
-def _failure_domains(document: dict[str, Any]) -> Iterator[Problem]:
+def _check_failure_domains(document: dict[str, Any]) -> Iterator[Problem]:
     known = document.get('failure_domains')
     if not isinstance(known, list):
         return
@@ -219,10 +219,10 @@
             )
 
 
-def _duplicates(document: dict[str, Any]) -> Iterator[Problem]:
+def _check_unique_names(document: dict[str, Any]) -> Iterator[Problem]:
     domains = document.get('failure_domains')
     if isinstance(domains, list):
-        yield from _repeated(
+        yield from _find_duplicates(
             (f'failure_domains[{index}]', name)
             for index, name in enumerate(domains)
         )
@@ -231,16 +231,16 @@
         _items(document, 'pools'),
         _endpoints(document),
     ):
-        yield from _repeated(
+        yield from _find_duplicates(
             (f'{path}.name', item.get('name')) for path, item in found
         )
-    yield from _repeated(
+    yield from _find_duplicates(
         (f'{path}.model', item.get('model'))
         for path, item in _items(document, 'pools')
     )
 
 
-def _repeated(named: Iterator[tuple[str, Any]]) -> Iterator[Problem]:
+def _find_duplicates(named: Iterator[tuple[str, Any]]) -> Iterator[Problem]:
     first: dict[str, str] = {}
     for path, name in named:
         if not isinstance(name, str):
@@ -266,7 +266,7 @@
                 yield name, row
 
 
-def _initial_cells(document: dict[str, Any]) -> Iterator[Problem]:
+def _check_initial_cells(document: dict[str, Any]) -> Iterator[Problem]:
     cells = {
         f'{sheet}/{row}/{column}': value
         for sheet in table.SHEETS
@@ -277,9 +277,9 @@
     # Rules across rows are only looked at when every cell is valid.
     for problem in problems:
         cells.pop(problem.cell, None)
-    problems += table.problems_of(cells, _inventory(document))
+    problems += table.problems_of(cells, _configured_names(document))
     for problem in problems:
-        value = HIDDEN if problem.cell.endswith('/keys') else problem.value
+        value = REDACTED if problem.cell.endswith('/keys') else problem.value
         yield _problem(
             'initial_table.' + problem.cell.replace('/', '.'),
             value,
@@ -288,7 +288,7 @@
         )
 
 
-def _inventory(document: dict[str, Any]) -> table.ConfiguredNames:
+def _configured_names(document: dict[str, Any]) -> table.ConfiguredNames:
     pools = {
         str(pool.item.get('name')): _names(_items(pool.item, 'endpoints'))
         for pool in _items(document, 'pools')
@@ -305,7 +305,7 @@
     return tuple(str(item.get('name')) for _, item in items)
 
 
-def _pool_minimums(document: dict[str, Any]) -> Iterator[Problem]:
+def _check_pool_minimums(document: dict[str, Any]) -> Iterator[Problem]:
     rows = dict(_rows(document, 'pools'))
     for path, pool in _items(document, 'pools'):
         if pool.get('kind') != 'model':
@@ -326,10 +326,10 @@
 
 
 CROSS_CHECKS = (
-    _addresses,
-    _clashing_ports,
-    _failure_domains,
-    _duplicates,
-    _initial_cells,
-    _pool_minimums,
+    _check_addresses,
+    _check_port_conflicts,
+    _check_failure_domains,
+    _check_unique_names,
+    _check_initial_cells,
+    _check_pool_minimums,
 )
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -61,7 +61,7 @@
 
 def test_metrics_are_scraped():
     node = fakenode.make()
-    node.metrics.request_finished('lease', 'answered')
+    node.metrics.record_request_end('lease', 'answered')
     result = fakenode.client(node).simulate_get('/metrics')
     assert 'magnoliadyke_requests_total{' in result.text
     assert result.headers['content-type'].startswith('text/plain')
--- a/tests/test_burnreport.py
+++ b/tests/test_burnreport.py
@@ -29,7 +29,7 @@
     monkeypatch.setattr(fleet.adminclient, 'AdminClient', FakeClient)
     node = fakenode.make()
     for _ in range(10):
-        node.metrics.request_finished('lease', 'answered', LATE)
+        node.metrics.record_request_end('lease', 'answered', LATE)
     body = fakenode.client(node).simulate_get('/admin/burn').json
     window = body['customers'][0]['windows'][0]
     assert (window['bad'], window['total']) == (20, 40)
@@ -41,7 +41,7 @@
 
 def test_part_of_one_host_holds_its_counts():
     node = fakenode.make()
-    node.metrics.request_finished('lease', 'answered', LATE)
+    node.metrics.record_request_end('lease', 'answered', LATE)
     path = '/admin/burn?scope=host'
     body = fakenode.client(node).simulate_get(path).json
     assert body['counts']['lease']['300'] == [1, 0, 0, 1, 0]
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -19,14 +19,16 @@
 
 
 def test_lines_of_a_request_in_order():
-    found = explain.gather('r1', LOG)
+    found = explain.find_request_lines('r1', LOG)
     assert ['try_ended' in line.text for line in found] == [True, False]
 
 
 def test_beliefs_nearby():
-    found = explain.nearby(LOG, explain.gather('r1', LOG), 5.0)
+    found = explain.find_state_changes(
+        LOG, explain.find_request_lines('r1', LOG), 5.0
+    )
     assert [line.host for line in found] == ['a']
-    assert explain.nearby(LOG, [], 5.0) == []
+    assert explain.find_state_changes(LOG, [], 5.0) == []
 
 
 def test_command(tmp_path, capsys):
--- a/tests/test_labverbs.py
+++ b/tests/test_labverbs.py
@@ -11,7 +11,7 @@
     assert callable(labverbs.find(verb).main)
 
 
-@pytest.mark.parametrize('verb', labverbs.STAND_INS)
+@pytest.mark.parametrize('verb', labverbs.STAND_IN_PROGRAMS)
 def test_stand_in_has_help(verb, capsys):
     assert labverbs.run([verb, '--help']) == 0
     assert 'IP:PORT [JSON]' in capsys.readouterr().out
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -64,10 +64,10 @@
     """
     log = logs.Logger('dispatch', clocks.ManualClock())
     for _ in range(1000):
-        log.repeated('endpoint_down', 'e1', endpoint='e1')
-    log.repeated('endpoint_down', 'e2', endpoint='e2')
+        log.throttled_warning('endpoint_down', 'e1', endpoint='e1')
+    log.throttled_warning('endpoint_down', 'e2', endpoint='e2')
     log.clock.advance(logs.REPEAT_INTERVAL_S)
-    log.repeated('endpoint_down', 'e1', endpoint='e1')
+    log.throttled_warning('endpoint_down', 'e1', endpoint='e1')
     lines = stream.getvalue().splitlines()
     assert len(lines) == 3
     assert lines[2].endswith('endpoint=e1 held_back=999')
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -23,7 +23,7 @@
 def test_request_is_counted_by_customer_outcome_and_cause():
     made = make()
     late = burn.Timings(first_token_s=3.0, per_token_s=0.05, queued_s=2.8)
-    verdict = made.request_finished('lease', 'answered', late, 100, 20)
+    verdict = made.record_request_end('lease', 'answered', late, 100, 20)
     assert verdict == burn.Verdict(False, 'queue')
     labels = '{cause="queue",customer="lease",outcome="answered"}'
     assert sample(made, f'magnoliadyke_requests_total{labels}') == 1
@@ -36,17 +36,17 @@
 
 def test_what_the_caller_or_its_row_caused_burns_no_budget():
     made = make()
-    for outcome in sorted(metrics.UNJUDGED):
-        made.request_finished('lease', outcome)
+    for outcome in sorted(metrics.UNSCORED_OUTCOMES):
+        made.record_request_end('lease', outcome)
     assert made.burn_snapshot() == {}
-    made.request_finished('lease', 'not_run', burn.Timings(queued_s=20.0))
+    made.record_request_end('lease', 'not_run', burn.Timings(queued_s=20.0))
     assert made.burn_snapshot()['lease'][300].bad == 1
 
 
 def test_gauge_is_read_when_scraped():
     made = make()
     members = [({'state': 'alive'}, 8)]
-    made.gauge('magnoliadyke.members', 'Members.', lambda: members)
+    made.add_gauge('magnoliadyke.members', 'Members.', lambda: members)
     assert sample(made, 'magnoliadyke_members{state="alive"}') == 8
     members[0] = ({'state': 'alive'}, 7)
     assert sample(made, 'magnoliadyke_members{state="alive"}') == 7
@@ -55,7 +55,7 @@
 def test_customers_beyond_the_usual_limit_keep_their_own_counts():
     made = make()
     for number in range(2100):
-        made.request_finished(f'c{number}', 'answered')
+        made.record_request_end(f'c{number}', 'answered')
     text = made.render_prometheus().decode()
     assert 'otel_metric_overflow' not in text
 
@@ -70,7 +70,7 @@
     exported = []
     made.pusher.exporter.export = exported.append
     made.start()
-    made.request_finished('lease', 'answered')
+    made.record_request_end('lease', 'answered')
     made.stop(5.0)
     assert 'magnoliadyke.requests' in exported[-1].to_json()
     assert threading.active_count() == 1
@@ -79,5 +79,5 @@
 def test_collector_that_fails_is_only_logged():
     made = make(otlp_endpoint='http://127.0.0.1:4318/v1/metrics')
     made.pusher.exporter.export = lambda collected: 1 / 0
-    made.request_finished('lease', 'answered')
+    made.record_request_end('lease', 'answered')
     made.pusher.tick()
--- a/tests/test_overview.py
+++ b/tests/test_overview.py
@@ -19,7 +19,7 @@
 
 def test_status_tells_hosts_customers_store_and_leases():
     node = fakenode.make()
-    node.metrics.request_finished('lease', 'answered')
+    node.metrics.record_request_end('lease', 'answered')
     body = fakenode.client(node).simulate_get('/admin/status').json
     assert body['table']['revision'] == 12
     assert body['members'][0]['host'] == fakenode.HOST
@@ -35,7 +35,7 @@
 
 def test_status_adds_up_the_customers_of_all_hosts(others):
     node = fakenode.make()
-    node.metrics.request_finished('lease', 'answered')
+    node.metrics.record_request_end('lease', 'answered')
     counts = {'name': 'lease', 'answered': 2, 'queued': 3}
     others['entry-2'] = {'customers': [counts]}
     client = fakenode.client(node)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -15,7 +15,7 @@
     def __init__(self):
         self.seen = []
 
-    def request_finished(self, *arguments):
+    def record_request_end(self, *arguments):
         self.seen.append(arguments)
         return burn.Verdict(False, 'queue')
 
@@ -37,7 +37,7 @@
 def test_an_answer_is_reported_with_its_times():
     metrics, counter = make()
     answer = records.Answer('model', 200, '', b'', 100, 8)
-    counter.ended(run_of(answer))
+    counter.record_run_end(run_of(answer))
     ((customer, word, times, prompt_tokens, output_tokens),) = metrics.seen
     assert (customer, word) == ('lease', 'answered')
     assert (prompt_tokens, output_tokens) == (100, 8)
@@ -51,7 +51,9 @@
 def test_a_refused_run_has_waited_until_its_end():
     metrics, counter = make()
     refused = outcomes.NotRun('overloaded', 'later')
-    counter.ended(run_of(refused, dispatched_s=None, first_output_s=None))
+    counter.record_run_end(
+        run_of(refused, dispatched_s=None, first_output_s=None)
+    )
     assert metrics.seen[0][1] == 'not_run'
     assert metrics.seen[0][2].queued_s == 10.0
     assert metrics.seen[0][2].shed
@@ -59,14 +61,16 @@
 
 def test_refusal_at_the_door_sends_the_caller_elsewhere():
     metrics, counter = make()
-    counter.refused('lease', outcomes.NotRun('stopping', 'ask another host'))
+    counter.record_refusal(
+        'lease', outcomes.NotRun('stopping', 'ask another host')
+    )
     assert metrics.seen == [('lease', 'declined')]
 
 
 def test_service_that_answers_late_is_late():
     metrics, counter = make()
     answer = records.Answer('service', 200, '', b'')
-    counter.ended(run_of(answer, first_output_s=None))
+    counter.record_run_end(run_of(answer, first_output_s=None))
     assert metrics.seen[0][2].first_token_s == 10.0
 
 
@@ -79,4 +83,4 @@
         records.Answer('service', 500, '', b''): 'failed',
     }
     for outcome, word in words.items():
-        assert reports.outcome_word(outcome) == word
+        assert reports.outcome_label(outcome) == word
