--- a/magnoliadyke/settings.py
+++ b/magnoliadyke/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a deployment: one JSON file, read once at the start."""
+"""Settings of a deployment: one JSON file, read once at start-up."""
 
 import json
 import pathlib
@@ -36,13 +36,13 @@
 class HostSettings(NamedTuple):
     """One host of the system.
 
-    :param name: name that ``--host`` chooses it by.
-    :param failure_domain: where it stands.
-    :param address: IP number for callers and peers.
-    :param caller_port: TCP port for callers.
-    :param admin_address: IP number for operators.
-    :param admin_port: TCP port for operators.
-    :param peer_port: TCP and UDP port for the other hosts.
+    :param name: name that is passed to ``magnoliadyke node --host``.
+    :param failure_domain: failure domain of the host.
+    :param address: IPv4 address of the listeners for callers and peers.
+    :param caller_port: TCP port for callers' requests.
+    :param admin_address: IPv4 address of the admin listener.
+    :param admin_port: TCP port of the admin listener.
+    :param peer_port: TCP and UDP port for traffic between hosts.
     """
 
     name: str
@@ -58,7 +58,7 @@
     """The platform's key-value service.
 
     :param address: ``IP:PORT``.
-    :param prefix: start of every key of this deployment.
+    :param prefix: prefix of all keys of this deployment.
     """
 
     address: str
@@ -88,9 +88,11 @@
 
     :param name: unique in the deployment.
     :param address: ``IP:PORT``.
-    :param failure_domain: where it stands.
-    :param checks_fencing: whether it refuses an old fencing number.
-    :param role: role at the start, ``''`` for a plain service.
+    :param failure_domain: failure domain of the endpoint.
+    :param checks_fencing: whether it rejects commands that carry an outdated
+        fencing token.
+    :param role: initial role, ``prefill`` or ``decode``; ``''`` for a plain
+        service.
     """
 
     name: str
@@ -101,11 +103,14 @@
 
 
 class RouteSettings(NamedTuple):
-    """One route of a plain service; a call to any other is not repeatable.
+    """One route of a plain service.
+
+    Calls that match no route are treated as not repeatable.
 
     :param method: HTTP method.
     :param path: exact path, or a prefix when it ends with ``*``.
-    :param repeatable: whether a call may run a second time.
+    :param repeatable: whether a call is idempotent, so that it may be run a
+        second time.
     """
 
     method: str
@@ -118,10 +123,11 @@
 
     :param name: unique in the deployment.
     :param kind: ``model`` or ``service``.
-    :param model: model that callers name, ``''`` for a service.
-    :param routes: routes of a service.
-    :param endpoints: its endpoints.
-    :param model_bytes: what a load of the model takes from the weight store.
+    :param model: model name in callers' requests, ``''`` for a service.
+    :param routes: routes of a service, empty for a model.
+    :param endpoints: endpoints of the pool.
+    :param model_bytes: size of the model's weights, which an engine fetches
+        from the weight store to load the model.
     """
 
     name: str
@@ -133,15 +139,17 @@
 
 
 class LimitSettings(NamedTuple):
-    """Bounds towards callers.
-
-    :param body_bytes: largest request body.
-    :param read_s: longest time for a caller to send a request.
-    :param write_stall_s: longest time without progress of a caller's reading.
-    :param idle_s: longest idle time of an open connection.
-    :param connections: most open caller connections.
-    :param answer_bytes: memory for answers kept for callers that resend.
-    :param answer_keep_s: time for which they are kept.
+    """Limits on callers' requests and connections.
+
+    :param body_bytes: maximum size of a request body.
+    :param read_s: maximum time for a caller to send a request, in seconds.
+    :param write_stall_s: maximum time in which a caller reads none of its
+        response, in seconds.
+    :param idle_s: maximum idle time of an open connection, in seconds.
+    :param connections: maximum number of open caller connections.
+    :param answer_bytes: memory for responses retained for callers that send
+        a request again.
+    :param answer_keep_s: time for which responses are retained, in seconds.
     """
 
     body_bytes: int
@@ -154,13 +162,13 @@
 
 
 class TimingSettings(NamedTuple):
-    """Times that the hosts of a deployment share.
+    """Times that apply to all hosts of a deployment, in seconds.
 
-    :param stop_s: longest graceful stop.
-    :param hosts_keep_s: time for which callers keep the list of hosts.
-    :param stale_after_s: time without any proof that the table is fresh,
-        after which a host takes no new work.
-    :param lease_ttl_s: lease life in the key-value service.
+    :param stop_s: maximum duration of a graceful shutdown.
+    :param hosts_keep_s: time for which callers cache the list of hosts.
+    :param stale_after_s: time without proof that its table is the newest
+        revision, after which a host accepts no new requests.
+    :param lease_ttl_s: time to live of a lease in the key-value service.
     """
 
     stop_s: float
@@ -170,19 +178,20 @@
 
 
 class LoggingSettings(NamedTuple):
-    """What is logged.
+    """Settings of the log.
 
-    :param level: lowest level that is written.
+    :param level: minimum level of the events that are written.
     """
 
     level: str = 'INFO'
 
 
 class MetricsSettings(NamedTuple):
-    """Where metrics go, beside the scrape on the admin listener.
+    """Push export of metrics, in addition to the scrape on the admin listener.
 
-    :param otlp_endpoint: URL that metrics are pushed to, ``''`` for none.
-    :param export_s: time between pushes.
+    :param otlp_endpoint: URL that metrics are pushed to over OTLP, ``''`` to
+        push none.
+    :param export_s: interval between pushes, in seconds.
     """
 
     otlp_endpoint: str = ''
@@ -192,20 +201,20 @@
 class Settings(NamedTuple):
     """All settings of a deployment.
 
-    :param deployment: its name.
-    :param failure_domains: names of its failure domains.
-    :param hosts: hosts that it starts from.
+    :param deployment: name of the deployment.
+    :param failure_domains: names of all failure domains.
+    :param hosts: hosts that the deployment starts with.
     :param keyvalue: the platform's key-value service.
     :param weight_store: the platform's weight store.
     :param host_list: the platform's list of hosts.
-    :param pools: models and plain services.
-    :param admin_token: ``sha256:HEX`` of the operators' token.
-    :param limits: bounds towards callers.
-    :param timing: shared times.
-    :param logging: what is logged.
-    :param metrics: where metrics go.
-    :param initial_table: sheet, row, column and value of the cells that are
-        written when the store holds no table yet.
+    :param pools: pools of model engines and of plain services.
+    :param admin_token: ``sha256:HEX`` digest of the operators' token.
+    :param limits: limits on callers' requests and connections.
+    :param timing: times that apply to all hosts.
+    :param logging: settings of the log.
+    :param metrics: push export of metrics.
+    :param initial_table: cells by sheet, row and column that are written when
+        the store holds no table yet.
     """
 
     deployment: str
@@ -223,16 +232,16 @@
     initial_table: Mapping[str, Mapping[str, Mapping[str, Any]]]
 
     def host(self, name: str) -> HostSettings:
-        """Find a host.
+        """Return the settings of a host.
 
-        :param name: its name.
-        :raises UsageError: if the settings name no such host.
+        :param name: name of the host.
+        :raises UsageError: if the settings have no host of this name.
         """
         for host in self.hosts:
             if host.name == name:
                 return host
         raise errors.UsageError(
-            f'the settings name no host {name!r}',
+            f'the settings have no host {name!r}',
             'use one of ' + ', '.join(host.name for host in self.hosts),
         )
 
@@ -240,8 +249,8 @@
 def load(path: str | pathlib.Path) -> Settings:
     """Read and check a settings file.
 
-    :param path: the file.
-    :raises SettingsError: with all problems, if there is any.
+    :param path: path of the file.
+    :raises SettingsError: lists all problems of the file.
     """
     document, problems = _read(path)
     if not problems:
@@ -252,19 +261,19 @@
 
 
 def check(path: str | pathlib.Path) -> list[Problem]:
-    """Find all problems of a settings file; start nothing.
+    """Return all problems of a settings file.
 
-    :param path: the file.
+    :param path: path of the file.
     """
     document, problems = _read(path)
     return problems or settings_checks.find_problems(document)
 
 
 def parse(document: Mapping[str, Any]) -> Settings:
-    """Check settings that are in memory already.
+    """Check a decoded settings document and convert it.
 
-    :param document: the settings as read from JSON.
-    :raises SettingsError: with all problems, if there is any.
+    :param document: the settings as decoded from JSON.
+    :raises SettingsError: lists all problems of the document.
     """
     problems = settings_checks.find_problems(document)
     if problems:
@@ -276,13 +285,13 @@
     repeated: list[Problem] = []
 
     def pairs(items: list[tuple[str, Any]]) -> dict[str, Any]:
-        # A key that stands twice is legal JSON and the last one wins in
-        # silence: a host would start with half of what its file says.
+        # The JSON decoder accepts a repeated key and keeps only its last
+        # value, so a host would start without a part of its settings.
         found: dict[str, Any] = {}
         for key, value in items:
             if key in found:
                 repeated.append(
-                    Problem(key, '', 'key stands twice', 'keep one of them')
+                    Problem(key, '', 'key occurs twice', 'keep one of them')
                 )
             found[key] = value
         return found
@@ -291,12 +300,16 @@
         text = pathlib.Path(path).read_text(encoding='utf-8')
         return json.loads(text, object_pairs_hook=pairs), repeated
     except OSError as error:
-        what, remedy = error.strerror, 'name a file that can be read'
+        what = f'cannot be read: {error.strerror}'
+        remedy = 'give the path of a readable JSON file'
     except UnicodeDecodeError:
-        what, remedy = 'not UTF-8', 'save the file as UTF-8'
+        what, remedy = 'is not UTF-8', 'save the file as UTF-8'
     except json.JSONDecodeError as error:
-        what = f'not JSON: {error.msg}'
+        what = f'is not JSON: {error.msg}'
         remedy = f'correct line {error.lineno}, column {error.colno}'
+        if not error.doc.strip():
+            what = 'is empty'
+            remedy = 'write a JSON object with the settings'
     return None, [Problem('$', str(path), what, remedy)]
 
 
--- a/magnoliadyke/settings_checks.py
+++ b/magnoliadyke/settings_checks.py
@@ -1,4 +1,4 @@
-"""Finds all problems of a settings document at once."""
+"""Validates a settings document and reports all of its problems at once."""
 
 import collections
 import ipaddress
@@ -13,19 +13,20 @@
 
 __all__ = ['Problem', 'find_problems']
 
-#: Stands for a value that must not be printed.
+#: Shown in place of a value that may be a secret.
 REDACTED = '(hidden)'
-#: Longest value that a problem repeats, in characters.
+#: Maximum length of a value that a problem quotes, in characters.
 MAX_SHOWN_CHARACTERS = 60
 
 
 class Problem(NamedTuple):
-    """One thing that is wrong.
+    """An error in a settings file.
 
-    :param path: where, such as ``hosts[2].caller_port``.
-    :param value: what stands there.
-    :param message: what is wrong with it.
-    :param remedy: what to write in its place.
+    :param path: JSON path of the value, such as ``hosts[2].caller_port``;
+        ``$`` for the whole file.
+    :param value: the invalid value, shortened, or ``''`` if there is none.
+    :param message: why the value is invalid.
+    :param remedy: how to correct it, with what is expected.
     """
 
     path: str
@@ -35,16 +36,17 @@
 
     def __str__(self) -> str:
         shown = f' = {self.value}' if self.value else ''
-        return f'{self.path}{shown}: {self.message}; {self.remedy}'
+        place = 'settings file' if self.path == '$' else self.path
+        return f'{place}{shown}: {self.message}; {self.remedy}'
 
 
 def find_problems(document: Any) -> list[Problem]:
-    """Check a document against the schema and its parts with each other.
+    """Check a document against the schema and its parts against each other.
 
-    The cross checks skip what has the wrong shape, which the schema reports,
-    so that one run names everything.
+    Cross checks skip values of the wrong type, which the schema check reports;
+    so they can run on any document, and one call finds all problems.
 
-    :param document: the settings as read from JSON.
+    :param document: the settings as decoded from JSON.
     """
     problems = list(_find_schema_problems(document))
     if isinstance(document, dict):
@@ -68,18 +70,21 @@
     if kind == 'required':
         for key in wanted:
             if key not in error.instance and f"'{key}'" in error.message:
-                yield _problem(_join(path, key), None, 'is missing', 'add it')
+                yield _problem(
+                    _join(path, key), None, 'required key is missing', 'add it'
+                )
         return
-    remedy = settings_schema.remedy_for(kind, wanted)
     if kind == 'additionalProperties':
+        remedy = settings_schema.remedy_for(kind, error.schema['properties'])
         for key in sorted(
             set(error.instance) - set(error.schema['properties'])
         ):
             yield _problem(_join(path, key), None, 'unknown key', remedy)
         return
+    remedy = settings_schema.remedy_for(kind, wanted) + _unit_of(path)
     value = error.instance
     if wanted == settings_schema.HASH_PATTERN:
-        # Whoever writes the key itself here must not find it in a log too.
+        # It may be the secret itself, written in place of its digest.
         value = REDACTED
     yield _problem(path or '$', value, _MESSAGES.get(kind, kind), remedy)
 
@@ -96,6 +101,13 @@
 }
 
 
+def _unit_of(path: str) -> str:
+    for suffix, unit in (('_s', 'seconds'), ('_bytes', 'bytes')):
+        if path.endswith(suffix):
+            return f', in {unit}'
+    return ''
+
+
 def _join(path: str, key: str) -> str:
     return f'{path}.{key}' if path else key
 
@@ -162,8 +174,8 @@
         yield _problem(
             path,
             shown or value,
-            'is no IPv4 number',
-            'write an IP number such as 10.0.0.7; names are not looked up',
+            'is not an IPv4 address',
+            'write an address such as 10.0.0.7; host names are not resolved',
         )
 
 
@@ -174,7 +186,10 @@
     bad_port = not port.isascii() or not port.isdigit()
     if bad_port or not 0 < int(port) < 65536:
         yield _problem(
-            path, value, 'has no port', 'write IP:PORT such as 10.0.0.7:7100'
+            path,
+            value,
+            'has no port number from 1 to 65535',
+            'write IP:PORT such as 10.0.0.7:7100',
         )
         return
     yield from _check_ip(path, ip, shown=value)
@@ -199,7 +214,7 @@
             yield _problem(
                 path,
                 address,
-                f'is taken by {paths[0]}',
+                f'is already used by {paths[0]}',
                 'give each listener an address and port of its own',
             )
 
@@ -214,8 +229,13 @@
             yield _problem(
                 f'{path}.failure_domain',
                 domain,
-                'is not in failure_domains',
-                'use one of ' + ', '.join(str(name) for name in known),
+                'is not listed in failure_domains',
+                'add it there'
+                + (
+                    ' or use one of ' + ', '.join(map(str, known))
+                    if known
+                    else ''
+                ),
             )
 
 
@@ -249,8 +269,8 @@
             yield _problem(
                 path,
                 name,
-                f'stands twice, first in {first[name]}',
-                'choose another name',
+                f'is already used by {first[name]}',
+                'choose a unique name',
             )
         first.setdefault(name, path)
 
@@ -274,7 +294,8 @@
         for column, value in values.items()
     }
     problems = table.problems_of(cells)
-    # Rules across rows are only looked at when every cell is valid.
+    # Rules across rows are evaluated only if every cell is valid: drop the
+    # invalid cells, so that both kinds of problems are found in one call.
     for problem in problems:
         cells.pop(problem.cell, None)
     problems += table.problems_of(cells, _configured_names(document))
@@ -319,9 +340,10 @@
             yield _problem(
                 f'{path}.endpoints',
                 None,
-                f'{roles.count(role)} of them start in role {role}, the '
-                f"pool's minimum is {least}",
-                f'give {least} of them that role or lower min_{role}',
+                f'{roles.count(role)} endpoints start in role {role}, but '
+                f'min_{role} of the pool is {least}',
+                f'give at least {least} endpoints this role or lower '
+                f'min_{role}',
             )
 
 
--- a/magnoliadyke/settings_schema.py
+++ b/magnoliadyke/settings_schema.py
@@ -1,4 +1,4 @@
-"""JSON schema of a settings file, with the remedy for each kind of breach."""
+"""JSON schema of a settings file, with the remedy for each violation."""
 
 from magnoliadyke.core import table
 
@@ -37,7 +37,8 @@
 _SECONDS = {'type': 'number', 'exclusiveMinimum': 0, 'maximum': 86400}
 _COUNT = {'type': 'integer', 'minimum': 1}
 _HASH = {'type': 'string', 'pattern': HASH_PATTERN}
-# Addresses are checked by settings_checks, which tells more than a pattern.
+# settings_checks validates addresses: its messages say more than a failed
+# pattern could.
 _ADDRESS = {'type': 'string'}
 
 
@@ -104,8 +105,8 @@
     }
 )
 
-# if/then/else in place of oneOf: a breach is then reported inside the branch
-# that the file chose, not as "matches neither".
+# With if/then/else a violation is reported inside the branch that the pool's
+# kind selects; oneOf would only report that no branch matches.
 _POOL = {
     'type': 'object',
     'required': ['kind'],
@@ -147,7 +148,7 @@
     },
 )
 
-# What the cells hold is checked by the table's own rules.
+# The values of cells are checked by core.table, in settings_checks.
 _ROWS = {
     'type': 'object',
     'propertyNames': {'pattern': NAME_PATTERN},
@@ -196,38 +197,45 @@
     ),
     HASH_PATTERN: (
         "write 'sha256:' and the 64 hex digits that "
-        "'printf %s KEY | sha256sum' prints"
+        "'printf %s TOKEN | sha256sum' prints"
+    ),
+    '^/[^?#]*$': "start the path with '/' and leave out query and fragment",
+    '^[a-z0-9._-]+/$': (
+        'use lower-case letters, digits, dots, dashes or underscores, '
+        "and end with one '/'"
     ),
-    '^/[^?#]*$': "start the path with '/' and leave query and fragment out",
-    '^[a-z0-9._-]+/$': "use lower-case letters and digits, then one '/'",
 }
 
 
 def remedy_for(kind: str, wanted: object) -> str:
-    """Tell how to mend a breach of the schema.
+    """Return how to correct a violation of the schema.
 
     :param kind: the schema keyword that failed, such as ``type``.
-    :param wanted: that keyword's value in the schema.
+    :param wanted: value of the keyword in the schema; for
+        ``additionalProperties`` the names of the allowed keys.
     """
     match kind:
         case 'required':
             return 'add it'
         case 'additionalProperties':
-            return 'remove it or correct its spelling'
+            allowed = ', '.join(wanted)
+            return f'remove it or use one of the keys {allowed}'
         case 'type':
-            return f'write a value of JSON type {wanted}'
+            return f'write a JSON {wanted}'
         case 'enum':
             return 'use one of ' + ', '.join(str(item) for item in wanted)
         case 'const':
-            return f'write {wanted!r}'
+            return f'write {wanted!r} in its place'
         case 'minItems':
-            return f'list at least {wanted}'
+            return f'list at least {wanted} item(s)'
         case 'minimum':
             return f'write a number of at least {wanted}'
         case 'maximum':
             return f'write a number of at most {wanted}'
         case 'exclusiveMinimum':
-            return f'write a number above {wanted}'
+            return f'write a number greater than {wanted}'
         case 'pattern':
-            return _PATTERN_REMEDIES.get(wanted, f'match {wanted}')
+            return _PATTERN_REMEDIES.get(
+                wanted, f'write text that matches {wanted}'
+            )
     return f'satisfy {kind}: {wanted}'
