--- a/magnoliadyke/cli.py
+++ b/magnoliadyke/cli.py
@@ -1,4 +1,4 @@
-"""Magnoliadyke serves language models to several customers on a fixed fleet.
+"""Magnoliadyke serves language models and plain services to customers.
 
 Usage:
   magnoliadyke node SETTINGS --host=NAME
@@ -24,35 +24,52 @@
   magnoliadyke --help | --version
 
 Options:
-  --settings=FILE   Settings of the deployment; its hosts are asked in turn.
-                    Default: the variable MAGNOLIADYKE_SETTINGS.
-  --admin=IP:PORT   Ask this admin listener only.
-  --json            Print JSON, for programs.
-  --operator=NAME   Name in the table's history [default: the login name].
-  --base=REVISION   Revision that the edit was made from: a cell that was
-                    changed since then is a conflict.
-  --wait=SECONDS    Longest wait until an edit is in force [default: 10].
-  --host=NAME       Host of the settings to run as.
-  --entry=IP:PORT   Ask this host which hosts to call.
+  --settings=FILE   Settings file of the deployment; its hosts are tried in
+                    turn.  Default: the variable MAGNOLIADYKE_SETTINGS.
+  --admin=IP:PORT   Use only the admin listener at this address.
+  --json            Print JSON.
+  --operator=NAME   Operator recorded in the history of the table
+                    [default: the login name].
+  --base=REVISION   Table revision that the edit is based on; a conflict is
+                    reported for each cell that was changed since then.
+  --wait=SECONDS    Maximum time to wait until an edit is in force
+                    [default: 10].
+  --host=NAME       Name, in the settings, of the host to run.
+  --entry=IP:PORT   Fetch the list of hosts from the host at this address.
   --priority=WORD   urgent, normal or background [default: normal].
-  --once            The call must not run a second time, whatever happens.
-  --timeout=SECONDS  Longest time for a call [default: 120].
-  --max-tokens=N    Longest answer, in tokens [default: 256].
-  --stream          Print the answer as it comes.
-  --limit=N         Most edits to show [default: 20].
-  --undo            Give it new work again.
-  --check           Check the settings of a node on the platform only.
-  --plot=FILE       Draw the burn rates too, as PNG.
+  --once            The call is not idempotent: never run it a second time.
+  --timeout=SECONDS  Deadline of a call [default: 120].
+  --max-tokens=N    Maximum length of the answer, in tokens [default: 256].
+  --stream          Print the answer while it is generated.
+  --limit=N         Maximum number of edits to show [default: 20].
+  --undo            End the drain, so that new requests are accepted again.
+  --check           Check the settings of a node on the platform and exit.
+  --plot=FILE       Also draw the burn rates, as a PNG file.
   -h --help         Show this text.
   --version         Show the version.
 
-Secrets come from the environment: MAGNOLIADYKE_TOKEN (or the name of a file
-in MAGNOLIADYKE_TOKEN_FILE) for operators, MAGNOLIADYKE_KEY for callers.
-
-Exit status: 0 done; 1 refused, or problems found; 2 wrong usage; 3 no host
-or store answered; 4 conflict with another operator's edit; 5 edit accepted
-or staged, but not yet in force everywhere; 6 the call did not run; 7 nobody
-can tell whether the call ran.
+Commands:
+  node      Run the node of one host.
+  check     Check a settings file and list all of its problems.
+  hosts     List the hosts that accept calls.
+  call      Send a request to a model or to a plain service.
+  table     Show and edit the table, which holds the settings that can be
+            changed at run time.  A cell is SHEET/ROW/COLUMN.
+  status    Show hosts, endpoints, customers and leases.
+  roles     Show the role, prefill or decode, of each engine.
+  drain     Send no new requests to a host or an endpoint.
+  report    Show error budget burn rates by customer.
+  platform  Run a node on the prepared platform, or check its settings.
+  explain   Show what the logs of the hosts say about a request id.
+  lab       Run a stand-in or an experiment; 'lab --help' lists them.
+
+Secrets are read from the environment: MAGNOLIADYKE_TOKEN (or the path of a
+file in MAGNOLIADYKE_TOKEN_FILE) for operators, MAGNOLIADYKE_KEY for callers.
+
+Exit status: 0 success; 1 refused, or problems found; 2 usage error; 3 no
+host or store answered; 4 conflict with another operator's edit; 5 edit
+accepted or staged, but not yet in force on all hosts; 6 the call was not
+executed; 7 unknown whether the call was executed.
 
 Examples:
   magnoliadyke check examples/dala.json
@@ -105,9 +122,9 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Run a command.
+    """Parse a command line and run its command.
 
-    :param argv: its words, without the program's name.
+    :param argv: the arguments, without the program's name.
     :returns: the exit status.
     """
     try:
@@ -115,8 +132,8 @@
     except docopt.DocoptExit as error:
         return _fail(
             WRONG_USAGE,
-            f'no usage fits these words\n{error.usage.strip()}\n'
-            'Try: magnoliadyke --help',
+            'the arguments match none of these usage patterns\n'
+            f'{error.usage.strip()}\nTry: magnoliadyke --help',
         )
     except errors.UsageError as error:
         return _fail(WRONG_USAGE, str(error))
@@ -134,14 +151,15 @@
     except KeyboardInterrupt:
         return INTERRUPTED
     except BrokenPipeError:
-        # The reader, such as head, has gone.  Python would complain once
-        # more when it flushes standard output at exit.
+        # The reader of the pipe, such as head, has exited.  Standard output
+        # is redirected to avoid a second error when Python flushes it.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return DONE
 
 
 def _run(argv: list[str]) -> int:
-    # The arguments of lab programs are their own: docopt must not see them.
+    # Lab programs parse their own arguments, which the usage patterns above
+    # do not cover.
     if argv[:1] == ['lab'] and len(argv) > 1 and not _is_help_flag(argv[1]):
         return porcelain.lab(argv[1:])
     if argv[:1] == ['lab']:
@@ -150,7 +168,9 @@
     for words, command in COMMANDS.items():
         if all(args[word] for word in words.split()):
             return command(args)
-    raise errors.UsageError('no command was given', 'see --help')
+    raise errors.UsageError(
+        'the arguments name no command', "see 'magnoliadyke --help'"
+    )
 
 
 def _is_help_flag(word: str) -> bool:
@@ -225,15 +245,20 @@
 
 
 class _StreamPrinter:
-    """Prints pieces of an answer as they come."""
+    """Prints an answer while it is streamed."""
 
     def __init__(self):
         self.printed = 0
 
     def take(self, text: str, offset: int) -> None:
-        """Print a piece; offset 0 once more means that it starts anew."""
+        """Print a piece of the answer.
+
+        :param text: the piece.
+        :param offset: its offset in the answer, in output tokens; a second
+            piece at offset 0 means that the answer is generated again.
+        """
         if offset == 0 and self.printed:
-            print('\n[starts anew]')
+            print('\n[answer restarted]')
         self.printed += len(text)
         print(text, end='', flush=True)
 
@@ -248,7 +273,7 @@
             print(text)
             return status
         case outcomes.NotRun(reason, remedy, retry_after_s):
-            again = f'; try again in {retry_after_s:g} s'
+            again = f'; retry after {retry_after_s:g} s'
         case _:
             reason, remedy, again = outcome.reason, outcome.remedy, ''
     shown = word.replace('_', ' ')
@@ -338,7 +363,7 @@
     return _show(args, report, render.burn)
 
 
-#: Exit status of each outcome of a call, and its name in JSON.
+#: Exit status and JSON name of each outcome of a call.
 OUTCOMES = {
     outcomes.Answered: (DONE, 'answered'),
     outcomes.NotRun: (NOT_RUN, 'not_run'),
@@ -347,7 +372,6 @@
 }
 
 
-#: Words of each command, in the order in which they are looked for.
 def _platform(args: Args) -> int:
     problems = porcelain.platform(args['SETTINGS'], args['--check'])
     for problem in problems:
@@ -358,16 +382,22 @@
 def _explain(args: Args) -> int:
     found = porcelain.explain(args['ID'], args['LOGFILE'])
     if not found.lines:
-        return _fail(REFUSED, f'no line names the request {args["ID"]}')
-    print('what changed shortly before:')
+        return _fail(
+            REFUSED,
+            f'no line of {len(args["LOGFILE"])} log file(s) has request id '
+            f'{args["ID"]!r}; expected the id of a request that these hosts '
+            'logged, so check the id and give the logs of all hosts',
+        )
+    print('state changes shortly before and during the request:')
     for line in found.beliefs:
         print(f'  {line.text}')
-    print('the request:')
+    print('log lines of the request:')
     for line in found.lines:
         print(f'  {line.text}')
     return DONE
 
 
+#: Handler of each command, by the words of the command line that select it.
 COMMANDS: dict[str, Callable[[Args], int]] = {
     'node': _node,
     'check': _check,
@@ -438,7 +468,8 @@
         value = -1.0
     if not 0 <= value < float('inf'):
         raise errors.UsageError(
-            f'{option}={args[option]} is no number', 'write 0 or more'
+            f'{option}={args[option]} is not a valid number',
+            'write a number of 0 or more',
         )
     return value
 
--- a/magnoliadyke/explain.py
+++ b/magnoliadyke/explain.py
@@ -1,4 +1,4 @@
-"""Gathers what all hosts logged of one request, in order of time."""
+"""Searches the logs of all hosts for one request and its possible causes."""
 
 from collections.abc import Iterable
 import datetime
@@ -10,7 +10,8 @@
 _AT = re.compile(r'\bat=(\S+)')
 _HOST = re.compile(r'\bhost=(\S+)')
 _ENDPOINT = re.compile(r'\bendpoint=(\S+)')
-#: Events that change what a host believes; one of them may be the cause.
+#: Log events that report a change of a host's state or view of the fleet, and
+#: so may be the cause of what happened to a request.
 STATE_CHANGE_EVENTS = (
     'configuration',
     'endpoint',
@@ -34,7 +35,9 @@
 class Line(NamedTuple):
     """One line of a host's log.
 
-    :param at: as the host's clock had it
+    :param at: time of the line, by the clock of the host
+    :param host: name of the host, ``''`` if the line has none
+    :param text: the whole line
     """
 
     at: datetime.datetime
@@ -43,9 +46,10 @@
 
 
 def find_request_lines(request_id: str, lines: Iterable[str]) -> list[Line]:
-    """The lines that name a request, in order of time.
+    """Return the log lines with a request id, in order of time.
 
-    :param lines: of the logs of all hosts
+    :param request_id: value of the field ``id`` to search for
+    :param lines: lines of the logs of all hosts
     """
     mark = f' id={request_id} '
     found = [_parse(text) for text in lines if mark in f'{text.rstrip()} ']
@@ -55,13 +59,15 @@
 def find_state_changes(
     lines: Iterable[str], around: list[Line], seconds: float
 ) -> list[Line]:
-    """Changes of belief that may have decided a request.
+    """Return the state changes that may have affected a request.
 
-    Those of the hosts that handled it, and any of the endpoints that it
-    went to, shortly before its first line and until its last one.
+    These are changes on the hosts that handled the request, and changes of
+    the endpoints that it was sent to, from ``seconds`` before its first line
+    until its last line.
 
-    :param around: the lines of the request
-    :param seconds: how long before counts as shortly
+    :param lines: lines of the logs of all hosts
+    :param around: the lines of the request, in order of time
+    :param seconds: length of the period before the first line
     """
     if not around:
         return []
@@ -91,6 +97,6 @@
     try:
         moment = datetime.datetime.fromisoformat(at[1])
     except ValueError:
-        # A line of another program among the logs.
+        # The line was written by another program.
         return None
     return Line(moment, host[1] if host else '', text.strip())
--- a/magnoliadyke/labverbs.py
+++ b/magnoliadyke/labverbs.py
@@ -1,4 +1,4 @@
-"""Finds and starts the programs of the lab, each imported only when asked."""
+"""Imports and runs the programs of the lab; each is imported on first use."""
 
 import importlib
 import ipaddress
@@ -10,30 +10,30 @@
 
 __all__ = ['STAND_IN_PROGRAMS', 'VERBS', 'find', 'run']
 
-#: Stand-ins: small servers whose arguments are an address and a JSON object.
+#: Stand-ins: servers that are started with an address and a JSON object.
 STAND_IN_PROGRAMS = {
     'engine': 'stand-in for a model engine',
     'hostlist': "stand-in for the platform's host list",
     'keyvalue': "stand-in for the platform's key-value service",
-    'proxy': 'TCP proxy that injects faults',
+    'proxy': 'TCP and UDP proxy that injects faults',
     'service': 'stand-in for a plain service',
     'weights': "stand-in for the platform's weight store",
 }
 
-#: Load and experiments, which describe their own arguments.
+#: Load generators and experiments, each with a help text of its own.
 EXPERIMENT_PROGRAMS = {
-    'capacity': 'measure the slopes behind docs/CAPACITY.md',
+    'capacity': 'measure how state, time and traffic grow with the system',
     'demo': 'run the small Dala deployment and check every answer',
-    'faults': 'faults with real processes behind the faulty proxy',
-    'live': 'a trace against real processes, in real time',
-    'platform-day': 'a day on the platform with faults, and checked promises',
-    'policy': 'compare policies on traces of a shifting token mix',
-    'soak': 'drawn faults against real nodes on the platform',
+    'faults': 'inject faults into real processes and check their guarantees',
+    'live': 'replay a trace against real processes in real time',
+    'platform-day': 'run nodes on the platform with faults, check guarantees',
+    'policy': 'compare role policies on traces of a shifting token mix',
+    'soak': 'inject random faults into real nodes on the platform',
 }
 
-#: Started by other programs of the lab only.
+#: Started only by other programs of the lab.
 INTERNAL_PROGRAMS = {
-    'worker': 'a process that works for lab policy',
+    'worker': "worker process of 'lab policy' (internal)",
 }
 
 VERBS = STAND_IN_PROGRAMS | EXPERIMENT_PROGRAMS | INTERNAL_PROGRAMS
@@ -44,8 +44,10 @@
 def run(argv: Sequence[str]) -> int:
     """Run a program of the lab.
 
-    :param argv: its name and its arguments.
-    :returns: its exit status.
+    :param argv: name of the program, then its arguments.
+    :returns: the exit status of the program.
+    :raises UsageError: there is no such program, it needs a package that is
+        not installed, or the arguments of a stand-in are invalid.
     """
     verb, *rest = argv
     module = find(verb)
@@ -58,15 +60,16 @@
 
 
 def find(verb: str) -> types.ModuleType:
-    """Import a program of the lab; its ``main`` takes the arguments.
+    """Import a program of the lab.
 
-    :param verb: its name.
-    :raises UsageError: if there is none, or a package that it needs is not
-        installed.
+    :param verb: name of the program.
+    :returns: its module, whose ``main`` takes the list of arguments.
+    :raises UsageError: there is no such program, or it needs a package that
+        is not installed.
     """
     if verb not in VERBS:
         raise errors.UsageError(
-            f'there is no lab program {verb!r}',
+            f'no lab program is called {verb!r}',
             'use one of ' + ', '.join(VERBS),
         )
     try:
@@ -75,7 +78,7 @@
     except ModuleNotFoundError as error:
         raise errors.UsageError(
             str(error),
-            f'install {error.name}, which the one binary leaves out',
+            f'install {error.name}, which the single-file binary leaves out',
         ) from error
 
 
@@ -87,10 +90,10 @@
         return text
     defaults = spec._field_defaults
     shown = [
-        f'  {name}: {defaults.get(name, "(must be given)")!r}'
+        f'  {name}: {defaults.get(name, "(required)")!r}'
         for name in spec._fields
     ]
-    return text + '\n\nFields of JSON, with defaults:\n' + '\n'.join(shown)
+    return text + '\n\nKeys of JSON, with defaults:\n' + '\n'.join(shown)
 
 
 def _check_stand_in_args(
@@ -98,23 +101,29 @@
 ) -> None:
     remedy = f"use 'magnoliadyke lab {verb} IP:PORT [JSON]'"
     if not 1 <= len(rest) <= 2:
-        raise errors.UsageError('an address is needed', remedy)
+        raise errors.UsageError(
+            'expected an address and at most one JSON object, got '
+            f'{len(rest)} argument(s)',
+            remedy,
+        )
     ip, _, port = rest[0].rpartition(':')
     try:
         ipaddress.IPv4Address(ip)
         int(port)
     except ValueError:
-        raise errors.UsageError(f'{rest[0]!r} is no address', remedy) from None
+        raise errors.UsageError(
+            f'{rest[0]!r} is not an IPv4 address with a port', remedy
+        ) from None
     try:
         fields = json.loads(rest[1]) if len(rest) > 1 else {}
     except ValueError:
         fields = None
     if not isinstance(fields, dict):
-        raise errors.UsageError(f'{rest[1]!r} is no JSON object', remedy)
+        raise errors.UsageError(f'{rest[1]!r} is not a JSON object', remedy)
     spec = getattr(module, 'Spec', None)
     unknown = set(fields).difference(spec._fields) if spec else ()
     if unknown:
         raise errors.UsageError(
-            'JSON has unknown fields: ' + ', '.join(sorted(unknown)),
-            'use some of ' + ', '.join(spec._fields),
+            'JSON has unknown keys: ' + ', '.join(sorted(unknown)),
+            'use keys among ' + ', '.join(spec._fields),
         )
