--- a/magnoliadyke/labverbs.py
+++ b/magnoliadyke/labverbs.py
@@ -22,7 +22,7 @@
 
 #: Load generators and experiments, each with a help text of its own.
 EXPERIMENT_PROGRAMS = {
-    'capacity': 'measure how state, time and traffic grow with the system',
+    'capacity': 'measure the growth of state and load for docs/CAPACITY.md',
     'demo': 'run the small Dala deployment and check every answer',
     'faults': 'inject faults into real processes and check their guarantees',
     'live': 'replay a trace against real processes in real time',
--- a/magnoliadyke/logs.py
+++ b/magnoliadyke/logs.py
@@ -1,4 +1,4 @@
-"""Logbook set up for one line of key=value pairs per event."""
+"""Event log by Logbook: one line of key=value pairs for each event."""
 
 import datetime
 import json
@@ -16,16 +16,17 @@
 
 __all__ = ['Logger', 'format_fields', 'get', 'setup', 'setup_stream']
 
-#: Longest line in bytes; a pipe takes this much in one piece.
+#: Maximum length of a line in bytes: the most that a write to a pipe puts
+#: through in one piece (PIPE_BUF on Linux).
 MAX_LINE_BYTES = 4096
 
-#: Least time between two lines of the same repeated event, in seconds.
+#: Minimum time between two lines of the same throttled event, in seconds.
 REPEAT_INTERVAL_S = 10.0
 
-#: Innermost frames that an error's line names.
+#: Maximum number of stack frames in the line of an error.
 MAX_TRACE_FRAMES = 6
 
-#: Most repeated events remembered at a time.
+#: Maximum number of throttled events with a record of their last line.
 MAX_THROTTLED_EVENTS = 1000
 
 _UNQUOTED = re.compile(r'[A-Za-z0-9_.:/@+,*%\[\]-]+\Z')
@@ -34,12 +35,13 @@
 
 
 def format_fields(fields):
-    """Render fields as ``key=value`` pairs on one line.
+    """Format fields as ``key=value`` pairs on one line.
 
     :param fields: mapping of names to scalars
-    :returns: text without line breaks; a value that is not a plain word is
-        a JSON string, so that quotes, blanks and control characters of a
-        caller can't forge a field or a line
+    :returns: text without line breaks; a value with other characters than
+        those of :data:`_UNQUOTED` is written as a JSON string, so that quotes,
+        spaces and control characters in a caller's input can't forge a field
+        or a line
     """
     return ' '.join(f'{key}={_value(fields[key])}' for key in fields)
 
@@ -57,7 +59,10 @@
     """A logger whose records are events with fields.
 
     :param name: the module or task that logs
-    :param clock: time for the rate limit of repeated events
+    :param clock: clock for the rate limit of throttled events; the system
+        clock if None
+    :ivar throttled: by name and key of a throttled event, the time of its
+        last line in seconds, and the number of lines suppressed since then
     """
 
     def __init__(self, name, clock=None):
@@ -67,35 +72,37 @@
         _LOGGERS.add_logger(self)
 
     def event(self, name, /, **fields):
-        """Log something that happens in ordinary work."""
+        """Log an event of normal operation."""
         self._emit(logbook.INFO, name, fields)
 
     def debug_event(self, name, /, **fields):
-        """Log something only a developer wants to see."""
+        """Log an event that is of use in development only."""
         self._emit(logbook.DEBUG, name, fields)
 
     def warning_event(self, name, /, **fields):
-        """Log something an operator should look at."""
+        """Log an event that an operator should look into."""
         self._emit(logbook.WARNING, name, fields)
 
     def error_event(self, name, error=None, /, **fields):
         """Log a failure.
 
-        :param error: the exception, if there is one; its kind, its text and
-            the lines that led to it, innermost first, become fields
+        :param error: the exception, if there is one; its class, its text and
+            the source lines of its traceback, innermost first, become fields
         """
         if error is not None:
             fields = fields | _error_fields(error)
         self._emit(logbook.ERROR, name, fields)
 
     def throttled_warning(self, name, key, /, **fields):
-        """Log a warning, at most once an interval for each ``key``.
+        """Log a warning at most every :data:`REPEAT_INTERVAL_S` for each key.
 
-        An endpoint that is down fails each request that tries it: without
-        a limit its lines bury all others. The next line that gets through
-        carries the number of those held back.
+        An endpoint that is down fails each request sent to it: without a
+        limit, these lines would bury all others. The next line that is
+        written carries the number of suppressed ones as ``held_back``.
 
-        :param key: what the event is about, such as an endpoint's name
+        :param name: name of the event
+        :param key: subject of the event, such as the name of an endpoint;
+            each combination of name and key has its own limit
         """
         now_s = self.clock.now_s()
         last_s, held_back = self.throttled.get((name, key), (None, 0))
@@ -126,17 +133,20 @@
 
 
 class LineHandler(logbook.StreamHandler):
-    """Writes each event as one line and never blocks on its reader.
+    """Writes each event as one line, and drops lines rather than block.
 
-    A log reader that stops reading fills the pipe, and the next write then
-    blocks the whole process with all its streams: callers would see silence
-    for a fault of the log. A pipe that polls as writable takes a line of
-    :data:`MAX_LINE_BYTES` at once, so asking first is enough. Lines that
-    found no room are counted in the next one that does.
+    When the process that reads the log stalls, the pipe fills, and the next
+    write would block the whole process with all of its streams: callers would
+    receive nothing because of a fault of the log. A pipe that polls as
+    writable accepts a line of :data:`MAX_LINE_BYTES` without blocking, so it
+    is polled before each write. The next line that is written carries the
+    number of dropped ones as ``lost_lines``.
 
     :param stream: text stream to write to
-    :param clock: gives the time of each line
+    :param clock: clock for the time of each line
     :param host: name of this host, put on each line unless empty
+    :param level: minimum level of the records that are written
+    :ivar lost_lines: number of lines dropped since the last one was written
     """
 
     def __init__(self, stream, clock, host, level):
@@ -146,7 +156,7 @@
         self.lost_lines = 0
 
     def format(self, record):
-        """Return the line of one record, without its line break."""
+        """Return the line of a record, without its line break."""
         moment = datetime.datetime.fromtimestamp(
             self.clock.wall_s(), datetime.UTC
         )
@@ -162,7 +172,7 @@
         return f'{format_fields(fields)} {record.message}'
 
     def emit(self, record):
-        """Write one record, or count it as lost."""
+        """Write a record, or count it as lost if a write would block."""
         if not _is_writable(self.stream):
             self.lost_lines += 1
             return
@@ -177,17 +187,17 @@
         descriptor = stream.fileno()
     except (AttributeError, OSError, ValueError):
         return True
-    # The real poll: gevent's own would switch to another greenlet here.
+    # The unpatched poll: that of gevent would switch to another greenlet.
     poll = monkey.get_original('select', 'poll')()
     poll.register(descriptor, select.POLLOUT)
     return bool(poll.poll(0))
 
 
 class LibraryHandler(logging.Handler):
-    """Takes warnings of libraries into the event log.
+    """Forwards warnings of libraries to the event log.
 
-    They use the standard library's logging and would else write lines of
-    other shapes to standard error, at any rate.
+    Libraries use the standard library's logging. Without this handler they
+    would write lines of another format to standard error, with no rate limit.
     """
 
     def __init__(self):
@@ -195,7 +205,7 @@
         self.log = get('library')
 
     def emit(self, record):
-        """Log one message as an event."""
+        """Log a library's message as a throttled event."""
         self.log.throttled_warning(
             'library_warning',
             record.name,
@@ -205,26 +215,27 @@
 
 
 def setup(settings, clock=None, host='', stream=None):
-    """Send all events to ``stream`` from now on.
+    """Write all events to ``stream`` from now on.
 
-    :param settings: the deployment's settings; ``logging.level`` counts
-    :param clock: a :class:`magnoliadyke.clock.Clock`; the system's if None
+    :param settings: the deployment's settings, of which ``logging.level`` is
+        used
+    :param clock: a :class:`magnoliadyke.clock.Clock`; the system clock if None
     :param host: name of this host
-    :param stream: standard error if None
-    :returns: the handler; its ``pop_application()`` undoes the set-up
+    :param stream: text stream to write to; standard error if None
+    :returns: the handler; its ``pop_application()`` removes it
     """
     level = logbook.lookup_level(settings.logging.level.upper())
     return setup_stream(stream or sys.stderr, clock, host, level)
 
 
 def setup_stream(stream, clock=None, host='', level=logbook.INFO):
-    """Send all events to a stream from now on.
+    """Write all events to a stream from now on.
 
     :param stream: text stream to write to
-    :param clock: a :class:`magnoliadyke.clock.Clock`; the system's if None
+    :param clock: a :class:`magnoliadyke.clock.Clock`; the system clock if None
     :param host: name of this host
-    :param level: least level that is written
-    :returns: the handler; its ``pop_application()`` undoes the set-up
+    :param level: minimum level of the events that are written
+    :returns: the handler; its ``pop_application()`` removes it
     """
     _LOGGERS.level = level
     handler = LineHandler(stream, clock or clocks.SystemClock(), host, level)
@@ -236,8 +247,8 @@
 
 
 def get(name):
-    """Return a logger for a module or a task.
+    """Create a logger for a module or a task.
 
-    :param name: a short word such as ``dispatch``
+    :param name: short name for the field ``logger``, such as ``dispatch``
     """
     return Logger(name)
--- a/magnoliadyke/metrics.py
+++ b/magnoliadyke/metrics.py
@@ -1,6 +1,6 @@
 """Metrics by OpenTelemetry: scraped on the admin listener, or pushed.
 
-All counting is per request or rarer; nothing here runs per token.
+Values are recorded once per request or less often, never per token.
 """
 
 import collections
@@ -20,10 +20,10 @@
 
 __all__ = ['OUTCOMES', 'Metrics']
 
-#: What may become of a request. ``failed`` is an answer by which the endpoint
-#: itself reports an error, ``limited`` a refusal by the customer's own limits,
-#: ``cancelled`` the caller's own wish, and ``declined`` a refusal by a host
-#: that takes no work for now: its caller goes on at another host at once.
+#: Outcomes of a request. ``failed`` is a response in which the endpoint
+#: reports an error, ``limited`` a refusal by the limits in the customer's row,
+#: ``cancelled`` an abort by the caller, and ``declined`` a refusal by a host
+#: that accepts no requests at the time: its caller tries another host at once.
 OUTCOMES = (
     'answered',
     'failed',
@@ -35,30 +35,35 @@
     'declined',
 )
 
-#: Outcomes that neither meet nor miss an objective: the caller or the
-#: customer's row asked for them, or another host decides.
+#: Outcomes that are left out of the burn rate, as they neither meet nor miss
+#: an objective: they follow from the request or the customer's row, or the
+#: request is counted at the next host that its caller tries.
 UNSCORED_OUTCOMES = frozenset({'limited', 'rejected', 'cancelled', 'declined'})
 
-# Few bounds: with 270 customers each one is 270 more lines of every scrape.
+# Histograms have few buckets: with 270 customers each bucket adds 270 lines
+# to every scrape.
 FIRST_TOKEN_BOUNDS_S = (0.1, 0.25, 0.42, 0.7, 1, 2, 5, 20)
 PER_TOKEN_BOUNDS_S = (0.01, 0.02, 0.04, 0.07, 0.1, 0.3, 1)
 QUEUED_BOUNDS_S = (0.05, 0.25, 1, 5, 20)
 
-#: Series of one instrument, above the SDK's own bound of 2000: customers
-#: times outcomes times causes; what is beyond is counted as one.
+#: Maximum number of series of one instrument: customers times outcomes times
+#: causes, which exceeds the SDK's default of 2000. All series beyond the
+#: limit are counted as one.
 SERIES_LIMIT = 20_000
 SERIES_LIMITS = {sdk.Counter: SERIES_LIMIT, sdk.Histogram: SERIES_LIMIT}
 
-#: Longest time for one push, retries included, in seconds.
+#: Maximum time for one push including retries, in seconds.
 PUSH_TIMEOUT_S = 5.0
 
 
 class Metrics(app.Component):
-    """Counts what the node does.
+    """Counts the requests and role changes of a node.
 
     :param settings: the deployment's settings
     :param host: name of this host
     :param clock: a :class:`magnoliadyke.clock.Clock`
+    :ivar burn_counters: good and bad requests by customer and window
+    :ivar totals: requests by customer and outcome, since the node started
     """
 
     def __init__(self, settings, host, clock):
@@ -122,7 +127,12 @@
         )
 
     def create_seconds_histogram(self, name, description, bounds_s):
-        """Create a histogram of times."""
+        """Create a histogram of durations in seconds.
+
+        :param name: such as ``magnoliadyke.queued``
+        :param description: text for readers of the metric
+        :param bounds_s: upper bounds of the buckets, in seconds
+        """
         return self.meter.create_histogram(
             name,
             unit='s',
@@ -131,10 +141,12 @@
         )
 
     def add_gauge(self, name, description, read, unit=''):
-        """Add a value that is read whenever metrics are collected.
+        """Add a gauge whose values are read at each collection of metrics.
 
         :param name: such as ``magnoliadyke.members``
+        :param description: text for readers of the metric
         :param read: returns pairs of (attributes mapping, number)
+        :param unit: unit of the values, ``''`` for a plain number
         """
 
         def observe(_options):
@@ -150,11 +162,15 @@
     def record_request_end(
         self, customer, outcome, timings=None, prompt_tokens=0, output_tokens=0
     ):
-        """Count a request that has ended, whatever became of it.
+        """Count a request that has ended with any outcome.
 
-        :param customer: a row of the table; never a name a caller made up
+        :param customer: name of a row of the table, never a name from a
+            request, as each name adds series
         :param outcome: one of :data:`OUTCOMES`
-        :param timings: :class:`magnoliadyke.core.burn.Timings`
+        :param timings: :class:`magnoliadyke.core.burn.Timings`; None if the
+            request was refused before it was queued
+        :param prompt_tokens: tokens of the prompt
+        :param output_tokens: tokens of the answer
         :returns: the :class:`magnoliadyke.core.burn.Verdict`
         """
         timings = timings or burn.Timings()
@@ -178,25 +194,31 @@
         return verdict
 
     def record_role_change(self, pool, endpoint, role):
-        """Count a role change that this node has commanded."""
+        """Count a role change that this node has commanded.
+
+        :param pool: name of the pool
+        :param endpoint: name of the engine
+        :param role: the new role
+        """
         self.role_changes.add(
             1, {'pool': pool, 'endpoint': endpoint, 'role': role}
         )
 
     def burn_snapshot(self):
-        """Give this node's burn counts of all customers and windows."""
+        """Return this node's burn counts of all customers and windows."""
         return self.burn_counters.snapshot(self.clock.now_s())
 
     def covered_s(self):
-        """Return how far back the counts go, in seconds."""
+        """Return the time since this node began to count, in seconds."""
         return self.clock.now_s() - self.started_s
 
     def render_prometheus(self):
         """Return all metrics in the Prometheus text format, as bytes.
 
-        Each family is rendered by itself, and other greenlets run between
-        them: all in one piece would hold up every stream of this node for
-        longer than the time between two tokens once customers are many.
+        Each metric family is rendered by itself, and other greenlets run in
+        between. With many customers, rendering all families at once would
+        delay every stream of this node by more than the time between two
+        tokens.
         """
         parts = []
         for family in self.registry.collect():
@@ -207,19 +229,25 @@
         return b''.join(parts)
 
     def start(self):
-        """Begin to push, if the settings ask for it."""
+        """Start to push, if the settings name a collector."""
         if self.pusher is not None:
             self.pusher.start()
 
     def stop(self, deadline_s):
-        """Push what is left and end."""
+        """Push the last values and shut down.
+
+        :param deadline_s: time for the last push, in seconds
+        """
         if self.pusher is not None:
             self.pusher.stop(deadline_s)
         self.provider.shutdown()
 
 
 class FamilyCollector:
-    """Metric families in the place of a registry."""
+    """Presents metric families to prometheus_client as a registry.
+
+    :param families: the metric families to render
+    """
 
     def __init__(self, families):
         self.families = families
@@ -230,7 +258,7 @@
 
 
 class OnDemandReader(export.MetricReader):
-    """Collects when told to and keeps the result for whoever told it."""
+    """Collects metrics when :meth:`collect_now` is called."""
 
     def __init__(self):
         super().__init__(cardinality_limits=SERIES_LIMITS)
@@ -240,29 +268,30 @@
         self.collected = metrics_data
 
     def collect_now(self):
-        """Collect now and return the metrics."""
+        """Collect and return the metrics, or None if there are none."""
         self.collect()
         collected, self.collected = self.collected, None
         return collected
 
     def shutdown(self, timeout_millis=0, **kwargs):
-        """Do nothing: the pusher owns what there is to end."""
+        """Do nothing: the reader holds no resources."""
 
 
 class Pusher(mailbox.Task):
     """Pushes metrics over OTLP from a task of its own.
 
-    The SDK's own reader starts a thread and a hook for forked children.
-    Here the push runs in a greenlet: a collector that hangs holds up this
-    task alone, and the next tick waits until it has ended.
+    The SDK's periodic reader would start a thread and install a fork hook.
+    This task is a greenlet: a collector that does not respond blocks only this
+    task, and the next push starts after the current one has ended.
 
     :param settings: :class:`magnoliadyke.settings.MetricsSettings`
+    :param clock: a :class:`magnoliadyke.clock.Clock`
     """
 
     def __init__(self, settings, clock):
         super().__init__('metrics', clock)
-        # Only here: requests and protobuf cost memory that a deployment
-        # without a collector need not spend.
+        # Imported here, as requests and protobuf take memory that a
+        # deployment without a collector does not need.
         from opentelemetry.exporter.otlp.proto.http import metric_exporter
 
         self.tick_interval_s = settings.export_s
@@ -273,7 +302,11 @@
         )
 
     def tick(self):
-        """Push once; the next push carries the same sums if this fails."""
+        """Push once.
+
+        Values are cumulative, so a failed push loses nothing that the next
+        one does not carry.
+        """
         collected = self.reader.collect_now()
         if collected is None:
             return
@@ -288,6 +321,6 @@
             )
 
     def on_stop(self):
-        """Push the last counts and close the connection."""
+        """Push the last values and close the connection."""
         self.tick()
         self.exporter.shutdown()
--- a/magnoliadyke/page.py
+++ b/magnoliadyke/page.py
@@ -1,4 +1,4 @@
-"""The page on which operators edit the table."""
+"""Serves the web page on which operators edit the table."""
 
 import base64
 import hashlib
@@ -11,14 +11,18 @@
 
 
 class PageResource:
-    """Serves the page; it holds no data and needs no token."""
+    """Serves the page, which is static and needs no token.
+
+    Its script fetches the table through the admin interface, with the token
+    that the operator enters.
+    """
 
     def __init__(self):
         self.content = PAGE.read_bytes()
         self.policy = content_policy(self.content.decode())
 
     def on_get(self, _request, response):
-        """Answer the page."""
+        """Respond with the page."""
         response.content_type = 'text/html; charset=utf-8'
         response.data = self.content
         response.set_header('Content-Security-Policy', self.policy)
@@ -27,14 +31,14 @@
 
 
 def content_policy(html: str) -> str:
-    """Allow just the page's own script and style.
+    """Build a Content-Security-Policy that allows only the page's own code.
 
-    A row's name comes from whoever wrote the table. The page sets it as
-    text; this is the second guard, should that ever be forgotten: a script
-    that is not the page's own does not run, and nothing leaves for another
-    host.
+    Names of rows are untrusted input. The page inserts them as text, never as
+    markup; this policy is the second safeguard: an injected script does not
+    run, and the page can't send data to another host.
 
     :param html: the page
+    :returns: value of the header, with digests of the page's script and style
     """
     sources = {
         kind: ' '.join(
--- a/magnoliadyke/reports.py
+++ b/magnoliadyke/reports.py
@@ -1,4 +1,4 @@
-"""Tell the metrics what became of each request."""
+"""Records the outcome and the timings of each request in the metrics."""
 
 from magnoliadyke.core import burn
 from magnoliadyke.core import outcomes
@@ -12,17 +12,17 @@
 
 SERVER_ERROR = 500
 
-#: Ends of requests that an operator should be able to find in the log.
+#: Outcomes that are logged, so that an operator can trace each such request.
 LOGGED_OUTCOMES = frozenset({'failed', 'not_run', 'unknown'})
 #: Refusals for lack of capacity.
 SHED_REASONS = frozenset({'overloaded', 'queue_full'})
-#: A request that is shed at once has not waited: it is blamed on a role change
-#: if one was under way within this time.
+#: A request that is shed on arrival has not waited in a queue, so it is
+#: attributed to a role change that was in progress within this time before.
 SHED_LOOK_BACK_S = 1.0
 
 
 def outcome_label(outcome):
-    """Return the word that the metrics use for an outcome."""
+    """Return the value of the metrics' label ``outcome`` for an outcome."""
     match outcome:
         case records.Answer(status=status):
             return 'failed' if status >= SERVER_ERROR else 'answered'
@@ -38,7 +38,7 @@
 
 
 def is_shed(outcome):
-    """Tell whether a request was refused because its pool had too much."""
+    """Return whether a request was refused because its pool was overloaded."""
     match outcome:
         case outcomes.NotRun(reason=reason):
             return reason in SHED_REASONS
@@ -46,10 +46,12 @@
 
 
 class Reports:
-    """Counts the requests that ended at this node, their home.
+    """Counts the requests whose home is this node when they end.
 
-    :param metrics: :class:`magnoliadyke.metrics.Metrics`, or None
+    :param metrics: :class:`magnoliadyke.metrics.Metrics`; None to count
+        nothing
     :param dispatcher: :class:`magnoliadyke.dispatch.Dispatcher`
+    :param clock: a :class:`magnoliadyke.clock.Clock`
     """
 
     def __init__(self, metrics, dispatcher, clock):
@@ -58,10 +60,14 @@
         self.clock = clock
 
     def record_refusal(self, customer, outcome):
-        """Count a request that was refused before it had a run."""
+        """Count a request that was refused before a run was started.
+
+        :param customer: name of the customer's row
+        :param outcome: one of :mod:`magnoliadyke.core.outcomes`
+        """
         if self.metrics is not None:
             word = outcome_label(outcome)
-            # The caller goes on at another host, and is counted there.
+            # The caller tries another host, which counts the request.
             if word == 'not_run':
                 word = 'declined'
             self.metrics.record_request_end(customer, word)
@@ -98,11 +104,15 @@
             )
 
     def timings(self, run, output_tokens):
-        """Return where the time of a run went."""
+        """Return the timings of a run that has ended.
+
+        :param run: :class:`magnoliadyke.streams.EndpointRun`
+        :param output_tokens: tokens of its answer
+        """
         job, now_s = run.job, self.clock.now_s()
         first_output_s = run.first_output_s
         if first_output_s is None and isinstance(run.outcome, records.Answer):
-            first_output_s = now_s  # a service answers in one piece
+            first_output_s = now_s  # a service's response is not streamed
         first_s, per_token_s = None, None
         if first_output_s is not None:
             first_s = first_output_s - job.arrived_s
