--- a/magnoliadyke/burnplot.py
+++ b/magnoliadyke/burnplot.py
@@ -1,4 +1,4 @@
-"""Draws a burn report: rates by window, bad requests by cause."""
+"""Draws a burn report: burn rates by window and bad requests by cause."""
 
 from typing import Any
 from typing import Mapping
@@ -23,10 +23,10 @@
 
 
 def draw(report: Mapping[str, Any], path: str) -> None:
-    """Draw a report.
+    """Draw a burn report.
 
-    :param report: as ``GET /admin/burn`` gives it.
-    :param path: PNG file to write.
+    :param report: the response of ``GET /admin/burn``.
+    :param path: path of the PNG file to write.
     """
     drawing = figure.Figure(figsize=SIZE_INCHES, layout='constrained')
     rates, causes = drawing.subplots(1, 2)
--- a/magnoliadyke/burnreport.py
+++ b/magnoliadyke/burnreport.py
@@ -1,4 +1,4 @@
-"""Admin route of the burn report, over all hosts."""
+"""Admin route of the burn report, summed over all hosts."""
 
 import dataclasses
 
@@ -9,13 +9,20 @@
 
 
 class BurnResource:
-    """Burn rates by customer and window."""
+    """Burn rates by customer and window.
+
+    :param node: the :class:`magnoliadyke.node.Node`
+    """
 
     def __init__(self, node):
         self.node = node
 
     def on_get(self, request, response):
-        """Answer the report; ``scope=host`` gives this host's part alone."""
+        """Respond with the report.
+
+        With the query parameter ``scope=host`` the response has the counts of
+        this host alone.
+        """
         if request.get_param('scope') == 'host':
             response.media = _local_counts(self.node)
             return
@@ -23,10 +30,11 @@
 
 
 def collect(node, token):
-    """Add up the counts of all hosts and evaluate them.
+    """Sum the counts of all hosts and evaluate the burn rates.
 
-    :param node: the :class:`magnoliadyke.node.Node` that is asked
-    :param token: the operators' token, for the others
+    :param node: the :class:`magnoliadyke.node.Node` that serves the request
+    :param token: the operators' token, for requests to the other hosts
+    :returns: the report; ``missing`` lists the hosts that did not respond
     """
     own = _local_counts(node)
     others = fleet.ask_others(node, token, '/admin/burn?scope=host')
@@ -80,24 +88,24 @@
 
 
 def render_text(report):
-    """Set the report in lines for people.
+    """Format a report as text.
 
-    :param report: what :func:`collect` gave
+    :param report: the report without its text, see :func:`collect`
     """
     lines = [
-        f'burn rates over {len(report["hosts"])} hosts, counted for '
-        f'{report["covered_s"]:.0f} s at most; 1 uses the error budget up '
-        'just in time'
+        f'burn rates over {len(report["hosts"])} hosts, counted for up to '
+        f'{report["covered_s"]:.0f} s; at a rate of 1 the error budget lasts '
+        'exactly for its period'
     ]
     if report['missing']:
-        lines.append('no answer from ' + ', '.join(report['missing']))
+        lines.append('no response from ' + ', '.join(report['missing']))
     for customer in report['customers']:
         lines += ['', *_customer_lines(customer)]
     return '\n'.join(lines)
 
 
 def _customer_lines(customer):
-    yield f'{customer["name"]}: {customer["objective"]:.2%} to be good'
+    yield f'{customer["name"]}: objective {customer["objective"]:.2%} good'
     yield '  window       rate     bad   total  causes'
     for window in customer['windows']:
         causes = ', '.join(
@@ -114,7 +122,7 @@
         yield (
             f'  {alert["severity"].upper()}: rate over '
             f'{alert["threshold"]:.1f} in {_duration(alert["long_s"])} and '
-            f'{_duration(alert["short_s"])}, mostly {alert["cause"]}'
+            f'{_duration(alert["short_s"])}, main cause {alert["cause"]}'
         )
 
 
--- a/magnoliadyke/overview.py
+++ b/magnoliadyke/overview.py
@@ -9,24 +9,31 @@
 
 __all__ = ['RolesResource', 'StatusResource', 'roles', 'status']
 
-#: Longest wait for another task of this node, in seconds.
+#: Maximum wait for a response of another task of this node, in seconds.
 READ_TIMEOUT_S = 2.0
 
-#: Outcomes that are shown even if none occurred.
+#: Outcomes that are shown with a count of 0 if none occurred.
 SHOWN_OUTCOMES = ('answered', 'not_run', 'unknown', 'rejected')
 
-#: Figures of a customer that add up over the hosts.
+#: Fields of a customer that are summed over the hosts.
 SUMMED_FIELDS = ('running', 'queued', *metrics.OUTCOMES)
 
 
 class StatusResource:
-    """The deployment as this host sees it."""
+    """The state of the deployment as this host has it.
+
+    :param node: the :class:`magnoliadyke.node.Node`
+    """
 
     def __init__(self, node):
         self.node = node
 
     def on_get(self, request, response):
-        """Answer the state; ``scope=host`` counts on this host alone."""
+        """Respond with the state.
+
+        Customers' counts are summed over all hosts that respond, or are those
+        of this host alone with the query parameter ``scope=host``.
+        """
         own = status(self.node)
         if request.get_param('scope') != 'host':
             token = fleet.token_of(request)
@@ -37,18 +44,21 @@
 
 
 class RolesResource:
-    """The engines' roles."""
+    """The roles of all engines.
+
+    :param node: the :class:`magnoliadyke.node.Node`
+    """
 
     def __init__(self, node):
         self.node = node
 
     def on_get(self, _request, response):
-        """Answer each pool of engines with its planner and its engines."""
+        """Respond with each pool of engines, its planner and its engines."""
         response.media = roles(self.node)
 
 
 def status(node):
-    """Collect the state at a glance.
+    """Collect the state of the deployment from the tasks of a node.
 
     :param node: the :class:`magnoliadyke.node.Node`
     """
@@ -142,7 +152,11 @@
 
 
 def _add_customer_counts(own, others):
-    """Add the counts of the other hosts; what runs is a fleet's figure."""
+    """Add the counts of the other hosts to those of this one.
+
+    :param own: the status of this host, which is changed
+    :param others: the statuses of the hosts that responded
+    """
     totals = {customer['name']: customer for customer in own['customers']}
     for status_of_other in others:
         for customer in status_of_other['customers']:
@@ -155,8 +169,8 @@
 
 
 def _leases(node):
-    # The status is for telling what is wrong: a task that hangs must not
-    # take the rest of it away.
+    # The status serves to diagnose faults, so a task that does not respond
+    # must not make the rest of it unavailable.
     try:
         pools = _pools(node)
     except adminerrors.Refusal:
@@ -176,9 +190,10 @@
 
 
 def roles(node):
-    """Collect the roles of all engines and who plans them.
+    """Collect the roles of all engines and the planner of each pool.
 
     :param node: the :class:`magnoliadyke.node.Node`
+    :raises adminerrors.Refusal: the task that plans roles did not respond
     """
     pools = _pools(node)
     view = node.configuration.views.last
--- a/magnoliadyke/render.py
+++ b/magnoliadyke/render.py
@@ -1,4 +1,4 @@
-"""Answers of the porcelain as text for people."""
+"""Formats the results of the operators' commands as text."""
 
 import json
 from typing import Any
@@ -19,16 +19,16 @@
     'table',
 ]
 
-#: Longest text shown for a cell, in characters.
+#: Maximum length of the text of a value, in characters.
 MAX_SHOWN_CHARACTERS = 48
 NO_VALUE = '-'
 
 
 def columns(heading: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Set rows in columns, numbers to the right.
+    """Format rows as aligned columns, with numbers right-aligned.
 
     :param heading: name of each column.
-    :param rows: the values.
+    :param rows: values of each row, one for each column.
     """
     lines = [[cell(value) for value in row] for row in rows]
     found = [_column(texts) for texts in zip(heading, *lines, strict=True)]
@@ -46,7 +46,7 @@
 
 
 def cell(value: Any) -> str:
-    """Show one value.
+    """Format one value, shortened to :data:`MAX_SHOWN_CHARACTERS`.
 
     :param value: a JSON scalar or list.
     """
@@ -71,9 +71,9 @@
 
 
 def table(answer: Mapping[str, Any]) -> str:
-    """Show the table; defaults stand in parentheses.
+    """Format the table, with default values in parentheses.
 
-    :param answer: the table as the admin interface gives it.
+    :param answer: the response of ``GET /admin/table``.
     """
     parts = [f'revision {answer["revision"]}']
     for sheet, content in answer['sheets'].items():
@@ -99,10 +99,10 @@
 
 
 def edit(state: str, body: Mapping[str, Any]) -> str:
-    """Tell what became of an edit.
+    """Format the result of an edit.
 
-    :param state: its state.
-    :param body: the host's answer.
+    :param state: ``unchanged``, ``in_force``, ``accepted`` or ``pending``.
+    :param body: the response of the host.
     """
     match state:
         case 'unchanged':
@@ -121,7 +121,7 @@
         case 'pending':
             missing = ', '.join(body.get('missing', ())) or 'some hosts'
             remedy = body.get('remedy') or (
-                "wait, or accept it without them by 'table override'"
+                "wait, or accept it without them with 'table override'"
             )
             return (
                 f'revision {body.get("staged_revision")} is staged and not '
@@ -131,9 +131,9 @@
 
 
 def conflicts(found: Iterable[Mapping[str, Any]]) -> str:
-    """Show both values of each cell in conflict.
+    """Format both values of each cell in conflict.
 
-    :param found: the conflicts as the admin interface gives them.
+    :param found: the conflicts in the response of the admin interface.
     """
     return columns(
         ['cell', 'yours', 'theirs', 'revision'],
@@ -150,9 +150,9 @@
 
 
 def history(entries: Iterable[Mapping[str, Any]]) -> str:
-    """Show accepted edits, a line for each cell.
+    """Format accepted edits, one line for each changed cell.
 
-    :param entries: the edits as the admin interface gives them.
+    :param entries: the edits in the response of the admin interface.
     """
     rows = [
         [
@@ -170,25 +170,29 @@
 
 
 def hosts(found: Sequence[Mapping[str, Any]]) -> str:
-    """Show the hosts that callers are sent to, the best first.
+    """Format the hosts for callers.
 
-    :param found: the hosts.
+    :param found: the hosts, the preferred one first.
     """
     return _rows(found, ('host', 'address', 'failure_domain'))
 
 
 def status(answer: Mapping[str, Any]) -> str:
-    """Show the state of a deployment on one page.
+    """Format the state of a deployment.
 
-    :param answer: the answer of ``GET /admin/status``.
+    :param answer: the response of ``GET /admin/status``.
     """
     state = answer.get('table', {})
-    takes = 'takes work' if answer.get('takes_work') else 'takes no work'
+    accepts = (
+        'accepts requests'
+        if answer.get('takes_work')
+        else 'accepts no requests'
+    )
     store = answer.get('store', {})
     reach = 'reachable' if store.get('reachable') else 'NOT REACHABLE'
     parts = [
         f'{answer.get("deployment")}, as seen by {answer.get("host")} '
-        f'({takes}); table revision {state.get("revision")}; store {reach}, '
+        f'({accepts}); table revision {state.get("revision")}; store {reach}, '
         f'last answer {_seconds(store.get("last_answer_s"))} ago'
     ]
     parts.extend(_sections(answer, STATUS_SECTIONS))
@@ -229,9 +233,9 @@
 
 
 def roles(answer: Mapping[str, Any]) -> str:
-    """Show each pool's engines with their roles.
+    """Format the engines of each pool with their roles.
 
-    :param answer: the answer of ``GET /admin/roles``.
+    :param answer: the response of ``GET /admin/roles``.
     """
     parts = []
     for pool in answer['pools']:
@@ -258,9 +262,9 @@
 
 
 def burn(answer: Mapping[str, Any]) -> str:
-    """Show burn rates by customer and window, alerts and causes.
+    """Format burn rates by customer and window, with alerts and causes.
 
-    :param answer: the answer of ``GET /admin/burn``.
+    :param answer: the response of ``GET /admin/burn``.
     """
     if answer.get('text'):
         return answer['text']
@@ -320,7 +324,7 @@
     changes = ', '.join(
         f'{name} = {cell(value)}' for name, value in staged['cells'].items()
     )
-    waiting = ', '.join(staged.get('waiting', ())) or 'its acceptance'
+    waiting = ', '.join(staged.get('waiting', ())) or 'acceptance'
     return (
         f'staged as {staged.get("revision")} by {staged.get("operator")} '
         f'(edit {staged.get("edit")}): {changes}; waits for {waiting}'
