--- a/magnoliadyke/__main__.py
+++ b/magnoliadyke/__main__.py
@@ -1,13 +1,13 @@
-"""Entry point: sets gevent up, then hands over to the command line."""
+"""Entry point: configures gevent, then runs the command line."""
 
 import os
 
-# gevent reads these when its hub is first made, so they come before any
-# import that might make one.  epoll is named so that no build of libev picks
-# io_uring or a weaker back end on its own.
+# gevent reads these when its hub is created, so they are set before any
+# import that might create one.  epoll is named explicitly, so that no build
+# of libev selects io_uring or a slower back end.
 os.environ.setdefault('GEVENT_LOOP', 'libev-cext')
 os.environ.setdefault('GEVENT_BACKEND', 'epoll')
-# Addresses are numeric everywhere: no resolver thread pool is needed.
+# All addresses are numeric, so no resolver thread pool is needed.
 os.environ.setdefault('GEVENT_RESOLVER', 'block')
 
 from gevent import monkey  # noqa: E402
@@ -22,7 +22,7 @@
 
 
 def main() -> int:
-    """Run the command line of this process.
+    """Run the command that the arguments of this process name.
 
     :returns: the exit status.
     """
--- a/magnoliadyke/app.py
+++ b/magnoliadyke/app.py
@@ -1,4 +1,4 @@
-"""The application object that owns components and cleans up after them."""
+"""The application: starts and stops the components of a process."""
 
 import abc
 
@@ -6,19 +6,30 @@
 
 
 class Component(abc.ABC):
-    """Something with a life cycle."""
+    """A part of a process that is started and stopped."""
 
     @abc.abstractmethod
     def start(self):
-        """Begin to work."""
+        """Start the component.
+
+        :raises Exception: the component can't be started
+        """
 
     @abc.abstractmethod
     def stop(self, deadline_s):
-        """End within ``deadline_s`` seconds, cutting nothing if possible."""
+        """Stop, and let work in flight finish as far as time allows.
+
+        :param deadline_s: maximum duration of the stop, in seconds
+        """
 
 
 class Application:
-    """Starts components in order and stops them in reverse order."""
+    """Starts components in order and stops them in reverse order.
+
+    :param clock: a :class:`magnoliadyke.clock.Clock`
+    :ivar components: all components, in the order of their start
+    :ivar started: the components that are running
+    """
 
     def __init__(self, clock):
         self.clock = clock
@@ -26,14 +37,17 @@
         self.started = []
 
     def add(self, component):
-        """Own ``component`` and return it."""
+        """Add a component and return it.
+
+        :param component: the :class:`Component`
+        """
         self.components.append(component)
         return component
 
     def start(self):
-        """Start all; when one fails, stop those that had started.
+        """Start all components; if one fails, stop those already started.
 
-        :raises Exception: whatever the failing component raised
+        :raises Exception: the exception of the component that failed
         """
         for component in self.components:
             try:
@@ -44,9 +58,10 @@
             self.started.append(component)
 
     def stop(self, deadline_s):
-        """Stop all started components, last one first.
+        """Stop all started components in reverse order of their start.
 
-        :param deadline_s: time for all of them together, in seconds
+        :param deadline_s: time for all of them together, in seconds; each
+            gets the rest of it, but at least 0.1 s
         """
         end_s = self.clock.now_s() + deadline_s
         while self.started:
--- a/magnoliadyke/clock.py
+++ b/magnoliadyke/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the runtime; tests pause and advance it."""
+"""Clocks: that of the machine, and one that tests advance."""
 
 import abc
 import heapq
@@ -11,54 +11,60 @@
 
 
 class Clock(abc.ABC):
-    """Time as the shell sees it; the core gets plain seconds."""
+    """Source of the time; modules of the core are passed plain seconds."""
 
     @abc.abstractmethod
     def now_s(self):
-        """Return monotonic seconds."""
+        """Return the monotonic time, in seconds."""
 
     @abc.abstractmethod
     def boot_s(self):
-        """Return steady seconds that also pass while the machine sleeps."""
+        """Return the monotonic time with that of suspensions, in seconds."""
 
     @abc.abstractmethod
     def wall_s(self):
-        """Return seconds since the epoch."""
+        """Return the time since the epoch, in seconds."""
 
     @abc.abstractmethod
     def sleep(self, seconds):
-        """Let other tasks run for that long.
+        """Suspend the calling task while other tasks run.
 
-        :param seconds: how long, in seconds
+        :param seconds: duration, in seconds
         """
 
 
 class SystemClock(Clock):
-    """The machine's own clock."""
+    """The clock of the machine."""
 
     def now_s(self):
-        """Return monotonic seconds."""
+        """Return the monotonic time, in seconds."""
         return time.monotonic()
 
     def boot_s(self):
-        """Return seconds since the machine was started."""
+        """Return the time since the machine was booted, in seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall_s(self):
-        """Return seconds since the epoch."""
+        """Return the time since the epoch, in seconds."""
         return time.time()
 
     def sleep(self, seconds):
-        """Yield to the other greenlets for ``seconds``."""
+        """Suspend the calling greenlet while others run.
+
+        :param seconds: duration, in seconds
+        """
         gevent.sleep(seconds)
 
 
 class ManualClock(Clock):
-    """A clock that stands still until a test advances it.
-
-    :param start_s: first monotonic reading, in seconds
-    :param wall_start_s: first wall reading, in seconds since the epoch
-    :ivar suspended_s: time that the machine was suspended for, in seconds
+    """A clock for tests, which moves only when it is advanced.
+
+    :param start_s: initial monotonic time, in seconds
+    :param wall_start_s: initial wall time, in seconds since the epoch
+    :ivar suspended_s: total time for which the machine was suspended, in
+        seconds
+    :ivar sleepers: heap of wake-up time, sequence number and event of each
+        sleeping task
     """
 
     def __init__(self, start_s=1000.0, wall_start_s=1.7e9):
@@ -69,19 +75,22 @@
         self.sequence = 0
 
     def now_s(self):
-        """Return the paused monotonic time in seconds."""
+        """Return the manual monotonic time, in seconds."""
         return self.monotonic_s
 
     def boot_s(self):
-        """Return the paused time with that of suspensions, in seconds."""
+        """Return the manual time with that of suspensions, in seconds."""
         return self.monotonic_s + self.suspended_s
 
     def wall_s(self):
-        """Return the paused wall time in seconds since the epoch."""
+        """Return the manual wall time since the epoch, in seconds."""
         return self.monotonic_s + self.wall_offset_s
 
     def sleep(self, seconds):
-        """Block until :meth:`advance` has passed the wake-up time."""
+        """Block until :meth:`advance` reaches the wake-up time.
+
+        :param seconds: duration, in seconds
+        """
         wake = event.Event()
         self.sequence += 1
         due_s = self.monotonic_s + seconds
@@ -89,9 +98,9 @@
         wake.wait()
 
     def advance(self, seconds):
-        """Move time on, waking sleepers in order of their wake-up times.
+        """Advance the time and wake sleepers in order of their wake-up times.
 
-        :param seconds: by how much, in seconds
+        :param seconds: time to advance by, in seconds
         """
         target_s = self.monotonic_s + seconds
         gevent.sleep(0)
--- a/magnoliadyke/errors.py
+++ b/magnoliadyke/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors; every message names the remedy."""
+"""Exceptions for callers and operators; each message names a remedy."""
 
 __all__ = [
     'AdminRefused',
@@ -13,10 +13,10 @@
 
 
 class MagnoliadykeError(Exception):
-    """Base of all errors a caller or an operator may see.
+    """Base of all errors that are shown to callers or operators.
 
-    :param message: what went wrong
-    :param remedy: what the reader can do about it
+    :param message: what failed, with the invalid value if there is one
+    :param remedy: how to correct it; appended to the message
     """
 
     def __init__(self, message, remedy=''):
@@ -27,28 +27,29 @@
 
 
 class SettingsError(MagnoliadykeError):
-    """A settings file can't be used; ``problems`` lists all that is wrong.
+    """A settings file is invalid.
 
-    :param problems: sequence of problems, each with path, value and remedy
+    :param problems: all problems of the file; each is formatted by ``str``
     """
 
     def __init__(self, problems):
         self.problems = tuple(problems)
         lines = '\n'.join(f'  {problem}' for problem in self.problems)
         super().__init__(
-            f'settings have {len(self.problems)} problem(s):\n{lines}',
-            "correct each line, then run 'magnoliadyke check SETTINGS'",
+            f'the settings have {len(self.problems)} problem(s):\n{lines}',
+            "correct each, then run 'magnoliadyke check SETTINGS'",
         )
 
 
 class UsageError(MagnoliadykeError):
-    """A command line or an API argument that can't be used."""
+    """A command line or an argument of the API is invalid."""
 
 
 class StoreUnavailable(MagnoliadykeError):
-    """The key-value service did not answer.
+    """The key-value service did not respond.
 
-    :param maybe_applied: whether a write may have taken effect all the same
+    :param message: what failed
+    :param maybe_applied: whether a write may have taken effect nevertheless
     """
 
     def __init__(self, message, maybe_applied=False):
@@ -59,24 +60,27 @@
 
 
 class EndpointUnreachable(MagnoliadykeError):
-    """An endpoint could not be connected to, or its connection broke.
+    """An endpoint can't be connected to, or its connection broke.
 
-    :param sent: whether a byte of the request may have left for it
+    :param message: what failed
+    :param sent: whether any byte of the request may have been sent
     """
 
     def __init__(self, message, sent=False):
         self.sent = sent
-        super().__init__(message, 'check that the endpoint is up')
+        super().__init__(message, 'check that the endpoint is running')
 
 
 class HostUnreachable(MagnoliadykeError):
-    """No host of the deployment answered."""
+    """No host of the deployment responded."""
 
 
 class AdminRefused(MagnoliadykeError):
-    """The admin listener refused a command.
+    """The admin listener refused a request.
 
-    :param status: HTTP status of the refusal
+    :param message: why it was refused
+    :param remedy: how to correct the request
+    :param status: HTTP status of the response
     """
 
     def __init__(self, message, remedy='', status=400):
@@ -85,4 +89,4 @@
 
 
 class ProtocolError(MagnoliadykeError):
-    """A peer sent something that the protocol doesn't allow."""
+    """A peer sent a message that violates the protocol."""
--- a/magnoliadyke/platform/settings.py
+++ b/magnoliadyke/platform/settings.py
@@ -122,7 +122,9 @@
         with open(path, encoding='utf-8') as file:
             fields = json.load(file)
     except (OSError, ValueError) as error:
-        raise errors.SettingsError([Problem(path, str(error))]) from error
+        raise errors.SettingsError(
+            [Problem(path, f'expected a readable JSON file: {error}')]
+        ) from error
     return parse(fields)
 
 
@@ -135,18 +137,21 @@
     for name in NodeSettings._fields:
         required = name not in NodeSettings._field_defaults
         if required and fields.get(name) is None:
-            problems.append(Problem(name, 'is missing; add it'))
+            problems.append(Problem(name, 'required key is missing; add it'))
     problems += _duty_problems(fields.get('duties'))
     for name in ('callers', 'readiness', 'directory', 'control', 'store'):
         text = fields.get(name)
         if text and not str(text).rpartition(':')[2].isdigit():
-            problems.append(Problem(name, f'expected ip:port, got {text!r}'))
+            problems.append(
+                Problem(name, f'expected numeric ip:port, got {text!r}')
+            )
     ports = fields.get('peer_ports')
     if ports and (len(ports) != 2 or ports[1] - ports[0] < 2):
         problems.append(
             Problem(
                 'peer_ports',
-                f'expected first and last of 3 or more ports, got {ports!r}',
+                'expected a list of the first and the last of 3 or more '
+                f'ports, got {ports!r}',
             )
         )
     if problems:
@@ -172,11 +177,11 @@
     if not isinstance(duties, dict):
         return [
             Problem(
-                'duties', f'expected an object, got {type(duties).__name__}'
+                'duties', f'expected a JSON object or null, got {duties!r}'
             )
         ]
     problems = [
-        Problem(f'duties.{name}', 'is missing; add it')
+        Problem(f'duties.{name}', 'required key is missing; add it')
         for name in DutySettings._fields
         if duties.get(name) is None
     ]
@@ -185,7 +190,7 @@
         problems.append(
             Problem(
                 'duties.usage_window_s',
-                f'expected more than 0, got {window_s}',
+                f'expected more than 0 seconds, got {window_s!r}',
             )
         )
     return problems
--- a/magnoliadyke/program.py
+++ b/magnoliadyke/program.py
@@ -1,18 +1,19 @@
-"""How this program is started again, from a checkout or as one binary."""
+"""Command line that starts this program, from a checkout or a binary."""
 
 import os
 import sys
 
 __all__ = ['BINARY_VARIABLE', 'command']
 
-#: Set by the launcher of the one binary to the path of that binary.
+#: Environment variable in which the launcher of the single-file binary passes
+#: the path of that binary.
 BINARY_VARIABLE = 'MAGNOLIADYKE_BINARY'
 
 
 def command(*args: str) -> list[str]:
-    """Give the command line that starts this program with arguments.
+    """Return the command line that starts this program with arguments.
 
-    Only the lab starts processes; a node never does.
+    Used by the lab only: a node starts no processes.
 
     :param args: arguments of the program.
     """
