--- a/tools/binary.py
+++ b/tools/binary.py
@@ -1,7 +1,7 @@
-"""Builds the one binary: a folder build behind a launcher that unpacks it.
+"""Builds the single-file binary: a launcher and the program that it unpacks.
 
-Usage: ``python tools/binary.py OUTPUT``.  Needs PyInstaller and a C compiler;
-``make binary`` sets the first up.
+Usage: ``python tools/binary.py OUTPUT``.  Needs PyInstaller, which
+``make binary`` installs, and a C compiler.
 """
 
 import hashlib
@@ -22,9 +22,10 @@
 MAGIC = b'MGDYKE01'
 DIGEST_LENGTH = 32
 
-#: Reached by name only, so that PyInstaller does not see them itself.
+#: Packages with modules that are imported by name at run time, which
+#: PyInstaller does not detect.
 HIDDEN_PACKAGES = (PROGRAM, 'falcon', 'thrift', 'opentelemetry')
-#: Packages that look up their own entry points or versions.
+#: Packages that look up their entry points or versions at run time.
 METADATA = (
     'falcon',
     'gevent',
@@ -33,14 +34,14 @@
     'opentelemetry-exporter-prometheus',
     'opentelemetry-sdk',
 )
-#: Not for the hosts; plots are drawn where the package is installed.
+#: Packages that hosts do not need; plots are drawn with an installed package.
 EXCLUDED = ('matplotlib', 'numpy', 'PIL', 'tkinter', 'pytest', 'hypothesis')
 
 
 def build_folder() -> pathlib.Path:
-    """Run PyInstaller.
+    """Build the program with PyInstaller.
 
-    :returns: the folder that holds the program and its libraries.
+    :returns: folder with the program and its libraries.
     """
     command = [sys.executable, '-m', 'PyInstaller', '--noconfirm', '--onedir']
     command += ['--clean', '--log-level=WARN', '--strip', f'--name={PROGRAM}']
@@ -59,7 +60,7 @@
 def compile_launcher() -> pathlib.Path:
     """Compile the launcher.
 
-    :returns: the program without a payload.
+    :returns: path of the launcher, which has no payload yet.
     """
     compiler = shutil.which(os.environ.get('CC', 'cc'))
     if compiler is None:
@@ -78,9 +79,9 @@
 
 
 def pack(folder: pathlib.Path) -> Iterator[bytes]:
-    """Give the entries of the payload, in the layout of ``launcher.c``.
+    """Yield the entries of the payload, in the format of ``launcher.c``.
 
-    :param folder: what to pack.
+    :param folder: folder with the files to pack.
     """
     for path in sorted(folder.rglob('*')):
         mode = path.lstat().st_mode
@@ -99,18 +100,19 @@
 def write_binary(
     launcher: pathlib.Path, folder: pathlib.Path, output: pathlib.Path
 ) -> None:
-    """Append the payload and its trailer to the launcher.
+    """Write the launcher, followed by the payload and its trailer.
 
-    :param launcher: the compiled launcher.
-    :param folder: the folder build.
-    :param output: file to write.
+    :param launcher: path of the compiled launcher.
+    :param folder: folder with the files to pack.
+    :param output: path of the binary to write.
     """
     head = launcher.read_bytes()
     payload = b''.join(pack(folder))
     digest = hashlib.sha256(payload).hexdigest()[:DIGEST_LENGTH]
     trailer = struct.pack('<Q', len(head)) + digest.encode() + MAGIC
     output.parent.mkdir(parents=True, exist_ok=True)
-    # Written aside and renamed: a file that runs cannot be overwritten.
+    # The binary may be running, and a running file can't be overwritten: write
+    # a new file and rename it.
     fresh = output.with_suffix('.new')
     fresh.write_bytes(head + payload + trailer)
     fresh.chmod(0o755)
@@ -120,7 +122,7 @@
 def main(argv: list[str]) -> int:
     """Build the binary.
 
-    :param argv: the file to write.
+    :param argv: path of the binary to write.
     :returns: the exit status.
     """
     if len(argv) != 1:
--- a/tools/binary_check.py
+++ b/tools/binary_check.py
@@ -1,9 +1,9 @@
-"""Shows that the one binary is one process that starts fast and stops well.
+"""Checks start, process and stop of a node that runs from the binary.
 
 Usage: ``python tools/binary_check.py BINARY``.  Starts a stand-in for the
-key-value service and one node from the binary on loopback, looks at the
-node's process and stops it by SIGTERM.  Prints a line for each check; exit
-status 0 only if all hold.
+key-value service and one node from the binary on loopback, inspects the
+process of the node and stops it by SIGTERM.  Prints a line for each check;
+the exit status is 0 only if all checks pass.
 """
 
 import json
@@ -34,11 +34,11 @@
 
 
 class Check(NamedTuple):
-    """One thing that was looked at.
+    """Result of one check.
 
-    :param name: what.
-    :param holds: whether it is as it must be.
-    :param seen: what was found.
+    :param name: name of the check.
+    :param holds: whether the check passed.
+    :param seen: the observed value.
     """
 
     name: str
@@ -47,9 +47,10 @@
 
 
 def write_settings(directory: pathlib.Path) -> pathlib.Path:
-    """Write the Dala settings with one host on an address of its own.
+    """Write the Dala settings, reduced to one host with its own address.
 
-    :param directory: where to.
+    :param directory: directory to write to.
+    :returns: path of the settings file.
     """
     document = json.loads((ROOT / 'examples' / 'dala.json').read_text())
     host = document['hosts'][0]
@@ -66,10 +67,10 @@
 ) -> subprocess.Popen:
     """Start the binary.
 
-    :param binary: the binary.
-    :param directory: where it unpacks itself and its log goes.
-    :param name: name of the log.
-    :param args: its arguments.
+    :param binary: path of the binary.
+    :param directory: directory to unpack to and to write the log in.
+    :param name: name of the log, without suffix.
+    :param args: arguments of the binary.
     """
     unpacked = directory / 'unpacked'
     unpacked.mkdir(exist_ok=True)
@@ -83,9 +84,11 @@
 
 
 def wait_for_status(process: subprocess.Popen) -> float:
-    """Wait until the node answers its operators.
+    """Wait until the admin listener of the node responds.
 
-    :returns: the seconds it took.
+    :param process: the process of the node.
+    :returns: time until the response, in seconds.
+    :raises SystemExit: the node exited or did not respond in time.
     """
     began = time.monotonic()
     request = urllib.request.Request(
@@ -94,20 +97,22 @@
     )
     while time.monotonic() - began < START_LIMIT_S:
         if process.poll() is not None:
-            raise SystemExit(f'the node ended with {process.returncode}')
+            raise SystemExit(
+                f'the node exited with status {process.returncode}'
+            )
         try:
             with urllib.request.urlopen(request, timeout=1) as answer:
                 answer.read()
             return time.monotonic() - began
         except (urllib.error.URLError, OSError):
             time.sleep(POLL_S)
-    raise SystemExit(f'the node did not answer within {START_LIMIT_S} s')
+    raise SystemExit(f'the node did not respond within {START_LIMIT_S} s')
 
 
 def children(pid: int) -> list[str]:
-    """Give the processes that a process started.
+    """Return the process ids of the children of a process.
 
-    :param pid: the process.
+    :param pid: process id.
     """
     tasks = pathlib.Path(f'/proc/{pid}/task').iterdir()
     return [
@@ -118,9 +123,9 @@
 
 
 def open_files(pid: int) -> list[str]:
-    """Give what a process has open.
+    """Return the targets of all open file descriptors of a process.
 
-    :param pid: the process.
+    :param pid: process id.
     """
     found = []
     for link in pathlib.Path(f'/proc/{pid}/fd').iterdir():
@@ -132,14 +137,14 @@
 
 
 def look_at(process: subprocess.Popen) -> list[Check]:
-    """Look at the process of the node.
+    """Check the process of a running node.
 
-    :param process: the process that was started.
+    :param process: the process of the node.
     """
     proc = pathlib.Path(f'/proc/{process.pid}')
     files = open_files(process.pid)
-    # Memory that another process could write to: any writable mapping that
-    # is shared, whatever file or name stands behind it.
+    # Memory that another process could write to: all writable shared
+    # mappings, of any file or none.
     shared = [
         line.split()[-1]
         for line in (proc / 'maps').read_text().splitlines()
@@ -151,7 +156,7 @@
     started = children(process.pid)
     return [
         Check(
-            'it became the unpacked program', 'unpacked' in program, program
+            'process runs the unpacked program', 'unpacked' in program, program
         ),
         Check('no child process', not started, started or 'none'),
         Check(
@@ -166,26 +171,26 @@
 
 
 def stop(process: subprocess.Popen) -> Check:
-    """Stop the node by its pid.
+    """Stop the node by a signal to the process that was started.
 
-    :param process: the process that was started.
+    :param process: the process of the node.
     """
     began = time.monotonic()
     process.send_signal(signal.SIGTERM)
     code = process.wait(STOP_LIMIT_S)
     took = time.monotonic() - began
     return Check(
-        'SIGTERM to that pid ends it in order',
+        'SIGTERM to the started pid stops the node gracefully',
         code == 0,
         f'exit status {code} after {took:.1f} s',
     )
 
 
 def run(binary: pathlib.Path, directory: pathlib.Path) -> list[Check]:
-    """Make all checks.
+    """Run all checks.
 
-    :param binary: the binary.
-    :param directory: where files go.
+    :param binary: path of the binary.
+    :param directory: directory for settings, logs and the unpacked program.
     """
     settings = write_settings(directory)
     store = start(binary, directory, 'store', 'lab', 'keyvalue', STORE)
@@ -196,7 +201,7 @@
             words = ('node', str(settings), '--host', HOST)
             node = start(binary, directory, 'node', *words)
             took = wait_for_status(node)
-            checks.append(Check(name, True, f'answers after {took:.2f} s'))
+            checks.append(Check(name, True, f'responds after {took:.2f} s'))
             if name == 'first start':
                 checks += look_at(node)
             checks.append(stop(node))
@@ -209,9 +214,9 @@
 
 
 def main(argv: list[str]) -> int:
-    """Check a binary.
+    """Check a binary and print the results.
 
-    :param argv: the binary.
+    :param argv: path of the binary.
     :returns: the exit status.
     """
     if len(argv) != 1:
--- a/tools/border.py
+++ b/tools/border.py
@@ -1,7 +1,7 @@
-"""Checks that the core has no input, output, clock or randomness of its own.
+"""Checks that the core uses no I/O, clock or randomness of its own.
 
-Usage: ``python tools/border.py DIRECTORY``.  Prints one line for each breach
-and exits with 1 if there is any, with 0 otherwise.
+Usage: ``python tools/border.py DIRECTORY...``.  Prints one line for each
+violation; the exit status is 1 if there is any, else 0.
 """
 
 import ast
@@ -15,7 +15,7 @@
 PACKAGE = 'magnoliadyke'
 CORE = 'magnoliadyke.core'
 
-#: Modules that bring sockets, files, timers, processes or randomness.
+#: Modules for sockets, files, timers, processes or randomness.
 FORBIDDEN_MODULES = frozenset(
     (
         'asyncio',
@@ -57,24 +57,25 @@
     )
 )
 
-#: Names that reach files, the terminal or modules behind the check's back.
+#: Built-in functions that access files or the terminal, or run code that this
+#: check does not see.
 FORBIDDEN_CALLS = frozenset(
     ('open', 'print', 'input', 'exec', 'eval', '__import__')
 )
 
-#: Methods that read the wall clock, whatever they are called on.
+#: Methods that read the wall clock, if called on one of CLOCK_OWNERS.
 FORBIDDEN_METHODS = frozenset(('now', 'utcnow', 'today'))
 
-#: Modules whose clock-reading methods are meant by FORBIDDEN_METHODS.
+#: Names of modules and classes whose FORBIDDEN_METHODS read the wall clock.
 CLOCK_OWNERS = frozenset(('datetime', 'date'))
 
 
 class Breach(NamedTuple):
-    """One place where the core reaches over the border.
+    """One violation.
 
-    :param path: file in which it stands.
-    :param line: its line, from 1.
-    :param what: what is reached, and what to do in its place.
+    :param path: file with the violation.
+    :param line: line number, from 1.
+    :param what: what is used, and what to do in its place.
     """
 
     path: str
@@ -86,7 +87,7 @@
     """Check all modules below a directory.
 
     :param root: directory of the core.
-    :returns: the breaches, in the order of the files.
+    :returns: the violations, in the order of the files.
     """
     breaches = []
     for path in sorted(root.rglob('*.py')):
@@ -95,10 +96,10 @@
 
 
 def check_source(source: str, path: str) -> Iterator[Breach]:
-    """Check the text of one module.
+    """Check the source of one module.
 
-    :param source: the module's text.
-    :param path: name to report it by.
+    :param source: source text of the module.
+    :param path: path to report it by.
     """
     for node in ast.walk(ast.parse(source, path)):
         for what in _reaches(node):
@@ -111,12 +112,12 @@
             for alias in names:
                 yield from _module(alias.name)
         case ast.ImportFrom(level=level) if level > 0:
-            yield 'relative import: name the module from the top'
+            yield 'relative import: use the full name of the module'
         case ast.ImportFrom(module=module, names=names):
             for alias in names:
                 yield from _module(f'{module}.{alias.name}')
         case ast.Call(func=ast.Name(id=name)) if name in FORBIDDEN_CALLS:
-            yield f'calls {name}(): leave it to the shell'
+            yield f'calls {name}(): call it in a module outside the core'
         case ast.Call(
             func=ast.Attribute(value=ast.Name(id=owner), attr=attr)
         ) if owner in CLOCK_OWNERS and attr in FORBIDDEN_METHODS:
@@ -130,15 +131,15 @@
 def _module(name: str) -> Iterator[str]:
     top = name.partition('.')[0]
     if top in FORBIDDEN_MODULES:
-        yield f'imports {top}: pass its product in as an argument'
+        yield f'imports {top}: take what it returns as an argument'
     elif top == PACKAGE and not (name + '.').startswith(CORE + '.'):
-        yield f'imports {name}: the core knows nothing of the shell'
+        yield f'imports {name}: the core may import only {CORE}'
 
 
 def main(argv: list[str]) -> int:
-    """Check the directories named.
+    """Check directories and print the violations.
 
-    :param argv: directories; at least one.
+    :param argv: one or more directories.
     :returns: the exit status.
     """
     if not argv:
@@ -153,7 +154,7 @@
     for breach in breaches:
         print(f'{breach.path}:{breach.line}: {breach.what}')
     if not files:
-        print(f'no module found below {" ".join(argv)}', file=sys.stderr)
+        print(f'no Python file found below {" ".join(argv)}', file=sys.stderr)
         return 2
     print(f'border: {files} modules, {len(breaches)} breaches')
     return 1 if breaches else 0
--- a/tools/wirenames.py
+++ b/tools/wirenames.py
@@ -1,9 +1,10 @@
-"""Checks that only the platform's adapter knows the platform's names.
+"""Checks that only the platform's adapter uses names of its protocol.
 
-Usage: ``python tools/wirenames.py PACKAGE``.  The adapter is the package's
-``platform`` folder; the stand-ins in ``lab`` speak the same protocol.  All
-other modules may neither import the adapter nor spell its names.  Prints one
-line for each breach and exits with 1 if there is any.
+Usage: ``python tools/wirenames.py PACKAGE``.  The adapter is the folder
+``platform`` of the package; the stand-ins in ``lab`` implement the same
+protocol.  All other modules may neither import the adapter nor contain paths,
+headers or fields of the protocol.  Prints one line for each violation; the
+exit status is 1 if there is any, else 0.
 """
 
 import ast
@@ -15,9 +16,9 @@
 __all__ = ['check_source', 'check_tree', 'main']
 
 ADAPTER = 'magnoliadyke.platform'
-#: Folders that may speak the platform's protocol.
+#: Folders that may use names of the platform's protocol.
 SPEAKERS = ('platform', 'lab')
-#: Commands that start the adapter import it when they are asked to.
+#: Modules that may import the adapter, as their commands start it.
 STARTERS = ('porcelain.py',)
 NAMES = re.compile(
     r'/api/(kv-|resolve|readiness|order|report|hold-)|'
@@ -29,10 +30,10 @@
 
 
 def check_tree(root: pathlib.Path) -> list[str]:
-    """Check a package.
+    """Check all modules of a package.
 
-    :param root: its directory
-    :returns: the breaches
+    :param root: directory of the package
+    :returns: the violations
     """
     breaches = []
     for path in sorted(root.rglob('*.py')):
@@ -45,9 +46,11 @@
 def check_source(
     source: str, path: str, may_import: bool = False
 ) -> Iterator[str]:
-    """Check the text of one module.
+    """Check the source of one module.
 
-    :param may_import: it starts the adapter
+    :param source: source text of the module
+    :param path: path to report it by
+    :param may_import: whether the module may import the adapter
     """
     for node in ast.walk(ast.parse(source, path)):
         match node:
@@ -70,8 +73,9 @@
 
 
 def main(argv: list[str]) -> int:
-    """Check the package named.
+    """Check a package and print the violations.
 
+    :param argv: directory of the package
     :returns: the exit status
     """
     if len(argv) != 1 or not pathlib.Path(argv[0]).is_dir():
