--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Each target sets up what it needs on a machine with Python 3.11 only.
+# Each target installs what it needs; the machine needs only Python 3.11.
 
 PYTHON ?= python3.11
 VENV ?= .venv
@@ -14,15 +14,15 @@
 .PHONY: lint lint-ruff lint-format lint-hacking lint-border lint-wire
 
 help:
-	@echo "make venv         virtual environment with the pinned packages"
-	@echo "make test         all tests"
-	@echo "make lint         linters, format check, border check"
+	@echo "make venv         create a virtual environment, pinned packages"
+	@echo "make test         run all tests"
+	@echo "make lint         run linters, format, border and wire name checks"
 	@echo "make format       format the sources"
-	@echo "make demo         the small Dala deployment, under 90 s"
-	@echo "make binary       dist/magnoliadyke, one file"
-	@echo "make check-binary one pid, signals and start of that file"
-	@echo "make demo-binary  the demo, run from that file"
-	@echo "make clean        remove all that the targets above made"
+	@echo "make demo         run the small Dala deployment, under 90 s"
+	@echo "make binary       build the single-file binary dist/magnoliadyke"
+	@echo "make check-binary check start, process and stop of the binary"
+	@echo "make demo-binary  run the demo from the binary"
+	@echo "make clean        remove all files made by the targets above"
 
 venv: $(READY)
 
@@ -34,7 +34,7 @@
 test: $(READY)
 	$(BIN)/python -m pytest $(TEST_FLAGS)
 
-# Parts of their own, so that "make -k lint" runs all of them.
+# Separate targets, so that "make -k lint" runs all checks after a failure.
 lint: lint-ruff lint-format lint-hacking lint-border lint-wire
 
 lint-ruff: $(READY)
@@ -58,8 +58,8 @@
 demo: $(READY)
 	$(BIN)/magnoliadyke lab demo $(DEMO_FLAGS)
 
-# The packer has a virtual environment of its own: nothing of the development
-# set can slip into the binary.  A C compiler must be there.
+# The binary is built in a virtual environment of its own, so that no
+# development package is included in it.  This needs a C compiler.
 $(PACKER)/.ready: pyproject.toml constraints.txt
 	$(PYTHON) -m venv $(PACKER)
 	$(PACKER)/bin/pip install --quiet --constraint constraints.txt \
--- a/tools/launcher.c
+++ b/tools/launcher.c
@@ -1,10 +1,11 @@
 /*
- * Launcher of the one binary: unpacks what is appended to it into a private
- * directory of a temporary file system, once for each build, and becomes the
- * program there by execv().
+ * Launcher of the single-file binary: unpacks the payload appended to it into
+ * a private directory below the temporary directory, once for each build, and
+ * replaces itself with the program there by execv().
  *
- * execv() keeps the process: there is no parent that waits, no child that a
- * signal must be passed on to, and a supervisor sees the one pid it started.
+ * execv() keeps the process: there is no parent process that waits and no
+ * child to pass signals on to, and a supervisor sees only the pid that it
+ * started.
  *
  * Layout of the file, numbers little-endian:
  *   this program
@@ -48,7 +49,7 @@
 static void fail(const char *what, const char *path)
 {
     fprintf(stderr, PROGRAM ": cannot %s %s: %s; set " UNPACK_VARIABLE
-            " to a directory with 100 MB free that allows programs\n",
+            " to a directory with 100 MB free where programs can be run\n",
             what, path, strerror(errno));
     exit(1);
 }
@@ -170,9 +171,9 @@
 }
 
 /*
- * The directory's name can be guessed.  Another user of the host could make
- * it first and have us run a program of theirs; so it counts only if it is a
- * real directory of our own that nobody else may write to.
+ * The name of the directory is predictable: another user of the host could
+ * create it first and have us run their program.  So it is used only if it is
+ * a directory, not a link, that we own and no other user can access.
  */
 static int is_ours(const char *directory)
 {
@@ -213,8 +214,8 @@
              DIGEST_LENGTH, trailer.digest);
     join(directory, base, name);
     if (!is_ours(directory)) {
-        /* Unpacked aside and renamed whole: a process that starts at the
-         * same moment sees all of it or nothing. */
+        /* Unpack to a new directory, then rename it: a process that starts
+         * at the same time sees the complete directory or none. */
         join(fresh, base, PROGRAM "-new-XXXXXX");
         if (!mkdtemp(fresh))
             fail("make a directory in", base);
@@ -223,11 +224,11 @@
         unpack(from, (uint64_t)end, fresh);
         if (rename(fresh, directory) < 0) {
             if (is_ours(directory))
-                /* A process that started with us was faster. */
+                /* Another process unpacked the same build meanwhile. */
                 nftw(fresh, remove_one, OPEN_DIRECTORIES,
                      FTW_DEPTH | FTW_PHYS);
             else
-                /* The name is held by another user: run from our own. */
+                /* Another user owns that name: run from the new directory. */
                 join(directory, fresh, "");
         }
     }
