--- a/magnoliadyke/cli.py
+++ b/magnoliadyke/cli.py
@@ -385,8 +385,8 @@
         return _fail(
             REFUSED,
             f'no line of {len(args["LOGFILE"])} log file(s) has request id '
-            f'{args["ID"]!r}; expected the id of a request that these hosts '
-            'logged, so check the id and give the logs of all hosts',
+            f'{args["ID"]!r}; check the id, and name the log files of all '
+            'hosts',
         )
     print('state changes shortly before and during the request:')
     for line in found.beliefs:
--- a/magnoliadyke/errors.py
+++ b/magnoliadyke/errors.py
@@ -68,7 +68,7 @@
 
     def __init__(self, message, sent=False):
         self.sent = sent
-        super().__init__(message, 'check that the endpoint is running')
+        super().__init__(message, 'check that the endpoint is up')
 
 
 class HostUnreachable(MagnoliadykeError):
--- a/magnoliadyke/settings_checks.py
+++ b/magnoliadyke/settings_checks.py
@@ -342,8 +342,7 @@
                 None,
                 f'{roles.count(role)} endpoints start in role {role}, but '
                 f'min_{role} of the pool is {least}',
-                f'give at least {least} endpoints this role or lower '
-                f'min_{role}',
+                f'give this role to at least {least} or lower min_{role}',
             )
 
 
