--- a/magnoliadyke/burnplot.py
+++ b/magnoliadyke/burnplot.py
@@ -44,7 +44,7 @@
             marker='o',
             label=customer['name'],
         )
-    axes.axhline(1.0, linestyle='--', color='grey', label='budget just spent')
+    axes.axhline(1.0, linestyle='--', color='grey', label='whole budget spent')
     axes.set(xlabel='window', ylabel='burn rate', ylim=(0, None))
     axes.legend()
 
