--- a/magnoliadyke/core/budget.py
+++ b/magnoliadyke/core/budget.py
@@ -104,7 +104,7 @@
         share_s = self.settings.fleet_rate_s / max(1, nodes)
         self._rate_s = min(self.settings.rate_s, share_s)
 
-    def ask(self, kind: CallKind, now_s: float) -> Granted | Later:
+    def try_acquire(self, kind: CallKind, now_s: float) -> Granted | Later:
         """Return whether a call may be made now, and count it if so."""
         self._refill(now_s)
         wait_s = self._not_before_s.get(kind, 0.0) - now_s
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -95,7 +95,7 @@
 
 class _Evidence(NamedTuple):
     at_s: float
-    sighting: HostState
+    host_state: HostState
 
 
 def quorum_of(failure_domains: Mapping[str, str]) -> int:
@@ -188,31 +188,33 @@
             self.rooted = True
 
     def handle_probe_answer(
-        self, sent_s: float, now_s: float, sightings: Iterable[HostState]
+        self, sent_s: float, now_s: float, host_states: Iterable[HostState]
     ) -> None:
         """Record the evidence in the answer to a probe.
 
         :param sent_s: when the probe was sent.
-        :param sightings: first that of the peer, then those it relays.
+        :param host_states: first that of the peer, then those it relays.
         """
-        for position, sighting in enumerate(sightings):
-            if sighting.host == self.host:
+        for position, host_state in enumerate(host_states):
+            if host_state.host == self.host:
                 continue
-            at_s = sent_s - max(0.0, sighting.age_s)
-            self._record_evidence(at_s, sighting)
+            at_s = sent_s - max(0.0, host_state.age_s)
+            self._record_evidence(at_s, host_state)
             if position == 0:
                 self.first_peer_s = min(self.first_peer_s, now_s)
-                self._adopt_store_confirmation(sent_s, sighting)
+                self._adopt_store_confirmation(sent_s, host_state)
 
-    def _record_evidence(self, at_s: float, sighting: HostState) -> None:
-        known = self.evidence.get(sighting.host)
-        if known is None or self._is_newer(at_s, sighting, known):
-            self.evidence[sighting.host] = _Evidence(at_s, sighting)
+    def _record_evidence(self, at_s: float, host_state: HostState) -> None:
+        known = self.evidence.get(host_state.host)
+        if known is None or self._is_newer(at_s, host_state, known):
+            self.evidence[host_state.host] = _Evidence(at_s, host_state)
 
     @staticmethod
-    def _is_newer(at_s: float, sighting: HostState, known: _Evidence) -> bool:
-        if sighting.incarnation != known.sighting.incarnation:
-            return sighting.incarnation > known.sighting.incarnation
+    def _is_newer(
+        at_s: float, host_state: HostState, known: _Evidence
+    ) -> bool:
+        if host_state.incarnation != known.host_state.incarnation:
+            return host_state.incarnation > known.host_state.incarnation
         return at_s > known.at_s
 
     def _adopt_store_confirmation(
@@ -238,16 +240,16 @@
         newest = max(
             self.evidence.values(),
             key=lambda e: (
-                e.sighting.staged_revision,
-                e.sighting.table_revision,
+                e.host_state.staged_revision,
+                e.host_state.table_revision,
             ),
             default=None,
         )
         if newest is None or self._holds(
-            newest.sighting.table_revision, newest.sighting.staged_revision
+            newest.host_state.table_revision, newest.host_state.staged_revision
         ):
             return None
-        return newest.sighting.host
+        return newest.host_state.host
 
     def store_age_s(self, now_s: float) -> float:
         """Age of the store's last confirmation, also one through peers."""
@@ -278,10 +280,10 @@
         hosts = {
             host
             for host, evidence in self._recent(now_s)
-            if evidence.sighting.rooted
+            if evidence.host_state.rooted
             and self._holds(
-                evidence.sighting.table_revision,
-                evidence.sighting.staged_revision,
+                evidence.host_state.table_revision,
+                evidence.host_state.staged_revision,
             )
         }
         return hosts | ({self.host} if self.rooted else set())
@@ -323,7 +325,7 @@
         """
         return self.store_age_s(now_s) > self.settings.stale_s
 
-    def sighting(self, now_s: float) -> HostState:
+    def own_host_state(self, now_s: float) -> HostState:
         """The sighting that this node sends of itself."""
         return HostState(
             self.host,
@@ -337,7 +339,7 @@
             self.spare,
         )
 
-    def relayed_sightings(
+    def relayed_host_states(
         self, now_s: float, max_hosts: int, rng: Any
     ) -> list[HostState]:
         """Sightings of other hosts to relay, chosen at random.
@@ -352,7 +354,7 @@
             recent[drawn], recent[-1] = recent[-1], recent[drawn]
             chosen.append(recent.pop())
         return [
-            evidence.sighting._replace(age_s=now_s - evidence.at_s)
+            evidence.host_state._replace(age_s=now_s - evidence.at_s)
             for evidence in chosen
         ]
 
@@ -379,14 +381,14 @@
         newer = [
             host
             for host, evidence in recent.items()
-            if evidence.sighting.table_revision > revision
+            if evidence.host_state.table_revision > revision
         ]
         if newer:
             return Wait(revision, tuple(sorted(newer)))
         holders = {
             host
             for host, evidence in recent.items()
-            if evidence.sighting.staged_revision >= revision
+            if evidence.host_state.staged_revision >= revision
         } | {self.host}
         self._record_acknowledgements(holders, revision, now_s)
         stopped = frozenset(stopped)
@@ -418,7 +420,7 @@
         return frozenset(
             host
             for host, evidence in recent.items()
-            if not evidence.sighting.takes_work
+            if not evidence.host_state.takes_work
             and evidence.at_s >= self._staged_s
         )
 
@@ -437,7 +439,7 @@
             for host, evidence in self.evidence.items()
             if host not in self.configured_hosts
             and evidence.at_s > oldest_s
-            and evidence.sighting.staged_revision < revision
+            and evidence.host_state.staged_revision < revision
         }
 
     def _record_acknowledgements(
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -45,10 +45,10 @@
         probes are requested, at a health score of 0.
     :param suspicion_s: minimum time from suspecting a host to declaring it
         dead.
-    :param helpers: maximum number of peers that are asked for an indirect
+    :param max_helpers: maximum number of peers that are asked for an indirect
         probe.
-    :param updates: maximum number of members in a datagram.
-    :param sightings: maximum number of sightings in a datagram.
+    :param max_updates: maximum number of members in a datagram.
+    :param max_host_states: maximum number of host states in a datagram.
     :param pause_threshold_s: a longer gap between two ticks means that the
         process was paused.
     :param unreachable_probe_interval_s: time between two probes of hosts
@@ -59,9 +59,9 @@
     period_s: float = 0.5
     ping_timeout_s: float = 0.15
     suspicion_s: float = 1.0
-    helpers: int = 3
-    updates: int = 4
-    sightings: int = 8
+    max_helpers: int = 3
+    max_updates: int = 4
+    max_host_states: int = 8
     pause_threshold_s: float = 1.5
     unreachable_probe_interval_s: float = 1.0
     max_survey_probes: int = 64
@@ -105,7 +105,7 @@
     source: Member
     target: str
     updates: tuple[Member, ...]
-    sightings: tuple[freshness.HostState, ...]
+    host_states: tuple[freshness.HostState, ...]
     digest: bytes
 
 
@@ -118,7 +118,7 @@
     target_address: str
     target_port: int
     updates: tuple[Member, ...]
-    sightings: tuple[freshness.HostState, ...]
+    host_states: tuple[freshness.HostState, ...]
     digest: bytes
 
 
@@ -132,7 +132,7 @@
     source: Member
     target: str
     updates: tuple[Member, ...]
-    sightings: tuple[freshness.HostState, ...]
+    host_states: tuple[freshness.HostState, ...]
     digest: bytes
 
 
@@ -334,7 +334,7 @@
         """
         self.own = self.own._replace(state=LEFT, successor=successor)
         peers = self._shuffled(self._peers_in_state(ALIVE))
-        chosen = peers[: 2 * self.settings.helpers]
+        chosen = peers[: 2 * self.settings.max_helpers]
         return [self._ping(peer, now_s) for peer in chosen]
 
     # Timers.
@@ -370,7 +370,7 @@
         return Paused(gap_s)
 
     def _refresh_own(self, now_s: float) -> None:
-        seen = self._own_sighting(now_s)
+        seen = self._own_host_state(now_s)
         self.own = self.own._replace(
             table_revision=seen.table_revision,
             staged_revision=seen.staged_revision,
@@ -378,8 +378,8 @@
             takes_work=seen.takes_work,
         )
 
-    def _own_sighting(self, now_s: float) -> freshness.HostState:
-        seen = self.freshness.sighting(now_s)
+    def _own_host_state(self, now_s: float) -> freshness.HostState:
+        seen = self.freshness.own_host_state(now_s)
         accepts = self.accepts and self.own.state == ALIVE
         return seen._replace(takes_work=seen.takes_work and accepts)
 
@@ -472,7 +472,9 @@
             else:
                 domains.add(member.failure_domain)
                 first_of_domain.append(member)
-        return (first_of_domain + others_of_domain)[: self.settings.helpers]
+        return (first_of_domain + others_of_domain)[
+            : self.settings.max_helpers
+        ]
 
     def _probe_unreachable(self, now_s: float) -> list[Action]:
         """Probe a random seed that is dead, has left or never answered.
@@ -534,7 +536,7 @@
         """Handle a received datagram."""
         self._received_s = now_s
         actions = self._merge_all((message.source, *message.updates), now_s)
-        self._merge_sightings(message.sightings)
+        self._merge_host_states(message.host_states)
         if message.digest:
             actions.append(DigestReceived(message.source.host, message.digest))
         match message:
@@ -599,7 +601,7 @@
             self.health_score = max(0, self.health_score - 1)
         if sent_s is not None:
             self._clear_own_suspicion(ack.source)
-            self.freshness.handle_probe_answer(sent_s, now_s, ack.sightings)
+            self.freshness.handle_probe_answer(sent_s, now_s, ack.host_states)
         return []
 
     def _clear_own_suspicion(self, source: Member) -> None:
@@ -689,15 +691,15 @@
             self.members[member.host] = member
             self._view = None
 
-    def _merge_sightings(
-        self, sightings: Iterable[freshness.HostState]
+    def _merge_host_states(
+        self, host_states: Iterable[freshness.HostState]
     ) -> None:
         """Merge table revisions, free capacity and readiness for work.
 
         Revisions only grow within an incarnation, so sightings may arrive
         in any order.
         """
-        for seen in sightings:
+        for seen in host_states:
             known = self.members.get(seen.host)
             if known is None or known.incarnation != seen.incarnation:
                 continue
@@ -723,12 +725,12 @@
     def _piggyback(
         self, receiver: Member | None, now_s: float
     ) -> tuple[tuple[Member, ...], tuple[freshness.HostState, ...], bytes]:
-        max_relayed = self.settings.sightings - 1
-        relayed = self.freshness.relayed_sightings(
+        max_relayed = self.settings.max_host_states - 1
+        relayed = self.freshness.relayed_host_states(
             now_s, max_relayed, self.rng
         )
-        sightings = (self._own_sighting(now_s), *relayed)
-        return self._updates(receiver), sightings, self.digest
+        host_states = (self._own_host_state(now_s), *relayed)
+        return self._updates(receiver), host_states, self.digest
 
     def _updates(self, receiver: Member | None) -> tuple[Member, ...]:
         """Members to send in a datagram, those sent least often first.
@@ -745,7 +747,7 @@
         for host in sorted(
             self._update_sends, key=self._update_sends.__getitem__
         ):
-            if len(chosen) >= self.settings.updates:
+            if len(chosen) >= self.settings.max_updates:
                 break
             self._update_sends[host] += 1
             if self._update_sends[host] > limit:
@@ -760,7 +762,7 @@
 
         A host that has just joined thus receives all members in time.
         """
-        if len(chosen) >= min(self.settings.updates, len(self._hosts)):
+        if len(chosen) >= min(self.settings.max_updates, len(self._hosts)):
             return []
         while True:
             member = self.members[self.rng.choice(self._hosts)]
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -335,7 +335,7 @@
 
         The caller of a job that was refused before does not retry again.
         """
-        queue = self.resubmitted if job.returning else self.late
+        queue = self.resubmitted if job.is_retry else self.late
         queue.put(job)
 
     def withdraw(self, job_id: int, now_s: float) -> list[promptjobs.Decision]:
--- a/magnoliadyke/core/promptjobs.py
+++ b/magnoliadyke/core/promptjobs.py
@@ -16,7 +16,7 @@
 
     :param objective_s: moment at which the first event is due
     :param deadline_s: moment at which the caller gives up
-    :param returning: whether the request is a retry after a refusal
+    :param is_retry: whether the request is a retry after a refusal
     :param resumed: whether another engine generated part of the answer
     :param avoid: ids of engines that failed the job
     :ivar tokens: length of the whole prompt
@@ -33,7 +33,7 @@
     objective_s: float
     deadline_s: float
     failure_domain: str
-    returning: bool = False
+    is_retry: bool = False
     resumed: bool = False
     avoid: tuple[str, ...] = ()
     tokens: int = 0
@@ -49,22 +49,23 @@
 class Placed(NamedTuple):
     """The decision to place a job.
 
-    :param prefill: id of the prefill engine; None if ``run`` prefills
-    :param run: id of the engine that generates the answer
+    :param prefill_engine: id of the prefill engine; None if
+        ``decode_engine`` prefills
+    :param decode_engine: id of the engine that generates the answer
     :param fetch_from: address of an engine to fetch cached parts from, if
         any
     :param read_tokens: tokens expected to be prefilled
     :param expected_s: expected time until the answer can start
-    :param tell_end: whether the end of the answer has to be reported
+    :param report_end: whether the end of the answer has to be reported
     """
 
     job: int
-    prefill: str | None
-    run: str
+    prefill_engine: str | None
+    decode_engine: str
     fetch_from: str | None
     read_tokens: int
     expected_s: float
-    tell_end: bool
+    report_end: bool
 
 
 class Refused(NamedTuple):
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -174,7 +174,7 @@
             return CLEAR
         return entry.verdict()
 
-    def record_sighting(self, fingerprint, now_s):
+    def extend_retention(self, fingerprint, now_s):
         """Extend the retention of a known request that was sent again."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
--- a/magnoliadyke/core/routes.py
+++ b/magnoliadyke/core/routes.py
@@ -117,14 +117,14 @@
     :param header_bytes: maximum size of a request's head
     :param body_bytes: maximum size of a request's body
     :param header_s: longest time to send a request's head, in seconds
-    :param idle_s: longest wait for the next request on a connection, and
-        longest time to send a request's body, in seconds
+    :param idle_timeout_s: longest wait for the next request on a connection,
+        and longest time to send a request's body, in seconds
     """
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
     header_s: float = 3.0
-    idle_s: float = 15.0
+    idle_timeout_s: float = 15.0
 
 
 class Configuration:
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -15,7 +15,7 @@
     'Router',
     'RoutingSettings',
     'PlacementContext',
-    'subset',
+    'select_subset',
 ]
 
 PREFILL = 'prefill'
@@ -34,7 +34,7 @@
         engine at which it gets another prompt
     :param sample: random endpoints that are compared for a job, besides
         the likely holders of its prefix
-    :param subset: most endpoints of a pool that one node uses
+    :param subset_size: most endpoints of a pool that one node uses
     :param slack_s: predicted times to the first token that exceed the best
         by no more than this count as equal
     :param peer_load_slack: added to ``slack_s`` for each second of
@@ -55,7 +55,7 @@
 
     engine_queue_s: float = 0.2
     sample: int = 6
-    subset: int = 64
+    subset_size: int = 64
     slack_s: float = 0.02
     peer_load_slack: float = 4.0
     slack_streams: float = 0.05
@@ -243,7 +243,7 @@
     return [each for each in members if each.name not in names] or members
 
 
-def subset(infos, size, salt):
+def select_subset(infos, size, salt):
     """Select a node's endpoints of a large pool by rendezvous hashing.
 
     Each node uses its own salt, so each endpoint is used by about the same
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -64,7 +64,7 @@
     :param endpoint: decodes the job, or serves the call of a plain service
     :param prefill_endpoint: prefills the prompt first; None when
         ``endpoint`` does both
-    :param alone: whether this node runs no other job on the endpoint
+    :param is_only_job: whether this node runs no other job on the endpoint
         meanwhile
     :param prompt_s: predicted prefill time in seconds, 0 for a service
     """
@@ -72,7 +72,7 @@
     job_id: str
     endpoint: str
     prefill_endpoint: str | None = None
-    alone: bool = False
+    is_only_job: bool = False
     prompt_s: float = dataclasses.field(default=0.0, compare=False)
 
 
@@ -166,11 +166,11 @@
             by_pool.setdefault((info.pool, info.kind), []).append(info)
         self.endpoints = {}
         self.pools = {}
-        size = self.settings.routing_settings.subset
+        size = self.settings.routing_settings.subset_size
         for (name, kind), each in by_pool.items():
             members = [
                 routing.Endpoint(info, self.settings.health_settings)
-                for info in routing.subset(each, size, self.epoch)
+                for info in routing.select_subset(each, size, self.epoch)
             ]
             self.endpoints.update((one.name, one) for one in members)
             pool = routing.Pool(name, kind, members, len(each))
@@ -433,7 +433,7 @@
         fingerprint = quarantine.fingerprint_of(job.fingerprint)
         verdict = self.quarantine.verdict(fingerprint, now_s)
         if verdict == quarantine.CONVICTED:
-            self.quarantine.record_sighting(fingerprint, now_s)
+            self.quarantine.extend_retention(fingerprint, now_s)
             return _crash_rejection()
         if not pool.endpoints.available_count():
             return admission.no_endpoint(admission.MAX_RETRY_S / 10, self.rng)
@@ -586,7 +586,7 @@
         self._unqueue(run)
         return self._dispatch(run, pool, placement, now_s)
 
-    def _dispatch(self, run, pool, placement, now_s, alone=False):
+    def _dispatch(self, run, pool, placement, now_s, is_only_job=False):
         job = run.job
         run.begin_attempt()
         run.attempts += 1
@@ -611,7 +611,7 @@
             job.id,
             placement.endpoint.name,
             placement.prefill.name if split else None,
-            alone,
+            is_only_job,
             placement.prompt_s if job.kind == 'model' else 0.0,
         )
 
@@ -806,9 +806,9 @@
         )
         if placement is None:
             return actions
-        alone = not pool.trial.load.jobs
+        is_only_job = not pool.trial.load.jobs
         self.suspects.record_trial_start(run, pool, now_s)
-        action = self._dispatch(run, pool, placement, now_s, alone)
+        action = self._dispatch(run, pool, placement, now_s, is_only_job)
         return [*actions, action]
 
     # Peers
@@ -836,7 +836,7 @@
         """Return the pool's demand, summed over nodes with fresh digests."""
         return self.digest_exchange.demand(pool_name, now_s)
 
-    def subset(self, pool_name):
+    def subset_names(self, pool_name):
         """Names of the pool's endpoints that this node uses.
 
         The node needs load reports and cache events of these only.
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -237,9 +237,9 @@
         :param moved: engines that change to prefill; negative, to decode
         """
         prefilling, decoding = self._split_after(fleet, moved)
-        alone = fleet._replace(decoding=0)
+        prefill_only = fleet._replace(decoding=0)
         return min(
-            min(self._ratios(sample, alone, prefilling, decoding))
+            min(self._ratios(sample, prefill_only, prefilling, decoding))
             for sample in self.samples
         )
 
--- a/magnoliadyke/core/table.py
+++ b/magnoliadyke/core/table.py
@@ -264,11 +264,11 @@
         return Invalid(tuple(problems))
     revision = max(staged_revision(document) + 1, min_revision)
     change = _change(edit, revision)
-    after: Document = {**document, 'staged': [*document['staged'], change]}
-    size = len(dump(after))
+    updated: Document = {**document, 'staged': [*document['staged'], change]}
+    size = len(dump(updated))
     if size > MAX_DOCUMENT_BYTES:
         return Invalid((_too_large(edit, size),))
-    return Staged(after, revision)
+    return Staged(updated, revision)
 
 
 def accept(document: Document, revision: int, override: str = '') -> Document:
@@ -398,13 +398,13 @@
 
 
 def _apply(cells: Cells, changes: Cells) -> dict[str, Cell]:
-    after = dict(cells)
+    updated = dict(cells)
     for cell, value in changes.items():
         if value is None:
-            after.pop(cell, None)
+            updated.pop(cell, None)
         else:
-            after[cell] = value
-    return after
+            updated[cell] = value
+    return updated
 
 
 def _conflict(document: Document, edit: Edit) -> Conflict | None:
--- a/magnoliadyke/core/tickets.py
+++ b/magnoliadyke/core/tickets.py
@@ -20,7 +20,7 @@
 class Key(typing.NamedTuple):
     """A request key derived from a ticket.
 
-    :param text: the whole key
+    :param raw: the whole key
     :param ticket: the ticket that it was derived from
     :param home: ``HOST.INCARNATION`` of the only node that may run the key
     :param issued_s: when the ticket was issued, in monotonic seconds of
@@ -29,7 +29,7 @@
     :param mac: message authentication code of the ticket, in hex
     """
 
-    text: str
+    raw: str
     ticket: str
     home: str
     host: str
@@ -44,22 +44,22 @@
     return f'{host}.{incarnation}'
 
 
-def parse_key(text):
+def parse_key(raw):
     """Parse a key derived from a ticket.
 
-    :param text: an idempotency key
+    :param raw: an idempotency key
     :return: :class:`Key`, or None for a foreign key (one that a caller
         chose without a ticket)
     """
-    if len(text) > MAX_KEY_LENGTH:
+    if len(raw) > MAX_KEY_LENGTH:
         return None
-    match = KEY_PATTERN.fullmatch(text)
+    match = KEY_PATTERN.fullmatch(raw)
     if match is None:
         return None
     host = match['host']
     incarnation = int(match['incarnation'])
     return Key(
-        text,
+        raw,
         match['ticket'],
         home_name(host, incarnation),
         host,
@@ -100,8 +100,8 @@
 
         :param serial: ``ISSUED-COUNTER`` of a ticket
         """
-        text = f'{self.home}.{serial}'.encode()
-        digest = hmac.new(self.secret, text, hashlib.sha256)
+        serial_bytes = f'{self.home}.{serial}'.encode()
+        digest = hmac.new(self.secret, serial_bytes, hashlib.sha256)
         return digest.hexdigest()[:MAC_DIGITS]
 
     def accepts(self, key):
--- a/magnoliadyke/core/usage.py
+++ b/magnoliadyke/core/usage.py
@@ -73,12 +73,12 @@
     """Request counts of one process.
 
     :param length_s: length of a window, in seconds
-    :param kept: number of windows that are kept and sent
+    :param max_windows: number of windows that are kept and sent
     """
 
-    def __init__(self, length_s: float, kept: int) -> None:
+    def __init__(self, length_s: float, max_windows: int) -> None:
         self.length_s = length_s
-        self.kept = kept
+        self.max_windows = max_windows
         self.windows: dict[int, collections.Counter[str]] = {}
 
     def record_start(self, workspace: str, wall_s: float) -> None:
@@ -101,7 +101,7 @@
         """Drop expired windows and return the counts of the others."""
         present = window_of(wall_s, self.length_s)
         for window in list(self.windows):
-            if window <= present - self.kept:
+            if window <= present - self.max_windows:
                 del self.windows[window]
         return {
             window: dict(counts) for window, counts in self.windows.items()
@@ -111,11 +111,11 @@
 class Ledger:
     """Request counts received from all processes.
 
-    :param kept: number of windows that are kept
+    :param max_windows: number of windows that are kept
     """
 
-    def __init__(self, kept: int) -> None:
-        self.kept = kept
+    def __init__(self, max_windows: int) -> None:
+        self.max_windows = max_windows
         self.windows: dict[int, dict[tuple[str, int], dict[str, int]]] = {}
 
     def record_tally(
@@ -126,7 +126,7 @@
         known = of_window.setdefault((host, incarnation), {})
         for workspace, count in begun.items():
             known[workspace] = max(count, known.get(workspace, 0))
-        for old in sorted(self.windows)[: -self.kept]:
+        for old in sorted(self.windows)[: -self.max_windows]:
             del self.windows[old]
 
     def by_process(
@@ -161,13 +161,15 @@
 class Reports:
     """The latest final reports, as stored.
 
-    :param kept: number of reports kept, which the next leader may have to
-        send again
+    :param max_windows: number of windows whose reports are kept, as the
+        next leader may have to send them again
     :ivar fixed: final reports by window
     """
 
-    def __init__(self, kept: int, reports: Iterable[Report] = ()) -> None:
-        self.kept = kept
+    def __init__(
+        self, max_windows: int, reports: Iterable[Report] = ()
+    ) -> None:
+        self.max_windows = max_windows
         self.fixed = {each.window: each for each in reports}
 
     @property
@@ -182,13 +184,13 @@
 
     def fix(self, report: Report) -> 'Reports':
         """Return a copy with a report added, unless its window has one."""
-        made = Reports(self.kept, self.fixed.values())
+        made = Reports(self.max_windows, self.fixed.values())
         made.fixed.setdefault(report.window, report)
         made._trim()
         return made
 
     def _trim(self) -> None:
-        for window in sorted(self.fixed)[: -self.kept]:
+        for window in sorted(self.fixed)[: -self.max_windows]:
             del self.fixed[window]
 
     def dump(self) -> bytes:
@@ -202,6 +204,6 @@
         :raises ValueError, TypeError: the value is not in that form
         """
         return Reports(
-            self.kept,
+            self.max_windows,
             (Report(int(w), dict(counts)) for w, counts in json.loads(value)),
         )
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -285,7 +285,7 @@
         return [
             self.endpoints[name]
             for pool in self.settings.pools
-            for name in self.scheduler.subset(pool.name)
+            for name in self.scheduler.subset_names(pool.name)
         ]
 
     def loops_of(self, endpoint):
--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -21,7 +21,7 @@
 #: take effect: how long a new read of the store may take before another host
 #: is asked, and the pause after no host could answer.
 READ_SHARE = 0.1
-PAUSE_SHARE = 0.15
+RETRY_DELAY_SHARE = 0.15
 #: Maximum number of hosts asked for their state before giving up.
 MAX_PEERS_QUERIED = 3
 #: A host that starts after a restore of the store asks others which entries
@@ -89,7 +89,9 @@
             'caught_up', source=source, position=self.follower.lag.own_position
         )
         if source == 'nobody':
-            self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
+            self.follower.clock.sleep(
+                self.follower.bound_s * RETRY_DELAY_SHARE
+            )
 
     def _peer_addresses(self, first: str) -> list[str]:
         if self.follower.others is None:
@@ -136,7 +138,7 @@
             self.follower.mirror.merge_stale_entries(state.stale_entries)
             self.stale_query_until_s = float('-inf')
             return
-        self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
+        self.follower.clock.sleep(self.follower.bound_s * RETRY_DELAY_SHARE)
 
     def _resolve_outage(self) -> None:
         """Ask other hosts whether they had the last outage too.
@@ -147,18 +149,22 @@
         """
         known = self.follower.mirror.expired_entries
         reports: list[expiredentries.StoreContact | None] = []
-        alone = None
+        is_local = None
         for address in self._peer_addresses(''):
             state = peerstate.fetch(address, self.follower.lag.own_position)
             reports.append(state and state.store_contact)
-            alone = known.is_local_outage(reports, self.follower.clock.now_s())
-            if alone:
+            is_local = known.is_local_outage(
+                reports, self.follower.clock.now_s()
+            )
+            if is_local:
                 listed = self.follower.mirror.listed_in(state.positions)
                 self.follower.mirror.drop_all(known.resolve_outage(listed))
                 break
-        if alone is False:
+        if is_local is False:
             known.record_shared_outage()
         if known.outage_unresolved:
-            self.follower.clock.sleep(self.follower.bound_s * PAUSE_SHARE)
+            self.follower.clock.sleep(
+                self.follower.bound_s * RETRY_DELAY_SHARE
+            )
         else:
-            LOG.event('outage_explained', alone=alone, asked=len(reports))
+            LOG.event('outage_explained', alone=is_local, asked=len(reports))
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -122,8 +122,8 @@
                 self._ask_peers([leader] if leader else self._sample_peers())
 
     def _sample_peers(self) -> list[str]:
-        listening = self.members.reachable_addresses()
-        asked = self.rng.sample(listening, min(PEERS_ASKED, len(listening)))
+        addresses = self.members.reachable_addresses()
+        asked = self.rng.sample(addresses, min(PEERS_ASKED, len(addresses)))
         return list({*asked, *self.members.watchers()})
 
     def _may_ask_store(self) -> bool:
@@ -136,7 +136,8 @@
         if self.placer.leading:
             return True
         return (
-            not self.follower.listening and not self.follower.unreachable_s()
+            not self.follower.is_following_peers
+            and not self.follower.unreachable_s()
         )
 
     def record_full_read(self, asked_s: float) -> None:
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -54,7 +54,7 @@
     """Shared components that an exchange uses.
 
     :param budgets: retry budgets by service
-    :param begun: records that a request of a workspace began to run
+    :param record_start: records that a request of a workspace began to run
     """
 
     clock: clocks.Clock
@@ -67,7 +67,7 @@
     crashreports: crashreports.CrashReporter
     backoffs: backoffs.Backoffs
     rng: random.Random
-    begun: usageduty.StartRecorder
+    record_start: usageduty.StartRecorder
 
 
 class Exchange(abc.ABC):
@@ -243,7 +243,7 @@
         workspace = self.request.workspace
         if workspace is not None and not self.start_recorded:
             self.start_recorded = True
-            self.parts.begun(workspace.name, ago_s)
+            self.parts.record_start(workspace.name, ago_s)
 
     def _record_crash(
         self,
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -111,8 +111,8 @@
         even where other hosts relay changes to it
     :ivar on_full_read: called after a read of all keys with the time at which
         the read began, by the clock that also runs during a suspension
-    :ivar listening: whether this host applies relayed updates and does not
-        watch
+    :ivar is_following_peers: whether this host applies the updates that other
+        hosts relay, and does not watch the store itself
     :ivar missed: whether a relayed update was incomplete or left a gap
     :ivar updated_s: when a watching host last sent an update to this one
     :ivar relayed_s: when this host last relayed an update
@@ -151,7 +151,7 @@
         self.is_always_watcher: Callable[[], bool] = lambda: False
         self.on_full_read: Callable[[float], None] = lambda asked_s: None
         self.not_relayed: frozenset[str] = frozenset()
-        self.listening = False
+        self.is_following_peers = False
         self.missed = False
         self.updated_s = float('-inf')
         self.relayed_s = float('-inf')
@@ -226,7 +226,7 @@
             return None
         since_s = self.regained_s
         age_s = 0.0
-        if self.listening:
+        if self.is_following_peers:
             since_s = max(since_s, self.mirror.expired_entries.regained_s)
             age_s = now_s - self.updated_s
         return expiredentries.StoreContact(
@@ -258,12 +258,14 @@
         return True
 
     def _follow(self) -> bool:
-        listening = self._can_follow_peers()
-        if listening is not self.listening:
-            self.listening = listening
-            by = 'other hosts' if listening else 'its own watch'
+        follows_peers = self._can_follow_peers()
+        if follows_peers is not self.is_following_peers:
+            self.is_following_peers = follows_peers
+            by = 'other hosts' if follows_peers else 'its own watch'
             LOG.event('follows', by=by, position=self.lag.own_position)
-        return self._follow_peers() if self.listening else self._watch()
+        return (
+            self._follow_peers() if self.is_following_peers else self._watch()
+        )
 
     def _can_follow_peers(self) -> bool:
         """Return whether other hosts relay the changes to this one."""
@@ -399,7 +401,7 @@
         later, since the watching hosts pause that long between two watches.
         """
         at_s = self.clock.now_s()
-        if self.listening:
+        if self.is_following_peers:
             at_s += BATCH_INTERVAL_S
         self.lag.record_peer_position(host, upto, at_s)
 
@@ -413,7 +415,7 @@
             return
         now_s = self.clock.now_s()
         self.updated_s = now_s
-        if not self.listening:
+        if not self.is_following_peers:
             return
         self.mirror.expired_entries.record_peer_regained(
             updates.regained_s, now_s
@@ -464,7 +466,7 @@
 
         It shows the other hosts that this one still reaches the store.
         """
-        if self.listening or self.failing_since_s is not None:
+        if self.is_following_peers or self.failing_since_s is not None:
             return
         if self.clock.now_s() - self.relayed_s >= self.bound_s * RELAY_SHARE:
             self._relay(self.lag.own_position)
--- a/magnoliadyke/gateway/inflightjobs.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -37,7 +37,7 @@
     @property
     def prefill_engine_id(self) -> str:
         """Id of the engine that prefills the prompt."""
-        return self.placed.prefill or self.placed.run
+        return self.placed.prefill_engine or self.placed.decode_engine
 
 
 class _SentPrompt(NamedTuple):
@@ -75,7 +75,10 @@
         :param short: whether its prompt is too short to be accounted
         """
         self.in_flight[job.id] = _InFlightJob(service, placed, not short)
-        for engine in {placed.prefill or placed.run, placed.run}:
+        for engine in {
+            placed.prefill_engine or placed.decode_engine,
+            placed.decode_engine,
+        }:
             self.sent_prompts.append(_SentPrompt(now_s, service, job, engine))
 
     def record_prefill_done(self, job_id: int) -> None:
@@ -101,9 +104,9 @@
             contents = self._cache_contents(job.id, engine, job.parts)
             found_contents.setdefault(service, []).append(contents)
         for job_id, in_flight_job in self.in_flight.items():
-            engine = in_flight_job.placed.run
+            engine = in_flight_job.placed.decode_engine
             if (
-                in_flight_job.placed.tell_end
+                in_flight_job.placed.report_end
                 and (job_id, engine) not in recent
             ):
                 contents = self._cache_contents(job_id, engine, ())
@@ -137,6 +140,6 @@
             parts,
             job_id,
             in_flight_job.placed.read_tokens if reads else None,
-            in_flight_job.placed.tell_end
-            and engine == in_flight_job.placed.run,
+            in_flight_job.placed.report_end
+            and engine == in_flight_job.placed.decode_engine,
         )
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -256,7 +256,7 @@
         """
         limits = self._limits()
         if not reader.message_started and not reader.parts:
-            with gevent.Timeout(limits.idle_s, False):
+            with gevent.Timeout(limits.idle_timeout_s, False):
                 reader.wait_for_bytes()
             if not reader.message_started and not reader.parts:
                 return None
@@ -281,7 +281,7 @@
             caller.sock.sendall(b'HTTP/1.1 100 Continue\r\n\r\n')
         pieces = []
         size = 0
-        with gevent.Timeout(limits.idle_s, http.OutOfTime('body')):
+        with gevent.Timeout(limits.idle_timeout_s, http.OutOfTime('body')):
             while True:
                 match reader.next_part():
                     case http.Body(data):
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -363,7 +363,7 @@
             self._act(self.membership.receive(message, self.clock.now_s()))
             self._log_changes()
             if self.on_peer_position is not None:
-                for seen in message.sightings:
+                for seen in message.host_states:
                     self.on_peer_position(
                         seen.host,
                         position.Position.unpack(seen.table_revision),
--- a/magnoliadyke/gateway/metricscollector.py
+++ b/magnoliadyke/gateway/metricscollector.py
@@ -122,7 +122,7 @@
                 LOG.event(
                     'placement',
                     service=service,
-                    **pool.core.log_fields(),
+                    **pool.placement.log_fields(),
                 )
         LOG.event(
             'figures',
--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -331,7 +331,7 @@
         output_tokens=job.output_tokens,
         objective_us=_to_microseconds(job.objective_s),
         deadline_us=_to_microseconds(job.deadline_s),
-        returning=job.returning,
+        returning=job.is_retry,
         resumed=job.resumed,
         failure_domain=job.failure_domain,
         avoid=list(job.avoid),
@@ -346,7 +346,7 @@
         objective_s=ask.objective_us / MICROSECONDS_PER_S,
         deadline_s=ask.deadline_us / MICROSECONDS_PER_S,
         failure_domain=ask.failure_domain,
-        returning=ask.returning,
+        is_retry=ask.returning,
         resumed=ask.resumed,
         avoid=tuple(ask.avoid),
     )
@@ -358,12 +358,12 @@
         case promptjobs.Placed():
             return ttypes.Decision(
                 job=decision.job,
-                prefill=decision.prefill,
-                run=decision.run,
+                prefill=decision.prefill_engine,
+                run=decision.decode_engine,
                 fetch_from=decision.fetch_from,
                 read_tokens=decision.read_tokens,
                 expected_us=_to_microseconds(decision.expected_s),
-                tell_end=decision.tell_end,
+                tell_end=decision.report_end,
             )
         case promptjobs.Refused(job, retry_after_s, reason):
             return ttypes.Decision(
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -88,8 +88,8 @@
     :ivar generation: catalog generation of the engines that it places on
     """
 
-    def __init__(self, core: placement.Placement) -> None:
-        self.core = core
+    def __init__(self, service_placement: placement.Placement) -> None:
+        self.placement = service_placement
         self.generation = -1
         self.timer = None
 
@@ -283,7 +283,9 @@
         for job_id in self.in_flight_jobs.in_flight:
             if self.placed_by.get(job_id) is None:
                 for pool in self.local.values():
-                    self._publish(pool, pool.core.release_job(job_id, now_s))
+                    self._publish(
+                        pool, pool.placement.release_job(job_id, now_s)
+                    )
             self.placed_by[job_id] = leader
 
     def _run_stall_checks(self) -> None:
@@ -300,7 +302,7 @@
                 continue
             now_s = self.clock.now_s()
             for pool in list(self.served.values()):
-                for engine in pool.core.find_stalled(now_s):
+                for engine in pool.placement.find_stalled(now_s):
                     self._abort_prefill_waits(engine)
                     if self.broadcast is not None:
                         self.broadcast(placement_codec.EngineStalled(engine))
@@ -312,7 +314,7 @@
             if not self.leading:
                 continue
             for service, pool in list(self.served.items()):
-                costs = pool.core.pool.learned_costs()
+                costs = pool.placement.pool.learned_costs()
                 if costs is None:
                     continue
                 self.learned_costs[service] = costs
@@ -331,7 +333,7 @@
     ) -> None:
         if not self._is_model_service(snapshot.service):
             return
-        core = self._pool(self.served, snapshot.service).core
+        service_placement = self._pool(self.served, snapshot.service).placement
         now_s = self.clock.now_s()
         for (
             engine,
@@ -340,9 +342,11 @@
             read_tokens,
             answers,
         ) in snapshot.cache_contents:
-            core.restore_cache(engine, parts)
+            service_placement.restore_cache(engine, parts)
             if job is not None:
-                core.adopt(job, engine, read_tokens, answers, now_s)
+                service_placement.adopt(
+                    job, engine, read_tokens, answers, now_s
+                )
 
     def _place(
         self, service: str, job: promptjobs.Job, waiting: _WaitingJob
@@ -370,7 +374,7 @@
         self.placed_by[job.id] = None
         pool = self._pool(pools, service)
         now_s = self.clock.now_s()
-        self._publish(pool, pool.core.submit(job, now_s))
+        self._publish(pool, pool.placement.submit(job, now_s))
         return waiting.decided.get()
 
     def _place_remotely(
@@ -411,7 +415,7 @@
             job.objective_s - now_s,
             job.deadline_s - now_s,
             job.failure_domain,
-            job.returning,
+            job.is_retry,
             job.resumed,
             job.avoid,
         )
@@ -530,11 +534,13 @@
         pool = pools.get(service)
         if pool is None:
             traits = self.catalog.configuration.services[service].engine
-            core = placement.Placement(traits, self.rng)
+            service_placement = placement.Placement(traits, self.rng)
             if service in self.learned_costs:
-                core.pool.restore_costs(self.learned_costs[service])
-            pool = pools[service] = _ServicePlacement(core)
-        pool.core.sharers = 1 if pools is self.served else self.hosts
+                service_placement.pool.restore_costs(
+                    self.learned_costs[service]
+                )
+            pool = pools[service] = _ServicePlacement(service_placement)
+        pool.placement.sharers = 1 if pools is self.served else self.hosts
         if pool.generation != self.catalog.generation:
             pool.generation = self.catalog.generation
             engines = self.catalog.usable(service)
@@ -542,7 +548,7 @@
                 # Of equal engines the first one is chosen: without a leader
                 # all hosts would send their jobs to the same one.
                 self.rng.shuffle(engines)
-            pool.core.set_engines(engines)
+            pool.placement.set_engines(engines)
         return pool
 
     def _receive_all(self) -> None:
@@ -595,7 +601,7 @@
             return
         self.learned_costs[service] = costs
         if service in self.local:
-            self.local[service].core.pool.restore_costs(costs)
+            self.local[service].placement.pool.restore_costs(costs)
 
     def _handle_request(
         self, service: str, job: promptjobs.Job, sender: str
@@ -609,14 +615,14 @@
             return
         pool = self._pool(self.served, service)
         waits = placement_codec.PlacementQueued(job.id)
-        if pool.core.is_waiting(job.id):
+        if pool.placement.is_waiting(job.id):
             self.send(sender, waits)
             return
         now_s = self.clock.now_s()
         job.objective_s += now_s
         job.deadline_s += now_s
         self.requesters[job.id] = sender
-        self._publish(pool, pool.core.submit(job, now_s))
+        self._publish(pool, pool.placement.submit(job, now_s))
         if job.id not in self.decided:
             self.send(sender, waits)
 
@@ -631,28 +637,28 @@
         self, pool: _ServicePlacement, report: placement_codec.Report
     ) -> None:
         now_s = self.clock.now_s()
-        core = pool.core
+        service_placement = pool.placement
         match report.event:
             case placement_codec.Event.READ:
-                decisions = core.record_prefill_done(
+                decisions = service_placement.record_prefill_done(
                     report.job, report.endpoint, now_s
                 )
             case placement_codec.Event.ENDED:
-                decisions = core.record_end(report.job, now_s)
+                decisions = service_placement.record_end(report.job, now_s)
             case placement_codec.Event.FAILED:
-                decisions = core.record_failure(
+                decisions = service_placement.record_failure(
                     report.job, report.endpoint, now_s
                 )
             case placement_codec.Event.LAPSED:
-                decisions = core.record_rejection(
+                decisions = service_placement.record_rejection(
                     report.job, report.endpoint, report.decode_engine, now_s
                 )
             case placement_codec.Event.MOVED:
-                decisions = core.record_kv_transfer(
+                decisions = service_placement.record_kv_transfer(
                     report.endpoint, report.took_s, now_s
                 )
             case placement_codec.Event.WITHDRAWN:
-                decisions = core.withdraw(report.job, now_s)
+                decisions = service_placement.withdraw(report.job, now_s)
         self._publish(pool, decisions)
 
     def _publish(
@@ -676,7 +682,7 @@
         if pool.timer is not None:
             return
         now_s = self.clock.now_s()
-        wake_s = pool.core.wake_s(now_s)
+        wake_s = pool.placement.wake_s(now_s)
         if wake_s is None:
             return
         timer = gevent.get_hub().loop.timer(wake_s - now_s)
@@ -685,7 +691,7 @@
         def on_timer() -> None:
             pool.timer = None
             timer.close()
-            self._publish(pool, pool.core.pump(self.clock.now_s()))
+            self._publish(pool, pool.placement.pump(self.clock.now_s()))
 
         timer.start(on_timer)
 
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -85,7 +85,7 @@
             try:
                 result = self._run_placed(job, decision, resume_after)
                 if isinstance(result, outcomes.Answered):
-                    report_end = decision.tell_end
+                    report_end = decision.report_end
                 elif (
                     isinstance(result, outcomes.NotRun | outcomes.Lost)
                     and not self.budget_spent
@@ -141,8 +141,8 @@
                 LOG.event(
                     'placed',
                     **fields,
-                    reads=decision.prefill or decision.run,
-                    endpoint=decision.run,
+                    reads=decision.prefill_engine or decision.decode_engine,
+                    endpoint=decision.decode_engine,
                     fetch_from=decision.fetch_from or 'none',
                     read_tokens=decision.read_tokens,
                     expected_ms=round(decision.expected_s * 1000),
@@ -157,7 +157,7 @@
 
     def _engine_in_backoff(self, placed: promptjobs.Placed) -> str | None:
         """Return an assigned engine in backoff on this host, None if none."""
-        for engine in (placed.prefill, placed.run):
+        for engine in (placed.prefill_engine, placed.decode_engine):
             if engine is not None and self._backoff_s(engine):
                 return engine
         return None
@@ -220,12 +220,12 @@
         now_s = self.parts.clock.now_s()
         prompt = self.request.prompt
         wait_s = self.request.wait_s
-        returning = (
+        is_retry = (
             wait_s is not None
             and wait_s < self.route.timeout_s - RETRY_DETECTION_S
         )
         objective_s = self.arrived_s + self.route.objective_s
-        if returning:
+        if is_retry:
             objective_s -= self.route.timeout_s - wait_s
         objective_s -= self.parts.placer.transfer_s.high_s
         return promptjobs.Job(
@@ -235,7 +235,7 @@
             objective_s=max(objective_s, now_s),
             deadline_s=self.deadline_s,
             failure_domain=self.parts.balancer.failure_domain,
-            returning=returning or self.prefills > 0,
+            is_retry=is_retry or self.prefills > 0,
             resumed=resumed,
             avoid=(*avoid, *self._unavailable_engines()),
         )
@@ -252,18 +252,18 @@
         | outcomes.NotRun
         | outcomes.Lost
     ):
-        self.endpoint = placed.run
+        self.endpoint = placed.decode_engine
         source = None
-        if placed.prefill is not None:
+        if placed.prefill_engine is not None:
             source = self._prefill(job, placed)
             if isinstance(source, outcomes.NotRun):
-                self.endpoint = placed.prefill
+                self.endpoint = placed.prefill_engine
                 return source
         # The engine is looked up after the prefill: one that has announced its
         # stop in the meantime accepts no more work.
-        engine = self._find_staying_engine(placed.run)
+        engine = self._find_staying_engine(placed.decode_engine)
         if engine is None and source is not None:
-            engine = self._alternative_engine(placed.run)
+            engine = self._alternative_engine(placed.decode_engine)
         if engine is None:
             if source is not None:
                 self._release_kv_cache(source)
@@ -315,11 +315,14 @@
         placer = self.parts.placer
         if result.was_received:
             placer.record_rejection(
-                self.service, job.id, placed.prefill, placed.run
+                self.service,
+                job.id,
+                placed.prefill_engine,
+                placed.decode_engine,
             )
             self._log_attempt('turned away after reading', 'not run')
         else:
-            placer.record_failure(self.service, job.id, placed.run)
+            placer.record_failure(self.service, job.id, placed.decode_engine)
             self._log_attempt(result.reason, 'not run')
 
     def _alternative_engine(self, failed: str) -> catalog.Endpoint | None:
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -90,10 +90,10 @@
         :returns: address of the engine and handle of the KV cache, as
             ``ADDRESS/HANDLE``; the outcome if the prefill failed
         """
-        prefill_engine = self._find_staying_engine(placed.prefill)
+        prefill_engine = self._find_staying_engine(placed.prefill_engine)
         if prefill_engine is None:
             return self._record_prefill_failure(
-                placed.prefill, ENGINE_LEFT, False
+                placed.prefill_engine, ENGINE_LEFT, False
             )
         sent_s = self.parts.clock.now_s()
         options = codecs.RunOptions(
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -118,15 +118,17 @@
                 self.outages.clear()
                 continue
             for service, pool in list(self.placer.served.items()):
-                self._plan(service, pool.core)
+                self._plan(service, pool.placement)
 
-    def _plan(self, service: str, core) -> None:
+    def _plan(self, service: str, placement) -> None:
         now_s = self.clock.now_s()
         plan = self.plans.setdefault(service, stageplan.StagePlan())
         self._drop_finished_changes(now_s)
         fleet = self._fleet(service)
-        plan.record_load(core.load(now_s), self._sizes(fleet, core), now_s)
-        hindrance = self._order_change(plan, fleet, core, now_s)
+        plan.record_load(
+            placement.load(now_s), self._sizes(fleet, placement), now_s
+        )
+        hindrance = self._order_change(plan, fleet, placement, now_s)
         self._log_outage(service, fleet, hindrance, now_s)
 
     def _fleet(self, service: str) -> _Fleet:
@@ -139,7 +141,7 @@
         )
 
     def _order_change(
-        self, plan: stageplan.StagePlan, fleet: _Fleet, core, now_s: float
+        self, plan: stageplan.StagePlan, fleet: _Fleet, placement, now_s: float
     ) -> BlockedReason:
         """Order the stage changes that the plan requires.
 
@@ -149,28 +151,28 @@
             return BlockedReason.NO_ENGINE
         if not self.leadership.may_order():
             return BlockedReason.LEASE
-        change = plan.decide(self._sizes(fleet, core), now_s)
+        change = plan.decide(self._sizes(fleet, placement), now_s)
         if change is None:
             return BlockedReason.PLAN
         candidates = self._candidates(change, fleet, now_s)
         if not candidates:
             return BlockedReason.COOLING_DOWN
-        candidates.sort(key=lambda e: core.load_order(e.id, now_s))
+        candidates.sort(key=lambda e: placement.load_order(e.id, now_s))
         target = catalog.Stage.DECODE
         if change.to_prefill:
             target = catalog.Stage.PREFILL
         self._order(
-            _spread_over_domains(candidates, change.count), target, core
+            _spread_over_domains(candidates, change.count), target, placement
         )
         return BlockedReason.NONE
 
-    def _sizes(self, fleet: _Fleet, core) -> stageplan.Fleet:
+    def _sizes(self, fleet: _Fleet, placement) -> stageplan.Fleet:
         return stageplan.Fleet(
             len(fleet.prefilling),
             len(fleet.decoding),
             len(fleet.changing),
             self._to_decode(fleet),
-            core.traits.stage_change_s,
+            placement.traits.stage_change_s,
         )
 
     def _candidates(
@@ -245,7 +247,7 @@
         self,
         endpoints: list[catalog.Endpoint],
         stage: catalog.Stage,
-        core,
+        placement,
     ) -> None:
         """Send orders to engines, after a check of the lease at the store.
 
@@ -268,7 +270,7 @@
             LOG.event('orders_put_off', count=len(ready), cause=checked)
             return
         if self.leadership.may_order():
-            workers.map(lambda one: self._send(*one, stage, core), ready)
+            workers.map(lambda one: self._send(*one, stage, placement), ready)
 
     def _accepted_orders(
         self, endpoint: catalog.Endpoint, stage: catalog.Stage
@@ -295,7 +297,7 @@
         endpoint: catalog.Endpoint,
         orders: int,
         stage: catalog.Stage,
-        core,
+        placement,
     ) -> None:
         now_s = self.clock.now_s()
         outcome = self.control.order_stage(
@@ -313,10 +315,10 @@
         match outcome:
             case enginecontrol.Ordered(accepted=True):
                 until_s = (
-                    now_s + core.traits.stage_change_s + DRAIN_ALLOWANCE_S
+                    now_s + placement.traits.stage_change_s + DRAIN_ALLOWANCE_S
                 )
                 self.changing[endpoint.id] = (stage, until_s)
-                core.change_stage(endpoint.id, stage, until_s)
+                placement.change_stage(endpoint.id, stage, until_s)
             case enginecontrol.Unreachable():
                 self._start_cooldown(
                     endpoint.name, UNANSWERED_COOLDOWN_S, now_s
--- a/magnoliadyke/gossip_codec.py
+++ b/magnoliadyke/gossip_codec.py
@@ -132,7 +132,7 @@
         target=message.target,
         updates=[encode_member(each) for each in message.updates] or None,
     )
-    sightings = message.sightings
+    sightings = message.host_states
     match message:
         case membership.Ping():
             datagram.kind = ttypes.MessageKind.PING
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -119,14 +119,14 @@
         if key.home == self.name:
             if not self.issuer.accepts(key):
                 return Settled(BAD_TICKET)
-            return self.open(request, key.text, key.issued_s)
+            return self.open(request, key.raw, key.issued_s)
         adopted = self.handover.adopted.get(key.home)
         if adopted is not None:
             if not adopted.issuer.accepts(key):
                 return Settled(BAD_TICKET)
             issued_s = key.issued_s + adopted.shift_s
-            return self.open(request, key.text, issued_s, adopted.floor_s)
-        return self.place_elsewhere(request, key.text, key.home)
+            return self.open(request, key.raw, issued_s, adopted.floor_s)
+        return self.place_elsewhere(request, key.raw, key.home)
 
     def place_own(self, request):
         """Run a request that came without a key; nobody can resend it."""
--- a/magnoliadyke/keyvalue.py
+++ b/magnoliadyke/keyvalue.py
@@ -477,7 +477,7 @@
         timeout_s=CALL_TIMEOUT_S,
     ):
         """Count and make one exchange; errors become typed outcomes."""
-        match self.budget.ask(self.kind, self.clock.now_s()):
+        match self.budget.try_acquire(self.kind, self.clock.now_s()):
             case budgets.Later(after_s):
                 self.failures['held_back'] += 1
                 return RateLimited(after_s)
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -130,12 +130,13 @@
 
 def ack(own, number, sequence):
     """An answer from one member, with as many updates as may ride."""
-    sightings = own.freshness.relayed_sightings(0.0, 7, own.rng)
+    host_states = own.freshness.relayed_host_states(0.0, 7, own.rng)
     updates = tuple(
-        member((number + step) % 7 + 1) for step in range(own.settings.updates)
+        member((number + step) % 7 + 1)
+        for step in range(own.settings.max_updates)
     )
     return membership.Ack(
-        sequence, member(number), 'host-0', updates, tuple(sightings), b''
+        sequence, member(number), 'host-0', updates, tuple(host_states), b''
     )
 
 
@@ -168,7 +169,7 @@
         member(step % (size - 1) + 1),
         'host-0',
         (),
-        tuple(own.freshness.relayed_sightings(now_s, 7, own.rng)),
+        tuple(own.freshness.relayed_host_states(now_s, 7, own.rng)),
         b'x' * 300,
     )
     for action in own.receive(probe, now_s):
--- a/magnoliadyke/lab/gossipcost.py
+++ b/magnoliadyke/lab/gossipcost.py
@@ -111,10 +111,10 @@
         takes_work=True,
     )
     known = task.membership.freshness
-    sightings = tuple(
-        known.relayed_sightings(now_s, SIGHTINGS, random.Random(sequence))
+    host_states = tuple(
+        known.relayed_host_states(now_s, SIGHTINGS, random.Random(sequence))
     )
     message = membership.Ack(
-        sequence, source, task.membership.own.host, (), sightings, b''
+        sequence, source, task.membership.own.host, (), host_states, b''
     )
     return gossip_codec.encode(task.deployment, message)
--- a/magnoliadyke/platform/engines.py
+++ b/magnoliadyke/platform/engines.py
@@ -44,12 +44,12 @@
         try:
             return enginecontrol.EngineState(
                 records.STAGES.get(
-                    report.text(fields, 'stage', ''), catalog.Stage.NONE
+                    report.read_string(fields, 'stage', ''), catalog.Stage.NONE
                 ),
                 # In a report this field counts accepted orders.  The field of
                 # the same name in the store's entries counts heartbeats.
-                report.integer(fields, 'sequence', 0, 0),
-                report.flag(fields, 'busy'),
+                report.read_integer(fields, 'sequence', 0, 0),
+                report.read_bool(fields, 'busy'),
             )
         except report.BadField as error:
             return enginecontrol.Unreachable(f'unusable report: {error}')
@@ -103,7 +103,7 @@
                     endpoint.address, CONNECT_TIMEOUT_S
                 )
                 answer = conn.call(method, target, headers, data)
-            fields = report.record(answer.body or b'{}')
+            fields = report.parse_object(answer.body or b'{}')
         except (
             OSError,
             http.BrokenMessage,
--- a/magnoliadyke/platform/fields.py
+++ b/magnoliadyke/platform/fields.py
@@ -7,13 +7,13 @@
 
 __all__ = [
     'BadField',
-    'address',
-    'flag',
-    'number',
-    'record',
-    'records',
-    'text',
-    'integer',
+    'read_address',
+    'read_bool',
+    'read_number',
+    'parse_object',
+    'read_objects',
+    'read_string',
+    'read_integer',
 ]
 
 MAX_PORT = 65535
@@ -27,7 +27,7 @@
     """A field is missing, or has a wrong type or value."""
 
 
-def record(value: bytes) -> dict[str, Any]:
+def parse_object(value: bytes) -> dict[str, Any]:
     """Parse a JSON object.
 
     :raises BadField: the value is not a JSON object
@@ -41,7 +41,7 @@
     return found
 
 
-def records(fields: dict[str, Any], name: str) -> list[dict[str, Any]]:
+def read_objects(fields: dict[str, Any], name: str) -> list[dict[str, Any]]:
     """Return a list of objects; empty if the field is missing or null."""
     found = fields.get(name)
     if found is None:
@@ -55,7 +55,9 @@
     return found
 
 
-def text(fields: dict[str, Any], name: str, default: str | None = None) -> str:
+def read_string(
+    fields: dict[str, Any], name: str, default: str | None = None
+) -> str:
     """Return a string without control characters.
 
     :param default: value if the field is missing or null; None if the field
@@ -76,7 +78,7 @@
     return found
 
 
-def number(
+def read_number(
     fields: dict[str, Any],
     name: str,
     minimum: float,
@@ -103,7 +105,7 @@
     return found
 
 
-def integer(
+def read_integer(
     fields: dict[str, Any],
     name: str,
     minimum: int,
@@ -115,13 +117,13 @@
     :param default: value if the field is missing or null; None if the field
         is required
     """
-    found = number(fields, name, minimum, default)
+    found = read_number(fields, name, minimum, default)
     if not isinstance(found, int):
         raise BadField(f'{name}: expected an integer, got {found!r}')
     return found
 
 
-def flag(fields: dict[str, Any], name: str) -> bool:
+def read_bool(fields: dict[str, Any], name: str) -> bool:
     """Return a boolean; False if the field is missing or null."""
     found = fields.get(name)
     if found is None:
@@ -133,9 +135,9 @@
     return found
 
 
-def address(fields: dict[str, Any], name: str) -> str:
+def read_address(fields: dict[str, Any], name: str) -> str:
     """Return a numeric address with a port, as ``ip:port``."""
-    found = text(fields, name)
+    found = read_string(fields, name)
     host, _, port = found.rpartition(':')
     try:
         ipaddress.ip_address(host)
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -40,21 +40,23 @@
 ) -> routes.Configuration | catalog.UnusableRecord:
     """Decode the value of the configuration key."""
     try:
-        return _configuration(fields.record(value))
+        return _configuration(fields.parse_object(value))
     except fields.BadField as error:
         return catalog.UnusableRecord(str(error))
 
 
 def _configuration(found: dict[str, Any]) -> routes.Configuration:
-    services = [_service(each) for each in fields.records(found, 'services')]
+    services = [
+        _service(each) for each in fields.read_objects(found, 'services')
+    ]
     limits = found.get('limits') or {}
     if not isinstance(limits, dict):
         raise fields.BadField(
             f'limits: expected an object, got {type(limits).__name__}'
         )
     return routes.Configuration(
-        fields.integer(found, 'version', 0),
-        tuple(_route(each) for each in fields.records(found, 'routes')),
+        fields.read_integer(found, 'version', 0),
+        tuple(_route(each) for each in fields.read_objects(found, 'routes')),
         {each.name: each for each in services},
         _limits(limits),
         _workspaces(found),
@@ -66,8 +68,8 @@
     if found.get('tenants') is None:
         return None
     return workspaces.Workspaces(
-        (workspaces.Workspace(fields.text(each, 'name')), _keys(each))
-        for each in fields.records(found, 'tenants')
+        (workspaces.Workspace(fields.read_string(each, 'name')), _keys(each))
+        for each in fields.read_objects(found, 'tenants')
     )
 
 
@@ -87,36 +89,37 @@
 def _route(found: dict[str, Any]) -> routes.Route:
     targets = tuple(
         routes.Target(
-            fields.text(each, 'service'), fields.number(each, 'weight', 0.0)
+            fields.read_string(each, 'service'),
+            fields.read_number(each, 'weight', 0.0),
         )
-        for each in fields.records(found, 'traffic_split')
+        for each in fields.read_objects(found, 'traffic_split')
     )
     if not targets:
-        targets = (routes.Target(fields.text(found, 'service'), 1.0),)
+        targets = (routes.Target(fields.read_string(found, 'service'), 1.0),)
     if not any(target.weight for target in targets):
         raise fields.BadField(
             'traffic_split: expected a weight above 0, all weights are 0'
         )
-    timeout_s = fields.number(found, 'timeout_ms', 1) / 1000
-    objective_ms = fields.number(found, 'target_latency_ms', 0, 0)
-    pause_ms = fields.number(found, 'gap_aim_ms', 0, 0)
+    timeout_s = fields.read_number(found, 'timeout_ms', 1) / 1000
+    objective_ms = fields.read_number(found, 'target_latency_ms', 0, 0)
+    pause_ms = fields.read_number(found, 'gap_aim_ms', 0, 0)
     return routes.Route(
-        name=fields.text(found, 'name'),
-        host=fields.text(found, 'hostname'),
-        prefix=fields.text(found, 'path_prefix'),
+        name=fields.read_string(found, 'name'),
+        host=fields.read_string(found, 'hostname'),
+        prefix=fields.read_string(found, 'path_prefix'),
         # An unknown kind is treated as UNSAFE, the most restrictive one.
-        kind=KINDS.get(fields.text(found, 'kind'), routes.Kind.UNSAFE),
+        kind=KINDS.get(fields.read_string(found, 'kind'), routes.Kind.UNSAFE),
         targets=targets,
         timeout_s=timeout_s,
         objective_s=objective_ms / 1000 if objective_ms else timeout_s,
         pause_s=pause_ms / 1000 if pause_ms else timeout_s,
-        priority=fields.integer(found, 'priority', 0, 0),
-        max_attempts=max(1, fields.integer(found, 'max_attempts', 0, 1)),
+        priority=fields.read_integer(found, 'priority', 0, 0),
+        max_attempts=max(1, fields.read_integer(found, 'max_attempts', 0, 1)),
         # Despite its name, the field does not mean sticky sessions: it marks
         # routes whose requests carry the headers on their prompt.
-        carries_prompt=fields.flag(found, 'sticky'),
-        resumable=fields.flag(found, 'resumable'),
-        public=fields.flag(found, 'public'),
+        carries_prompt=fields.read_bool(found, 'sticky'),
+        resumable=fields.read_bool(found, 'resumable'),
+        public=fields.read_bool(found, 'public'),
     )
 
 
@@ -127,9 +130,9 @@
             f'engine: expected an object, got {type(engine).__name__}'
         )
     return routes.Service(
-        fields.text(found, 'name'),
-        fields.text(found, 'health_path', ''),
-        fields.integer(found, 'max_conns', 0, 0),
+        fields.read_string(found, 'name'),
+        fields.read_string(found, 'health_path', ''),
+        fields.read_integer(found, 'max_conns', 0, 0),
         _engine(engine) if engine else None,
         _scaling(found.get('autoscale')),
     )
@@ -148,34 +151,36 @@
             f'zone_prices: expected an object, got {type(prices).__name__}'
         )
     return autoscaler.ScalingLimits(
-        min_endpoints=fields.integer(found, 'min_replicas', 0),
-        max_endpoints=fields.integer(found, 'max_replicas', 0),
-        boot_s=fields.number(found, 'boot_s', 0, 0),
-        reclaimable_price=fields.number(found, 'spot_price', 0, 1),
-        prices={zone: fields.number(prices, zone, 0) for zone in prices},
+        min_endpoints=fields.read_integer(found, 'min_replicas', 0),
+        max_endpoints=fields.read_integer(found, 'max_replicas', 0),
+        boot_s=fields.read_number(found, 'boot_s', 0, 0),
+        reclaimable_price=fields.read_number(found, 'spot_price', 0, 1),
+        prices={zone: fields.read_number(prices, zone, 0) for zone in prices},
     )
 
 
 def _engine(found: dict[str, Any]) -> routes.EngineTraits:
     return routes.EngineTraits(
-        slots=fields.integer(found, 'slots', 1),
-        cache_tokens=fields.number(found, 'kv_tokens', 1),
-        bytes_per_token=fields.number(found, 'token_kv_bytes', 0, 0.0),
-        link_bits_s=fields.number(found, 'link_mbps', 0, 0.0) * 1e6,
-        handle_s=fields.number(found, 'kv_hold_s', 0, 1.0),
-        stage_change_s=fields.number(found, 'stage_switch_s', 0, 1.0),
+        slots=fields.read_integer(found, 'slots', 1),
+        cache_tokens=fields.read_number(found, 'kv_tokens', 1),
+        bytes_per_token=fields.read_number(found, 'token_kv_bytes', 0, 0.0),
+        link_bits_s=fields.read_number(found, 'link_mbps', 0, 0.0) * 1e6,
+        handle_s=fields.read_number(found, 'kv_hold_s', 0, 1.0),
+        stage_change_s=fields.read_number(found, 'stage_switch_s', 0, 1.0),
     )
 
 
 def _limits(found: dict[str, Any]) -> routes.CallerLimits:
     default = routes.CallerLimits()
     return routes.CallerLimits(
-        fields.integer(found, 'max_header_bytes', 0, 0)
+        fields.read_integer(found, 'max_header_bytes', 0, 0)
         or default.header_bytes,
-        fields.integer(found, 'max_body_bytes', 0, 0) or default.body_bytes,
-        fields.number(found, 'header_timeout_ms', 0, 0) / 1000
+        fields.read_integer(found, 'max_body_bytes', 0, 0)
+        or default.body_bytes,
+        fields.read_number(found, 'header_timeout_ms', 0, 0) / 1000
         or default.header_s,
-        fields.number(found, 'idle_timeout_ms', 0, 0) / 1000 or default.idle_s,
+        fields.read_number(found, 'idle_timeout_ms', 0, 0) / 1000
+        or default.idle_timeout_s,
     )
 
 
@@ -193,35 +198,35 @@
             f'{ENDPOINT_PREFIX!r}'
         )
     try:
-        return _endpoint(name, fields.record(value))
+        return _endpoint(name, fields.parse_object(value))
     except fields.BadField as error:
         return catalog.UnusableRecord(str(error))
 
 
 def _endpoint(name: str, found: dict[str, Any]) -> catalog.Endpoint:
-    state = fields.text(found, 'state')
+    state = fields.read_string(found, 'state')
     if state not in STATES:
         raise fields.BadField(
             f'state: expected one of {STATES}, got {state!r}'
         )
-    stage = fields.text(found, 'stage', '')
+    stage = fields.read_string(found, 'stage', '')
     if stage and stage not in STAGES:
         raise fields.BadField(
             f'stage: expected one of {tuple(STAGES)}, got {stage!r}'
         )
-    started_ms = fields.integer(found, 'born', 0, 0)
+    started_ms = fields.read_integer(found, 'born', 0, 0)
     return catalog.Endpoint(
         # The process's state is stored under this id.  A process that
         # restarts under the same name has lost its KV cache and its requests,
         # so it gets another id.
         id=f'{name}~{started_ms:x}' if started_ms else name,
-        service=fields.text(found, 'service'),
-        address=fields.address(found, 'address'),
-        failure_domain=fields.text(found, 'zone'),
-        slots=fields.integer(found, 'slots', 1),
+        service=fields.read_string(found, 'service'),
+        address=fields.read_address(found, 'address'),
+        failure_domain=fields.read_string(found, 'zone'),
+        slots=fields.read_integer(found, 'slots', 1),
         leaving=state != STATE_READY,
         stage=STAGES.get(stage, catalog.Stage.NONE),
         published=name if started_ms else '',
         started_ms=started_ms,
-        reclaimable=fields.flag(found, 'spot'),
+        reclaimable=fields.read_bool(found, 'spot'),
     )
--- a/tests/promptload.py
+++ b/tests/promptload.py
@@ -150,9 +150,9 @@
 
     def send(self, number, placed):
         self.placed[number] = placed
-        reader = placed.prefill or placed.run
+        reader = placed.prefill_engine or placed.decode_engine
         rate = TOKENS_S * self.speed.get(reader, 1.0)
-        if placed.prefill is None:
+        if placed.prefill_engine is None:
             rate /= 2
         start_s = max(self.free_s.get(reader, 0.0), self.now_s + HOP_S)
         ends_s = start_s + placed.read_tokens / rate
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -19,7 +19,7 @@
 def grants(one, kind, now_s):
     """Calls granted until the first refusal."""
     count = 0
-    while isinstance(one.ask(kind, now_s), budget.Granted):
+    while isinstance(one.try_acquire(kind, now_s), budget.Granted):
         count += 1
     return count
 
@@ -44,8 +44,8 @@
     for _ in range(10):
         one.failed(READ, 0.0)
         one.failed(LEASE, 0.0)
-    assert one.ask(READ, 0.0).after_s > SETTINGS.max_backoff_s / 2
-    assert one.ask(LEASE, 0.0).after_s < 0.5
+    assert one.try_acquire(READ, 0.0).after_s > SETTINGS.max_backoff_s / 2
+    assert one.try_acquire(LEASE, 0.0).after_s < 0.5
 
 
 def test_no_herd_when_the_store_returns():
@@ -60,7 +60,7 @@
         one.failed(LEASE, 0.0)
         one.failed(WATCH, 0.0)
         one.succeeded(LEASE, 1.0)
-        answer = one.ask(WATCH, 1.0)
+        answer = one.try_acquire(WATCH, 1.0)
         starts.append(getattr(answer, 'after_s', 0.0))
     for quarter in range(4):
         low_s = SETTINGS.spread_s * quarter / 4
@@ -73,7 +73,7 @@
     one = a_budget()
     one.throttled(READ, 0.0, retry_after_s=3.0)
     assert one.rate_s == SETTINGS.rate_s / 2
-    assert one.ask(READ, 0.0).after_s >= 3.0
+    assert one.try_acquire(READ, 0.0).after_s >= 3.0
     for _ in range(20):
         one.succeeded(READ, 4.0)
     assert one.rate_s == SETTINGS.rate_s
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -99,7 +99,7 @@
     # second, and spend more on that than on its requests.
     names = {each.info.name for each in dispatcher.used_endpoints()}
     assert names == set(dispatcher.endpoints)
-    dispatcher.scheduler.subset = lambda pool: []
+    dispatcher.scheduler.subset_names = lambda pool: []
     assert dispatcher.used_endpoints() == []
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -91,8 +91,8 @@
         self.check()
 
     def answer(self, node, peer):
-        told = [peer.rule.sighting(self.now_s)]
-        told += peer.rule.relayed_sightings(
+        told = [peer.rule.own_host_state(self.now_s)]
+        told += peer.rule.relayed_host_states(
             self.now_s, len(HOSTS), random.Random(0)
         )
         if peer.rule.has_table:
@@ -283,7 +283,7 @@
     """
     fleet = Fleet()
     rule = fleet.nodes['h0'].rule
-    told = [fleet.nodes['h1'].rule.sighting(fleet.now_s)]
+    told = [fleet.nodes['h1'].rule.own_host_state(fleet.now_s)]
     later_s = fleet.now_s + 10.0
     rule.handle_probe_answer(fleet.now_s, later_s, told)
     assert not rule.is_fresh(later_s)
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -407,17 +407,17 @@
     monkeypatch.setattr(members, 'WATCHERS', 1)
     serving_nodes(world, cloud, 4)
     gatewayworld.wait_for(
-        lambda: sum(n.follower.listening for n in world.nodes) >= 2,
+        lambda: sum(n.follower.is_following_peers for n in world.nodes) >= 2,
         'hosts that listen',
     )
-    listening = [n for n in world.nodes if n.follower.listening]
+    listening = [n for n in world.nodes if n.follower.is_following_peers]
     gatewayworld.wait_for(lambda: cloud.reports(), 'a report')
     before = [n.store.calls['watch'] for n in listening]
     reports = len(cloud.reports())
     gatewayworld.wait_for(
         lambda: len(cloud.reports()) >= reports + 3, 'three more'
     )
-    still = [n for n in listening if n.follower.listening]
+    still = [n for n in listening if n.follower.is_following_peers]
     assert still
     for node, calls in zip(listening, before, strict=True):
         if node in still:
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -170,4 +170,4 @@
             **CHAT,
         )
         assert head.status == 200
-    assert {each.run for each in placed} == {'d2'}
+    assert {each.decode_engine for each in placed} == {'d2'}
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -101,7 +101,7 @@
     0.15,
     2.0,
     'z1',
-    returning=True,
+    is_retry=True,
     avoid=('e1',),
 )
 
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -236,7 +236,7 @@
 
     def has_learned():
         pool = new.placer.served.get('model')
-        return pool is not None and 0xB in pool.core.pool.caches.by_part
+        return pool is not None and 0xB in pool.placement.pool.caches.by_part
 
     gatewayworld.wait_for(has_learned, 'the memory')
 
@@ -265,8 +265,8 @@
 
 def only_engine(node):
     pool = node.placer._pool(node.placer.served, 'model')
-    (engine,) = pool.core.pool.engines.values()
-    return pool.core, engine
+    (engine,) = pool.placement.pool.engines.values()
+    return pool.placement, engine
 
 
 def test_engine_that_starts_again_is_taken_for_a_new_one(world):
@@ -408,12 +408,12 @@
         lambda: first.placer.leading != second.placer.leading, 'one leader'
     )
     old, new = (first, second) if first.placer.leading else (second, first)
-    core = old.placer._pool(old.placer.served, 'model').core
+    core = old.placer._pool(old.placer.served, 'model').placement
     reading = core.pool.costs[catalog.Stage.PREFILL]
     reading.set_coefficients(0.04, 0.009, 0.0002)
     reading.count = 1000
     gatewayworld.wait_for(lambda: new.placer.learned_costs, 'what was learned')
     new.placer.lead()
-    core = new.placer._pool(new.placer.served, 'model').core
+    core = new.placer._pool(new.placer.served, 'model').placement
     found = core.pool.costs[catalog.Stage.PREFILL].coefficients
     assert [round(each, 6) for each in found] == [0.04, 0.009, 0.0002]
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -483,7 +483,7 @@
         return all(
             not engine.pending_prefills
             for pool in pools
-            for engine in pool.core.pool.engines.values()
+            for engine in pool.placement.pool.engines.values()
         )
 
     gatewayworld.wait_for(is_free, 'the freed place')
@@ -613,7 +613,7 @@
     gatewayworld.wait_for(
         lambda: len(node.catalog.endpoints) == 2, 'both engines'
     )
-    node.placer._pool(node.placer.served, 'model').core.answers.hold(
+    node.placer._pool(node.placer.served, 'model').placement.answers.hold(
         99, 'd1', 100, node.clock.now_s()
     )
     headers = PROMPT | {'X_Deadline_Ms': '2000'}
@@ -674,7 +674,7 @@
     gatewayworld.wait_for(lambda: node.placer.leading, 'the placing host')
     told = []
     node.placer.broadcast = told.append
-    core = node.placer._pool(node.placer.served, 'model').core
+    core = node.placer._pool(node.placer.served, 'model').placement
     core.pool.adopt(1, 'e1', 5000, node.clock.now_s() - 60.0)
     node.placer.leading = False
     node.clock.sleep(0.3)
@@ -695,7 +695,7 @@
     gatewayworld.wait_for(lambda: node.placer.leading, 'the placing host')
     node.placer.leading = False
     node.placer.leader = None
-    core = node.placer._pool(node.placer.local, 'model').core
+    core = node.placer._pool(node.placer.local, 'model').placement
     core.answers.hold(99, 'e2', 100, node.clock.now_s())
     assert run(world, '/chat/1', 'POST', b'x', **PROMPT)[0].status == 200
     assert len(reader.arrivals) == 1
@@ -721,9 +721,9 @@
     other.placer.leader_retry_at_s = other.clock.now_s() + 60.0
     for node in world.nodes:
         for pools in (node.placer.served, node.placer.local):
-            core = node.placer._pool(pools, 'model').core
+            core = node.placer._pool(pools, 'model').placement
             core.answers.hold(99, 'e2', 100, node.clock.now_s())
-    model = leader.placer.served['model'].core.pool.engines['e1']
+    model = leader.placer.served['model'].placement.pool.engines['e1']
     client = gatewayworld.Client(other)
     client.request('POST', '/chat/1', 'r1', b'text', **PROMPT)
     gatewayworld.wait_for(lambda: model.pending_prefills, 'word of the prompt')
@@ -748,7 +748,7 @@
     for seed in range(20):
         node.placer.rng.seed(seed)
         node.placer.local.clear()
-        core = node.placer._pool(node.placer.local, 'model').core
+        core = node.placer._pool(node.placer.local, 'model').placement
         firsts.add(next(iter(core.pool.open[catalog.Stage.PREFILL])))
     assert len(firsts) >= 4
 
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -35,8 +35,8 @@
 def press(node):
     """Ask for more reading than the engines that read can do."""
     pool = served(node)
-    pool.core.prefill_demand.add(50.0, node.clock.now_s())
-    return pool.core
+    pool.placement.prefill_demand.add(50.0, node.clock.now_s())
+    return pool.placement
 
 
 @pytest.fixture
@@ -65,7 +65,7 @@
     assert order['fence'] == node.leadership.fencing
     assert order['precondition'] == 0
     (changed,) = [e for e in world.endpoints.values() if e.orders]
-    engine = node.placer.served['model'].core.pool.engines[changed.name]
+    engine = node.placer.served['model'].placement.pool.engines[changed.name]
     # The engine has the order before the host has its answer.
     gatewayworld.wait_for(
         lambda: engine.cooldown_until_s > node.clock.now_s(), 'the rest'
@@ -203,7 +203,7 @@
         lambda: world.endpoints['p0'].stage == 'decode', 'the change'
     )
     gatewayworld.wait_for(
-        lambda: served(node).core.pool.has_open(), 'the engine as known'
+        lambda: served(node).placement.pool.has_open(), 'the engine as known'
     )
     head, _ = client.call('POST', '/chat/a', 'r2', b'x', **LONG)
     assert head.status == 200
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -50,7 +50,7 @@
     source=MEMBERS,
     target=NAMES,
     updates=strategies.lists(MEMBERS, max_size=3).map(tuple),
-    sightings=strategies.lists(SIGHTINGS, max_size=3).map(tuple),
+    host_states=strategies.lists(SIGHTINGS, max_size=3).map(tuple),
     digest=strategies.just(b''),
 )
 
@@ -58,8 +58,8 @@
 @hypothesis.given(MESSAGES)
 def test_a_message_survives_the_wire(message):
     found = gossip_codec.decode('d', gossip_codec.encode('d', message))
-    assert found._replace(sightings=()) == message._replace(sightings=())
-    for seen, told in zip(found.sightings, message.sightings, strict=True):
+    assert found._replace(host_states=()) == message._replace(host_states=())
+    for seen, told in zip(found.host_states, message.host_states, strict=True):
         # Ages are rounded up: evidence never looks younger than it is.
         assert 0 <= seen.age_s - told.age_s + 1e-9 < 0.002
         ages = {'age_s': 0.0, 'store_age_s': 0.0}
--- a/tests/test_keyupdates.py
+++ b/tests/test_keyupdates.py
@@ -65,7 +65,7 @@
 
 
 def listening(world):
-    return [n for n in world.nodes if n.follower.listening]
+    return [n for n in world.nodes if n.follower.is_following_peers]
 
 
 def watching(world):
@@ -174,7 +174,7 @@
     # The placing host watches too, but may be the teller itself.
     other = next(n for n in world.nodes if n is not teller)
     other.follower.is_always_watcher = lambda: True
-    advance_until(clock, lambda: not other.follower.listening)
+    advance_until(clock, lambda: not other.follower.is_following_peers)
     test_follower.hold_watches(world, clock, teller)
     world.store.remove('servers/p1')
     took_s = advance_until(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -258,16 +258,16 @@
         own, membership.MembershipSettings(), random.Random(1), peers
     )
     for peer in peers:
-        sighting = freshness.HostState(
+        host_state = freshness.HostState(
             peer.host, 1, 0.0, 1, 1, 0.0, True, True, 1.0
         )
-        ack = membership.Ack(0, peer, 'h0', (), (sighting,), b'')
+        ack = membership.Ack(0, peer, 'h0', (), (host_state,), b'')
         node.receive(ack, 0.1)
-        node.freshness.handle_probe_answer(0.0, 0.1, [sighting])
+        node.freshness.handle_probe_answer(0.0, 0.1, [host_state])
     (send, *_) = node.tick(0.5)
     settings = membership.MembershipSettings()
-    assert len(send.message.updates) <= settings.updates
-    assert len(send.message.sightings) == settings.sightings
+    assert len(send.message.updates) <= settings.max_updates
+    assert len(send.message.host_states) == settings.max_host_states
 
 
 class Weather(stateful.RuleBasedStateMachine):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -64,7 +64,7 @@
     tokens = sum(
         play.placed[n].read_tokens
         for n in play.placed
-        if play.placed[n].prefill
+        if play.placed[n].prefill_engine
     )
     # Both engines that read, over the three seconds of the burst.
     assert tokens >= 0.85 * 2 * 3 * promptload.TOKENS_S
@@ -110,7 +110,7 @@
     """
     play = promptload.Play([150] * 5, speed={'p0': 0.2})
     result = play.run()
-    readers = [each.prefill for each in play.placed.values()]
+    readers = [each.prefill_engine for each in play.placed.values()]
     assert readers.count('p0') < 0.5 * readers.count('p1')
     assert result.in_time >= 0.9 * result.asked
 
@@ -119,7 +119,7 @@
     """A caller that was refused before has no further try."""
     made = core()
     made._put_late(job(91, [*LONG, part(91, 2900)]))
-    made._put_late(job(92, [*LONG, part(92, 2900)], returning=True))
+    made._put_late(job(92, [*LONG, part(92, 2900)], is_retry=True))
     assert made._next_queue().first().id == 92
 
 
@@ -143,16 +143,16 @@
     for number in range(8):
         chat = job(number, [part(number, 60)], output_tokens=100)
         (decision,) = made.submit(chat, 0.0)
-        assert decision.tell_end
-        runs.add(decision.run)
+        assert decision.report_end
+        runs.add(decision.decode_engine)
     assert len(runs) == 1
     busy = runs.pop()
     for number in range(20, 30):
         for decision in made.submit(
             job(number, [*LONG, part(number, 2900)]), 0.0
         ):
-            if decision.prefill is None:
-                assert decision.run != busy
+            if decision.prefill_engine is None:
+                assert decision.decode_engine != busy
 
 
 def test_engine_that_failed_is_tried_with_one_prompt():
@@ -172,7 +172,7 @@
     to_p0 = [
         d
         for d in placed
-        if isinstance(d, promptjobs.Placed) and d.prefill == 'p0'
+        if isinstance(d, promptjobs.Placed) and d.prefill_engine == 'p0'
     ]
     assert len(to_p0) <= 1
     assert isinstance(first, promptjobs.Placed)
@@ -195,7 +195,7 @@
         )
         made.record_prefill_done(number, 'd0', now_s + 0.05)
     assert placed
-    assert all(each.prefill is None for each in placed)
+    assert all(each.prefill_engine is None for each in placed)
 
 
 def test_engine_that_turns_away_the_prompts_of_two_readers_is_at_fault():
@@ -229,7 +229,7 @@
             if each.fetch_from is not None:
                 decision = each
     assert decision is not None
-    reader = decision.prefill or decision.run
+    reader = decision.prefill_engine or decision.decode_engine
     made.record_failure(decision.job, reader, 0.2)
     assert made.pool.engines[reader].cooldown_until_s <= 0.2
     again = made.submit(job(9, [*LONG, part(99, 2900)], 0.2), 0.2)
@@ -267,7 +267,7 @@
         for decision in made.submit(
             job(number, [part(number, 50)], output_tokens=100), 0.0
         ):
-            assert decision.run == 'd1'
+            assert decision.decode_engine == 'd1'
     made.set_engines(
         [
             promptload.engine('p0'),
@@ -343,7 +343,7 @@
             assert isinstance(decision, promptjobs.Placed)
             expected_s.append(decision.expected_s)
             made.record_prefill_done(
-                decision.job, decision.prefill, now_s + 0.012
+                decision.job, decision.prefill_engine, now_s + 0.012
             )
     assert len(expected_s) == 40
     assert max(expected_s) < 1.0
@@ -409,7 +409,9 @@
         now_s = 0.2 + number * 0.02
         asked = job(number, [*LONG, part(100 + number, 1000)], now_s)
         prompts += made.submit(asked, now_s)
-        made.record_prefill_done(number, prompts[-1].prefill, now_s + 0.012)
+        made.record_prefill_done(
+            number, prompts[-1].prefill_engine, now_s + 0.012
+        )
     assert all(isinstance(each, promptjobs.Placed) for each in prompts)
 
 
@@ -505,7 +507,7 @@
         now_s = 1.0 + 0.03 * number
         asked = job(100 + number, [part(number, 300)], now_s, avoid=('d1',))
         (decision,) = made.submit(asked, now_s)
-        to_dark += decision.run == 'd0'
+        to_dark += decision.decode_engine == 'd0'
     assert to_dark <= 4
 
 
@@ -518,11 +520,11 @@
     made = core(promptload.fleet(prefill=1, decode=1))
     (placed,) = made.submit(job(1, [part(1, 300)], 0.0), 0.0)
     made.record_failure(1, 'd0', 0.01)
-    again = job(2, [part(1, 300)], 0.0, avoid=(placed.run,))
+    again = job(2, [part(1, 300)], 0.0, avoid=(placed.decode_engine,))
     assert made.submit(again, 0.012) == []
     assert made.pump(0.3) == []
     (placed,) = made.pump(0.01 + enginepool.COOLDOWN_S)
-    assert (placed.job, placed.run) == (2, 'd0')
+    assert (placed.job, placed.decode_engine) == (2, 'd0')
 
 
 def test_request_that_can_not_wait_for_the_engine_is_told_when_it_may():
@@ -540,7 +542,7 @@
     for number in range(3):
         made.record_failure(number, 'd0', 0.1 * number)
     (first,) = made.submit(job(10, [part(1, 300)], 5.0), 5.0)
-    assert first.run == 'd0'
+    assert first.decode_engine == 'd0'
     made.record_kv_transfer('d0', 0.02, 5.1)
     engine = made.pool.engines['d0']
     assert engine in made.pool.decode_engines.available((), 5.2)
@@ -605,7 +607,7 @@
         placed += made.submit(job(number, parts), 0.0)
     assert len(placed) == 25
     assert all(isinstance(each, promptjobs.Placed) for each in placed)
-    assert len({each.prefill for each in placed}) == 25
+    assert len({each.prefill_engine for each in placed}) == 25
 
 
 def test_engine_reads_again_when_its_long_answers_have_ended():
@@ -622,7 +624,9 @@
     waiting = len(made.on_time)
     assert waiting
     placed = made.record_end(1000, 0.001)
-    assert 'd0' in [each.run for each in placed if each.prefill is None]
+    assert 'd0' in [
+        each.decode_engine for each in placed if each.prefill_engine is None
+    ]
 
 
 def test_engines_without_a_slot_do_not_hide_one_that_has_some():
@@ -637,7 +641,7 @@
         full.expect_run(10.0, 0.0)
     other.transfer_until_s = 0.01
     (placed,) = made.submit(job(1, LONG), 0.0)
-    assert placed.run == 'd1'
+    assert placed.decode_engine == 'd1'
 
 
 def test_no_engine_that_answers_is_hidden_by_others_in_a_large_fleet():
@@ -647,7 +651,7 @@
         for _ in range(4):
             made.pool.engines[f'd{number}'].expect_run(10.0, 0.0)
     (placed,) = made.submit(job(1, LONG), 0.0)
-    assert placed.run == 'd69'
+    assert placed.decode_engine == 'd69'
 
 
 def busy_with(made, numbers, now_s=0.0):
@@ -739,7 +743,7 @@
     made = core(promptload.fleet(2, 2))
     shared = part(1, 30_000)
     (first,) = made.submit(job(1, [shared, part(2, 3000)]), 0.0)
-    reader = first.prefill or first.run
+    reader = first.prefill_engine or first.decode_engine
     kept = made.pool.caches
     assert kept.ready_tokens(reader, [shared]) == 0
     busy = job(2, [shared, part(3, 3000)], objective_s=9.0, deadline_s=9.0)
@@ -754,7 +758,7 @@
     made = core(promptload.fleet(1, 1))
     parts = [part(1, 30_000), part(2, 3000)]
     (first,) = made.submit(job(1, parts), 0.0)
-    made.record_failure(1, first.prefill or first.run, 0.1)
+    made.record_failure(1, first.prefill_engine or first.decode_engine, 0.1)
     assert made.pool.caches.cached_prefixes(parts).max_tokens == 0
 
 
@@ -813,7 +817,7 @@
     assert made.submit(job(2, [shared, part(3, 2000)], **fields), 0.08) == []
     assert made.is_waiting(2)
     (second,) = [
-        *made.record_prefill_done(1, first.prefill, 0.13),
+        *made.record_prefill_done(1, first.prefill_engine, 0.13),
         *made.pump(0.25),
     ]
     assert second.read_tokens == 2000
@@ -827,7 +831,7 @@
     fields = {'objective_s': 2.0, 'deadline_s': 9.0}
     (first,) = made.submit(job(1, [shared, part(2, 2000)], **fields), 0.0)
     made.submit(job(2, [shared, part(3, 2000)], **fields), 0.08)
-    made.record_failure(1, first.prefill, 0.1)
+    made.record_failure(1, first.prefill_engine, 0.1)
     placed = made.pump(0.25)
     assert [each.job for each in placed] == [2]
 
@@ -887,7 +891,7 @@
     assert late.retry_after_s >= promptload.TRAITS.stage_change_s
     made.set_engines([promptload.engine('p0', catalog.Stage.DECODE)])
     (placed,) = made.submit(job(102, [part(102, 9200)], 5.0, **fields), 5.0)
-    assert placed.run == 'p0'
+    assert placed.decode_engine == 'p0'
 
 
 def test_prompt_that_waits_for_parts_is_told_that_no_engine_answers():
--- a/tests/test_platform_records.py
+++ b/tests/test_platform_records.py
@@ -29,7 +29,7 @@
     assert not made.match('site.example', '/once/x').repeatable
     assert made.services['model'].engine.slots == 16
     assert made.services['plain'].engine is None
-    assert made.limits.idle_s == 5.0
+    assert made.limits.idle_timeout_s == 5.0
 
 
 def test_unknown_kind_is_the_strictest():
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -144,7 +144,7 @@
     judge.blame('e2', 'p', [(two, 0)], 10.0)
     judge.tick(judge.settings.suspect_s + 11.0)
     assert judge.verdict(one, 400.0) == quarantine.CLEAR
-    judge.record_sighting(two, 1000.0)
+    judge.extend_retention(two, 1000.0)
     late_s = 1000.0 + judge.settings.convicted_s
     assert judge.verdict(two, late_s - 1) == quarantine.CONVICTED
     assert judge.verdict(two, late_s + 1) == quarantine.CLEAR
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -160,7 +160,7 @@
     ]
     used = dict.fromkeys((info.name for info in infos), 0)
     for salt in range(100):
-        chosen = routing.subset(infos, 60, salt)
+        chosen = routing.select_subset(infos, 60, salt)
         assert len(chosen) == 60
         for info in chosen:
             used[info.name] += 1
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -296,7 +296,7 @@
     assert other.submit(resend, 1.0) == []
     assert other.tick(1.0 + SETTLE_S - 0.1) == []
     (action,) = other.tick(1.0 + SETTLE_S)
-    assert action.alone
+    assert action.is_only_job
 
 
 class Life(stateful.RuleBasedStateMachine):
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -194,7 +194,7 @@
     gone = store.Removed('servers/p1', lost)
     told = placement_codec.KeyUpdates(old.own.host, lost, lost, (gone,))
     for node in others:
-        node.follower.listening = True
+        node.follower.is_following_peers = True
         updated_s = node.follower.updated_s
         node.follower.apply_updates(told)
         assert node.follower.updated_s == updated_s
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -39,7 +39,7 @@
     crash(plan, 0.0)
     assert plan.tick(SETTLE_S - 0.1) == []
     (action,) = plan.tick(SETTLE_S)
-    assert action.alone
+    assert action.is_only_job
     assert plan.tick(SETTLE_S + 1.0) == []
     result = jobs.Finished(100, 50, 0)
     plan.record_result(action.job_id, result, SETTLE_S + 1.0)
