--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -343,7 +343,7 @@
             return forms.outcome_from(whole) or LOST
         connection = reply.connection
         label = id(connection)
-        progress.assembly.begin(label)
+        progress.assembly.start_attempt(label)
         try:
             self.read(reply, request, progress, label)
         except (OSError, responses.HTTPParseError) as error:
--- a/magnoliadyke/core/attempts.py
+++ b/magnoliadyke/core/attempts.py
@@ -63,7 +63,7 @@
         self.error = None
         self.unparsed = b''
 
-    def begin(self, attempt):
+    def start_attempt(self, attempt):
         """Accept events of ``attempt`` from now on, and of no other.
 
         :param attempt: attempt id; the same after a resume on a new
--- a/magnoliadyke/core/autoscaler.py
+++ b/magnoliadyke/core/autoscaler.py
@@ -87,15 +87,15 @@
         self,
         limits: ScalingLimits,
         available: Mapping[str, AvailableCapacity],
-        wanted: int,
+        required_count: int,
         now_s: float,
     ) -> list[ScaleOrder]:
         """Return the orders that are due.
 
         :param available: endpoints that accept work, by failure domain
-        :param wanted: number of endpoints that the load needs
+        :param required_count: number of endpoints that the load needs
         """
-        targets = self.targets(limits, available, wanted, now_s)
+        targets = self.targets(limits, available, required_count, now_s)
         orders = [
             ScaleOrder(self.service, domain, target, reclaimable)
             for (domain, reclaimable), target in targets.items()
@@ -116,17 +116,17 @@
         self,
         limits: ScalingLimits,
         available: Mapping[str, AvailableCapacity],
-        wanted: int,
+        required_count: int,
         now_s: float,
     ) -> dict[Kind, int]:
         """Return the planned number of endpoints, by domain and kind.
 
         :param available: endpoints that accept work, by failure domain
-        :param wanted: number of endpoints that the load needs
+        :param required_count: number of endpoints that the load needs
         """
         domains = sorted(limits.prices, key=lambda d: (limits.prices[d], d))
         reclaimable_targets = self._reclaimable_targets(
-            limits, available, domains, wanted, now_s
+            limits, available, domains, required_count, now_s
         )
         counts = {
             (domain, True): count
@@ -137,12 +137,12 @@
             for domain in domains
         )
         # On-demand endpoints stay until reclaimable ones replace them.
-        short = max(0, wanted - ready)
+        short = max(0, required_count - ready)
         for domain in domains:
             on_demand = min(_count(available, domain, False), short)
             short -= on_demand
             counts[domain, False] = on_demand
-        missing = wanted - sum(counts.values())
+        missing = required_count - sum(counts.values())
         for domain in domains:
             room = (
                 limits.max_endpoints
@@ -159,7 +159,7 @@
         limits: ScalingLimits,
         available: Mapping[str, AvailableCapacity],
         domains: list[str],
-        wanted: int,
+        required_count: int,
         now_s: float,
     ) -> dict[str, int]:
         """Return the planned number of reclaimable endpoints, by domain.
@@ -182,7 +182,7 @@
             )
             for domain in domains
         }
-        while sum(counts.values()) - max(counts.values()) < wanted:
+        while sum(counts.values()) - max(counts.values()) < required_count:
             open_to = [
                 domain
                 for domain in domains
@@ -197,7 +197,7 @@
             if counts[fullest] <= limits.min_endpoints:
                 break
             counts[fullest] -= 1
-            if sum(counts.values()) - max(counts.values()) < wanted:
+            if sum(counts.values()) - max(counts.values()) < required_count:
                 counts[fullest] += 1
                 break
         return counts
--- a/magnoliadyke/core/backoffs.py
+++ b/magnoliadyke/core/backoffs.py
@@ -31,7 +31,7 @@
         :param for_s: how long to back off, in seconds
         """
         if len(self.until_s) >= MAX_BACKOFFS:
-            self.forget(now_s)
+            self.remove_expired(now_s)
         until_s = max(now_s + for_s, self.until_s.get(endpoint_id, 0.0))
         self.until_s[endpoint_id] = until_s
 
@@ -64,7 +64,7 @@
         """Return the ids of the endpoints with a backoff."""
         return [e for e, until_s in self.until_s.items() if until_s > now_s]
 
-    def forget(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Remove the backoffs that have ended."""
         for endpoint_id, until_s in list(self.until_s.items()):
             if until_s <= now_s:
--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -130,7 +130,7 @@
             cooldown_s = COOLDOWN_S * 2 ** min(stats.unreachable - 2, 3)
             stats.cooldown_until_s = now_s + min(cooldown_s, MAX_COOLDOWN_S)
 
-    def forget(self, listed: set[str]) -> None:
+    def drop_unlisted(self, listed: set[str]) -> None:
         """Drop the statistics of endpoints that are no longer listed.
 
         Those with requests in flight are kept.
--- a/magnoliadyke/core/budget.py
+++ b/magnoliadyke/core/budget.py
@@ -17,7 +17,7 @@
     'BudgetSettings',
     'CallKind',
     'Granted',
-    'Later',
+    'RetryLater',
     'StoreBudget',
 ]
 
@@ -60,13 +60,14 @@
 class Granted:
     """The call may be made now.
 
-    Its result is reported by :meth:`StoreBudget.succeeded`,
-    :meth:`~StoreBudget.failed` or :meth:`~StoreBudget.throttled`.
+    Its result is reported by :meth:`StoreBudget.record_success`,
+    :meth:`~StoreBudget.record_failure` or
+    :meth:`~StoreBudget.record_throttling`.
     """
 
 
 @dataclasses.dataclass(frozen=True)
-class Later:
+class RetryLater:
     """The call may not be made yet.
 
     :param after_s: when to request the call again, in seconds from now
@@ -88,7 +89,7 @@
         self.rng = rng
         self.calls: collections.Counter[CallKind] = collections.Counter()
         self.failures = 0
-        self._share = 1.0
+        self._rate_factor = 1.0
         self._rate_s = settings.rate_s
         self._tokens = settings.burst
         self._refilled_s = now_s
@@ -97,23 +98,25 @@
     @property
     def rate_s(self) -> float:
         """Present limit, in calls per second."""
-        return self._rate_s * self._share
+        return self._rate_s * self._rate_factor
 
     def set_nodes(self, nodes: int) -> None:
         """Split the fleet's rate evenly among the live nodes."""
         share_s = self.settings.fleet_rate_s / max(1, nodes)
         self._rate_s = min(self.settings.rate_s, share_s)
 
-    def try_acquire(self, kind: CallKind, now_s: float) -> Granted | Later:
+    def try_acquire(
+        self, kind: CallKind, now_s: float
+    ) -> Granted | RetryLater:
         """Return whether a call may be made now, and count it if so."""
         self._refill(now_s)
         wait_s = self._not_before_s.get(kind, 0.0) - now_s
         if wait_s > 0:
-            return Later(wait_s)
+            return RetryLater(wait_s)
         reserve = kind * self.settings.reserve_share * self.settings.burst
         missing_tokens = 1 + reserve - self._tokens
         if missing_tokens > 0:
-            return Later(max(missing_tokens / self.rate_s, 0.01))
+            return RetryLater(max(missing_tokens / self.rate_s, 0.01))
         self._tokens -= 1
         self.calls[kind] += 1
         return Granted()
@@ -123,12 +126,12 @@
         self._tokens = min(self.settings.burst, self._tokens + gained)
         self._refilled_s = now_s
 
-    def succeeded(self, kind: CallKind, now_s: float) -> None:
+    def record_success(self, kind: CallKind, now_s: float) -> None:
         """Record that the store answered a call."""
         if self.failures:
             self._spread_resumption(kind, now_s)
         self.failures = 0
-        self._share = min(1.0, self._share + 0.05)
+        self._rate_factor = min(1.0, self._rate_factor + 0.05)
         self._not_before_s.pop(kind, None)
 
     def _spread_resumption(self, kind: CallKind, now_s: float) -> None:
@@ -144,7 +147,7 @@
             else:
                 self._not_before_s.pop(other, None)
 
-    def failed(self, kind: CallKind, now_s: float) -> None:
+    def record_failure(self, kind: CallKind, now_s: float) -> None:
         """Record a call without an answer or with an error.
 
         Calls of its kind back off exponentially, with jitter.
@@ -160,7 +163,7 @@
         pause_s = ceiling_s * (0.5 + 0.5 * self.rng.random())
         self._not_before_s[kind] = now_s + pause_s
 
-    def throttled(
+    def record_throttling(
         self, kind: CallKind, now_s: float, retry_after_s: float = 0.0
     ) -> None:
         """Record that the store refused a call because of its rate limit.
@@ -170,7 +173,7 @@
         :param retry_after_s: shortest pause that the store asked for, in
             seconds
         """
-        self._share = max(0.05, self._share / 2)
-        self.failed(kind, now_s)
-        least_s = now_s + retry_after_s
-        self._not_before_s[kind] = max(self._not_before_s[kind], least_s)
+        self._rate_factor = max(0.05, self._rate_factor / 2)
+        self.record_failure(kind, now_s)
+        earliest_s = now_s + retry_after_s
+        self._not_before_s[kind] = max(self._not_before_s[kind], earliest_s)
--- a/magnoliadyke/core/catalog.py
+++ b/magnoliadyke/core/catalog.py
@@ -34,8 +34,8 @@
 
     :param slots: maximum number of requests that it runs at once
     :param leaving: whether it is draining and takes no new work
-    :param published: its published name, which it keeps after a restart;
-        empty if the name is its id
+    :param published_name: its published name, which it keeps after a
+        restart; empty if the name is its id
     :param started_ms: when the process started, in milliseconds of its own
         clock; 0 if unknown
     :param reclaimable: whether the provider may reclaim it at short notice,
@@ -49,14 +49,14 @@
     slots: int
     leaving: bool
     stage: Stage
-    published: str = ''
+    published_name: str = ''
     started_ms: int = 0
     reclaimable: bool = False
 
     @property
     def name(self) -> str:
         """The published name, or the id if it has none."""
-        return self.published or self.id
+        return self.published_name or self.id
 
 
 class Catalog:
@@ -66,7 +66,7 @@
         that they leave; no store entry reverts that
     :ivar leaving_ids: ids of those of them that are listed
     :ivar by_name: ids of the endpoints, by published name
-    :ivar checked_s: when the store last confirmed the catalog
+    :ivar confirmed_s: when the store last confirmed the catalog
     :ivar generation: number of changes of endpoints and of the configuration
     """
 
@@ -82,7 +82,7 @@
             collections.OrderedDict()
         )
         self.leaving_ids: set[str] = set()
-        self.checked_s: float | None = None
+        self.confirmed_s: float | None = None
         self.generation = 0
 
     def configure(self, configuration: routes.Configuration) -> bool:
--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -17,8 +17,8 @@
 
 One race remains: a process may be suspended between :meth:`may_send` and the
 system call that sends.  Its command takes effect when the process resumes;
-the comparison detects that and reverses it within ``compare_s`` and the time
-of a role change.
+the comparison detects that and reverses it within
+``compare_interval_s`` and the time of a role change.
 """
 
 from collections.abc import Iterable
@@ -49,22 +49,24 @@
 class CommandSettings(NamedTuple):
     """Timing of commands.
 
-    :param life_s: longest time from the start of sending a command to the
-        closing of its connection.
-    :param max_clock_drift_share: share of ``life_s`` added for clocks that run
-        at different rates.
-    :param change_s: longest time that an engine may take for a change.
+    :param command_lifetime_s: longest time from the start of sending a
+        command to the closing of its connection.
+    :param max_clock_drift_share: share of ``command_lifetime_s`` added
+        for clocks that run at different rates.
+    :param change_timeout_s: longest time that an engine may take for a
+        change.
     :param poll_s: interval between reads of the state during a change.
     :param retry_s: delay after a failed read or write.
-    :param compare_s: interval between reads of the state of an idle engine.
+    :param compare_interval_s: interval between reads of the state of an
+        idle engine.
     """
 
-    life_s: float = 1.0
+    command_lifetime_s: float = 1.0
     max_clock_drift_share: float = 0.1
-    change_s: float = 15.0
+    change_timeout_s: float = 15.0
     poll_s: float = 0.25
     retry_s: float = 0.5
-    compare_s: float = 2.0
+    compare_interval_s: float = 2.0
 
 
 class Change(NamedTuple):
@@ -145,15 +147,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadIntent:
-    """Read the intent, then call ``intent_read`` or ``intent_failed``."""
+    """Read the intent.
+
+    Then call ``record_intent_read`` or ``record_intent_failure``.
+    """
 
 
 @dataclasses.dataclass(frozen=True)
 class WriteIntent:
     """Write the intent if the key still has the revision ``if_revision``.
 
-    Then call ``intent_written``, ``intent_read`` with the stored value if
-    the revision differed, or ``intent_failed``.
+    Then call ``record_intent_written``, ``record_intent_read`` with the
+    stored value if the revision differed, or ``record_intent_failure``.
     """
 
     intent: Intent
@@ -162,12 +167,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadState:
-    """Read the engine's state; call ``state_read`` or ``state_failed``."""
+    """Read the engine's state.
+
+    Then call ``record_state`` or ``record_state_failure``.
+    """
 
 
 @dataclasses.dataclass(frozen=True)
 class SendCommand:
-    """Send, then call ``command_answered`` or ``command_unknown``.
+    """Send the command.
+
+    Then call ``record_command_answer`` or ``record_command_unknown``.
+
 
     :param deadline_s: when to close the connection, answered or not.
     """
@@ -354,7 +365,7 @@
             isinstance(step, _Commanding)
             and authority is not None
             and authority.fencing == step.intent.fencing
-            and now_s + self.settings.life_s < authority.until_s
+            and now_s + self.settings.command_lifetime_s < authority.until_s
         )
 
     def tick(
@@ -374,7 +385,7 @@
     def _wait_until_s(self, authority: leases.Authority) -> float:
         """Return when no command of the former holder can take effect."""
         share = 1 + self.settings.max_clock_drift_share
-        return authority.since_s + self.settings.life_s * share
+        return authority.since_s + self.settings.command_lifetime_s * share
 
     def _check_authority(
         self, authority: leases.Authority | None
@@ -441,7 +452,7 @@
             return self._advance(now_s, authority)
         change = self._requested
         if change is None:
-            self._next_s = now_s + self.settings.compare_s
+            self._next_s = now_s + self.settings.compare_interval_s
             return self._start(ReadState())
         if _has_reached(self.state, change) and self._intent_matches(change):
             self._requested = None
@@ -483,7 +494,7 @@
     def _begin(self, intent: Intent, now_s: float) -> None:
         self._record_intent(intent)
         before = self.state.generation if self.state is not None else 0
-        until_s = now_s + self.settings.change_s
+        until_s = now_s + self.settings.change_timeout_s
         self._step = _Commanding(intent, until_s, before)
 
     def _command(
@@ -500,13 +511,13 @@
         self._step = dataclasses.replace(
             step, attempts=step.attempts + 1, sending=False
         )
-        deadline_s = now_s + self.settings.life_s
+        deadline_s = now_s + self.settings.command_lifetime_s
         command = Command(
             f'{self.engine}-{step.intent.fencing}-{step.intent.generation}',
             step.intent.change,
             step.intent.generation,
             step.intent.fencing,
-            self.settings.life_s,
+            self.settings.command_lifetime_s,
         )
         return self._start(SendCommand(command, deadline_s))
 
@@ -532,7 +543,7 @@
 
     # Replies of the store to reads and writes of the intent.
 
-    def intent_read(
+    def record_intent_read(
         self, now_s: float, revision: int, text: str | None
     ) -> list[Action]:
         """Handle the stored intent.
@@ -566,7 +577,9 @@
             return [ChangeFailed(step.intent.change, reason)]
         return []
 
-    def intent_written(self, now_s: float, revision: int) -> list[Action]:
+    def record_intent_written(
+        self, now_s: float, revision: int
+    ) -> list[Action]:
         """Handle a successful write of the intent; the command is next."""
         if not self._accept_reply():
             return []
@@ -575,7 +588,7 @@
             self._begin(self._step.intent, now_s)
         return []
 
-    def intent_failed(self, now_s: float) -> list[Action]:
+    def record_intent_failure(self, now_s: float) -> list[Action]:
         """Handle a call to the store without an answer.
 
         A write may have been carried out nevertheless, so a read follows.
@@ -588,7 +601,7 @@
 
     # Replies of the engine to reads of its state and to commands.
 
-    def state_read(self, now_s: float, state: EngineState) -> list[Action]:
+    def record_state(self, now_s: float, state: EngineState) -> list[Action]:
         """Compare the state that the engine reports with the intent."""
         if not self._accept_reply():
             return []
@@ -653,14 +666,14 @@
             self._correcting = True
             self._requested = self.role
 
-    def state_failed(self, now_s: float) -> list[Action]:
+    def record_state_failure(self, now_s: float) -> list[Action]:
         """Handle a failed read of the engine's state; it is retried."""
         self._accept_reply()
         self.state = None
         self._next_s = now_s + self.settings.retry_s
         return []
 
-    def command_answered(
+    def record_command_answer(
         self, now_s: float, code: str = '', highest_fencing: int = 0
     ) -> list[Action]:
         """Handle the engine's answer to a command.
@@ -675,20 +688,20 @@
         self._next_s = now_s + self.settings.poll_s
         step = self._step
         if code == 'stale_fencing' and isinstance(step, _Commanding):
-            self._next_s = now_s + self.settings.compare_s
+            self._next_s = now_s + self.settings.compare_interval_s
             self._highest_fencing = max(self._highest_fencing, highest_fencing)
             return self._fail(
                 step, 'the engine has received a higher fencing token'
             )
         return []
 
-    def command_unknown(self, now_s: float) -> list[Action]:
+    def record_command_unknown(self, now_s: float) -> list[Action]:
         """Handle a command with an unknown outcome.
 
         It was cut off at the deadline or not sent at all; a read of the
         state shows which.
         """
-        return self.command_answered(now_s)
+        return self.record_command_answer(now_s)
 
 
 def _role_of(state: EngineState) -> Change:
--- a/magnoliadyke/core/confirmation.py
+++ b/magnoliadyke/core/confirmation.py
@@ -18,8 +18,8 @@
 #: queries the store and the other hosts query the leader, from the second one
 #: a host queries any other host, from the third one the store.
 RENEW_SHARE = 0.2
-ASK_PEERS_SHARE = 0.4
-ASK_STORE_SHARE = 0.55
+QUERY_PEERS_SHARE = 0.4
+QUERY_STORE_SHARE = 0.55
 #: Margin for clock drift, subtracted from ``bound_s``, in seconds.
 MARGIN_S = 0.1
 #: Maximum number of queries kept while they wait for a reply.
@@ -71,9 +71,9 @@
         age = (now_s - self.proved_s) / self.bound_s
         if age < RENEW_SHARE:
             return Source.NOBODY
-        if leading or age >= ASK_STORE_SHARE:
+        if leading or age >= QUERY_STORE_SHARE:
             return Source.STORE
-        return Source.LEADER if age < ASK_PEERS_SHARE else Source.PEERS
+        return Source.LEADER if age < QUERY_PEERS_SHARE else Source.PEERS
 
     def record_query(self, nonce: int, now_s: float) -> None:
         """Record that a query is sent to another host."""
--- a/magnoliadyke/core/costs.py
+++ b/magnoliadyke/core/costs.py
@@ -169,7 +169,8 @@
     number of streams that share the decode step.
 
     :param max_streams: most streams that an engine decodes in one step
-    :ivar pace: seconds of a decode step by the number of streams
+    :ivar decode_step: fit of the seconds of a decode step by the number of
+        streams
     :ivar prompt_error: reported prompt tokens per estimated one
     :ivar uncached: share of prompt tokens that were not in the cache
     :ivar output_shares: share of the allowed output used, by customer
@@ -183,7 +184,7 @@
             priors.mixed_prefill_s_per_stream,
             max_streams,
         )
-        self.pace = LinearFit(
+        self.decode_step = LinearFit(
             priors.decode_base_s, priors.decode_s_per_stream, max_streams
         )
         self.transfer = RatioFit(priors.transfer_s_per_token, 2e4, 1e6)
@@ -221,19 +222,21 @@
 
         :param per_token_s: most seconds for a decode step
         """
-        headroom_s = per_token_s - self.pace.base
+        headroom_s = per_token_s - self.decode_step.base
         if headroom_s <= 0:
             # Not even one stream meets the step time. With a fitted slope
             # of 0, as after a pause, the division below would raise in each
             # placement.
             return 1
-        if headroom_s >= self.pace.slope * self.max_streams:
+        if headroom_s >= self.decode_step.slope * self.max_streams:
             return self.max_streams
-        return max(1, int(headroom_s / self.pace.slope + ROUNDING_TOLERANCE))
+        return max(
+            1, int(headroom_s / self.decode_step.slope + ROUNDING_TOLERANCE)
+        )
 
     def decode_s_per_token(self):
         """Engine-seconds of one output token in a full batch."""
-        return self.pace.at(self.max_streams) / self.max_streams
+        return self.decode_step.at(self.max_streams) / self.max_streams
 
     def job_cost(self, job, uncached_tokens):
         """Predict the engine-seconds of a job.
@@ -265,7 +268,7 @@
             weight = SLOW_SAMPLE_WEIGHT if high else 1.0 - SLOW_SAMPLE_WEIGHT
             self.mixed_prefill.add(streams, ratio, weight)
 
-    def observe_pace(self, streams, tokens, elapsed_s):
+    def observe_decode_steps(self, streams, tokens, elapsed_s):
         """Add a sample of the time of decode steps.
 
         :param streams: mean number of streams that shared the steps
@@ -274,7 +277,7 @@
         """
         if tokens > 0:
             weight = min(1.0, tokens / 50.0)
-            self.pace.add(streams, elapsed_s / tokens, weight)
+            self.decode_step.add(streams, elapsed_s / tokens, weight)
 
     def observe_finish(self, job, result):
         """Add the token counts that an engine reported for a job.
--- a/magnoliadyke/core/crashhistory.py
+++ b/magnoliadyke/core/crashhistory.py
@@ -73,7 +73,7 @@
         if entry is not None:
             entry.succeeded_s = now_s
 
-    def barred_s(self, request: bytes, now_s: float) -> float:
+    def blocked_s(self, request: bytes, now_s: float) -> float:
         """Return how long to refuse a request, in seconds; 0 if it may run."""
         entry = self.requests.get(request)
         if entry is None or len(entry.endpoints) < MAX_CRASHES:
--- a/magnoliadyke/core/credits.py
+++ b/magnoliadyke/core/credits.py
@@ -8,7 +8,7 @@
 __all__ = ['EndpointLoad', 'LaggedLoad', 'allowed_streams']
 
 #: Retention of local load; must exceed the delay of load reports.
-HISTORY_S = 15.0
+LOCAL_LOAD_RETENTION_S = 15.0
 #: Peers' prompts of fewer engine-seconds than this are neglected.
 MIN_PEER_PREFILL_S = 0.01
 
@@ -37,12 +37,12 @@
         self.local += amount
         self.times.append(now_s)
         self.values.append(self.local)
-        while self.times[0] < now_s - HISTORY_S:
+        while self.times[0] < now_s - LOCAL_LOAD_RETENTION_S:
             self.times.popleft()
             self.values.popleft()
 
     def local_at(self, at_s):
-        """The local load at a time within the last :data:`HISTORY_S`."""
+        """Return the local load at a time within the retention period."""
         index = bisect.bisect_right(self.times, at_s)
         if index:
             return self.values[index - 1]
--- a/magnoliadyke/core/decodeengines.py
+++ b/magnoliadyke/core/decodeengines.py
@@ -20,7 +20,7 @@
 #: Interval in which an engine that is regarded as down is probed with one
 #: request, in seconds, until it serves one.  It equals the connect time-out,
 #: which is the time that the probing request loses.
-PROBE_S = 1.0
+PROBE_INTERVAL_S = 1.0
 
 #: Engines that are compared for one prompt.  The least busy of a dozen is
 #: about as good as the least busy of all, and quicker to find.
@@ -77,7 +77,7 @@
                 classes[_readiness(engine, avoid, now_s)].append(engine)
         return classes[min(classes)] if classes else []
 
-    def for_prefilled(
+    def choose_for_prefilled(
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
         """Choose the decode engine for a prompt prefilled on another one."""
@@ -115,7 +115,7 @@
             self.rotation.rotate(-CANDIDATES_COMPARED)
         return found
 
-    def for_short_prompt(
+    def choose_for_short_prompt(
         self, avoid: tuple[str, ...], now_s: float
     ) -> enginemodel.EngineModel | None:
         """Choose the decode engine for a short prompt.
@@ -137,7 +137,7 @@
         For an engine that is regarded as down, the request is the probe.
         """
         if engine.failures >= DOWN_FAILURES:
-            engine.probe_until_s = now_s + PROBE_S
+            engine.probe_until_s = now_s + PROBE_INTERVAL_S
 
     def record_success(self, engine_id: str, now_s: float) -> None:
         """Record that an engine works, and reset its failure count."""
--- a/magnoliadyke/core/deferral.py
+++ b/magnoliadyke/core/deferral.py
@@ -71,10 +71,10 @@
         ):
             return False
         job.deferred += 1
-        self.hold(job, queue, prefilled_s)
+        self.defer_until(job, queue, prefilled_s)
         return True
 
-    def hold(
+    def defer_until(
         self, job: promptjobs.Job, queue: promptjobs.JobQueue, until_s: float
     ) -> None:
         """Keep a job out of its queue until the given moment."""
@@ -89,7 +89,7 @@
             if job is not None:
                 queue.put(job)
 
-    def resumes_s(self) -> float | None:
+    def next_resume_s(self) -> float | None:
         """Return when the next deferral ends, None if no job is deferred."""
         return self.resume_heap[0][0] if self.resume_heap else None
 
--- a/magnoliadyke/core/digestexchange.py
+++ b/magnoliadyke/core/digestexchange.py
@@ -107,7 +107,7 @@
         """
         pool = self.pools[pool_name]
         local = pool.demand_report(now_s)[2:]
-        peer_demands = self._recent_pool_demands(pool.number, now_s)
+        peer_demands = self._recent_pool_demands(pool.name_checksum, now_s)
         peer_count = max(0, self.shares.nodes - 1)
         scale = peer_count / len(peer_demands) if peer_demands else 0.0
         sums = [sum(values) for values in zip(*peer_demands, strict=True)]
@@ -236,7 +236,7 @@
         self.quarantine.merge(
             report.fingerprint,
             report.pool,
-            report.rank,
+            report.tokens_at_crash,
             report.cleared,
             digests.blames_of(report, now_s),
             now_s,
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -93,8 +93,8 @@
 
     :param fingerprint: digest of the request, six bytes
     :param pool: checksum of the pool's name
-    :param rank: output tokens before the crash, capped; a request with fewer
-        is more suspect
+    :param tokens_at_crash: output tokens before the crash, at most 255; a
+        request with fewer is more suspect
     :param cleared: whether the crashes in ``blames`` are known not to be
         caused by the request
     :param waiting_age_s: time since the request was last known to wait on
@@ -106,7 +106,7 @@
 
     fingerprint: bytes
     pool: int
-    rank: int
+    tokens_at_crash: int
     cleared: bool
     waiting_age_s: float
     running_age_s: float
@@ -235,7 +235,7 @@
 def _encode_suspect(report):
     flags = len(report.blames)
     flags |= CLEARED_BIT if report.cleared else 0
-    fields = (report.fingerprint, report.pool, report.rank, flags)
+    fields = (report.fingerprint, report.pool, report.tokens_at_crash, flags)
     ages = (
         _encode_age(report.waiting_age_s),
         _encode_age(report.running_age_s),
@@ -259,7 +259,7 @@
 
 def _decode_suspect(data, offset):
     fields = SUSPECT.unpack_from(data, offset)
-    fingerprint, pool, rank, flags, waiting, running = fields
+    fingerprint, pool, tokens_at_crash, flags, waiting, running = fields
     offset += SUSPECT.size
     blames = []
     for _ in range(flags & COUNT_BITS):
@@ -269,7 +269,7 @@
     return SuspectReport(
         fingerprint,
         pool,
-        rank,
+        tokens_at_crash,
         bool(flags & CLEARED_BIT),
         _decode_age_s(waiting),
         _decode_age_s(running),
@@ -293,7 +293,7 @@
     return SuspectReport(
         fingerprint,
         entry.pool,
-        entry.rank,
+        entry.tokens_at_crash,
         cleared,
         now_s - entry.waiting_s,
         now_s - entry.running_s,
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -20,8 +20,8 @@
 #: and the weight of the prior, in seconds.  Samples are weighted by time and
 #: not by prompt: engines work in steps, and of two short prompts in one step
 #: the first seems to take all of it and the second nothing.
-PACE_MEMORY_S = 0.5
-PACE_PRIOR_S = 0.1
+SLOWNESS_MEMORY_S = 0.5
+SLOWNESS_PRIOR_S = 0.1
 #: Weight of a sample from an idle engine that is faster than estimated, which
 #: no other prompt can have affected: three such samples remove four fifths of
 #: the error.
@@ -56,7 +56,7 @@
     """A prompt that was sent to an engine and is not yet prefilled.
 
     :ivar expected_s: prefill time at ordinary speed
-    :ivar whole_s: prefill time at ordinary speed if nothing is cached
+    :ivar uncached_s: prefill time at ordinary speed if nothing is cached
     :ivar sent_s: when the prompt was sent, and cached parts were fetched
     :ivar until_s: when the prefill is expected to be complete
     :ivar was_idle: whether the engine was idle when the prompt was sent
@@ -64,7 +64,7 @@
 
     size: prefillcost.PromptSize
     expected_s: float
-    whole_s: float
+    uncached_s: float
     sent_s: float
     until_s: float
     was_idle: bool
@@ -80,8 +80,8 @@
     measured separately: prefill time where one prompt follows another without
     a gap, latency where a prompt was sent to an idle engine.
 
-    :ivar pace: ratio of measured to expected prefill time
-    :ivar extra_s: latency of this engine above the usual latency
+    :ivar slowness_fit: fit of the ratio of measured to expected prefill time
+    :ivar excess_latency_s: latency of this engine above the usual latency
     :ivar pending_prefills: prompts sent and not yet reported as prefilled,
         by job
     :ivar runs: jobs with a long answer in progress; each holds a slot
@@ -112,8 +112,8 @@
     ) -> None:
         self.endpoint = endpoint
         self.cost = cost
-        self.pace = _new_pace()
-        self.extra_s = 0.0
+        self.slowness_fit = _new_slowness_fit()
+        self.excess_latency_s = 0.0
         self.pending_prefills: dict[int, PendingPrefill] = {}
         self.runs: set[int] = set()
         self.short_ends: collections.deque[float] = collections.deque()
@@ -133,11 +133,11 @@
     @property
     def slowness(self) -> float:
         """Ratio of measured to expected prefill time, within bounds."""
-        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, self.pace.ratio))
+        return min(MAX_SLOWNESS, max(MIN_SLOWNESS, self.slowness_fit.ratio))
 
-    def reset_pace(self) -> None:
+    def reset_slowness(self) -> None:
         """Reset the estimate of the engine's speed."""
-        self.pace = _new_pace()
+        self.slowness_fit = _new_slowness_fit()
 
     @property
     def long_runs(self) -> int:
@@ -147,7 +147,7 @@
     @property
     def latency_s(self) -> float:
         """Latency of a prompt on this engine besides its prefill time."""
-        return self.cost.latency_s + max(0.0, self.extra_s)
+        return self.cost.latency_s + max(0.0, self.excess_latency_s)
 
     @property
     def overlapped_latency_s(self) -> float:
@@ -197,7 +197,7 @@
 
     def assign(
         self,
-        job: int,
+        job_id: int,
         tokens: int,
         fetch_s: float,
         now_s: float,
@@ -219,7 +219,7 @@
         free_s = self.free_s(now_s)
         start_s = max(free_s, now_s + HOP_S + fetch_s)
         until_s = start_s + expected_s * self.slowness
-        self.pending_prefills[job] = PendingPrefill(
+        self.pending_prefills[job_id] = PendingPrefill(
             size,
             expected_s,
             self.cost.seconds(prefillcost.PromptSize(prompt_tokens)),
@@ -229,12 +229,12 @@
         )
         return until_s
 
-    def record_prefill_done(self, job: int, now_s: float) -> None:
+    def record_prefill_done(self, job_id: int, now_s: float) -> None:
         """Record that a prompt is prefilled, and update the estimates.
 
         :param now_s: when the report of the prompt's host arrived
         """
-        prefill = self.pending_prefills.pop(job, None)
+        prefill = self.pending_prefills.pop(job_id, None)
         if prefill is None:
             return
         latency_s = self.overlapped_latency_s
@@ -242,17 +242,17 @@
         freed_s = now_s - 2 * HOP_S - latency_s
         took_s = freed_s - max(arrived_s, self.freed_s)
         if prefill.was_idle:
-            whole_s = now_s - 2 * HOP_S - arrived_s
-            self._bound_slowness(prefill, whole_s)
-            self._learn_from_idle(prefill, whole_s, now_s)
+            elapsed_s = now_s - 2 * HOP_S - arrived_s
+            self._bound_slowness(prefill, elapsed_s)
+            self._learn_from_idle(prefill, elapsed_s, now_s)
         elif arrived_s + latency_s <= self.freed_s:
             self._learn(prefill, max(MIN_SAMPLE_S, took_s), now_s)
         self.freed_s = max(self.freed_s, freed_s)
         self._reschedule(now_s)
 
-    def forget(self, job: int, now_s: float) -> None:
+    def drop_prefill(self, job_id: int, now_s: float) -> None:
         """Stop accounting for a prompt that will not be prefilled here."""
-        if self.pending_prefills.pop(job, None) is not None:
+        if self.pending_prefills.pop(job_id, None) is not None:
             self._reschedule(now_s)
 
     def expire(self, now_s: float) -> list[int]:
@@ -264,12 +264,12 @@
         :returns: ids of the dropped jobs
         """
         lost = [
-            job
-            for job, prefill in self.pending_prefills.items()
+            job_id
+            for job_id, prefill in self.pending_prefills.items()
             if now_s > self._lost_s(prefill)
         ]
-        for job in lost:
-            del self.pending_prefills[job]
+        for job_id in lost:
+            del self.pending_prefills[job_id]
         return lost
 
     def _lost_s(self, prefill: PendingPrefill) -> float:
@@ -308,11 +308,11 @@
         estimated to be cached may have been evicted.
         """
         return max(
-            STALL_TIMEOUT_S, prefill.whole_s * self.slowness * STALL_FACTOR
+            STALL_TIMEOUT_S, prefill.uncached_s * self.slowness * STALL_FACTOR
         )
 
     def _learn_from_idle(
-        self, prefill: PendingPrefill, whole_s: float, now_s: float
+        self, prefill: PendingPrefill, elapsed_s: float, now_s: float
     ) -> None:
         """Update the estimates from a prompt sent to the idle engine.
 
@@ -320,17 +320,23 @@
         kept per engine, so that an engine that has become slow is noticed
         even while it gets few prompts.
 
-        :param whole_s: time from arrival to completion
+        :param elapsed_s: time from arrival to completion
         """
-        extra_s = whole_s - prefill.expected_s * self.slowness
-        extra_s = min(MAX_LATENCY_S, extra_s - self.cost.latency_s)
-        self.extra_s += LATENCY_WEIGHT * (extra_s - self.extra_s)
+        excess_latency_s = elapsed_s - prefill.expected_s * self.slowness
+        excess_latency_s = min(
+            MAX_LATENCY_S, excess_latency_s - self.cost.latency_s
+        )
+        self.excess_latency_s += LATENCY_WEIGHT * (
+            excess_latency_s - self.excess_latency_s
+        )
         if self._has_normal_speed():
             self.cost.update(
-                prefill.size, max(MIN_SAMPLE_S, whole_s), True, now_s
+                prefill.size, max(MIN_SAMPLE_S, elapsed_s), True, now_s
             )
 
-    def _bound_slowness(self, prefill: PendingPrefill, whole_s: float) -> None:
+    def _bound_slowness(
+        self, prefill: PendingPrefill, elapsed_s: float
+    ) -> None:
         """Lower the slowness if a prompt sent to the idle engine disproves it.
 
         An engine that is regarded as slow gets few prompts, and is idle when
@@ -338,17 +344,17 @@
         recovery, and with several such engines nearly all requests would be
         refused while the engines are idle.
 
-        :param whole_s: time from arrival to completion
+        :param elapsed_s: time from arrival to completion
         """
-        ratio = max(MIN_SLOWNESS, whole_s / prefill.expected_s)
+        ratio = max(MIN_SLOWNESS, elapsed_s / prefill.expected_s)
         if ratio < self.slowness:
             ratio = self.slowness + RECOVERY_WEIGHT * (ratio - self.slowness)
-            self.pace = _new_pace(ratio)
+            self.slowness_fit = _new_slowness_fit(ratio)
 
     def _learn(
         self, prefill: PendingPrefill, took_s: float, now_s: float
     ) -> None:
-        self.pace.add(prefill.expected_s, took_s)
+        self.slowness_fit.add(prefill.expected_s, took_s)
         self.cost.typical_slowness.add(self.slowness)
         if self._has_normal_speed():
             self.cost.update(prefill.size, took_s, False, now_s)
@@ -371,5 +377,5 @@
             prefill.until_s = until_s
 
 
-def _new_pace(ratio: float = 1.0) -> costs.RatioFit:
-    return costs.RatioFit(ratio, PACE_PRIOR_S, PACE_MEMORY_S)
+def _new_slowness_fit(ratio: float = 1.0) -> costs.RatioFit:
+    return costs.RatioFit(ratio, SLOWNESS_PRIOR_S, SLOWNESS_MEMORY_S)
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -20,12 +20,12 @@
 class PoolSettings(NamedTuple):
     """Parameters of the pool.
 
-    :param ahead_s: an engine is sent its next prompt this long, plus its
+    :param lead_s: an engine is sent its next prompt this long, plus its
         measured fixed latency, before it is expected to complete the last
         one; that latency includes the network time to the engine, which is
         most of it on narrow links
-    :param max_ahead: limit of prompts sent to one engine and not yet
-        prefilled, in case the estimates are wrong
+    :param max_pending_prefills: limit of prompts sent to one engine and not
+        yet prefilled, in case the estimates are wrong
     :param fetch_gain: a cached part is fetched from another engine if that
         takes at most this share of the time to prefill it again
     :param candidates: engines that are compared for one prompt, divided
@@ -33,8 +33,8 @@
         gain little and cost time
     """
 
-    ahead_s: float = 0.005
-    max_ahead: int = 8
+    lead_s: float = 0.005
+    max_pending_prefills: int = 8
     fetch_gain: float = 0.6
     candidates: int = 12
 
@@ -174,7 +174,7 @@
         changed = model.endpoint.stage is not endpoint.stage
         model.endpoint = endpoint
         if changed:
-            model.reset_pace()
+            model.reset_slowness()
             model.cost = self.costs[endpoint.stage]
             model.cooldown_until_s = float('-inf')
             self._close(endpoint.id)
@@ -190,18 +190,20 @@
             heapq.heappush(self._opening_heap, (until_s, engine_id))
             self._capacity_s = float('-inf')
 
-    def record_failure(self, engine_id: str, job: int, now_s: float) -> None:
+    def record_failure(
+        self, engine_id: str, job_id: int, now_s: float
+    ) -> None:
         """Record that an engine refused a job, timed out or was unreachable.
 
         The engine gets a cooldown, unless it has just served other requests:
         then the failure is attributed to the job, as an unneeded cooldown
         costs capacity.
         """
-        self.caches.abandon(job)
+        self.caches.abandon(job_id)
         engine = self.engines.get(engine_id)
         if engine is None:
             return
-        engine.forget(job, now_s)
+        engine.drop_prefill(job_id, now_s)
         if now_s - engine.last_success_s < RECENT_SUCCESS_S:
             self._update_open(engine, now_s)
             return
@@ -294,14 +296,14 @@
                     self.caches.abandon(lost)
                 self._update_open(engine, now_s)
 
-    def opens_s(self) -> float | None:
+    def next_opening_s(self) -> float | None:
         """Return when the next engine is expected to become open.
 
         :returns: a moment in seconds, or None if no opening is scheduled
         """
         return self._opening_heap[0][0] if self._opening_heap else None
 
-    def has_open(self) -> bool:
+    def has_open_engine(self) -> bool:
         """Whether any engine may be sent a prompt to prefill."""
         return any(self.open.values())
 
@@ -320,18 +322,20 @@
         if not engine.pending_prefills:
             of_stage[engine_id] = None
             return
-        ahead_s = self.settings.ahead_s + engine.overlapped_latency_s
-        opens_s = engine.free_s(now_s) - ahead_s
-        full = len(engine.pending_prefills) >= self._max_ahead(engine)
-        if opens_s <= now_s and not full:
+        lead_s = self.settings.lead_s + engine.overlapped_latency_s
+        next_opening_s = engine.free_s(now_s) - lead_s
+        full = len(engine.pending_prefills) >= self._max_pending_prefills(
+            engine
+        )
+        if next_opening_s <= now_s and not full:
             of_stage[engine_id] = None
             return
         of_stage.pop(engine_id, None)
         if full:
-            opens_s = max(opens_s, now_s + enginemodel.LOST_S)
-        heapq.heappush(self._opening_heap, (opens_s, engine_id))
+            next_opening_s = max(next_opening_s, now_s + enginemodel.LOST_S)
+        heapq.heappush(self._opening_heap, (next_opening_s, engine_id))
 
-    def _max_ahead(self, engine: enginemodel.EngineModel) -> int:
+    def _max_pending_prefills(self, engine: enginemodel.EngineModel) -> int:
         """Return how many prompts an engine may have at a time.
 
         A prompt holds a slot also while it is queued at the engine.  An
@@ -340,13 +344,16 @@
         """
         if engine.failures:
             return 1
-        return min(self.settings.max_ahead, max(1, engine.endpoint.slots - 1))
+        return min(
+            self.settings.max_pending_prefills,
+            max(1, engine.endpoint.slots - 1),
+        )
 
     # Prompts and answers in flight.
 
     def assign(
         self,
-        job: int,
+        job_id: int,
         parts: tuple[promptcache.PromptPart, ...],
         option: Option,
         now_s: float,
@@ -358,54 +365,54 @@
         )
         tokens = promptcache.total_tokens(parts)
         prefill_engine.assign(
-            job, option.tokens, option.fetch_s, now_s, tokens
+            job_id, option.tokens, option.fetch_s, now_s, tokens
         )
-        self.caches.expect(prefill_engine.endpoint.id, job, parts)
+        self.caches.add_pending(prefill_engine.endpoint.id, job_id, parts)
         if decode_engine is not prefill_engine:
-            self.caches.expect(decode_engine.endpoint.id, job, parts)
+            self.caches.add_pending(decode_engine.endpoint.id, job_id, parts)
             decode_engine.transfer_until_s = option.transferred_s
             decode_engine.expect_run(option.ready_s, now_s)
         self.decode_engines.record_assignment(decode_engine, now_s)
         self._update_open(prefill_engine, now_s)
 
     def adopt(
-        self, job: int, engine_id: str, tokens: int, now_s: float
+        self, job_id: int, engine_id: str, tokens: int, now_s: float
     ) -> None:
         """Account for a prompt that the previous leader sent to an engine."""
         engine = self.engines[engine_id]
-        engine.assign(job, tokens, 0.0, now_s, sent_now=False)
+        engine.assign(job_id, tokens, 0.0, now_s, sent_now=False)
         self._update_open(engine, now_s)
 
     def record_prefill_done(
-        self, job: int, engine_id: str, now_s: float
+        self, job_id: int, engine_id: str, now_s: float
     ) -> None:
         """Record that an engine has completed the prefill of a prompt."""
-        self.caches.record_prefill_done(job)
+        self.caches.record_prefill_done(job_id)
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.record_prefill_done(job, now_s)
+            engine.record_prefill_done(job_id, now_s)
             self.decode_engines.record_success(engine_id, now_s)
             self._update_open(engine, now_s)
 
-    def forget(self, job: int, engine_id: str, now_s: float) -> None:
+    def drop_prefill(self, job_id: int, engine_id: str, now_s: float) -> None:
         """Stop accounting for a prompt that an engine will not prefill."""
-        self.caches.abandon(job)
+        self.caches.abandon(job_id)
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.forget(job, now_s)
+            engine.drop_prefill(job_id, now_s)
             self._update_open(engine, now_s)
 
-    def begin_run(self, job: int, engine_id: str, now_s: float) -> None:
+    def start_run(self, job_id: int, engine_id: str, now_s: float) -> None:
         """Record that an engine starts a long answer."""
         engine = self.engines[engine_id]
-        engine.runs.add(job)
+        engine.runs.add(job_id)
         self._update_open(engine, now_s)
 
-    def end_run(self, job: int, engine_id: str, now_s: float) -> None:
+    def end_run(self, job_id: int, engine_id: str, now_s: float) -> None:
         """Record that a long answer has ended or continues elsewhere."""
         engine = self.engines.get(engine_id)
         if engine is not None:
-            engine.runs.discard(job)
+            engine.runs.discard(job_id)
             self._update_open(engine, now_s)
 
     # Cost estimates and choice of engines.
@@ -516,7 +523,7 @@
         :param avoid: ids of engines that may not prefill the prompt
         """
         cached = self.caches.cached_prefixes(parts)
-        decode_engine = self.decode_engines.for_prefilled(avoid, now_s)
+        decode_engine = self.decode_engines.choose_for_prefilled(avoid, now_s)
         best: Option | None = None
         for engine_id in self._candidates(cached, avoid):
             prefill_engine = self.engines[engine_id]
@@ -547,22 +554,22 @@
             is prefilling it
         """
         cached = self.caches.cached_prefixes(parts)
-        moments = []
+        ready_times_s = []
         for engine_id in cached.holders(MAX_SOURCES):
             if cached.tokens(engine_id) < tokens:
                 continue
             engine = self.engines[engine_id]
             if self.caches.ready_tokens(engine_id, parts) >= tokens:
-                moments.append(now_s)
+                ready_times_s.append(now_s)
                 continue
             completions_s = [
-                engine.pending_prefills[job].until_s
-                for job in self.caches.pending_jobs(engine_id, parts)
-                if job in engine.pending_prefills
+                engine.pending_prefills[job_id].until_s
+                for job_id in self.caches.pending_jobs(engine_id, parts)
+                if job_id in engine.pending_prefills
             ]
             if completions_s:
-                moments.append(max(completions_s) + engine.latency_s)
-        return min(moments, default=None)
+                ready_times_s.append(max(completions_s) + engine.latency_s)
+        return min(ready_times_s, default=None)
 
     def _candidates(
         self, cached: promptcache.CachedPrefixes, avoid: tuple[str, ...]
--- a/magnoliadyke/core/expiredentries.py
+++ b/magnoliadyke/core/expiredentries.py
@@ -40,7 +40,7 @@
 class ExpiredEntries:
     """Endpoints that are used although their entries are missing.
 
-    :param known: the catalog of this host
+    :param endpoint_catalog: the catalog of this host
     :ivar grace_until_s: when the grace period of an endpoint without an entry
         ends, by endpoint id
     :ivar outage_began_s: when this host's last outage of the store began
@@ -50,8 +50,8 @@
         local to it, and no other host has settled that yet
     """
 
-    def __init__(self, known: catalog.Catalog) -> None:
-        self.catalog = known
+    def __init__(self, endpoint_catalog: catalog.Catalog) -> None:
+        self.catalog = endpoint_catalog
         self.grace_until_s: dict[str, float] = {}
         self.outage_began_s = float('-inf')
         self.regained_s = float('-inf')
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -176,7 +176,7 @@
         self.table_revision = table_revision
         self.staged_revision = staged_revision
 
-    def store_confirmed(
+    def record_store_confirmation(
         self, sent_s: float, table_revision: int, staged_revision: int
     ) -> None:
         """Record the revisions that a read of the store returned.
--- a/magnoliadyke/core/health.py
+++ b/magnoliadyke/core/health.py
@@ -47,7 +47,7 @@
 
     Its state has three sources: the probes and the host list (`observed`),
     the endpoint's own load reports (`reported`) and the operators' table
-    (`tabled`).  The endpoint is out if any of them says so, since each may
+    (`table_state`).  The endpoint is out if any of them says so, since each may
     lag behind the others.
 
     :ivar probation_left: successes until the endpoint may run more than one
@@ -63,7 +63,7 @@
         'probation_left',
         'reported',
         'settings',
-        'tabled',
+        'table_state',
     )
 
     def __init__(self, settings=DEFAULT_SETTINGS):
@@ -71,7 +71,7 @@
         self.observed = UP
         self.observed_s = float('-inf')
         self.reported = UP
-        self.tabled = UP
+        self.table_state = UP
         self.failures = 0
         self.ejections = 0
         self.ejected_until_s = float('-inf')
@@ -132,7 +132,7 @@
         return (
             self.observed in OUT_STATES
             or self.reported in OUT_STATES
-            or self.tabled in OUT_STATES
+            or self.table_state in OUT_STATES
         )
 
     def takes_work(self, now_s, in_flight):
--- a/magnoliadyke/core/hostdiscovery.py
+++ b/magnoliadyke/core/hostdiscovery.py
@@ -95,16 +95,16 @@
 
 
 def without_leaving(
-    members: Mapping[str, membership.Member], listed: HostList, own: str
+    members: Mapping[str, membership.Member], listed: HostList, own_host: str
 ) -> dict[str, membership.Member]:
     """Return the members, with leaving ones marked as taking no work.
 
     If no member would take work, the list is ignored: it lags, and callers
     would be left without any host.
 
-    :param own: this host, whose entry in the list is ignored
+    :param own_host: name of this host, whose entry in the list is ignored
     """
-    leaving = {row.host for row in listed.hosts if row.leaving} - {own}
+    leaving = {row.host for row in listed.hosts if row.leaving} - {own_host}
     without_work = {
         host: member._replace(takes_work=False)
         for host, member in members.items()
--- a/magnoliadyke/core/learning.py
+++ b/magnoliadyke/core/learning.py
@@ -41,7 +41,7 @@
         streams = run.stream_at.load.streams.total()
         if streams < self.models.max_streams:
             took_s = run.first_token_s - run.prefill_done_s
-            took_s -= model.pace.at(streams) * STEPS_TO_FIRST_TOKEN
+            took_s -= model.decode_step.at(streams) * STEPS_TO_FIRST_TOKEN
             model.transfer.add(run.job.prompt_tokens, max(0.0, took_s))
 
     def record_finish(self, run, result, now_s):
@@ -58,16 +58,16 @@
             model.service.add(1.0, took_s)
             return took_s
         model.observe_finish(job, result)
-        read_tokens = max(0, result.prompt_tokens - result.cached_tokens)
+        uncached_tokens = max(0, result.prompt_tokens - result.cached_tokens)
         if run.prefill_endpoint is not None:
             self.cache_estimate.update_trust(
                 run.prefill_endpoint.name,
                 run.estimated_cached_tokens,
                 result.cached_tokens,
             )
-        self._observe_pace(run, model, result, now_s)
+        self._observe_decode_steps(run, model, result, now_s)
         decode_s = result.output_tokens * model.decode_s_per_token()
-        return read_tokens * model.prefill.ratio + decode_s
+        return uncached_tokens * model.prefill.ratio + decode_s
 
     def record_prefill_done(self, run, endpoint, now_s):
         """Record the end of a prefill.
@@ -92,9 +92,9 @@
                 endpoint.role, sample.tokens, sample.seconds, sample.streams
             )
         streams = load.streams.total()
-        sample.begin(tokens, took_s, streams, run.prefill_undisturbed)
+        sample.restart(tokens, took_s, streams, run.prefill_undisturbed)
 
-    def _observe_pace(self, run, model, result, now_s):
+    def _observe_decode_steps(self, run, model, result, now_s):
         endpoint = run.stream_at
         steps = result.output_tokens - 1
         if endpoint is None or run.first_token_s is None or steps < 1:
@@ -102,8 +102,8 @@
         streams = endpoint.load.streams.total() + run.streams_at_first
         streams /= 2
         took_s = now_s - run.first_token_s
-        expected_s = model.pace.at(streams) * steps
-        model.observe_pace(streams, steps, took_s)
-        endpoint.pace.add(expected_s, took_s)
-        ratio = endpoint.pace.ratio
+        expected_s = model.decode_step.at(streams) * steps
+        model.observe_decode_steps(streams, steps, took_s)
+        endpoint.slowness_fit.add(expected_s, took_s)
+        ratio = endpoint.slowness_fit.ratio
         endpoint.slowness = min(max(ratio, MIN_SLOWNESS), MAX_SLOWNESS)
--- a/magnoliadyke/core/leases.py
+++ b/magnoliadyke/core/leases.py
@@ -85,14 +85,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadLease:
-    """Read the value, then call :meth:`Lease.read` or ``read_failed``."""
+    """Read the value, then call :meth:`Lease.record_read` or
+    ``record_read_failure``."""
 
 
 @dataclasses.dataclass(frozen=True)
 class WriteLease:
     """Write the value if the key still has the revision ``if_revision``.
 
-    Then call ``written``, ``write_refused`` or ``write_unknown``.
+    Then call ``record_written``, ``record_write_refusal`` or
+    ``record_write_unknown``.
     """
 
     value: LeaseValue
@@ -237,7 +239,9 @@
             and value.incarnation == self.incarnation
         )
 
-    def read(self, now_s: float, revision: int, text: str | None) -> None:
+    def record_read(
+        self, now_s: float, revision: int, text: str | None
+    ) -> None:
         """Handle the store's answer to a read.
 
         :param revision: revision of the key, 0 if it is absent.
@@ -253,14 +257,14 @@
         self._record_value(now_s, revision, value)
         self._next_s = self._next_read_s(now_s)
 
-    def written(self, now_s: float, revision: int) -> None:
+    def record_written(self, now_s: float, revision: int) -> None:
         """Handle a successful write."""
         self._busy = False
         pending = self._pending
         self._pending = None
         self._settle(pending, now_s, revision)
 
-    def write_refused(
+    def record_write_refusal(
         self, now_s: float, revision: int, text: str | None
     ) -> None:
         """Handle a write refused because the key had another revision.
@@ -268,14 +272,14 @@
         :param revision: present revision of the key, 0 if it is absent.
         :param text: present value of the key, None if it is absent.
         """
-        self.read(now_s, revision, text)
+        self.record_read(now_s, revision, text)
 
-    def write_unknown(self, now_s: float) -> None:
+    def record_write_unknown(self, now_s: float) -> None:
         """Handle a write of unknown outcome; a later read determines it."""
         self._busy = False
         self._next_s = now_s + self.settings.retry_s
 
-    def read_failed(self, now_s: float) -> None:
+    def record_read_failure(self, now_s: float) -> None:
         """Handle a failed read; it is retried after ``retry_s``."""
         self._busy = False
         self._next_s = now_s + self.settings.retry_s
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -30,7 +30,7 @@
     """
 
     engine: str
-    begun_s: float
+    started_s: float
     output_tokens: int
 
 
@@ -68,7 +68,7 @@
         """Whether an answer of this many tokens holds a slot."""
         return output_tokens * self.output_s > self.long_run_s
 
-    def hold(
+    def reserve_slot(
         self, job_id: int, engine_id: str, output_tokens: int, now_s: float
     ) -> None:
         """Account for the slot of an answer that starts.
@@ -78,7 +78,7 @@
         """
         if job_id in self.runs:
             return
-        self.pool.begin_run(job_id, engine_id, now_s)
+        self.pool.start_run(job_id, engine_id, now_s)
         self.runs[job_id] = _Run(engine_id, now_s, output_tokens)
         heapq.heappush(self.expiry_heap, (now_s + RUN_LOST_S, job_id))
 
@@ -86,7 +86,7 @@
         """Release the slot of an answer that is complete or was aborted."""
         run = self.release(job_id, now_s)
         if run is not None and run.output_tokens:
-            took_s = (now_s - run.begun_s) / run.output_tokens
+            took_s = (now_s - run.started_s) / run.output_tokens
             self.output_s += OUTPUT_WEIGHT * (took_s - self.output_s)
 
     def release(self, job_id: int, now_s: float) -> _Run | None:
@@ -107,7 +107,7 @@
 
         :param avoid: ids of engines to use only if there are no others
         """
-        engine = self.pool.decode_engines.for_short_prompt(avoid, now_s)
+        engine = self.pool.decode_engines.choose_for_short_prompt(avoid, now_s)
         if engine is None or not decodeengines.has_long_slot(engine):
             return None
         return engine
@@ -115,7 +115,7 @@
     def wait_s(self, now_s: float) -> float:
         """Return the expected wait of a new job in the queue for a slot."""
         ends_s = sorted(
-            run.begun_s + run.output_tokens * self.output_s
+            run.started_s + run.output_tokens * self.output_s
             for run in self.runs.values()
             if run.output_tokens
         )
--- a/magnoliadyke/core/medianestimator.py
+++ b/magnoliadyke/core/medianestimator.py
@@ -5,7 +5,7 @@
 #: Relative step towards a new sample; twenty steps double the estimate.
 MEDIAN_STEP = 0.035
 #: Ratio of the upper estimate to the median.
-HIGH_SHARE = 1.4
+HIGH_RATIO = 1.4
 
 
 class MedianEstimator:
@@ -24,7 +24,7 @@
     @property
     def high_s(self) -> float:
         """A time that most samples stay below."""
-        return self.median_s * HIGH_SHARE
+        return self.median_s * HIGH_RATIO
 
     def add(self, seconds: float) -> None:
         """Add a sample."""
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -31,11 +31,12 @@
         placement can't measure
     :param short_tokens: decode engines prefill prompts of up to this size
         without a noticeable delay to the answers that they generate
-    :param hold_share: share of the time until its deadline for which a
+    :param max_wait_share: share of the time until its deadline for which a
         request that will miss its objective may queue
-    :param late_turn: one of this many placements goes to a request that will
-        miss its objective, even while others can still meet theirs; without
-        it a long burst would leave all late requests unserved
+    :param late_placement_interval: one of this many placements goes to a
+        request that will miss its objective, even while others can still
+        meet theirs; without it a long burst would leave all late requests
+        unserved
     :param long_run_s: an answer that takes longer than this keeps its engine
         from prefilling prompts at the same time: each decode step would wait
         for a chunk of a prompt, and the pauses between tokens would grow
@@ -44,8 +45,8 @@
 
     reserve_s: float = 0.016
     short_tokens: int = 1200
-    hold_share: float = 0.35
-    late_turn: int = 6
+    max_wait_share: float = 0.35
+    late_placement_interval: int = 6
     long_run_s: float = 0.3
 
 
@@ -59,7 +60,7 @@
 #: is left to them besides those that failed them.
 MAX_SKIPPED_JOBS = 8
 #: Longest time between two passes over the queue, in seconds.
-PUMP_INTERVAL_S = 0.05
+PLACEMENT_INTERVAL_S = 0.05
 #: Time constant of measured demand, in seconds: half a period of the load's
 #: fluctuation.
 DEMAND_TIME_CONSTANT_S = 1.5
@@ -94,8 +95,8 @@
     the network round trip.
 
     :param rng: source of randomness, with ``random()``
-    :param sharers: number of hosts that place on these engines at the same
-        time without coordination; 1 on the placement leader
+    :param placing_hosts: number of hosts that place on these engines at the
+        same time without coordination; 1 on the placement leader
     :ivar on_time: jobs that can still meet their objective
     :ivar late: jobs that will miss their objective, on their first attempt
     :ivar resubmitted: those that will miss it and were refused before
@@ -108,12 +109,12 @@
         traits: routes.EngineTraits,
         rng: Any,
         settings: PlacementSettings | None = None,
-        sharers: int = 1,
+        placing_hosts: int = 1,
         pool_settings: enginepool.PoolSettings | None = None,
     ) -> None:
         self.traits = traits
         self.settings = settings or PlacementSettings()
-        self.sharers = sharers
+        self.placing_hosts = placing_hosts
         self.pool = enginepool.EnginePool(traits, pool_settings)
         self.on_time = promptjobs.SlackQueue()
         self.late = promptjobs.JobQueue()
@@ -149,7 +150,9 @@
         if engine is not None and engine.endpoint.stage is not stage:
             self.pool.cool_down(engine_id, until_s)
 
-    def load_order(self, engine_id: str, now_s: float) -> tuple[float, float]:
+    def load_sort_key(
+        self, engine_id: str, now_s: float
+    ) -> tuple[float, float]:
         """Return a sort key by which engines are chosen for a stage change.
 
         An engine with less work sorts first.
@@ -202,22 +205,22 @@
         self,
         job_id: int,
         engine_id: str,
-        read_tokens: int | None,
+        prefill_tokens: int | None,
         holds_slot: bool,
         now_s: float,
     ) -> None:
         """Account for a job that the previous leader placed on an engine.
 
-        :param read_tokens: tokens still to prefill, None if prefill is done
+        :param prefill_tokens: tokens still to prefill, None if prefill is done
         :param holds_slot: whether the engine generates a long answer
         """
         if engine_id not in self.pool.engines:
             return
-        if read_tokens is not None and job_id not in self.prefills:
-            self.pool.adopt(job_id, engine_id, read_tokens, now_s)
+        if prefill_tokens is not None and job_id not in self.prefills:
+            self.pool.adopt(job_id, engine_id, prefill_tokens, now_s)
             self.prefills[job_id] = _Prefill(engine_id, None)
         if holds_slot:
-            self.answers.hold(job_id, engine_id, 0, now_s)
+            self.answers.reserve_slot(job_id, engine_id, 0, now_s)
 
     # Jobs.
 
@@ -231,7 +234,7 @@
         """
         job.submitted_s = now_s
         if self._has_no_decode_engine(now_s):
-            return [self.refusals.refuse_unanswered(job, now_s)]
+            return [self.refusals.refuse_without_decode_engine(job, now_s)]
         if job.resumed or job.tokens <= self.settings.short_tokens:
             return self._submit_short(job, now_s)
         cached = self.pool.caches.cached_prefixes(job.parts)
@@ -242,16 +245,16 @@
         if now_s + self._wait_s(job, now_s) <= job.latest_start_s:
             self.on_time_demand.add(job.need_s, now_s)
             self.on_time.put(job)
-            return self.pump(now_s)
+            return self.place_queued(now_s)
         refused = self._put_late_or_refuse(job, now_s)
-        return [refused] if refused is not None else self.pump(now_s)
+        return [refused] if refused is not None else self.place_queued(now_s)
 
     def _put_late_or_refuse(
         self, job: promptjobs.Job, now_s: float
     ) -> promptjobs.Refused | None:
         wait_s = self._late_wait_s(now_s)
         left_s = job.deadline_s - now_s
-        if wait_s + job.need_s > left_s * self.settings.hold_share:
+        if wait_s + job.need_s > left_s * self.settings.max_wait_share:
             return self.refusals.refuse(job, now_s, wait_s, 'no room in time')
         self._put_late(job)
         return None
@@ -293,7 +296,7 @@
         :param reason: reason of the refusal, if the wait is too long
         """
         left_s = job.deadline_s - now_s
-        if wait_s > left_s * self.settings.hold_share:
+        if wait_s > left_s * self.settings.max_wait_share:
             return [self.refusals.refuse(job, now_s, wait_s, reason)]
         self.answers.waiting.put(job)
         return []
@@ -307,12 +310,14 @@
         attempts within some hundredths of a second while the engine is down
         for a second or two.
         """
-        engine = self.pool.decode_engines.for_short_prompt(job.avoid, now_s)
+        engine = self.pool.decode_engines.choose_for_short_prompt(
+            job.avoid, now_s
+        )
         if engine is None or engine.endpoint.id not in job.avoid:
             return 0.0
         return engine.cooldown_until_s - now_s
 
-    def _pump_answers(
+    def _place_queued_short(
         self, now_s: float, decisions: list[promptjobs.Decision]
     ) -> None:
         """Place queued jobs with short prompts on free decode slots."""
@@ -351,7 +356,7 @@
         """Record that an engine has completed the prefill of a job."""
         self.prefills.pop(job_id, None)
         self.pool.record_prefill_done(job_id, engine_id, now_s)
-        return self.pump(now_s)
+        return self.place_queued(now_s)
 
     def release_job(
         self, job_id: int, now_s: float
@@ -359,9 +364,9 @@
         """Stop accounting for a job that another leader takes over."""
         prefill = self.prefills.pop(job_id, None)
         if prefill is not None:
-            self.pool.forget(job_id, prefill.engine, now_s)
+            self.pool.drop_prefill(job_id, prefill.engine, now_s)
         self.answers.release(job_id, now_s)
-        return self.pump(now_s)
+        return self.place_queued(now_s)
 
     def record_end(
         self, job_id: int, now_s: float
@@ -369,9 +374,9 @@
         """Record that a job's answer is complete, or was aborted."""
         prefill = self.prefills.pop(job_id, None)
         if prefill is not None:
-            self.pool.forget(job_id, prefill.engine, now_s)
+            self.pool.drop_prefill(job_id, prefill.engine, now_s)
         self.answers.record_end(job_id, now_s)
-        return self.pump(now_s)
+        return self.place_queued(now_s)
 
     def record_failure(
         self, job_id: int, engine_id: str, now_s: float
@@ -385,10 +390,10 @@
         self.answers.release(job_id, now_s)
         if prefill is not None and prefill.source is not None:
             self.pool.suspend_fetch(prefill.source, now_s)
-            self.pool.forget(job_id, engine_id, now_s)
-            return self.pump(now_s)
+            self.pool.drop_prefill(job_id, engine_id, now_s)
+            return self.place_queued(now_s)
         self.pool.record_failure(engine_id, job_id, now_s)
-        return self.pump(now_s)
+        return self.place_queued(now_s)
 
     def find_stalled(self, now_s: float) -> list[str]:
         """Return the ids of engines whose prefill makes no progress.
@@ -418,11 +423,11 @@
         """Record that a decode engine rejected a prefilled request."""
         self.answers.release(job_id, now_s)
         self.pool.record_rejection(prefill_engine_id, decode_engine_id, now_s)
-        return self.pump(now_s)
+        return self.place_queued(now_s)
 
     # Queues.
 
-    def pump(self, now_s: float) -> list[promptjobs.Decision]:
+    def place_queued(self, now_s: float) -> list[promptjobs.Decision]:
         """Place queued jobs on open engines; refuse those that are too late.
 
         :returns: the decisions made in this pass
@@ -433,11 +438,12 @@
             return self._refuse_waiting(now_s)
         self.deferral.resume(now_s)
         self.answers.expire(now_s)
-        self._pump_answers(now_s, decisions)
+        self._place_queued_short(now_s, decisions)
         self._update_queues(now_s, decisions)
         skipped: list[tuple[promptjobs.JobQueue, promptjobs.Job]] = []
         while (
-            self.pool.has_open() and (queue := self._next_queue()) is not None
+            self.pool.has_open_engine()
+            and (queue := self._next_queue()) is not None
         ):
             job = queue.first()
             option = self.pool.best_option(job.parts, job.avoid, now_s)
@@ -458,27 +464,30 @@
         return decisions
 
     def wake_s(self, now_s: float) -> float | None:
-        """Return when to call :meth:`pump` next if no event comes first.
+        """Return when to call :meth:`place_queued` if no event comes first.
 
         :returns: a moment in seconds, or None if no job is queued
         """
-        latest_s = now_s + PUMP_INTERVAL_S
-        resumes_s = self.deferral.resumes_s()
-        if resumes_s is not None:
-            latest_s = min(latest_s, max(now_s, resumes_s))
+        latest_s = now_s + PLACEMENT_INTERVAL_S
+        next_resume_s = self.deferral.next_resume_s()
+        if next_resume_s is not None:
+            latest_s = min(latest_s, max(now_s, next_resume_s))
         if self._next_queue() is None:
-            waits = resumes_s is not None or len(self.answers.waiting)
+            waits = next_resume_s is not None or len(self.answers.waiting)
             return latest_s if waits else None
-        opens_s = self.pool.opens_s()
-        if opens_s is None:
+        next_opening_s = self.pool.next_opening_s()
+        if next_opening_s is None:
             return latest_s
-        return max(now_s + 0.001, min(opens_s, latest_s))
+        return max(now_s + 0.001, min(next_opening_s, latest_s))
 
     def _next_queue(self) -> promptjobs.JobQueue | None:
         late = self.resubmitted if len(self.resubmitted) else self.late
         if not len(self.on_time):
             return late if len(late) else None
-        if len(late) and self.placements % self.settings.late_turn == 0:
+        if (
+            len(late)
+            and self.placements % self.settings.late_placement_interval == 0
+        ):
             return late
         return self.on_time
 
@@ -516,7 +525,7 @@
         longest: list[tuple[float, int]] = []
         work_s = 0.0
         for job in self.on_time.in_order():
-            wait_s = capacity.wait_s(work_s * factor) * self.sharers
+            wait_s = capacity.wait_s(work_s * factor) * self.placing_hosts
             heapq.heappush(longest, (-job.need_s, job.id))
             work_s += job.need_s
             if now_s + wait_s <= job.latest_start_s:
@@ -531,7 +540,7 @@
     def _late_share_factor(self) -> float:
         """Return the factor by which late jobs' placements lengthen a wait."""
         if len(self.late) or len(self.resubmitted):
-            return 1 + 1 / (self.settings.late_turn - 1)
+            return 1 + 1 / (self.settings.late_placement_interval - 1)
         return 1.0
 
     def _shed_waiting(
@@ -540,7 +549,7 @@
         """Refuse jobs that have used up their time to wait for a slot."""
         waiting = self.answers.waiting
         for job in list(waiting.jobs.values()):
-            max_wait_s = self.settings.hold_share * (
+            max_wait_s = self.settings.max_wait_share * (
                 job.deadline_s - job.submitted_s
             )
             if now_s - job.submitted_s > max_wait_s:
@@ -562,7 +571,7 @@
         ahead_s = 0.0
         for queue in (self.resubmitted, self.late):
             for job in list(queue.jobs.values()):
-                wait_s = capacity.wait_s(ahead_s / share) * self.sharers
+                wait_s = capacity.wait_s(ahead_s / share) * self.placing_hosts
                 ends_s = now_s + wait_s + job.need_s + self.settings.reserve_s
                 if ends_s <= job.deadline_s:
                     ahead_s += job.need_s
@@ -584,13 +593,13 @@
             return refusals.NO_ENGINE_S
         work_s = self.on_time.need_before_s(job.latest_start_s)
         work_s *= self._late_share_factor()
-        return capacity.wait_s(work_s) * self.sharers
+        return capacity.wait_s(work_s) * self.placing_hosts
 
     def _late_wait_s(self, now_s: float) -> float:
         """Return the expected wait of a late job until it is placed.
 
         Jobs that can be on time go first.  Late jobs get the capacity that
-        remains, and at least one of ``late_turn`` placements.
+        remains, and at least one of ``late_placement_interval`` placements.
         """
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
@@ -598,14 +607,18 @@
         late_s = self.resubmitted.need_s + self.late.need_s
         work_s = self.on_time.need_s
         work_s += late_s / self._late_share(capacity, now_s)
-        return capacity.wait_s(work_s) * self.sharers
+        return capacity.wait_s(work_s) * self.placing_hosts
 
     def _late_share(
         self, capacity: capacities.Capacity, now_s: float
     ) -> float:
         """Return the share of prefill capacity that is left for late jobs."""
-        taken = self.on_time_demand.now(now_s) * self.sharers / capacity.speed
-        return max(1 / self.settings.late_turn, 1 - taken)
+        taken = (
+            self.on_time_demand.now(now_s)
+            * self.placing_hosts
+            / capacity.speed
+        )
+        return max(1 / self.settings.late_placement_interval, 1 - taken)
 
     # Placement and refusal.
 
@@ -652,9 +665,11 @@
         self, job: promptjobs.Job, now_s: float
     ) -> promptjobs.Decision:
         """Place a job with a short prompt on a decode engine, or refuse it."""
-        engine = self.pool.decode_engines.for_short_prompt(job.avoid, now_s)
+        engine = self.pool.decode_engines.choose_for_short_prompt(
+            job.avoid, now_s
+        )
         if engine is None:
-            return self.refusals.refuse_unanswered(job, now_s)
+            return self.refusals.refuse_without_decode_engine(job, now_s)
         self.pool.decode_engines.record_assignment(engine, now_s)
         engine_id = engine.endpoint.id
         cached = self.pool.caches.cached_prefixes(job.parts)
@@ -681,7 +696,10 @@
         waiting = self.deferral.pop_all()
         for queue in self._queues():
             waiting += [queue.pop(job_id) for job_id in list(queue.jobs)]
-        return [self.refusals.refuse_unanswered(job, now_s) for job in waiting]
+        return [
+            self.refusals.refuse_without_decode_engine(job, now_s)
+            for job in waiting
+        ]
 
     def _begin_run(
         self, job: promptjobs.Job, engine_id: str, now_s: float
@@ -692,5 +710,5 @@
         """
         if not self.answers.is_long(job.output_tokens):
             return False
-        self.answers.hold(job.id, engine_id, job.output_tokens, now_s)
+        self.answers.reserve_slot(job.id, engine_id, job.output_tokens, now_s)
         return True
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -47,7 +47,7 @@
     def __init__(self, endpoints, settings):
         self.name = endpoints.name
         self.endpoints = endpoints
-        self.number = quarantine.name_checksum(endpoints.name)
+        self.name_checksum = quarantine.name_checksum(endpoints.name)
         self.queue = fairness.FairQueue()
         self.arrivals = {}
         self.lateness = admission.ErrorQuantile(
@@ -58,8 +58,8 @@
         self.suspects = []
         self.trial = None
         self.running = 0
-        self.fraction = 1.0
-        self.fraction_due_s = float('-inf')
+        self.credit_share = 1.0
+        self.credit_share_due_s = float('-inf')
         self.mix = {}
 
     def record_prompt_priority(self, priority, prefill_s):
@@ -177,7 +177,7 @@
         requests are refused, and leave the other customers short of the
         role that they need.
         """
-        capacity = len(self.endpoints.members) * self.fraction
+        capacity = len(self.endpoints.members) * self.credit_share
         shares = self.fair_shares(capacity, now_s)
         prefill = decode = prefill_s = decode_s = 0.0
         for name, part in shares.items():
@@ -188,7 +188,7 @@
                 prefill_s += part * sums[1]
                 decode_s += part * sums[2]
         return digests.PoolDemand(
-            self.number,
+            self.name_checksum,
             self.demand_s(now_s),
             prefill,
             decode,
--- a/magnoliadyke/core/prefillcost.py
+++ b/magnoliadyke/core/prefillcost.py
@@ -272,10 +272,10 @@
         if found[0] < 0:
             found = self._solve_without(0)
         latency_s, token_s, pairs_s = (max(0.0, each) for each in found)
-        since_s = min(
+        elapsed_s = min(
             10 * LATENCY_DOUBLING_S, max(0.0, now_s - self.latency_updated_s)
         )
-        growth = 2 ** (since_s / LATENCY_DOUBLING_S)
+        growth = 2 ** (elapsed_s / LATENCY_DOUBLING_S)
         latency_s = min(
             latency_s, max(PRIOR_LATENCY_S, self.latency_s) * growth
         )
--- a/magnoliadyke/core/promptcache.py
+++ b/magnoliadyke/core/promptcache.py
@@ -163,8 +163,8 @@
         for dropped in cache.use(parts):
             self._forget(engine, dropped)
 
-    def expect(
-        self, engine: str, job: int, parts: Sequence[PromptPart]
+    def add_pending(
+        self, engine: str, job_id: int, parts: Sequence[PromptPart]
     ) -> None:
         """Add parts that an engine will prefill or receive with a job."""
         cache = self.caches.get(engine)
@@ -172,22 +172,22 @@
             return
         missing = [part.id for part in parts if part.id not in cache.parts]
         self.use(engine, parts)
-        self.pending[engine].update(dict.fromkeys(missing, job))
-        pending_jobs = self.expected.setdefault(job, [])
+        self.pending[engine].update(dict.fromkeys(missing, job_id))
+        pending_jobs = self.expected.setdefault(job_id, [])
         pending_jobs.extend((engine, part) for part in missing)
 
-    def record_prefill_done(self, job: int) -> None:
+    def record_prefill_done(self, job_id: int) -> None:
         """Record that the prompt of a job is prefilled."""
-        for engine, part in self.expected.pop(job, ()):
+        for engine, part in self.expected.pop(job_id, ()):
             pending = self.pending.get(engine, {})
-            if pending.get(part) == job:
+            if pending.get(part) == job_id:
                 del pending[part]
 
-    def abandon(self, job: int) -> None:
+    def abandon(self, job_id: int) -> None:
         """Remove the pending parts of a job that will not be prefilled."""
-        for engine, part in self.expected.pop(job, ()):
+        for engine, part in self.expected.pop(job_id, ()):
             pending = self.pending.get(engine, {})
-            if pending.get(part) == job:
+            if pending.get(part) == job_id:
                 del pending[part]
                 self.caches[engine].drop(part)
                 self._forget(engine, part)
--- a/magnoliadyke/core/promptjobs.py
+++ b/magnoliadyke/core/promptjobs.py
@@ -54,7 +54,7 @@
     :param decode_engine: id of the engine that generates the answer
     :param fetch_from: address of an engine to fetch cached parts from, if
         any
-    :param read_tokens: tokens expected to be prefilled
+    :param prefill_tokens: tokens expected to be prefilled
     :param expected_s: expected time until the answer can start
     :param report_end: whether the end of the answer has to be reported
     """
@@ -63,7 +63,7 @@
     prefill_engine: str | None
     decode_engine: str
     fetch_from: str | None
-    read_tokens: int
+    prefill_tokens: int
     expected_s: float
     report_end: bool
 
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -42,7 +42,7 @@
 CONVICTED = 'convicted'
 
 CRASHES_TO_CONVICT = 2
-MAX_RANK = 255
+MAX_TOKENS_AT_CRASH = 255
 MAX_CLEARED_BLAMES = 4
 FINGERPRINT_BYTES = 6
 
@@ -89,8 +89,8 @@
     :ivar blames: crashes that the request may have caused
     :ivar cleared_blames: crashes that it is known not to have caused; kept
         because peers without that knowledge still report them
-    :ivar rank: output tokens that it had when the engine died, at most 255;
-        fewer is more suspicious
+    :ivar tokens_at_crash: output tokens that it had when the engine died, at
+        most 255; fewer is more suspicious
     :ivar pool: checksum of the name of its pool
     :ivar seen_s: when it was last received or last blamed
     :ivar waiting_s: when it was last known to wait on some node
@@ -100,17 +100,17 @@
     __slots__ = (
         'blames',
         'pool',
-        'rank',
+        'tokens_at_crash',
         'running_s',
         'seen_s',
         'cleared_blames',
         'waiting_s',
     )
 
-    def __init__(self, rank, pool, now_s):
+    def __init__(self, tokens_at_crash, pool, now_s):
         self.blames = []
         self.cleared_blames = []
-        self.rank = rank
+        self.tokens_at_crash = tokens_at_crash
         self.pool = pool
         self.seen_s = now_s
         self.waiting_s = float('-inf')
@@ -161,8 +161,10 @@
         """
         crash = name_checksum(endpoint)
         for fingerprint, tokens in batch:
-            rank = min(int(tokens), MAX_RANK)
-            entry = self._entry(fingerprint, rank, name_checksum(pool), now_s)
+            tokens_at_crash = min(int(tokens), MAX_TOKENS_AT_CRASH)
+            entry = self._entry(
+                fingerprint, tokens_at_crash, name_checksum(pool), now_s
+            )
             self._add_blame(entry, Blame(crash, now_s))
         self._clear_bystanders(now_s)
         self._trim()
@@ -208,10 +210,13 @@
                 continue
             if known.verdict() != SUSPECT:
                 continue
-            before = (known.rank, other) < (entry.rank, fingerprint)
+            precedes = (known.tokens_at_crash, other) < (
+                entry.tokens_at_crash,
+                fingerprint,
+            )
             if known.running_s >= max(recent_since_s, self._earliest_s(known)):
                 return False
-            if before and known.waiting_s >= recent_since_s:
+            if precedes and known.waiting_s >= recent_since_s:
                 return False
         return True
 
@@ -234,13 +239,15 @@
         if entry is not None:
             entry.running_s = max(entry.running_s, now_s)
 
-    def merge(self, fingerprint, pool, rank, cleared, blames, now_s):
+    def merge(
+        self, fingerprint, pool, tokens_at_crash, cleared, blames, now_s
+    ):
         """Merge a peer's report of one fingerprint.
 
         :param cleared: whether the request did not cause these crashes
         :param blames: list of :class:`Blame`, in this node's time
         """
-        entry = self._entry(fingerprint, rank, pool, now_s)
+        entry = self._entry(fingerprint, tokens_at_crash, pool, now_s)
         for blame in blames:
             if cleared:
                 self._merge_cleared(entry, blame, now_s)
@@ -275,12 +282,12 @@
             if self._is_expired(entry, now_s):
                 del self.entries[fingerprint]
 
-    def _entry(self, fingerprint, rank, pool, now_s):
+    def _entry(self, fingerprint, tokens_at_crash, pool, now_s):
         entry = self.entries.get(fingerprint)
         if entry is None or self._is_expired(entry, now_s):
-            entry = Entry(rank, pool, now_s)
+            entry = Entry(tokens_at_crash, pool, now_s)
             self.entries[fingerprint] = entry
-        entry.rank = min(entry.rank, rank)
+        entry.tokens_at_crash = min(entry.tokens_at_crash, tokens_at_crash)
         return entry
 
     def _add_blame(self, entry, blame):
@@ -353,7 +360,7 @@
     """Sort key: convicted before suspect before clear, then recent first."""
     fingerprint, entry = item
     group = (CONVICTED, SUSPECT, CLEAR).index(entry.verdict())
-    return group, -entry.seen_s, entry.rank, fingerprint
+    return group, -entry.seen_s, entry.tokens_at_crash, fingerprint
 
 
 def _send_order(item, held, recent_since_s):
--- a/magnoliadyke/core/refusals.py
+++ b/magnoliadyke/core/refusals.py
@@ -61,7 +61,7 @@
         elif self.outage_since_s is None:
             self.outage_since_s = now_s
 
-    def refuse_unanswered(
+    def refuse_without_decode_engine(
         self, job: promptjobs.Job, now_s: float
     ) -> promptjobs.Refused:
         """Refuse a job because there is no decode engine.
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -366,7 +366,7 @@
                 # made, so the other sigma points, which are most of the
                 # computation, are skipped.
                 return {role: gains[0] for role, gains in found.items()}
-        return {role: _mean(gains) for role, gains in found.items()}
+        return {role: _weighted_mean(gains) for role, gains in found.items()}
 
     def _forecast(self):
         """Return the forecast (prefill, decode) demand in each cell."""
@@ -542,7 +542,7 @@
     return DECODE if decodes < state.min_decode else None
 
 
-def _mean(gains):
+def _weighted_mean(gains):
     """Return the weighted mean over the sigma points."""
     pairs = zip(SIGMA_WEIGHTS, gains, strict=True)
     return sum(weight * gain for weight, gain in pairs)
--- a/magnoliadyke/core/routes.py
+++ b/magnoliadyke/core/routes.py
@@ -80,8 +80,8 @@
         in tokens
     :param bytes_per_token: KV cache transferred per token, in bytes
     :param link_bits_s: bandwidth of an engine's transfers, in bits per second
-    :param handle_s: how long an engine keeps a prefilled prompt until it is
-        fetched, in seconds
+    :param handle_ttl_s: how long an engine keeps the KV cache of a prefilled
+        prompt until it is fetched, in seconds
     :param stage_change_s: how long an engine is unavailable during a change
         of stage, in seconds
     """
@@ -90,7 +90,7 @@
     cache_tokens: int
     bytes_per_token: float
     link_bits_s: float
-    handle_s: float
+    handle_ttl_s: float
     stage_change_s: float
 
 
@@ -116,14 +116,14 @@
 
     :param header_bytes: maximum size of a request's head
     :param body_bytes: maximum size of a request's body
-    :param header_s: longest time to send a request's head, in seconds
+    :param header_timeout_s: longest time to send a request's head, in seconds
     :param idle_timeout_s: longest wait for the next request on a connection,
         and longest time to send a request's body, in seconds
     """
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
-    header_s: float = 3.0
+    header_timeout_s: float = 3.0
     idle_timeout_s: float = 15.0
 
 
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -21,7 +21,7 @@
 PREFILL = 'prefill'
 DECODE = 'decode'
 ROLES = (PREFILL, DECODE)
-FULL_FRACTION = 1.0
+FULL_CREDIT_SHARE = 1.0
 LOWEST_PRIORITY = 9
 #: Weight of one first token in the moving average of prediction errors.
 BIAS_STEP = 0.02
@@ -41,7 +41,7 @@
         unreported prompts that peers are estimated to have on an engine
     :param slack_streams: fill levels, as a share of the stream limit, that
         exceed the lowest by no more than this count as equal
-    :param pace_share: share of the job's time between tokens that the
+    :param decode_step_share: share of the job's time between tokens that the
         predicted decode step may take
     :param mixed_fill: a decode engine above this share of its stream limit
         gets no prompts
@@ -59,7 +59,7 @@
     slack_s: float = 0.02
     peer_load_slack: float = 4.0
     slack_streams: float = 0.05
-    pace_share: float = 0.93
+    decode_step_share: float = 0.93
     mixed_fill: float = 0.8
     mixed_cost: float = 0.1
     mixed_time_share: float = 0.6
@@ -95,7 +95,7 @@
 class PlacementContext(NamedTuple):
     """State of the queue and the job that a placement depends on.
 
-    :param fraction: this node's share of the pool's stream credits
+    :param credit_share: this node's share of the pool's stream credits
     :param spare_s: time left until the first token is due
     :param backlog_s: seconds of queued prompts that the prefill engines
         take before it
@@ -106,7 +106,7 @@
         jobs may start
     """
 
-    fraction: float = 1.0
+    credit_share: float = 1.0
     spare_s: float = float('inf')
     backlog_s: float = 0.0
     first: bool = True
@@ -165,7 +165,7 @@
         """
         return seconds < self.SAME_STEP_S
 
-    def begin(self, tokens, seconds, streams, undisturbed):
+    def restart(self, tokens, seconds, streams, undisturbed):
         """Start a sample with the first prompt of a step.
 
         :param undisturbed: whether no prompts of other nodes were known to
@@ -185,7 +185,7 @@
         other jobs of this node, or None
     :ivar is_reserved_for_trial: whether it takes no new jobs, so that a
         suspect can run there without others
-    :ivar pace: observed decode time as a multiple of the predicted one
+    :ivar slowness_fit: fit of the ratio of observed to predicted decode time
     """
 
     def __init__(self, info, health_settings=health.DEFAULT_SETTINGS):
@@ -197,7 +197,7 @@
         self.reported_streams = 0
         self.reported_at_s = float('-inf')
         self.slowness = 1.0
-        self.pace = costs.RatioFit(1.0, 10.0, 120.0)
+        self.slowness_fit = costs.RatioFit(1.0, 10.0, 120.0)
         self.prefill_sample = PrefillSample()
         self.exclusive_job_id = None
         self.is_reserved_for_trial = False
@@ -326,7 +326,7 @@
                 job, prefills or decodes, context, now_s
             )
         open_decodes = self._decode_engines_with_room(
-            job, decodes, context.fraction, now_s
+            job, decodes, context.credit_share, now_s
         )
         if not open_decodes:
             return None
@@ -353,11 +353,11 @@
         tokens = job.prompt_tokens * model.uncached.ratio
         read_s = model.prefill_s(PREFILL, tokens)
         moved_s = job.prompt_tokens * model.transfer.ratio
-        return read_s + moved_s + model.pace.at(1)
+        return read_s + moved_s + model.decode_step.at(1)
 
     def stream_limit(self, job):
         """Most streams on an engine that meet the job's ``per_token_s``."""
-        usable_s = job.per_token_s * self.settings.pace_share
+        usable_s = job.per_token_s * self.settings.decode_step_share
         return self.models.job_cost_model(job).streams_within(usable_s)
 
     def _usable(self, pool, role, job, context, only_endpoint, now_s):
@@ -420,7 +420,7 @@
             return None
         return Placement(best.endpoint, best.endpoint, *best[2:5])
 
-    def _decode_engines_with_room(self, job, members, fraction, now_s):
+    def _decode_engines_with_room(self, job, members, credit_share, now_s):
         """Decode engines with a free stream and KV cache memory.
 
         :returns: list of (fill level, endpoint)
@@ -430,7 +430,7 @@
         found = []
         for endpoint in members:
             load = endpoint.load
-            room = self._max_local_streams(endpoint, limit, fraction)
+            room = self._max_local_streams(endpoint, limit, credit_share)
             if load.streams.local + load.reserved >= room:
                 continue
             kv_capacity = load.kv_capacity
@@ -441,28 +441,28 @@
             found.append((streams / limit * endpoint.slowness, endpoint))
         return found
 
-    def _max_local_streams(self, endpoint, limit, fraction):
+    def _max_local_streams(self, endpoint, limit, credit_share):
         """Most streams that this node may have on the endpoint."""
         streams = endpoint.load.streams
-        if fraction >= FULL_FRACTION:
+        if credit_share >= FULL_CREDIT_SHARE:
             return limit - streams.peers
         own = streams.local_at(endpoint.reported_at_s)
         return credits.allowed_streams(
-            limit, fraction, own, endpoint.reported_streams
+            limit, credit_share, own, endpoint.reported_streams
         )
 
-    def _choose_decode_engine(self, found):
+    def _choose_decode_engine(self, open_decodes):
         """The emptier of two random engines among the emptiest.
 
         If all nodes took the emptiest engine, those that have the same load
         reports would all choose the same one and overload it.
 
-        :param found: list of (fill level, endpoint)
+        :param open_decodes: list of (fill level, endpoint)
         """
-        least = min(item[0] for item in found)
+        least = min(item[0] for item in open_decodes)
         good = [
             item
-            for item in found
+            for item in open_decodes
             if item[0] <= least + self.settings.slack_streams
         ]
         return self._better_of_two(good)[1]
@@ -529,7 +529,9 @@
         if best is None:
             return None
         model = self.models.job_cost_model(job)
-        moved_s = job.prompt_tokens * model.transfer.ratio + model.pace.base
+        moved_s = (
+            job.prompt_tokens * model.transfer.ratio + model.decode_step.base
+        )
         return best._replace(
             score_s=best.score_s + moved_s,
             first_token_s=best.first_token_s + moved_s,
@@ -540,12 +542,12 @@
         base_s = self.models.job_cost_model(job).mixed_prefill.base
         return split.blocked or job.prompt_tokens * base_s < split.score_s
 
-    def _best_mixed(self, job, found, context, now_s):
+    def _best_mixed(self, job, open_decodes, context, now_s):
         """The best decode engine for both prefill and decode, or None."""
         model = self.models.job_cost_model(job)
         lost = model.mixed_prefill.base / model.prefill.ratio - 1.0
         candidates = []
-        for fill, endpoint in found:
+        for fill, endpoint in open_decodes:
             if fill > self.settings.mixed_fill:
                 continue
             queue_ahead_s = self._queue_ahead_s(endpoint, job, context, now_s)
@@ -554,7 +556,7 @@
             each = self._predict_prefill(job, endpoint, context, now_s)
             extra_s = each.prompt_s * max(0.0, lost) * fill
             cost_s = self.settings.mixed_cost * extra_s
-            pace_s = model.pace.at(endpoint.load.streams.total())
+            pace_s = model.decode_step.at(endpoint.load.streams.total())
             candidates.append(
                 each._replace(
                     score_s=each.score_s + pace_s + cost_s,
--- a/magnoliadyke/core/runs.py
+++ b/magnoliadyke/core/runs.py
@@ -38,9 +38,9 @@
         self.charged_s = 0.0
         self.tokens = 0
         self.queued_s = job.arrived_s
-        self.begin_attempt()
+        self.reset_attempt()
 
-    def begin_attempt(self):
+    def reset_attempt(self):
         """Reset the state of the previous attempt."""
         self.prompt_at = None
         self.stream_at = None
@@ -96,7 +96,7 @@
             load.reserved += 1
             load.kv_tokens.add(self.admitted_tokens, now_s)
 
-    def begin_stream(self, now_s):
+    def start_stream(self, now_s):
         """Turn the reservation into a stream when decode begins."""
         if self.stream_at is None or self.streaming:
             return
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -42,7 +42,7 @@
 #: Queued jobs of one customer that a dispatch round tries to place.
 LOOKAHEAD_JOBS = 4
 #: Time after which a pool's share of the stream credits is recomputed.
-FRACTION_INTERVAL_S = 0.25
+CREDIT_SHARE_INTERVAL_S = 0.25
 #: Prefill capacity of a decode engine, as a fraction of a prefill engine.
 MIXED_PREFILL_CAPACITY = 0.2
 #: Cached blocks that are tracked in total, divided between the engines.
@@ -196,7 +196,7 @@
             row = view.endpoints.get(name)
             state = row.state if row is not None else 'in'
             state = TABLE_STATES.get(state, health.LEAVING)
-            endpoint.health.tabled = state
+            endpoint.health.table_state = state
         for pool in self.pools.values():
             pool.endpoints.rebuild_by_role()
         return self._dispatch_all(now_s)
@@ -285,7 +285,7 @@
             return []
         run.leave_stream(now_s)
         run.join_stream(endpoint, now_s)
-        run.begin_stream(now_s)
+        run.start_stream(now_s)
         return self._dispatch_all(now_s)
 
     def _set_role(self, endpoint, role, now_s):
@@ -336,7 +336,7 @@
                 *self._dispatch_all(now_s),
             ]
         self.runs[job.id] = run
-        self._queue(run, pool, now_s)
+        self._enqueue(run, pool, now_s)
         actions = self._dispatch_all(now_s)
         if run.dispatched_s is None and job.id in self.runs:
             waiting = pool.waiting_count(job.customer)
@@ -369,18 +369,18 @@
         run = self.runs.get(job_id)
         if run is None or run.first_token_s is not None:
             return []
-        was_read = run.prefill_done_s is not None
-        if not was_read:
+        was_prefilled = run.prefill_done_s is not None
+        if not was_prefilled:
             self._end_prefill(run, now_s)
         run.first_token_s = now_s
         run.tokens = max(run.tokens, 1)
-        self.learner.record_first_token(run, was_read, now_s)
+        self.learner.record_first_token(run, was_prefilled, now_s)
         if run.timing.strict:
             pool = self.pools[run.job.pool]
             pool.lateness.add(now_s - run.expected_s)
         if run.stream_at is not None:
             run.streams_at_first = run.stream_at.load.streams.total()
-        return [] if was_read else self._dispatch_all(now_s)
+        return [] if was_prefilled else self._dispatch_all(now_s)
 
     def record_progress(self, job_id, tokens, now_s):
         """Record how many output tokens the job has produced so far."""
@@ -476,13 +476,13 @@
         services = (
             len(by_role['']) * self.settings.routing_settings.service_slots
         )
-        fraction = pool.fraction
+        credit_share = pool.credit_share
         return admission.Capacity(
-            (prefill + MIXED_PREFILL_CAPACITY * decode) * fraction,
-            (decode + services) * fraction,
+            (prefill + MIXED_PREFILL_CAPACITY * decode) * credit_share,
+            (decode + services) * credit_share,
         )
 
-    def _queue(self, run, pool, now_s):
+    def _enqueue(self, run, pool, now_s):
         """Queue a job: by fair share, or for a trial if it is a suspect."""
         if self.suspects.verdict(run, now_s) == quarantine.SUSPECT:
             row = self.rows.get(run.job.customer, DEFAULT_ROW)
@@ -498,7 +498,7 @@
         item = (run.timing.latest_start_s, run.job.id)
         heapq.heappush(self.expiries, item)
 
-    def _unqueue(self, run):
+    def _dequeue(self, run):
         pool = self.pools[run.job.pool]
         if pool.queue.remove(run.job.id):
             pool.update_waiting(run, -1)
@@ -508,7 +508,7 @@
 
     def _forget(self, run, now_s):
         """Remove an ended job from its queue, its endpoints and the node."""
-        self._unqueue(run)
+        self._dequeue(run)
         self._release(run, now_s)
         self.runs.pop(run.job.id, None)
 
@@ -523,7 +523,7 @@
 
     def _dispatch_pool(self, pool, now_s, actions):
         """Dispatch queued jobs of a pool by fair share until none fits."""
-        fraction = self._fraction(pool, now_s)
+        credit_share = self._credit_share(pool, now_s)
         unplaced = 0
         progress = True
         while progress:
@@ -533,7 +533,7 @@
                 if not self.limits.may_start(customer, now_s):
                     continue
                 context = routing.PlacementContext(
-                    fraction,
+                    credit_share,
                     backlog_s=self._prefill_backlog_s(pool),
                     first=first,
                 )
@@ -583,12 +583,12 @@
         expected_s = placement.first_token_s + pool.lateness.value
         if run.timing.strict and expected_s > spare_s:
             return self._refuse_late(run, now_s)
-        self._unqueue(run)
+        self._dequeue(run)
         return self._dispatch(run, pool, placement, now_s)
 
     def _dispatch(self, run, pool, placement, now_s, is_only_job=False):
         job = run.job
-        run.begin_attempt()
+        run.reset_attempt()
         run.attempts += 1
         run.dispatched_s = now_s
         run.prefill_endpoint = placement.prefill
@@ -615,21 +615,21 @@
             placement.prompt_s if job.kind == 'model' else 0.0,
         )
 
-    def _fraction(self, pool, now_s):
+    def _credit_share(self, pool, now_s):
         """This node's share of the stream credits of the engines it uses."""
         if self.shares.nodes == 1:
-            pool.fraction = 1.0
-        elif now_s >= pool.fraction_due_s:
+            pool.credit_share = 1.0
+        elif now_s >= pool.credit_share_due_s:
             # Cached: the share sums the demand of all peers, too much work
             # for each placement.
-            pool.fraction_due_s = now_s + FRACTION_INTERVAL_S
+            pool.credit_share_due_s = now_s + CREDIT_SHARE_INTERVAL_S
             demand = pool.demand_s(now_s)
-            key = ('pool', pool.number)
+            key = ('pool', pool.name_checksum)
             part = self.shares.fraction(key, demand, now_s)
             members = pool.endpoints
             part *= members.total / len(members.members)
-            pool.fraction = min(1.0, part)
-        return pool.fraction
+            pool.credit_share = min(1.0, part)
+        return pool.credit_share
 
     def _refuse_expired(self, now_s):
         """Refuse queued jobs whose latest start has passed."""
@@ -688,7 +688,7 @@
             self.learner.record_prefill_done(run, endpoint, now_s)
             endpoint.health.record_success()
             run.leave_prompt(now_s)
-        run.begin_stream(now_s)
+        run.start_stream(now_s)
 
     def _complete(self, run, result, now_s):
         """End a job whose complete answer has arrived."""
@@ -777,7 +777,7 @@
         until_s = now_s + row.queue_wait_s
         if run.tokens or run.ran or run.timing.latest_start_s < now_s:
             run.timing = admission.Timing(until_s, until_s)
-        self._queue(run, self.pools[run.job.pool], now_s)
+        self._enqueue(run, self.pools[run.job.pool], now_s)
 
     def _refuse(self, run, outcome, now_s):
         self._forget(run, now_s)
@@ -793,13 +793,13 @@
             if verdict == quarantine.CONVICTED:
                 actions += self._refuse(run, _crash_rejection(), now_s)
             else:
-                self._queue(run, pool, now_s)
+                self._enqueue(run, pool, now_s)
         run = self.suspects.next_suspect(pool, self.runs, now_s)
         if run is None:
             return actions
         spare_s = run.timing.latest_start_s - now_s
         context = routing.PlacementContext(
-            self._fraction(pool, now_s), spare_s
+            self._credit_share(pool, now_s), spare_s
         )
         placement = self.router.place(
             run.job, pool.endpoints, context, now_s, only_endpoint=pool.trial
--- a/magnoliadyke/core/shutdown.py
+++ b/magnoliadyke/core/shutdown.py
@@ -22,13 +22,13 @@
 class Shutdown(NamedTuple):
     """Schedule of a shutdown, in monotonic seconds.
 
-    :param begun_s: when this host received the request to stop
+    :param started_s: when this host received the request to stop
     :param grace_s: time from then until the platform kills the process
     :param directory_ttl_s: how long callers may cache a response of the
         directory
     """
 
-    begun_s: float
+    started_s: float
     grace_s: float
     directory_ttl_s: float
 
@@ -40,19 +40,19 @@
         shutdown have expired, unless the listener closes first.
         """
         announced_s = (
-            self.begun_s + self.directory_ttl_s + LEAVE_ANNOUNCEMENT_S
+            self.started_s + self.directory_ttl_s + LEAVE_ANNOUNCEMENT_S
         )
         return min(announced_s, self.closes_s)
 
     @property
     def closes_s(self) -> float:
         """When the listener is closed."""
-        return self.begun_s + self.grace_s - CLOSE_BEFORE_S
+        return self.started_s + self.grace_s - CLOSE_BEFORE_S
 
     @property
     def ends_s(self) -> float:
         """When requests that are still in flight are aborted."""
-        return self.begun_s + self.grace_s - EXIT_BEFORE_S
+        return self.started_s + self.grace_s - EXIT_BEFORE_S
 
     @property
     def exits_s(self) -> float:
--- a/magnoliadyke/core/snapshot.py
+++ b/magnoliadyke/core/snapshot.py
@@ -75,7 +75,7 @@
 def _state(endpoint, now_s):
     endpoint_health = endpoint.health
     for state in (
-        endpoint_health.tabled,
+        endpoint_health.table_state,
         endpoint_health.observed,
         endpoint_health.reported,
     ):
--- a/magnoliadyke/core/staleentries.py
+++ b/magnoliadyke/core/staleentries.py
@@ -59,13 +59,13 @@
 class StaleEntries:
     """The entries that this host ignores, and until when.
 
-    :param known: the catalog of this host
+    :param endpoint_catalog: the catalog of this host
     :ivar entries: by name of the endpoint
     :ivar removed_s: when endpoints were removed, by id
     """
 
-    def __init__(self, known: catalog.Catalog) -> None:
-        self.catalog = known
+    def __init__(self, endpoint_catalog: catalog.Catalog) -> None:
+        self.catalog = endpoint_catalog
         self.entries: dict[str, _Stale] = {}
         self.removed_s: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
--- a/magnoliadyke/core/usage.py
+++ b/magnoliadyke/core/usage.py
@@ -19,7 +19,7 @@
     'Report',
     'Reports',
     'ProcessCounts',
-    'kept_windows',
+    'retained_window_count',
     'split',
     'window_of',
 ]
@@ -38,7 +38,7 @@
     return math.floor(wall_s / length_s)
 
 
-def kept_windows(length_s: float, due_s: float) -> int:
+def retained_window_count(length_s: float, due_s: float) -> int:
     """Return how many windows to keep.
 
     :param length_s: length of a window, in seconds
@@ -118,7 +118,7 @@
         self.max_windows = max_windows
         self.windows: dict[int, dict[tuple[str, int], dict[str, int]]] = {}
 
-    def record_tally(
+    def record_counts(
         self, host: str, incarnation: int, window: int, begun: dict[str, int]
     ) -> None:
         """Merge the totals of one process in one window."""
--- a/magnoliadyke/gateway/autoscaling.py
+++ b/magnoliadyke/gateway/autoscaling.py
@@ -51,14 +51,14 @@
         self,
         leader: leadership.Leadership,
         placer: placementservice.PlacementService,
-        known: catalog.Catalog,
+        endpoint_catalog: catalog.Catalog,
         kv_store: store.Store,
         calls: operatorcalls.OperatorCalls | None,
         clock: clocks.Clock,
     ) -> None:
         self.leadership = leader
         self.placer = placer
-        self.catalog = known
+        self.catalog = endpoint_catalog
         self.store = kv_store
         self.calls = calls
         self.clock = clock
--- a/magnoliadyke/gateway/caller.py
+++ b/magnoliadyke/gateway/caller.py
@@ -44,8 +44,8 @@
 
     :ivar closing: whether the connection is closed after the next answer
     :ivar close_announced: whether an answer had ``Connection: close``
-    :ivar answer_begun: whether bytes of an answer to the current request have
-        been sent
+    :ivar answer_started: whether bytes of an answer to the current request
+        have been sent
     :ivar streaming: whether a chunked answer has begun and is not complete
     :ivar broken: whether the connection can carry no further answer
     :ivar greenlet: greenlet that serves the current request and can be
@@ -56,7 +56,7 @@
         self.sock = sock
         self.closing = False
         self.close_announced = False
-        self.answer_begun = False
+        self.answer_started = False
         self.streaming = False
         self.broken = False
         self.greenlet: gevent.Greenlet | None = None
@@ -130,7 +130,7 @@
             lines.append(b'Connection: close')
         self._send(b'\r\n'.join(lines) + b'\r\n\r\n' + body)
 
-    def begin_stream(self, status: int, headers: http.Headers) -> None:
+    def start_stream(self, status: int, headers: http.Headers) -> None:
         """Send the head of a chunked answer.
 
         :raises CallerLeft: the head can't be delivered
@@ -154,7 +154,7 @@
         self._send(b'0\r\n\r\n')
 
     def _send(self, data: bytes) -> None:
-        self.answer_begun = True
+        self.answer_started = True
         try:
             self.sock.sendall(data)
         except OSError as error:
--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -45,7 +45,7 @@
         self.caught_up: collections.Counter[str] = collections.Counter()
         self.stale_query_until_s = float('-inf')
 
-    def begin(self) -> None:
+    def start_stale_query(self) -> None:
         """Start to ask other hosts which entries of the store are stale.
 
         Called after the first read of the store.
@@ -96,7 +96,7 @@
     def _peer_addresses(self, first: str) -> list[str]:
         if self.follower.others is None:
             return []
-        return self.follower.others.peers(first)[:MAX_PEERS_QUERIED]
+        return self.follower.others.peer_addresses(first)[:MAX_PEERS_QUERIED]
 
     def fetch_from_peers(self, host: str) -> bool:
         """Apply the store keys of a host that has read later changes.
--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -71,7 +71,8 @@
     :param endpoint: id of the endpoint process that must run the request
     :param left_s: time until the caller's deadline, in seconds
     :param urgent: whether the endpoint admits the request before others
-    :param source: where the prefilled prompt is held, as ``address/handle``
+    :param kv_source: where the KV cache of the prefilled prompt is held, as
+        ``ADDRESS/HANDLE``
     :param fetch_from: address of an engine with more of the prompt in its KV
         cache
     :param resume_after: id of the last stream event sent to the caller
@@ -80,7 +81,7 @@
     endpoint: str
     left_s: float
     urgent: bool = False
-    source: str | None = None
+    kv_source: str | None = None
     fetch_from: str | None = None
     resume_after: bytes | None = None
 
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -43,14 +43,14 @@
 
     :param bound_s: see :class:`confirmation.Confirmation`
     :ivar proof: this host's proof that its configuration is current
-    :ivar was_held: whether the proof was valid at the last check, to log
+    :ivar was_valid: whether the proof was valid at the last check, to log
         changes only
     """
 
     def __init__(
         self,
         bound_s: float | None,
-        known: catalog.Catalog,
+        endpoint_catalog: catalog.Catalog,
         decoder: keymirror.Decoder,
         kv_store: store.Store,
         followed: follower.Follower,
@@ -60,7 +60,7 @@
         rng: random.Random,
     ) -> None:
         self.proof = confirmation.Confirmation(bound_s)
-        self.catalog = known
+        self.catalog = endpoint_catalog
         self.decoder = decoder
         self.store = kv_store
         self.follower = followed
@@ -124,7 +124,7 @@
     def _sample_peers(self) -> list[str]:
         addresses = self.members.reachable_addresses()
         asked = self.rng.sample(addresses, min(PEERS_ASKED, len(addresses)))
-        return list({*asked, *self.members.watchers()})
+        return list({*asked, *self.members.watcher_addresses()})
 
     def _may_ask_store(self) -> bool:
         """Whether this host should query the store for a proof.
--- a/magnoliadyke/gateway/crashreports.py
+++ b/magnoliadyke/gateway/crashreports.py
@@ -90,10 +90,10 @@
         if not len(self.history):
             return 0.0
         now_s = self.clock.now_s()
-        return self.history.barred_s(_fingerprint(request), now_s)
+        return self.history.blocked_s(_fingerprint(request), now_s)
 
     def _log_blocked(self, fingerprint: bytes, now_s: float) -> None:
-        if self.history.barred_s(fingerprint, now_s):
+        if self.history.blocked_s(fingerprint, now_s):
             endpoints = self.history.requests[fingerprint].endpoints
             LOG.warning_event(
                 'request_barred',
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -152,8 +152,8 @@
 
     def _end_interrupted(self) -> outcomes.Refused | outcomes.Failed:
         """Return the outcome of a request that this host's stop aborts."""
-        self.caller.broken = self.caller.answer_begun
-        if not (self.runs or self.caller.answer_begun):
+        self.caller.broken = self.caller.answer_started
+        if not (self.runs or self.caller.answer_started):
             return outcomes.Refused(STOPPING, 0.0)
         return outcomes.Failed(504, STOPPING)
 
@@ -170,7 +170,7 @@
                 headers.append((b'Retry-After', retry_after))
                 self.caller.answer(503, headers, reason.encode())
             case outcomes.Failed(status, reason) if (
-                not self.caller.answer_begun
+                not self.caller.answer_started
             ):
                 headers = self.parts.codec.local_response_headers(self.request)
                 self.caller.answer(status, headers, reason.encode())
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -67,7 +67,7 @@
     """The other hosts that follow the same store."""
 
     @abc.abstractmethod
-    def peers(self, first: str) -> list[str]:
+    def peer_addresses(self, first: str) -> list[str]:
         """Return the addresses of the other hosts that gossip lists as alive.
 
         :param first: name of the host to put first; the rest are in any order
@@ -304,7 +304,7 @@
             case store.Changes(changes, upto):
                 self._record_success()
                 if base == self.lag.own_position:
-                    self.mirror.change(changes)
+                    self.mirror.apply_changes(changes)
                     self._record_position(upto)
                 return True
             case store.Restored():
@@ -329,7 +329,7 @@
             case store.Changes(changes, upto):
                 self._record_success()
                 if base == self.lag.own_position:
-                    self.mirror.change(changes)
+                    self.mirror.apply_changes(changes)
                     self._record_position(upto)
                     self._relay(base, changes)
                 return True
@@ -384,7 +384,7 @@
         else:
             self.mirror.replace(items)
         if own == position.START and at.era:
-            self.catch_up.begin()
+            self.catch_up.start_stale_query()
         self._record_position(at)
 
     def _record_position(self, upto: position.Position) -> None:
@@ -425,7 +425,7 @@
         if updates.base > self.lag.own_position or not updates.complete:
             self.missed = True
             return
-        self.mirror.change(
+        self.mirror.apply_changes(
             tuple(
                 c
                 for c in updates.changes
@@ -484,7 +484,7 @@
 
     def _record_success(self) -> None:
         now_s = self.clock.now_s()
-        self.mirror.catalog.checked_s = now_s
+        self.mirror.catalog.confirmed_s = now_s
         self.failures = 0
         if self.failing_since_s is not None:
             LOG.event('store_regained', after_s=now_s - self.failing_since_s)
--- a/magnoliadyke/gateway/inflightjobs.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -139,7 +139,7 @@
             engine,
             parts,
             job_id,
-            in_flight_job.placed.read_tokens if reads else None,
+            in_flight_job.placed.prefill_tokens if reads else None,
             in_flight_job.placed.report_end
             and engine == in_flight_job.placed.decode_engine,
         )
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -151,7 +151,7 @@
                 left_ms=round(active.left_s * 1000),
                 endpoint=active.endpoint or 'none',
                 sends=active.sends,
-                begun=active.caller.answer_begun,
+                begun=active.caller.answer_started,
             )
 
     def stop(self, deadline_s: float) -> None:
@@ -184,7 +184,7 @@
         without an answer is closed at once, so that a request that arrives
         at this moment stays unread.
         """
-        if caller.answer_begun and not (caller.broken or caller.streaming):
+        if caller.answer_started and not (caller.broken or caller.streaming):
             self._linger(caller.sock)
         http.drop(caller.sock)
 
@@ -202,7 +202,7 @@
         self, caller: callers.Caller, reader: http.RequestReader
     ) -> None:
         while True:
-            caller.answer_begun = False
+            caller.answer_started = False
             caller.closing = caller.closing or self.shutdown is not None
             try:
                 head = self._read_head(reader)
@@ -260,7 +260,7 @@
                 reader.wait_for_bytes()
             if not reader.message_started and not reader.parts:
                 return None
-        with gevent.Timeout(limits.header_s, http.OutOfTime('header')):
+        with gevent.Timeout(limits.header_timeout_s, http.OutOfTime('header')):
             while not reader.parts:
                 reader.check()
                 if reader.header_bytes > limits.header_bytes:
@@ -298,7 +298,7 @@
         """Answer a request that can't be parsed or read, then close."""
         LOG.event('request_unreadable', status=status, reason=reason)
         caller.closing = True
-        if not caller.answer_begun:
+        if not caller.answer_started:
             caller.answer(status, [], b'')
 
     # One request.
@@ -431,7 +431,7 @@
     def _answer_internal_error(
         self, caller: callers.Caller, request: codecs.Request
     ) -> outcomes.Failed:
-        if caller.answer_begun:
+        if caller.answer_started:
             caller.broken = True
         else:
             caller.closing = True
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -64,7 +64,8 @@
 class KeyMirror:
     """Applies the store's keys to the catalog and to listeners.
 
-    :param known: catalog that receives the configuration and the endpoints
+    :param endpoint_catalog: catalog that receives the configuration and the
+        endpoints
     :param listeners: receive the gateways' own keys, by key prefix
     :param gone: called with the id of each endpoint that is removed
     :ivar items: the store's keys as last applied
@@ -74,19 +75,19 @@
     def __init__(
         self,
         decoder: Decoder,
-        known: catalog.Catalog,
+        endpoint_catalog: catalog.Catalog,
         listeners: dict[str, Listener],
         gone: Callable[[str], None],
         clock: clocks.Clock,
     ) -> None:
         self.decoder = decoder
-        self.catalog = known
+        self.catalog = endpoint_catalog
         self.listeners = listeners
         self.gone = gone
         self.clock = clock
         self.items: dict[str, store.Item] = {}
-        self.expired_entries = expiredentries.ExpiredEntries(known)
-        self.stale_entries = staleentries.StaleEntries(known)
+        self.expired_entries = expiredentries.ExpiredEntries(endpoint_catalog)
+        self.stale_entries = staleentries.StaleEntries(endpoint_catalog)
         self.unusable: collections.Counter[str] = collections.Counter()
 
     def replace(self, items: dict[str, store.Item]) -> None:
@@ -183,7 +184,9 @@
                 position=item.position,
             )
 
-    def change(self, changes: tuple[store.Item | store.Removed, ...]) -> None:
+    def apply_changes(
+        self, changes: tuple[store.Item | store.Removed, ...]
+    ) -> None:
         """Apply changes, and start grace periods for removed endpoint entries.
 
         All entries that the changes remove are judged as one group.  An
--- a/magnoliadyke/gateway/keyupdates.py
+++ b/magnoliadyke/gateway/keyupdates.py
@@ -69,8 +69,10 @@
     """Group changes by datagram; with False, a group that exceeds one."""
     ordered = sorted(changes, key=lambda change: change.position)
     group: list[Change] = []
-    for _, same in itertools.groupby(ordered, lambda change: change.position):
-        written = list(same)
+    for _, same_position in itertools.groupby(
+        ordered, lambda change: change.position
+    ):
+        written = list(same_position)
         if group and _size(group) + _size(written) > MAX_CHANGES_BYTES:
             yield tuple(group), True
             group = []
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -183,7 +183,7 @@
                 found.append(f'{member.address}:{member.caller_port}')
         return found
 
-    def peers(self, first: str) -> list[str]:
+    def peer_addresses(self, first: str) -> list[str]:
         """Return the other hosts' addresses; see :class:`follower.Others`."""
         others = [
             member
@@ -214,7 +214,7 @@
         domain = self._domain()
         return not domain or self.own in domain[:WATCHERS]
 
-    def watchers(self) -> list[str]:
+    def watcher_addresses(self) -> list[str]:
         """Return the addresses of this failure domain's other watching hosts.
 
         Empty in a small fleet, where every host watches the store.
--- a/magnoliadyke/gateway/metricscollector.py
+++ b/magnoliadyke/gateway/metricscollector.py
@@ -95,8 +95,10 @@
         gauges.open_requests.set(parts.ingress.open_requests)
         if parts.catalog.configuration is not None:
             gauges.version.set(parts.catalog.configuration.version)
-        if parts.catalog.checked_s is not None:
-            gauges.store_age.set(self.clock.now_s() - parts.catalog.checked_s)
+        if parts.catalog.confirmed_s is not None:
+            gauges.store_age.set(
+                self.clock.now_s() - parts.catalog.confirmed_s
+            )
 
     def _count_engines(self) -> None:
         """Set the number of engines of each service by stage.
--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -111,15 +111,15 @@
     """Parts of a prompt that an engine is estimated to cache.
 
     :param job: id of the job, None if no engine works on it any longer
-    :param read_tokens: tokens that the engine has to prefill, None if it has
-        no prefill of the job to do
+    :param prefill_tokens: tokens that the engine has to prefill, None if it
+        has no prefill of the job to do
     :param answers: whether the job holds a decode slot of the engine
     """
 
     engine: str
     parts: tuple[promptcache.PromptPart, ...]
     job: int | None = None
-    read_tokens: int | None = None
+    prefill_tokens: int | None = None
     answers: bool = False
 
 
@@ -361,7 +361,7 @@
                 prefill=decision.prefill_engine,
                 run=decision.decode_engine,
                 fetch_from=decision.fetch_from,
-                read_tokens=decision.read_tokens,
+                read_tokens=decision.prefill_tokens,
                 expected_us=_to_microseconds(decision.expected_s),
                 tell_end=decision.report_end,
             )
@@ -475,7 +475,7 @@
         contents.engine,
         _encode_parts(contents.parts),
         contents.job,
-        contents.read_tokens,
+        contents.prefill_tokens,
         contents.answers or None,
     )
 
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -128,14 +128,14 @@
         self,
         address: str,
         port: int,
-        known: catalog.Catalog,
+        endpoint_catalog: catalog.Catalog,
         clock: clocks.Clock,
         rng: random.Random,
         link_mbps: float,
     ) -> None:
         self.address = address
         self.port = port
-        self.catalog = known
+        self.catalog = endpoint_catalog
         self.clock = clock
         self.rng = rng
         self.request_timeout_s = request_timeout_s(link_mbps)
@@ -326,7 +326,7 @@
         waits = self.prefill_waits.get(engine, ())
         LOG.event('engine_silent', endpoint=engine, waits=len(waits))
         for limit in waits:
-            limit.end('the engine reads nothing')
+            limit.abort('the engine reads nothing')
 
     def _restore_snapshot(
         self, snapshot: placement_codec.CacheSnapshot
@@ -339,13 +339,13 @@
             engine,
             parts,
             job,
-            read_tokens,
+            prefill_tokens,
             answers,
         ) in snapshot.cache_contents:
             service_placement.restore_cache(engine, parts)
             if job is not None:
                 service_placement.adopt(
-                    job, engine, read_tokens, answers, now_s
+                    job, engine, prefill_tokens, answers, now_s
                 )
 
     def _place(
@@ -540,7 +540,9 @@
                     self.learned_costs[service]
                 )
             pool = pools[service] = _ServicePlacement(service_placement)
-        pool.placement.sharers = 1 if pools is self.served else self.hosts
+        pool.placement.placing_hosts = (
+            1 if pools is self.served else self.hosts
+        )
         if pool.generation != self.catalog.generation:
             pool.generation = self.catalog.generation
             engines = self.catalog.usable(service)
@@ -691,7 +693,9 @@
         def on_timer() -> None:
             pool.timer = None
             timer.close()
-            self._publish(pool, pool.placement.pump(self.clock.now_s()))
+            self._publish(
+                pool, pool.placement.place_queued(self.clock.now_s())
+            )
 
         timer.start(on_timer)
 
--- a/magnoliadyke/gateway/plainexchange.py
+++ b/magnoliadyke/gateway/plainexchange.py
@@ -50,7 +50,7 @@
                     self._log_attempt(reason, 'unknown')
                     status = 504 if timed_out else 502
                     failure = outcomes.Failed(status, reason)
-                    if self.caller.answer_begun or not self.route.repeatable:
+                    if self.caller.answer_started or not self.route.repeatable:
                         return failure
                     if not self._may_retry():
                         return failure
@@ -94,7 +94,7 @@
         balancer = self.parts.balancer
         self.tried.add(endpoint.id)
         self.endpoint = endpoint.id
-        begun_s = self.parts.clock.now_s()
+        started_s = self.parts.clock.now_s()
         balancer.record_sent(endpoint.id)
         try:
             result = self._send_buffered(endpoint, self._attempt_timeout_s())
@@ -104,13 +104,13 @@
         self._record_crash(result, endpoint.id)
         now_s = self.parts.clock.now_s()
         if not isinstance(result, outcomes.NotRun):
-            self._record_start(now_s - begun_s)
+            self._record_start(now_s - started_s)
         match result:
             case outcomes.Whole(facts=facts):
                 failed = facts.status >= 500
-                balancer.record_answer(endpoint.id, now_s - begun_s, failed)
+                balancer.record_answer(endpoint.id, now_s - started_s, failed)
             case outcomes.NotRun(was_received=True):
-                balancer.record_answer(endpoint.id, now_s - begun_s, True)
+                balancer.record_answer(endpoint.id, now_s - started_s, True)
             case _:
                 balancer.record_failure(endpoint.id, now_s)
         return result
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -98,7 +98,7 @@
             match result:
                 case outcomes.Answered() | outcomes.Failed():
                     return result
-                case outcomes.Whole(facts=facts) if self.caller.answer_begun:
+                case outcomes.Whole(facts=facts) if self.caller.answer_started:
                     # An error answer can't be sent in the middle of a stream.
                     reason = f'status {facts.status} on resume'
                     return self._mark_incomplete(outcomes.Failed(502, reason))
@@ -144,7 +144,7 @@
                     reads=decision.prefill_engine or decision.decode_engine,
                     endpoint=decision.decode_engine,
                     fetch_from=decision.fetch_from or 'none',
-                    read_tokens=decision.read_tokens,
+                    read_tokens=decision.prefill_tokens,
                     expected_ms=round(decision.expected_s * 1000),
                 )
             case promptjobs.Refused(_, retry_after_s, reason):
@@ -207,7 +207,7 @@
 
     def _mark_incomplete(self, failure: outcomes.Failed) -> outcomes.Failed:
         """Mark a begun stream to end without its last chunk, as incomplete."""
-        if self.caller.answer_begun:
+        if self.caller.answer_started:
             self.caller.broken = True
         return failure
 
@@ -253,20 +253,20 @@
         | outcomes.Lost
     ):
         self.endpoint = placed.decode_engine
-        source = None
+        kv_source = None
         if placed.prefill_engine is not None:
-            source = self._prefill(job, placed)
-            if isinstance(source, outcomes.NotRun):
+            kv_source = self._prefill(job, placed)
+            if isinstance(kv_source, outcomes.NotRun):
                 self.endpoint = placed.prefill_engine
-                return source
+                return kv_source
         # The engine is looked up after the prefill: one that has announced its
         # stop in the meantime accepts no more work.
         engine = self._find_staying_engine(placed.decode_engine)
-        if engine is None and source is not None:
+        if engine is None and kv_source is not None:
             engine = self._alternative_engine(placed.decode_engine)
         if engine is None:
-            if source is not None:
-                self._release_kv_cache(source)
+            if kv_source is not None:
+                self._release_kv_cache(kv_source)
             return outcomes.NotRun(
                 remoteprefill.ENGINE_LEFT, was_received=False
             )
@@ -275,15 +275,15 @@
             endpoint=engine.name,
             left_s=self.left_s,
             urgent=job.tokens <= placementservice.SHORT_TOKENS,
-            source=source,
-            fetch_from=placed.fetch_from if source is None else None,
+            kv_source=kv_source,
+            fetch_from=placed.fetch_from if kv_source is None else None,
             resume_after=resume_after,
         )
         started = False
         try:
             result = self._stream(engine, options, job)
             started = not isinstance(result, outcomes.NotRun)
-            if not started and source is not None:
+            if not started and kv_source is not None:
                 # The decode engine is full, or the prefilled KV cache is
                 # gone. An engine that prefills the prompt itself can still
                 # answer.
@@ -292,12 +292,12 @@
                 if other is not None:
                     self.endpoint = other.id
                     options = options._replace(
-                        endpoint=other.name, source=None
+                        endpoint=other.name, kv_source=None
                     )
                     result = self._stream(other, options, job)
         finally:
-            if source is not None and not started:
-                self._release_kv_cache(source)
+            if kv_source is not None and not started:
+                self._release_kv_cache(kv_source)
         return result
 
     def _report_rejection(
@@ -405,7 +405,7 @@
         """
         if not self.route.resumable:
             return wait()
-        if self.caller.answer_begun and not self._can_resume():
+        if self.caller.answer_started and not self._can_resume():
             return wait()
         stall_s = max(min_stall_s, self.route.pause_s * STALL_FACTOR)
         with gevent.Timeout(stall_s, http.OutOfTime('the engine is silent')):
@@ -463,7 +463,7 @@
                 continue
             if first:
                 self._record_start()
-            if first and options.source is None:
+            if first and options.kv_source is None:
                 self._report_prefill_done(job, engine)
             elif first and self.prefill_done_s is not None:
                 took_s = self.parts.clock.now_s() - self.prefill_done_s
@@ -483,6 +483,6 @@
         return outcomes.Answered(200, self.endpoint)
 
     def _begin(self, head: http.Head) -> None:
-        if not self.caller.answer_begun:
+        if not self.caller.answer_started:
             headers = self.parts.codec.answer_headers(head)
-            self.caller.begin_stream(head.status, headers)
+            self.caller.start_stream(head.status, headers)
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -150,7 +150,7 @@
             'prompt_read',
             id=self.request.id.decode('latin-1'),
             endpoint=prefill_engine.id,
-            tokens=placed.read_tokens,
+            tokens=placed.prefill_tokens,
             took_ms=round((self.prefill_done_s - sent_s) * 1000),
             expected_ms=round(placed.expected_s * 1000),
         )
@@ -168,12 +168,12 @@
         )
         return outcomes.NotRun(reason, was_received)
 
-    def _release_kv_cache(self, source: str) -> None:
+    def _release_kv_cache(self, kv_source: str) -> None:
         """Release the KV cache of a request that will not be decoded.
 
-        :param source: the KV cache, as :meth:`_prefill` returned it
+        :param kv_source: the KV cache, as :meth:`_prefill` returned it
         """
-        address, _, handle = source.partition('/')
+        address, _, handle = kv_source.partition('/')
         gevent.spawn(self._send_kv_cache_release, address, handle)
 
     def _send_kv_cache_release(self, address: str, handle: str) -> None:
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -84,14 +84,14 @@
         host: str,
         leader: leadership.Leadership,
         placer: placementservice.PlacementService,
-        known: catalog.Catalog,
+        endpoint_catalog: catalog.Catalog,
         control: enginecontrol.EngineControl,
         clock: clocks.Clock,
     ) -> None:
         self.host = host
         self.leadership = leader
         self.placer = placer
-        self.catalog = known
+        self.catalog = endpoint_catalog
         self.control = control
         self.clock = clock
         self.plans: dict[str, stageplan.StagePlan] = {}
@@ -157,7 +157,7 @@
         candidates = self._candidates(change, fleet, now_s)
         if not candidates:
             return BlockedReason.COOLING_DOWN
-        candidates.sort(key=lambda e: placement.load_order(e.id, now_s))
+        candidates.sort(key=lambda e: placement.load_sort_key(e.id, now_s))
         target = catalog.Stage.DECODE
         if change.to_prefill:
             target = catalog.Stage.PREFILL
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -94,10 +94,10 @@
         self.clock = clock
         self.wall = walltime.AdjustedClock(clock.wall_s(), clock.boot_s())
         self.median_clock = walltime.MedianClock(self.wall)
-        self.retained_windows = usage.kept_windows(
+        self.retained_windows = usage.retained_window_count(
             settings.window_s, settings.due_s
         )
-        self.tally = usage.ProcessCounts(
+        self.own_counts = usage.ProcessCounts(
             settings.window_s, self.retained_windows
         )
         self.ledger = usage.Ledger(self.retained_windows)
@@ -135,7 +135,7 @@
         :param ago_s: time since it began, in seconds
         """
         if self.calls is not None:
-            self.tally.record_start(workspace, self.wall_s() - ago_s)
+            self.own_counts.record_start(workspace, self.wall_s() - ago_s)
 
     def _run_send_loop(self) -> None:
         while True:
@@ -145,7 +145,7 @@
     def _send_usage(self) -> None:
         wall_s = self.wall_s()
         own = (self.host, self.incarnation)
-        counted = self._messages(own, self.tally.recent(wall_s), wall_s)
+        counted = self._messages(own, self.own_counts.recent(wall_s), wall_s)
         since = self._window(0.0) - self.retained_windows + 1
         copied = [
             message
@@ -196,7 +196,7 @@
         for window, begun in message.windows.items():
             # Windows of a clock far off would displace other hosts' windows.
             if present - self.retained_windows < window <= present + 1:
-                ledger.record_tally(
+                ledger.record_counts(
                     message.host, message.incarnation, window, begun
                 )
         if not self.placer.leading:
@@ -208,7 +208,7 @@
         corrected_s = self.median_clock.record_peer_time(
             message.host, message.wall_s, now_s
         )
-        self._shift_tally(self.wall_s() - before_s)
+        self._shift_counts(self.wall_s() - before_s)
         return (
             None if corrected_s is None else duty_codec.WallTime(corrected_s)
         )
@@ -219,9 +219,9 @@
             return
         off_s = message.wall_s - self.wall_s()
         self.wall.set(message.wall_s, self.clock.boot_s())
-        self._shift_tally(off_s)
+        self._shift_counts(off_s)
 
-    def _shift_tally(self, by_s: float) -> None:
+    def _shift_counts(self, by_s: float) -> None:
         """Shift the tally's windows after a correction of the time of day.
 
         A correction below the tolerance is ignored.
@@ -231,7 +231,7 @@
         if abs(by_s) < walltime.MAX_OFFSET_S:
             return
         LOG.event('wall_time_corrected', by_ms=round(by_s * 1000))
-        self.tally.shift(by_s)
+        self.own_counts.shift(by_s)
 
     # The store.
 
--- a/magnoliadyke/gateway/waitlimit.py
+++ b/magnoliadyke/gateway/waitlimit.py
@@ -38,7 +38,7 @@
         self.greenlet = None
         self.timeout.close()
 
-    def end(self, reason: str) -> None:
+    def abort(self, reason: str) -> None:
         """Raise the error in the block now, if it is still running.
 
         The event loop raises it. The greenlet of the block does not run at
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -249,7 +249,7 @@
             case HoldTable():
                 self.hold_table(message, now_s)
             case StoreConfirmed():
-                self.membership.freshness.store_confirmed(*message)
+                self.membership.freshness.record_store_confirmation(*message)
                 self.publish(now_s)
             case OwnState():
                 self.take_own_state(message)
--- a/magnoliadyke/keyvalue.py
+++ b/magnoliadyke/keyvalue.py
@@ -478,7 +478,7 @@
     ):
         """Count and make one exchange; errors become typed outcomes."""
         match self.budget.try_acquire(self.kind, self.clock.now_s()):
-            case budgets.Later(after_s):
+            case budgets.RetryLater(after_s):
                 self.failures['held_back'] += 1
                 return RateLimited(after_s)
         self.counts[kind] += 1
@@ -498,9 +498,11 @@
         self.health.failing_since_s = None
         if answer.status == STATUS_RATE_LIMITED:
             self.failures['rate_limited'] += 1
-            self.budget.throttled(self.kind, now_s, DEFAULT_RETRY_AFTER_S)
+            self.budget.record_throttling(
+                self.kind, now_s, DEFAULT_RETRY_AFTER_S
+            )
             return RateLimited()
-        self.budget.succeeded(self.kind, now_s)
+        self.budget.record_success(self.kind, now_s)
         return answer
 
     def failed(self, connection, kind, method, error):
@@ -514,7 +516,7 @@
         self.failures[kind] += 1
         if self.health.failing_since_s is None:
             self.health.failing_since_s = now_s
-        self.budget.failed(self.kind, now_s)
+        self.budget.record_failure(self.kind, now_s)
         self.drop_idle()
         if isinstance(error, TimeoutError):
             self.end_watches()
--- a/magnoliadyke/lab/platformendpoint.py
+++ b/magnoliadyke/lab/platformendpoint.py
@@ -153,7 +153,7 @@
     ) -> bool:
         head, body = httpstandin.read_request(reader)
         headers = {k.lower(): v for k, v in head.headers}
-        caller.answer_begun = False
+        caller.answer_started = False
         if head.target.startswith(b'/api/'):
             return self._control(caller, head, body)
         arrival = Arrival(
@@ -333,7 +333,7 @@
             *self._word(arrival),
             *seal,
         ]
-        caller.begin_stream(200, headers)
+        caller.start_stream(200, headers)
         for number in range(first, self.events + 1):
             if self.mode == 'cut' and number > self.cut_after:
                 arrival.broke = True
--- a/magnoliadyke/platform/codec.py
+++ b/magnoliadyke/platform/codec.py
@@ -144,8 +144,8 @@
     ) -> http.Headers:
         """Return the headers of a request that an endpoint runs."""
         headers = self._headers(request, options)
-        if options.source is not None:
-            headers.append((SOURCE, options.source.encode()))
+        if options.kv_source is not None:
+            headers.append((SOURCE, options.kv_source.encode()))
         if options.resume_after is not None:
             headers = [h for h in headers if h[0].lower() != b'last-event-id']
             headers.append((LAST_EVENT, options.resume_after))
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -271,14 +271,14 @@
         asked = self.settings.duties
         names = () if asked is None else asked.names
         calls = None if asked is None else cloud.PlatformCalls(asked.address)
-        windows = DEFAULT_USAGE_WINDOWS
+        usage_settings = DEFAULT_USAGE_WINDOWS
         if asked is not None:
-            windows = usageduty.UsageSettings(
+            usage_settings = usageduty.UsageSettings(
                 asked.usage_window_s, asked.usage_due_s
             )
         usage = usageduty.UsageDuty(
             (self.own.host, self.own.incarnation),
-            windows,
+            usage_settings,
             self.leadership,
             self.members,
             self.placer,
@@ -359,7 +359,7 @@
             self.budgets.set_hosts(hosts)
             self.placer.hosts = hosts
             self.upstream.trim()
-            self.balancer.forget(set(self.catalog.endpoints))
+            self.balancer.drop_unlisted(set(self.catalog.endpoints))
             if ticks % 10 == 0:
                 self.metrics.log()
 
--- a/magnoliadyke/platform/records.py
+++ b/magnoliadyke/platform/records.py
@@ -165,7 +165,7 @@
         cache_tokens=fields.read_number(found, 'kv_tokens', 1),
         bytes_per_token=fields.read_number(found, 'token_kv_bytes', 0, 0.0),
         link_bits_s=fields.read_number(found, 'link_mbps', 0, 0.0) * 1e6,
-        handle_s=fields.read_number(found, 'kv_hold_s', 0, 1.0),
+        handle_ttl_s=fields.read_number(found, 'kv_hold_s', 0, 1.0),
         stage_change_s=fields.read_number(found, 'stage_switch_s', 0, 1.0),
     )
 
@@ -178,7 +178,7 @@
         fields.read_integer(found, 'max_body_bytes', 0, 0)
         or default.body_bytes,
         fields.read_number(found, 'header_timeout_ms', 0, 0) / 1000
-        or default.header_s,
+        or default.header_timeout_s,
         fields.read_number(found, 'idle_timeout_ms', 0, 0) / 1000
         or default.idle_timeout_s,
     )
@@ -226,7 +226,7 @@
         slots=fields.read_integer(found, 'slots', 1),
         leaving=state != STATE_READY,
         stage=STAGES.get(stage, catalog.Stage.NONE),
-        published=name if started_ms else '',
+        published_name=name if started_ms else '',
         started_ms=started_ms,
         reclaimable=fields.read_bool(found, 'spot'),
     )
--- a/magnoliadyke/platform/store.py
+++ b/magnoliadyke/platform/store.py
@@ -369,9 +369,9 @@
 def _unavailable(reply: _Reply) -> store.Unavailable:
     # Calls with status 429 or 503 were not applied.  After any other status
     # the call may have been applied.
-    done_nothing = reply.status in (STATUS_RATE_LIMITED, STATUS_UNAVAILABLE)
+    was_not_applied = reply.status in (STATUS_RATE_LIMITED, STATUS_UNAVAILABLE)
     return store.Unavailable(
-        f'status {reply.status}', maybe_applied=not done_nothing
+        f'status {reply.status}', maybe_applied=not was_not_applied
     )
 
 
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -511,32 +511,38 @@
         """Tell the lease what the store answered."""
         match answer.outcome:
             case keyvalue.Stored(revision):
-                self.lease.written(now_s, revision)
+                self.lease.record_written(now_s, revision)
             case keyvalue.Found(value=text, revision=revision):
-                self.lease.read(now_s, revision, text)
+                self.lease.record_read(now_s, revision, text)
             case keyvalue.Absent():
-                self.lease.read(now_s, 0, None)
+                self.lease.record_read(now_s, 0, None)
             case keyvalue.Conflict(revision, value):
-                self.lease.write_refused(now_s, revision, value)
+                self.lease.record_write_refusal(now_s, revision, value)
             case _ if isinstance(answer.action, leases.ReadLease):
-                self.lease.read_failed(now_s)
+                self.lease.record_read_failure(now_s)
             case _:
-                self.lease.write_unknown(now_s)
+                self.lease.record_write_unknown(now_s)
 
     def take_intent_answer(self, answer, now_s):
         """Tell the engine's commands what the store answered."""
         engine = self.engines[answer.engine]
         match answer.outcome:
             case keyvalue.Stored(revision):
-                actions = engine.commands.intent_written(now_s, revision)
+                actions = engine.commands.record_intent_written(
+                    now_s, revision
+                )
             case keyvalue.Found(value=text, revision=revision):
-                actions = engine.commands.intent_read(now_s, revision, text)
+                actions = engine.commands.record_intent_read(
+                    now_s, revision, text
+                )
             case keyvalue.Conflict(revision, value):
-                actions = engine.commands.intent_read(now_s, revision, value)
+                actions = engine.commands.record_intent_read(
+                    now_s, revision, value
+                )
             case keyvalue.Absent():
-                actions = engine.commands.intent_read(now_s, 0, None)
+                actions = engine.commands.record_intent_read(now_s, 0, None)
             case _:
-                actions = engine.commands.intent_failed(now_s)
+                actions = engine.commands.record_intent_failure(now_s)
         self.act_all(engine, actions, now_s)
 
     def take_state_answer(self, answer, now_s):
@@ -544,9 +550,9 @@
         engine = self.engines[answer.engine]
         engine.take_reading(answer.reading, now_s)
         if answer.reading is None:
-            actions = engine.commands.state_failed(now_s)
+            actions = engine.commands.record_state_failure(now_s)
         else:
-            actions = engine.commands.state_read(now_s, answer.reading.state)
+            actions = engine.commands.record_state(now_s, answer.reading.state)
         self.act_all(engine, actions, now_s)
 
     def take_command_answer(self, answer, now_s):
@@ -554,11 +560,11 @@
         engine = self.engines[answer.engine]
         match answer.verdict:
             case enginecontrol.Verdict(code, highest):
-                actions = engine.commands.command_answered(
+                actions = engine.commands.record_command_answer(
                     now_s, code, highest
                 )
             case _:
-                actions = engine.commands.command_unknown(now_s)
+                actions = engine.commands.record_command_unknown(now_s)
         self.act_all(engine, actions, now_s)
 
     def act_all(self, engine, actions, now_s):
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -165,7 +165,7 @@
             return records.KEY_REUSED
         events = streams.model_events(outcome)
         label = (self.key, 'kept')
-        self.assembly.begin(label)
+        self.assembly.start_attempt(label)
         rest = attempts.events_from(events, self.assembly.offset)
         self.append(self.assembly.feed(label, rest))
         return outcome
@@ -212,7 +212,7 @@
         """Pass events on; return whether the finish mark came."""
         self.connections = home
         label = (self.key, id(reply.connection))
-        self.assembly.begin(label)
+        self.assembly.start_attempt(label)
         try:
             pump = pumps.Pump(self, reply.connection, label)
             return pump.run(reply.first)
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -348,7 +348,7 @@
         """Read a stream; return whether it came to its finish mark."""
         self.connection = reply.connection
         label = (self.attempt_id, id(reply.connection))
-        self.assembly.begin(label)
+        self.assembly.start_attempt(label)
         pump = pumps.Pump(self, reply.connection, label)
         whole = False
         try:
--- a/tests/onekey.py
+++ b/tests/onekey.py
@@ -25,16 +25,16 @@
     match action:
         case leases.ReadLease():
             if lost:
-                lease.read_failed(now_s)
+                lease.record_read_failure(now_s)
             else:
-                lease.read(now_s, store.revision, store.text)
+                lease.record_read(now_s, store.revision, store.text)
         case leases.WriteLease(value, if_revision):
             taken = lost != 'request' and store.write(
                 value.dump(), if_revision
             )
             if lost:
-                lease.write_unknown(now_s)
+                lease.record_write_unknown(now_s)
             elif taken:
-                lease.written(now_s, store.revision)
+                lease.record_written(now_s, store.revision)
             else:
-                lease.write_refused(now_s, store.revision, store.text)
+                lease.record_write_refusal(now_s, store.revision, store.text)
--- a/tests/promptload.py
+++ b/tests/promptload.py
@@ -17,7 +17,7 @@
     cache_tokens=1_000_000,
     bytes_per_token=160_000.0,
     link_bits_s=1e13,
-    handle_s=5.0,
+    handle_ttl_s=5.0,
     stage_change_s=3.0,
 )
 TOKENS_S = 400_000.0
@@ -130,7 +130,7 @@
 
     def wake(self):
         self.waking = False
-        self.take(self.core.pump(self.now_s))
+        self.take(self.core.place_queued(self.now_s))
 
     def read(self, number, engine_id):
         self.done.setdefault(number, self.now_s)
@@ -155,7 +155,7 @@
         if placed.prefill_engine is None:
             rate /= 2
         start_s = max(self.free_s.get(reader, 0.0), self.now_s + HOP_S)
-        ends_s = start_s + placed.read_tokens / rate
+        ends_s = start_s + placed.prefill_tokens / rate
         self.free_s[reader] = ends_s
         self.at(ends_s + LATENCY_S + 2 * HOP_S, 'read', number, reader)
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -40,7 +40,7 @@
 def test_any_cut_of_the_stream_gives_the_same_answer(count, size, cuts):
     data = b': hello\n\n'.join(answer(count * size, size)) + attempts.DONE
     assembly = attempts.Assembly()
-    assembly.begin('a')
+    assembly.start_attempt('a')
     taken = []
     for cut in [*cuts, len(data)]:
         taken.append(assembly.feed('a', data[:cut]))
@@ -58,9 +58,9 @@
     """
     events = answer(3)
     assembly = attempts.Assembly()
-    assembly.begin('first')
+    assembly.start_attempt('first')
     assembly.feed('first', events[0])
-    assembly.begin('second')
+    assembly.start_attempt('second')
     assert assembly.feed('second', events[1]) == events[1]
     assert assembly.feed('first', events[1]) == b''
     assert assembly.offset == 2
@@ -71,7 +71,7 @@
         events = answer(3)
         del events[missing]
         assembly = attempts.Assembly()
-        assembly.begin('a')
+        assembly.start_attempt('a')
         assembly.feed('a', b''.join(events))
         assert assembly.gap
         assert assembly.finished is None
@@ -82,9 +82,9 @@
 def test_a_resume_from_any_offset_neither_doubles_nor_loses(got, asked):
     events = answer(6)
     assembly = attempts.Assembly()
-    assembly.begin('a')
+    assembly.start_attempt('a')
     taken = assembly.feed('a', b''.join(events[:got]))
-    assembly.begin('b')
+    assembly.start_attempt('b')
     rest = attempts.events_from(b''.join(events), min(got, asked))
     taken += assembly.feed('b', rest)
     assert taken == b''.join(events)
@@ -92,7 +92,7 @@
 
 def test_an_error_event_is_kept_and_not_passed_on():
     assembly = attempts.Assembly()
-    assembly.begin('a')
+    assembly.start_attempt('a')
     data = b'event: error\ndata: {"error": {"type": "unknown"}}\n\n'
     assert assembly.feed('a', data) == b''
     assert assembly.error == {'type': 'unknown'}
@@ -118,7 +118,7 @@
     # further on than it is, and its next event is dropped as one that came
     # before. So only the engine's own count is used.
     assembly = attempts.Assembly()
-    assembly.begin('attempt')
+    assembly.start_attempt('attempt')
     events = [
         event_at(0, 'in the end', tokens=1),
         event_at(1, 'ofit', tokens=2),
@@ -132,7 +132,7 @@
 
 def test_an_event_without_an_end_is_one_token():
     assembly = attempts.Assembly()
-    assembly.begin('attempt')
+    assembly.start_attempt('attempt')
     event = event_at(0, 'some words here').replace(b'"end":1,', b'')
     assert assembly.feed('attempt', event) == event
     assert assembly.offset == 1
--- a/tests/test_autoscaler.py
+++ b/tests/test_autoscaler.py
@@ -24,12 +24,12 @@
         self.now_s = 0.0
         self.least = sum(on_demand.values())
 
-    def run(self, wanted, for_s):
+    def run(self, required_count, for_s):
         until_s = self.now_s + for_s
         while self.now_s < until_s:
             self._carry_out()
             orders = self.plan.decide(
-                self.limits, self.present, wanted, self.now_s
+                self.limits, self.present, required_count, self.now_s
             )
             for order in orders:
                 self._take(order)
@@ -144,7 +144,7 @@
     strategies.sets(strategies.sampled_from('abcd')),
 )
 def test_plan_settles_within_the_limits(
-    on_demand, wanted, max_endpoints, share, scarce
+    on_demand, required_count, max_endpoints, share, scarce
 ):
     limits = LIMITS._replace(
         max_endpoints=max_endpoints, reclaimable_price=share
@@ -152,11 +152,11 @@
     present = {d: min(n, max_endpoints) for d, n in on_demand.items()}
     platform = Platform(limits, **present)
     platform.scarce = scarce
-    platform.run(wanted, 60.0)
+    platform.run(required_count, 60.0)
     settled = len(platform.orders)
-    platform.run(wanted, 30.0)
+    platform.run(required_count, 30.0)
     assert len(platform.orders) == settled
     for there in platform.present.values():
         assert sum(there) <= max_endpoints
     total = sum(sum(each) for each in platform.present.values())
-    assert total >= min(wanted, max_endpoints * len(PRICES))
+    assert total >= min(required_count, max_endpoints * len(PRICES))
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -77,5 +77,5 @@
 def test_gone_endpoints_are_forgotten():
     made = balancer()
     chosen(made, [endpoint('near')], times=1)
-    made.forget(set())
+    made.drop_unlisted(set())
     assert not made.stats_by_id
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -42,8 +42,8 @@
 def test_pauses_grow_but_leases_are_never_held_up_for_long():
     one = a_budget()
     for _ in range(10):
-        one.failed(READ, 0.0)
-        one.failed(LEASE, 0.0)
+        one.record_failure(READ, 0.0)
+        one.record_failure(LEASE, 0.0)
     assert one.try_acquire(READ, 0.0).after_s > SETTINGS.max_backoff_s / 2
     assert one.try_acquire(LEASE, 0.0).after_s < 0.5
 
@@ -57,9 +57,9 @@
     starts = []
     for seed in range(420):
         one = a_budget(seed)
-        one.failed(LEASE, 0.0)
-        one.failed(WATCH, 0.0)
-        one.succeeded(LEASE, 1.0)
+        one.record_failure(LEASE, 0.0)
+        one.record_failure(WATCH, 0.0)
+        one.record_success(LEASE, 1.0)
         answer = one.try_acquire(WATCH, 1.0)
         starts.append(getattr(answer, 'after_s', 0.0))
     for quarter in range(4):
@@ -71,9 +71,9 @@
 
 def test_refusal_for_the_rate_halves_it():
     one = a_budget()
-    one.throttled(READ, 0.0, retry_after_s=3.0)
+    one.record_throttling(READ, 0.0, retry_after_s=3.0)
     assert one.rate_s == SETTINGS.rate_s / 2
     assert one.try_acquire(READ, 0.0).after_s >= 3.0
     for _ in range(20):
-        one.succeeded(READ, 4.0)
+        one.record_success(READ, 4.0)
     assert one.rate_s == SETTINGS.rate_s
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -105,7 +105,7 @@
                 if self.may_send(action, now_s) and lost != 'request':
                     self.deliver(action.command, now_s, lost)
                 else:
-                    self.commands.command_unknown(now_s)
+                    self.commands.record_command_unknown(now_s)
 
     def call_lease(self, action, now_s, lost):
         if self.world.outage:
@@ -116,25 +116,27 @@
     def call_intent(self, action, now_s, lost):
         key = self.world.intent_key
         if lost == 'request' or self.world.outage:
-            self.commands.intent_failed(now_s)
+            self.commands.record_intent_failure(now_s)
             return
         taken = False
         if isinstance(action, commands.WriteIntent):
             taken = key.write(action.intent.dump(), action.if_revision)
         if lost:
-            self.commands.intent_failed(now_s)
+            self.commands.record_intent_failure(now_s)
         elif taken:
-            self.commands.intent_written(now_s, key.revision)
+            self.commands.record_intent_written(now_s, key.revision)
         else:
-            actions = self.commands.intent_read(now_s, key.revision, key.text)
+            actions = self.commands.record_intent_read(
+                now_s, key.revision, key.text
+            )
             self.take(actions, now_s)
 
     def read_state(self, now_s, lost):
         if lost:
-            self.commands.state_failed(now_s)
+            self.commands.record_state_failure(now_s)
         else:
             state = self.world.engine.state(now_s)
-            self.take(self.commands.state_read(now_s, state), now_s)
+            self.take(self.commands.record_state(now_s, state), now_s)
 
     def may_send(self, action, now_s):
         return now_s < action.deadline_s and self.commands.may_send(
@@ -145,9 +147,9 @@
         code = self.world.engine.command(command, now_s)
         highest = self.world.engine.highest
         if lost:
-            self.commands.command_unknown(now_s)
+            self.commands.record_command_unknown(now_s)
         else:
-            actions = self.commands.command_answered(now_s, code, highest)
+            actions = self.commands.record_command_answer(now_s, code, highest)
             self.take(actions, now_s)
 
 
@@ -262,7 +264,7 @@
     world.run(7.0, hosts=[1])
     taken_s = world.holders[1].lease.authority.since_s
     assert world.holders[1].commands.state is not None
-    early_s = taken_s + SETTINGS.life_s
+    early_s = taken_s + SETTINGS.command_lifetime_s
     fresh = commands.EngineCommands('e1', False, SETTINGS)
     authority = world.holders[1].lease.authority
     assert fresh.tick(early_s, authority) == []
@@ -282,7 +284,7 @@
     assert not holder.commands.may_send(now_s, None)
     later = held._replace(fencing=held.fencing + 1)
     assert not holder.commands.may_send(now_s, later)
-    end_s = held.until_s - SETTINGS.life_s
+    end_s = held.until_s - SETTINGS.command_lifetime_s
     assert not holder.commands.may_send(end_s, held)
 
 
@@ -297,7 +299,7 @@
     after = leases.Authority(3, 20.0, 25.0)
     assert engine.tick(2.0, before) == [commands.ReadIntent()]
     assert engine.tick(22.0, after) == []
-    engine.intent_read(22.0, 1, commands.Intent(1, 1, PREFILL).dump())
+    engine.record_intent_read(22.0, 1, commands.Intent(1, 1, PREFILL).dump())
     assert engine.tick(22.1, after) == [commands.ReadIntent()]
 
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -17,10 +17,10 @@
         model.observe_prefill('prefill', tokens, tokens * 0.0005 * noise)
         streams = rng.randrange(1, 64)
         pace_s = (0.01 + 0.001 * streams) * noise
-        model.observe_pace(streams, 100, 100 * pace_s)
+        model.observe_decode_steps(streams, 100, 100 * pace_s)
     assert model.prefill.ratio == pytest.approx(0.0005, rel=0.1)
-    assert model.pace.base == pytest.approx(0.01, rel=0.2)
-    assert model.pace.slope == pytest.approx(0.001, rel=0.1)
+    assert model.decode_step.base == pytest.approx(0.01, rel=0.2)
+    assert model.decode_step.slope == pytest.approx(0.001, rel=0.1)
 
 
 def test_prompts_of_other_nodes_are_not_taken_for_cost():
@@ -41,9 +41,9 @@
     # base against slope; the prior has to keep them apart.
     model = costs.CostModel()
     for _ in range(10_000):
-        model.observe_pace(30, 100, 100 * 0.032)
-    assert model.pace.at(30) == pytest.approx(0.032, rel=0.01)
-    assert model.pace.base == pytest.approx(0.02, rel=0.1)
+        model.observe_decode_steps(30, 100, 100 * 0.032)
+    assert model.decode_step.at(30) == pytest.approx(0.032, rel=0.01)
+    assert model.decode_step.base == pytest.approx(0.02, rel=0.1)
 
 
 def test_streams_within_an_objective():
@@ -70,7 +70,7 @@
     # step is long whatever the streams, the slope is 0, and each decision
     # of the scheduler ended in a division by it.
     model = costs.CostModel()
-    model.pace.base = 0.5
-    model.pace.slope = 0.0
+    model.decode_step.base = 0.5
+    model.decode_step.slope = 0.0
     assert model.streams_within(0.07) == 1
     assert model.streams_within(0.6) == 64
--- a/tests/test_decoders.py
+++ b/tests/test_decoders.py
@@ -84,7 +84,7 @@
 @given(st.lists(st.binary(max_size=40), max_size=10))
 def test_event_streams_that_are_none(pieces):
     assembly = attempts.Assembly()
-    assembly.begin('attempt')
+    assembly.start_attempt('attempt')
     for piece in pieces:
         try:
             assembly.feed('attempt', piece)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -81,7 +81,9 @@
             if host in self.reaches_store:
                 node = self.nodes[host]
                 node.hold(self.table, self.staged)
-                node.rule.store_confirmed(self.now_s, self.table, self.staged)
+                node.rule.record_store_confirmation(
+                    self.now_s, self.table, self.staged
+                )
         for host, peer in itertools.permutations(up, 2):
             if self.group[host] == self.group[peer]:
                 self.answer(self.nodes[host], self.nodes[peer])
@@ -293,7 +295,7 @@
     """A restored store would start a node with a table long replaced."""
     rule = freshness.Freshness('h0', 1, DALA, SETTINGS, 0.0)
     rule.set_held_revisions(3, 3)
-    rule.store_confirmed(0.1, 3, 3)
+    rule.record_store_confirmation(0.1, 3, 3)
     assert rule.is_fresh(0.2)
     assert not rule.takes_work(0.2)
     assert rule.takes_work(1.0)
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -481,6 +481,6 @@
     other = second.usage
     other.key = None
     other.reports = usage.Reports(other.retained_windows)
-    other.ledger.record_tally('front-9', 1, window, {'small': 99})
+    other.ledger.record_counts('front-9', 1, window, {'small': 99})
     assert not other._finalize(window)
     assert other.reports.fixed[window] == fixed
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -284,7 +284,7 @@
     former = engine.endpoint.id
     parts = (promptcache.PromptPart(1, 4000),)
     core.restore_cache(former, parts)
-    core.answers.hold(7, former, 100, 0.0)
+    core.answers.reserve_slot(7, former, 100, 0.0)
     engine.failures = 5
     core.pool.cool_down(former, node.clock.now_s() + 60.0)
     reborn(world, 'd1', BORN_MS + 5000)
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -613,9 +613,9 @@
     gatewayworld.wait_for(
         lambda: len(node.catalog.endpoints) == 2, 'both engines'
     )
-    node.placer._pool(node.placer.served, 'model').placement.answers.hold(
-        99, 'd1', 100, node.clock.now_s()
-    )
+    node.placer._pool(
+        node.placer.served, 'model'
+    ).placement.answers.reserve_slot(99, 'd1', 100, node.clock.now_s())
     headers = PROMPT | {'X_Deadline_Ms': '2000'}
     client.request('POST', '/chat/1', 'r1', b'text', **headers)
     gatewayworld.wait_for(lambda: silent.arrivals, 'the prompt')
@@ -696,7 +696,7 @@
     node.placer.leading = False
     node.placer.leader = None
     core = node.placer._pool(node.placer.local, 'model').placement
-    core.answers.hold(99, 'e2', 100, node.clock.now_s())
+    core.answers.reserve_slot(99, 'e2', 100, node.clock.now_s())
     assert run(world, '/chat/1', 'POST', b'x', **PROMPT)[0].status == 200
     assert len(reader.arrivals) == 1
     assert b'x-kv-source' in runner.runs[0].headers
@@ -722,7 +722,7 @@
     for node in world.nodes:
         for pools in (node.placer.served, node.placer.local):
             core = node.placer._pool(pools, 'model').placement
-            core.answers.hold(99, 'e2', 100, node.clock.now_s())
+            core.answers.reserve_slot(99, 'e2', 100, node.clock.now_s())
     model = leader.placer.served['model'].placement.pool.engines['e1']
     client = gatewayworld.Client(other)
     client.request('POST', '/chat/1', 'r1', b'text', **PROMPT)
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -203,7 +203,8 @@
         lambda: world.endpoints['p0'].stage == 'decode', 'the change'
     )
     gatewayworld.wait_for(
-        lambda: served(node).placement.pool.has_open(), 'the engine as known'
+        lambda: served(node).placement.pool.has_open_engine(),
+        'the engine as known',
     )
     head, _ = client.call('POST', '/chat/a', 'r2', b'x', **LONG)
     assert head.status == 200
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -213,7 +213,7 @@
     stopping = Stopping(world)
 
     def serve(one):
-        one.caller.answer_begun = True
+        one.caller.answer_started = True
         gevent.sleep(gatewayworld.WAIT_S)
 
     monkeypatch.setattr(plainexchange.PlainExchange, '_serve', serve)
--- a/tests/test_inflightjobs.py
+++ b/tests/test_inflightjobs.py
@@ -122,7 +122,7 @@
     first = job(7)
     first.objective_s, first.deadline_s = 10.5, 12.0
     (decision,) = core.submit(first, 10.0)
-    core.answers.hold(7, decision.decode_engine, 200, 10.0)
+    core.answers.reserve_slot(7, decision.decode_engine, 200, 10.0)
     before_s = core.answers.output_s
     core.release_job(7, 10.1)
     engines = core.pool.engines.values()
--- a/tests/test_lab_platformday.py
+++ b/tests/test_lab_platformday.py
@@ -252,7 +252,7 @@
     tell = exchange.Exchange._respond
 
     def hide(self, outcome):
-        if isinstance(outcome, outcomes.Failed) and self.caller.answer_begun:
+        if isinstance(outcome, outcomes.Failed) and self.caller.answer_started:
             self.caller.broken = False
             self.caller.end_stream()
         return tell(self, outcome)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -52,7 +52,7 @@
         for endpoint, pace_s in zip(endpoints, paces_s, strict=True):
             run = make_run()
             run.join_stream(endpoint, 0.0)
-            run.begin_stream(0.0)
+            run.start_stream(0.0)
             run.first_token_s = 1.0
             result = jobs.Finished(1000, 101, 0)
             learner.record_finish(run, result, 1.0 + 100 * pace_s)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -64,7 +64,7 @@
     run(one, store, 0.0, 5.5)
     (renewal,) = one.tick(5.7, True, 0)
     store.write(renewal.value.dump(), renewal.if_revision)
-    one.written(5.7 + reply_after_s, store.revision)
+    one.record_written(5.7 + reply_after_s, store.revision)
     assert one.held(5.7 + reply_after_s) is not None
     slowest = 1 - 0.08
     takeover_s = taken_over_s(two, store, 5.7)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -218,7 +218,7 @@
     network.run(6.0)
     assert network.nodes[0].view().members['h4'].takes_work is False
     for node in network.nodes.values():
-        node.freshness.store_confirmed(network.now_s, 1, 1)
+        node.freshness.record_store_confirmation(network.now_s, 1, 1)
     network.run(0.5)
     network.nodes[0].survey(network.now_s)
     assert network.nodes[4].own.takes_work
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -62,7 +62,7 @@
     read = result.in_time + result.late
     assert result.in_time >= 0.8 * read
     tokens = sum(
-        play.placed[n].read_tokens
+        play.placed[n].prefill_tokens
         for n in play.placed
         if play.placed[n].prefill_engine
     )
@@ -96,7 +96,7 @@
     play = promptload.Play([80] * 6, subjects=40)
     play.run()
     own = 2900 * len(play.placed)
-    read = sum(each.read_tokens for each in play.placed.values())
+    read = sum(each.prefill_tokens for each in play.placed.values())
     shared_once = 4 * 2500 + 40 * 3800
     asked = sum(play.jobs[n].tokens for n in play.placed)
     again = read - own - shared_once
@@ -240,7 +240,7 @@
     """The host that was given a place dies; its report never comes."""
     made = core(promptload.fleet(1, 1))
     made.submit(job(1, [*LONG, part(5, 2900)]), 0.0)
-    made.pump(5.0)
+    made.place_queued(5.0)
     for engine in made.pool.engines.values():
         engine.expire(5.0)
         assert not engine.pending_prefills
@@ -250,7 +250,7 @@
     made = core(promptload.fleet(1, 1))
     made.submit(job(1, [part(7, 50)], output_tokens=100), 0.0)
     assert made.answers.runs
-    made.pump(longanswers.RUN_LOST_S + 1)
+    made.place_queued(longanswers.RUN_LOST_S + 1)
     assert not made.answers.runs
 
 
@@ -437,7 +437,7 @@
     assert refused
     assert {each.reason for each in refused} == {'no slot in time'}
     for tenth in range(60):
-        made.pump(tenth / 10)
+        made.place_queued(tenth / 10)
     assert not len(made.answers.waiting)
 
 
@@ -522,8 +522,8 @@
     made.record_failure(1, 'd0', 0.01)
     again = job(2, [part(1, 300)], 0.0, avoid=(placed.decode_engine,))
     assert made.submit(again, 0.012) == []
-    assert made.pump(0.3) == []
-    (placed,) = made.pump(0.01 + enginepool.COOLDOWN_S)
+    assert made.place_queued(0.3) == []
+    (placed,) = made.place_queued(0.01 + enginepool.COOLDOWN_S)
     assert (placed.job, placed.decode_engine) == (2, 'd0')
 
 
@@ -600,7 +600,7 @@
     """
     made = core(many_engines(45, 25))
     for number in range(45):
-        made.answers.hold(1000 + number, f'd{number}', 100, 0.0)
+        made.answers.reserve_slot(1000 + number, f'd{number}', 100, 0.0)
     placed = []
     for number in range(25):
         parts = [part(2 * number, 6300), part(2 * number + 1, 2900)]
@@ -617,7 +617,7 @@
     of the answer says that the other one has room now.
     """
     made = core(many_engines(1, 1))
-    made.answers.hold(1000, 'd0', 10, 0.0)
+    made.answers.reserve_slot(1000, 'd0', 10, 0.0)
     for number in range(1, 20):
         fields = {'objective_s': 3.0, 'deadline_s': 9.0}
         made.submit(job(number, [part(number, 9200)], **fields), 0.0)
@@ -658,7 +658,7 @@
     """Give the engine p0 prompts; the others answer long, and can't read."""
     for number, engine_id in enumerate(made.pool.engines):
         if engine_id != 'p0':
-            made.answers.hold(-1 - number, engine_id, 100, now_s)
+            made.answers.reserve_slot(-1 - number, engine_id, 100, now_s)
     fields = {'objective_s': 9.0, 'deadline_s': 20.0}
     for number in numbers:
         made.submit(job(number, [part(number, 9200)], **fields), now_s)
@@ -810,7 +810,7 @@
     and take longer than the second prompt waits for the first.
     """
     made = core(promptload.fleet(2, 1))
-    made.answers.hold(99, 'd0', 100, 0.0)
+    made.answers.reserve_slot(99, 'd0', 100, 0.0)
     shared = part(1, 30_000)
     fields = {'objective_s': 2.0, 'deadline_s': 9.0}
     (first,) = made.submit(job(1, [shared, part(2, 2000)], **fields), 0.0)
@@ -818,34 +818,34 @@
     assert made.is_waiting(2)
     (second,) = [
         *made.record_prefill_done(1, first.prefill_engine, 0.13),
-        *made.pump(0.25),
+        *made.place_queued(0.25),
     ]
-    assert second.read_tokens == 2000
+    assert second.prefill_tokens == 2000
 
 
 def test_prompt_does_not_wait_for_parts_that_never_come():
     """The engine that was to read them fails; the other one reads all."""
     made = core(promptload.fleet(2, 1))
-    made.answers.hold(99, 'd0', 100, 0.0)
+    made.answers.reserve_slot(99, 'd0', 100, 0.0)
     shared = part(1, 30_000)
     fields = {'objective_s': 2.0, 'deadline_s': 9.0}
     (first,) = made.submit(job(1, [shared, part(2, 2000)], **fields), 0.0)
     made.submit(job(2, [shared, part(3, 2000)], **fields), 0.08)
     made.record_failure(1, first.prefill_engine, 0.1)
-    placed = made.pump(0.25)
+    placed = made.place_queued(0.25)
     assert [each.job for each in placed] == [2]
 
 
 def test_caller_that_leaves_while_its_prompt_waits_for_parts_is_forgotten():
     made = core(promptload.fleet(2, 1))
-    made.answers.hold(99, 'd0', 100, 0.0)
+    made.answers.reserve_slot(99, 'd0', 100, 0.0)
     shared = part(1, 30_000)
     fields = {'objective_s': 2.0, 'deadline_s': 9.0}
     made.submit(job(1, [shared, part(2, 2000)], **fields), 0.0)
     made.submit(job(2, [shared, part(3, 2000)], **fields), 0.08)
     made.withdraw(2, 0.1)
     assert not made.is_waiting(2)
-    assert made.pump(0.5) == []
+    assert made.place_queued(0.5) == []
 
 
 def test_engine_that_is_left_alone_reads_beside_its_long_answers():
@@ -858,7 +858,7 @@
     """
     left = promptload.engine('d0', catalog.Stage.DECODE)
     play = promptload.Play([20] * 10, [left])
-    play.core.answers.hold(10_000, 'd0', 100, 0.0)
+    play.core.answers.reserve_slot(10_000, 'd0', 100, 0.0)
     result = play.run()
     assert result.in_time >= 0.9 * result.asked
 
@@ -878,7 +878,7 @@
     waiting = len(made.on_time)
     assert waiting
     made.set_engines([promptload.engine('p0')])
-    told = made.pump(1.0)
+    told = made.place_queued(1.0)
     assert len(told) == waiting
     told += made.submit(job(100, [part(100, 9200)], 1.0, **fields), 1.0)
     told += made.submit(job(101, [part(101, 50)], 1.0, **fields), 1.0)
@@ -898,9 +898,9 @@
     """A prompt held for parts that are being read is in no queue."""
     made = core(promptload.fleet(1, 1))
     held = job(1, [part(1, 9200)], objective_s=3.0, deadline_s=9.0)
-    made.deferral.hold(held, made.on_time, 1.0)
+    made.deferral.defer_until(held, made.on_time, 1.0)
     made.set_engines([promptload.engine('p0')])
-    (told,) = made.pump(0.1)
+    (told,) = made.place_queued(0.1)
     assert told.job == 1
     assert not made.is_waiting(1)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -14,7 +14,12 @@
         cleared = not entry.blames
         blames = list(entry.cleared_blames if cleared else entry.blames)
         receiver.merge(
-            fingerprint, entry.pool, entry.rank, cleared, blames, now_s
+            fingerprint,
+            entry.pool,
+            entry.tokens_at_crash,
+            cleared,
+            blames,
+            now_s,
         )
 
 
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -22,7 +22,7 @@
     run.join_prompt(reader, 0.2, 0.0)
     assert (run.has_reached(reader), run.has_reached(writer)) == (True, False)
     run.leave_prompt(0.2)
-    run.begin_stream(0.2)
+    run.start_stream(0.2)
     assert (run.has_reached(reader), run.has_reached(writer)) == (False, True)
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -5,7 +5,7 @@
 
 from magnoliadyke.core import shutdown
 
-COURSE = shutdown.Shutdown(begun_s=100.0, grace_s=8.0, directory_ttl_s=2.0)
+COURSE = shutdown.Shutdown(started_s=100.0, grace_s=8.0, directory_ttl_s=2.0)
 
 
 def test_callers_that_know_of_no_other_host_are_served():
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -10,7 +10,7 @@
 from magnoliadyke.gateway import placement_codec
 
 WINDOW_S = 5.0
-KEPT = usage.kept_windows(WINDOW_S, 10.0)
+KEPT = usage.retained_window_count(WINDOW_S, 10.0)
 
 
 def test_windows_begin_with_the_epoch():
@@ -46,10 +46,10 @@
     ledger = usage.Ledger(KEPT)
     for (host, incarnation), windows in arriving:
         for window, begun in windows.items():
-            ledger.record_tally(host, incarnation, window, begun)
+            ledger.record_counts(host, incarnation, window, begun)
     for who, tally in tallies.items():
         for window, begun in tally.recent(104.0).items():
-            ledger.record_tally(*who, window, begun)
+            ledger.record_counts(*who, window, begun)
     total = {}
     for tally in tallies.values():
         for name, count in tally.windows.get(20, {}).items():
@@ -73,7 +73,7 @@
         data = placement_codec.encode(message)
         assert len(data) <= 1400
         for window, counts in placement_codec.decode(data).windows.items():
-            ledger.record_tally('h', 1, window, counts)
+            ledger.record_counts('h', 1, window, counts)
     assert ledger.counts(20) == begun
     assert ledger.by_process(21) == {('h', 1): {21: {'a': 1}}}
     assert list(usage.split({}, 40)) == [{}]
@@ -81,8 +81,8 @@
 
 def test_two_processes_of_one_host_are_both_counted():
     ledger = usage.Ledger(KEPT)
-    ledger.record_tally('h', 1, 20, {'a': 5})
-    ledger.record_tally('h', 2, 20, {'a': 3})
+    ledger.record_counts('h', 1, 20, {'a': 5})
+    ledger.record_counts('h', 2, 20, {'a': 3})
     assert ledger.counts(20) == {'a': 8}
 
 
