--- a/magnoliadyke/core/admission.py
+++ b/magnoliadyke/core/admission.py
@@ -33,8 +33,8 @@
         idle engines leaves more than this share of it
     :param late_share: jobs whose first token is predicted to be late with a
         greater probability are refused
-    :param error_step_s: step by which one prediction error moves the
-        quantile of the errors
+    :param error_step_s: maximum change of the quantile of the errors by one
+        prediction error, in seconds
     :param background_priority: from this priority on, the objective for
         the first token does not apply, only the queue timeout does
     :param unreachable_factor: a job whose objective is out of reach even on
@@ -81,8 +81,9 @@
 def timing(job, service_s, queue_wait_s, settings=DEFAULT_SETTINGS):
     """Compute the deadlines of a job.
 
-    :param service_s: predicted time to its first token on idle engines
-    :param queue_wait_s: queue timeout of its customer
+    :param service_s: predicted time to its first token on idle engines, in
+        seconds
+    :param queue_wait_s: queue timeout of its customer, in seconds
     :returns: :class:`Timing`
     """
     wait_end_s = job.arrived_s + queue_wait_s
@@ -134,7 +135,7 @@
     """Online estimate of a quantile of the prediction errors.
 
     :param share: share of the errors that should lie below the quantile
-    :param step: seconds by which one error moves the estimate at most
+    :param step: maximum change of the estimate by one error, in seconds
     """
 
     __slots__ = ('share', 'step', 'value')
@@ -173,7 +174,7 @@
 def retry_after_s(excess_s, rng, attempts=1.0):
     """Compute the retry-after of a refusal, in seconds.
 
-    :param excess_s: time in which the excess queue is served
+    :param excess_s: time in which the excess queue is served, in seconds
     :param attempts: expected number of attempts until one is accepted
     """
     spread = 1.0 + RETRY_SPREAD * rng.random()
@@ -184,7 +185,7 @@
 def overloaded(excess_s, rng, attempts=1.0):
     """Return the outcome of a job that can't meet its objectives.
 
-    :param excess_s: time in which the excess queue is served
+    :param excess_s: time in which the excess queue is served, in seconds
     :param attempts: expected number of attempts until one is accepted
     """
     return outcomes.NotRun(
@@ -198,7 +199,7 @@
 def queue_full(excess_s, rng):
     """Return the outcome of a job over its customer's queue limit.
 
-    :param excess_s: time in which the excess queue is served
+    :param excess_s: time in which the excess queue is served, in seconds
     """
     return outcomes.NotRun(
         'queue_full',
@@ -223,7 +224,8 @@
 def no_endpoint(excess_s, rng):
     """Return the outcome of a job whose pool has no available endpoint.
 
-    :param excess_s: time after which an endpoint may be available again
+    :param excess_s: time after which an endpoint may be available again, in
+        seconds
     """
     return outcomes.NotRun(
         'no_endpoint',
--- a/magnoliadyke/core/attempts.py
+++ b/magnoliadyke/core/attempts.py
@@ -205,8 +205,9 @@
     stays silent for clearly longer has lost its peer. The faster the tokens
     of a stream have arrived, the shorter is its timeout.
 
-    :param min_silence_s: least timeout
-    :param max_silence_s: greatest timeout, also before any estimate
+    :param min_silence_s: minimum timeout, in seconds
+    :param max_silence_s: maximum timeout, in seconds, also before the first
+        estimate
     """
 
     MAX_MISSED_TOKENS = 20
--- a/magnoliadyke/core/autoscaler.py
+++ b/magnoliadyke/core/autoscaler.py
@@ -43,7 +43,7 @@
 
     :param min_endpoints: minimum in each failure domain, both kinds together
     :param max_endpoints: maximum in each failure domain, both kinds together
-    :param boot_s: time from an order to the first request
+    :param boot_s: time from an order to the first request, in seconds
     :param reclaimable_price: price of a reclaimable endpoint, relative to
         an on-demand one
     :param prices: price of an endpoint per second, by failure domain
@@ -57,12 +57,12 @@
 
 
 #: Delay before a kind that was unavailable in a failure domain is ordered
-#: there again.
+#: there again, in seconds.
 UNAVAILABLE_RETRY_S = 3.0
-#: Time beyond the start of an endpoint until it is registered.
+#: Time from the start of an endpoint until it is registered, in seconds.
 REGISTRATION_S = 3.0
-#: How long a surplus has to last before it is removed: endpoints that are
-#: being replaced stay until their replacements accept work.
+#: How long a surplus has to last before it is removed, in seconds: endpoints
+#: that are being replaced stay until their replacements accept work.
 SURPLUS_DELAY_S = 8.0
 
 #: A failure domain and whether the endpoint is reclaimable.
@@ -73,8 +73,10 @@
     """Plans the endpoints of one service; it must not be called concurrently.
 
     :ivar ordered: count and time of the latest order, by domain and kind
-    :ivar unavailable_until_s: when an unavailable kind may be ordered again
-    :ivar surplus_since_s: since when there are more endpoints than planned
+    :ivar unavailable_until_s: when an unavailable kind may be ordered again,
+        by domain and kind
+    :ivar surplus_since_s: since when there are more endpoints than planned,
+        by domain and kind
     """
 
     def __init__(self, service: str) -> None:
@@ -90,7 +92,7 @@
         required_count: int,
         now_s: float,
     ) -> list[ScaleOrder]:
-        """Return the orders that are due.
+        """Return the orders to send now.
 
         :param available: endpoints that accept work, by failure domain
         :param required_count: number of endpoints that the load needs
--- a/magnoliadyke/core/balance.py
+++ b/magnoliadyke/core/balance.py
@@ -16,10 +16,10 @@
 INITIAL_RESPONSE_S = 0.02
 #: Cost factor of endpoints outside this host's failure domain.
 REMOTE_FACTOR = 1.25
-#: Cost of a failure, in response times.
+#: Cost of a failed request, as a multiple of the response time.
 FAILURE_COST = 8.0
-#: Cooldown of an endpoint after two failures to reach it in a row, in seconds;
-#: it doubles with each further one.
+#: Cooldown of an endpoint after two consecutive failures to reach it, in
+#: seconds; it doubles with each further one.
 COOLDOWN_S = 0.5
 MAX_COOLDOWN_S = 4.0
 
@@ -31,7 +31,7 @@
     :ivar in_flight: requests in flight
     :ivar response_s: moving average of the response time, in seconds
     :ivar failure_rate: moving average of failures, 0 to 1
-    :ivar unreachable: attempts without a response, in a row
+    :ivar unreachable: consecutive attempts without a response
     :ivar cooldown_until_s: when its cooldown ends, in monotonic seconds
     """
 
--- a/magnoliadyke/core/burn.py
+++ b/magnoliadyke/core/burn.py
@@ -59,8 +59,8 @@
     continues, so that the alert ends soon after its cause.
 
     :param severity: ``page`` or ``ticket``
-    :param long_s: long window in seconds
-    :param short_s: short window in seconds
+    :param long_s: length of the long window, in seconds
+    :param short_s: length of the short window, in seconds
     :param factor: burn rate that both windows must reach
     """
 
@@ -84,16 +84,19 @@
 class Timings(NamedTuple):
     """Latencies of one request and its objectives.
 
-    :param first_token_s: time from arrival to the first token; None if no
-        token was sent
-    :param per_token_s: mean time between tokens; None for a single token
-    :param queued_s: time in the node's queue
+    :param first_token_s: time from arrival to the first token, in seconds;
+        None if no token was sent
+    :param per_token_s: mean time between tokens, in seconds; None for a
+        single token
+    :param queued_s: time in the node's queue, in seconds
     :param role_change_s: part of ``queued_s`` during which an engine of
         the pool was unavailable for a role change
     :param failed_attempts: attempts that failed at an endpoint or on the
         network
-    :param first_token_objective_s: objective in the customer's row
-    :param per_token_objective_s: objective in the customer's row
+    :param first_token_objective_s: objective for ``first_token_s``, from the
+        customer's row
+    :param per_token_objective_s: objective for ``per_token_s``, from the
+        customer's row
     :param shed: whether the request was refused before it ran because its
         pool was overloaded
     """
@@ -162,9 +165,9 @@
 ) -> float:
     """Return how many seconds of a period the intervals cover.
 
-    :param intervals: pairs of begin and end; they may overlap
-    :param since_s: start of the period
-    :param until_s: end of the period
+    :param intervals: pairs of start and end, in seconds; they may overlap
+    :param since_s: start of the period, in seconds
+    :param until_s: end of the period, in seconds
     """
     covered = 0.0
     reached_s = since_s
@@ -300,6 +303,7 @@
 class WindowBurn:
     """Burn rate of one customer in one window.
 
+    :param window_s: length of the window, in seconds
     :param burn_rate: share of bad requests divided by the error budget
     :param bad: number of bad requests
     :param total: number of all requests
@@ -355,7 +359,7 @@
     :param snapshot: counts of one node, or merged ones of several
     :param objectives: ``met_share`` of each customer of the operators'
         table; other customers are left out
-    :param history_s: time that the counts cover
+    :param history_s: time that the counts cover, in seconds
     """
     rules = [rule for rule in RULES if rule.short_s <= history_s]
     return [
--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -2,8 +2,8 @@
 
 One change is carried out at a time.  A command states the target state and
 its generation, so repeating it is harmless.  An engine that checks fencing
-numbers rejects commands of a former lease holder once it has received the
-number of the new one; so a new holder first commands the role that the engine
+tokens rejects commands of a former lease holder once it has received the
+token of the new one; so a new holder first commands the role that the engine
 already has.  For an engine that ignores fencing tokens
 
 * the intent is written to the store by compare-and-swap before the command
@@ -50,15 +50,16 @@
     """Timing of commands.
 
     :param command_lifetime_s: longest time from the start of sending a
-        command to the closing of its connection.
+        command to the closing of its connection, in seconds.
     :param max_clock_drift_share: share of ``command_lifetime_s`` added
         for clocks that run at different rates.
     :param change_timeout_s: longest time that an engine may take for a
-        change.
-    :param poll_s: interval between reads of the state during a change.
-    :param retry_s: delay after a failed read or write.
+        change, in seconds.
+    :param poll_s: interval between reads of the state during a change, in
+        seconds.
+    :param retry_s: delay after a failed read or write, in seconds.
     :param compare_interval_s: interval between reads of the state of an
-        idle engine.
+        idle engine, in seconds.
     """
 
     command_lifetime_s: float = 1.0
@@ -335,7 +336,7 @@
 
         A store restored from an older backup can assign a fencing token
         that is too low; the holder then releases the lease and acquires it
-        again with a higher number.
+        again with a higher token.
         """
         held = self._authority
         return held is not None and self._highest_fencing > held.fencing
@@ -371,7 +372,7 @@
     def tick(
         self, now_s: float, authority: leases.Authority | None
     ) -> list[Action]:
-        """Return the actions that are due.
+        """Return the actions to take now.
 
         :param authority: as ``Lease.held`` returns it at this moment.
         """
--- a/magnoliadyke/core/costs.py
+++ b/magnoliadyke/core/costs.py
@@ -24,15 +24,19 @@
 class CostPriors(NamedTuple):
     """Assumed costs of a model before the first samples.
 
-    :param prefill_s_per_token: prefill in the prefill role
-    :param mixed_prefill_s_per_token: prefill in the decode role
+    :param prefill_s_per_token: prefill time per token on an engine in the
+        prefill role, in seconds
+    :param mixed_prefill_s_per_token: the same on an engine in the decode
+        role that decodes no stream
     :param mixed_prefill_s_per_stream: increase of the latter for each
-        stream that the engine decodes
-    :param decode_base_s: fixed part of a decode step
-    :param decode_s_per_stream: increase of it for each stream
-    :param transfer_s_per_token: KV cache transfer to the decode engine
+        stream that the engine decodes, in seconds
+    :param decode_base_s: fixed part of the time of a decode step, in seconds
+    :param decode_s_per_stream: increase of the time of a decode step for
+        each stream, in seconds
+    :param transfer_s_per_token: time per token to transfer the KV cache to
+        the decode engine, in seconds
     :param bytes_per_token: bytes of prompt text in a token
-    :param service_s: duration of a call to a plain service
+    :param service_s: duration of a call to a plain service, in seconds
     """
 
     prefill_s_per_token: float = 0.0002
@@ -168,7 +172,8 @@
     engine ten times as long as a prompt token, and its time depends on the
     number of streams that share the decode step.
 
-    :param max_streams: most streams that an engine decodes in one step
+    :param max_streams: maximum number of streams that an engine decodes in
+        one step
     :ivar decode_step: fit of the seconds of a decode step by the number of
         streams
     :ivar prompt_error: reported prompt tokens per estimated one
@@ -201,7 +206,7 @@
     def output_tokens(self, customer, limit):
         """Predict a job's output tokens from its customer's past jobs.
 
-        :param limit: output tokens that the job allows
+        :param limit: maximum number of output tokens of the job
         """
         share = self.output_shares.get(customer)
         return limit if share is None else max(1.0, limit * share.ratio)
@@ -218,9 +223,9 @@
         return tokens * self.mixed_prefill.at(streams)
 
     def streams_within(self, per_token_s):
-        """Most streams that an engine decodes within a step time.
+        """Return the maximum number of streams within a step time.
 
-        :param per_token_s: most seconds for a decode step
+        :param per_token_s: maximum time of a decode step, in seconds
         """
         headroom_s = per_token_s - self.decode_step.base
         if headroom_s <= 0:
@@ -257,8 +262,8 @@
         weight.
 
         :param tokens: uncached prompt tokens
-        :param elapsed_s: time since the prompt was sent or the engine ended
-            the previous one, whichever is later
+        :param elapsed_s: seconds since the prompt was sent or the engine
+            completed the previous one, whichever is later
         """
         if role == PREFILL:
             self.prefill.add(tokens, elapsed_s)
@@ -273,7 +278,7 @@
 
         :param streams: mean number of streams that shared the steps
         :param tokens: output tokens of one stream, one for each step
-        :param elapsed_s: time in which the tokens arrived
+        :param elapsed_s: time in which the tokens arrived, in seconds
         """
         if tokens > 0:
             weight = min(1.0, tokens / 50.0)
--- a/magnoliadyke/core/credits.py
+++ b/magnoliadyke/core/credits.py
@@ -7,7 +7,7 @@
 
 __all__ = ['EndpointLoad', 'LaggedLoad', 'allowed_streams']
 
-#: Retention of local load; must exceed the delay of load reports.
+#: Retention of local load, in seconds; must exceed the delay of load reports.
 LOCAL_LOAD_RETENTION_S = 15.0
 #: Peers' prompts of fewer engine-seconds than this are neglected.
 MIN_PEER_PREFILL_S = 0.01
@@ -90,7 +90,8 @@
 class _Prompt:
     """A prompt of this node whose prefill at an endpoint is not done.
 
-    :ivar remaining_s: estimated engine time until its prefill is done
+    :ivar remaining_s: estimated engine time until its prefill is done, in
+        seconds
     """
 
     __slots__ = ('job_id', 'priority', 'remaining_s')
@@ -105,7 +106,7 @@
     """Estimated load of one endpoint.
 
     :ivar jobs: ids of this node's jobs at the endpoint
-    :ivar reserved: streams of these jobs that have not begun
+    :ivar reserved: streams of these jobs that have not started
     :ivar prompts: this node's prompts in the order of their prefill
     :ivar backlog: queued prefill work in seconds
     :ivar last_prefill_done_s: when the endpoint last finished the prefill of
@@ -143,7 +144,7 @@
 
         The endpoint prefills prompts by priority, the lowest number first.
 
-        :param seconds: estimated prefill time
+        :param seconds: estimated prefill time of the prompt
         """
         self._advance(now_s)
         prompt = _Prompt(job_id, priority, seconds)
--- a/magnoliadyke/core/decodeengines.py
+++ b/magnoliadyke/core/decodeengines.py
@@ -37,8 +37,8 @@
     """The decode engines of a model service.
 
     :param engines: all engines, by id; maintained by the pool
-    :ivar first_event_s: average time from the end of a prefill elsewhere to
-        the first event, on the fastest decode engine
+    :ivar first_event_s: average time from the end of a prefill on another
+        engine to the first event, on the fastest decode engine, in seconds
     :ivar rotation: ids of the decode engines, in the order in which they are
         considered
     """
@@ -180,7 +180,7 @@
     Without a free slot it would reject the request, and the prefill would be
     wasted.
 
-    :param at_s: the moment
+    :param at_s: the moment, in monotonic seconds
     """
     return engine.slots_in_use(at_s, now_s) < engine.endpoint.slots
 
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -95,11 +95,12 @@
     :param pool: checksum of the pool's name
     :param tokens_at_crash: output tokens before the crash, at most 255; a
         request with fewer is more suspect
-    :param cleared: whether the crashes in ``blames`` are known not to be
-        caused by the request
-    :param waiting_age_s: time since the request was last known to wait on
-        any node; nodes forward the reports of other nodes
-    :param running_age_s: time since it was last known to run on any node
+    :param cleared: whether the request was cleared of the crashes in
+        ``blames``
+    :param waiting_age_s: seconds since the latest report that the request
+        waits on any node; nodes forward the reports of other nodes
+    :param running_age_s: seconds since the latest report that it runs on
+        any node
     :param blames: crashes attributed to the request, each as (checksum of
         the endpoint, age in seconds)
     """
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -55,8 +55,8 @@
 class PendingPrefill:
     """A prompt that was sent to an engine and is not yet prefilled.
 
-    :ivar expected_s: prefill time at ordinary speed
-    :ivar uncached_s: prefill time at ordinary speed if nothing is cached
+    :ivar expected_s: prefill time at ordinary speed, in seconds
+    :ivar uncached_s: the same if nothing is cached
     :ivar sent_s: when the prompt was sent, and cached parts were fetched
     :ivar until_s: when the prefill is expected to be complete
     :ivar was_idle: whether the engine was idle when the prompt was sent
@@ -81,14 +81,15 @@
     a gap, latency where a prompt was sent to an idle engine.
 
     :ivar slowness_fit: fit of the ratio of measured to expected prefill time
-    :ivar excess_latency_s: latency of this engine above the usual latency
+    :ivar excess_latency_s: latency of this engine above the usual latency, in
+        seconds
     :ivar pending_prefills: prompts sent and not yet reported as prefilled,
         by job
     :ivar runs: jobs with a long answer in progress; each holds a slot
     :ivar short_ends: expected end of each short answer, in order
     :ivar transfer_until_s: when the engine's link is free of KV transfers
     :ivar first_event_s: average time from the end of a prefill on another
-        engine to the first event here
+        engine to the first event here, in seconds
     :ivar cooldown_until_s: no work is placed on the engine until then
     :ivar failures: consecutive failures
     :ivar probe_until_s: an engine that may be down is probed with one request
@@ -167,7 +168,7 @@
         Short answers count only for their expected duration, not while
         another engine still prefills their prompt.
 
-        :param at_s: the moment
+        :param at_s: the moment, in monotonic seconds
         """
         while self.short_ends and self.short_ends[0] <= now_s:
             self.short_ends.popleft()
@@ -207,7 +208,8 @@
         """Account for a prompt that is sent to this engine.
 
         :param tokens: tokens to prefill
-        :param fetch_s: time to fetch cached parts from another engine
+        :param fetch_s: time to fetch cached parts from another engine, in
+            seconds
         :param prompt_tokens: length of the prompt, with its cached tokens
         :param sent_now: whether the prompt is sent now; if it was sent at an
             unknown time before, its end is no sample of the engine's speed
@@ -320,7 +322,7 @@
         kept per engine, so that an engine that has become slow is noticed
         even while it gets few prompts.
 
-        :param elapsed_s: time from arrival to completion
+        :param elapsed_s: time from arrival to completion, in seconds
         """
         excess_latency_s = elapsed_s - prefill.expected_s * self.slowness
         excess_latency_s = min(
@@ -344,7 +346,7 @@
         recovery, and with several such engines nearly all requests would be
         refused while the engines are idle.
 
-        :param elapsed_s: time from arrival to completion
+        :param elapsed_s: time from arrival to completion, in seconds
         """
         ratio = max(MIN_SLOWNESS, elapsed_s / prefill.expected_s)
         if ratio < self.slowness:
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -20,8 +20,8 @@
 class PoolSettings(NamedTuple):
     """Parameters of the pool.
 
-    :param lead_s: an engine is sent its next prompt this long, plus its
-        measured fixed latency, before it is expected to complete the last
+    :param lead_s: an engine is sent its next prompt this many seconds, plus
+        its measured fixed latency, before it is expected to complete the last
         one; that latency includes the network time to the engine, which is
         most of it on narrow links
     :param max_pending_prefills: limit of prompts sent to one engine and not
@@ -85,13 +85,14 @@
 
     :ivar source: engine to fetch cached parts from, if any
     :ivar tokens: tokens to prefill
-    :ivar fetch_s: time to fetch the cached parts
-    :ivar prefill_s: time to fetch and prefill
+    :ivar fetch_s: time to fetch the cached parts, in seconds
+    :ivar prefill_s: time to fetch and prefill, in seconds
     :ivar ready_s: moment at which the prompt is prefilled, and its KV cache
         is at the decode engine
     :ivar transferred_s: moment at which the decode engine's link is free
         again
-    :ivar cost_s: engine time that the prompt takes, with its transfer
+    :ivar cost_s: engine time that the prompt takes, with its transfer, in
+        seconds
     """
 
     prefill_engine: enginemodel.EngineModel
--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -7,7 +7,8 @@
 
 __all__ = ['Forecast', 'ForecastErrors', 'SeasonalForecast', 'Series']
 
-#: Samples are averaged over bins of this length before the period search.
+#: Samples are averaged over bins of this length, in seconds, before the period
+#: search.
 BIN_S = 4.0
 MAX_BINS = 240
 MIN_PERIOD_BINS = 15
@@ -42,7 +43,7 @@
     def at(self, ahead_s, trend_s):
         """Return the mean demand `ahead_s` from now.
 
-        :param trend_s: time constant with which the slope decays
+        :param trend_s: time constant with which the slope decays, in seconds
         """
         effective_s = trend_s * (1.0 - math.exp(-ahead_s / trend_s))
         return max(0.0, self.level + self.slope * effective_s)
@@ -55,7 +56,7 @@
     a sample takes constant time.
 
     :param time_constant_s: time constant with which the weight of samples
-        decays
+        decays, in seconds
     :param overlap: number of consecutive samples that are means over
         overlapping times; the fit treats them as one independent sample
     """
@@ -131,7 +132,7 @@
     A line through the last seconds lags behind such a swing; the values of
     one period ago do not.
 
-    :ivar period_s: detected period, None without one
+    :ivar period_s: detected period in seconds, None without one
     :ivar weight: confidence in the period, from 0 to 1
     """
 
@@ -162,7 +163,7 @@
     def expected_at(self, ahead_s):
         """Return the mean of both series at a phase in past cycles.
 
-        :param ahead_s: time from now to the phase
+        :param ahead_s: time from now to the phase, in seconds
         :returns: a pair, or None while no period or no past cycle is known
         """
         if self._lag is None:
@@ -277,7 +278,7 @@
     """Standard errors of past forecasts, by lead time.
 
     :param time_constant_s: time constant with which the weight of errors
-        decays
+        decays, in seconds
     """
 
     def __init__(self, time_constant_s):
@@ -290,7 +291,7 @@
 
         Forecasts of one lead time have to be recorded in order of `due_s`.
 
-        :param lead_s: time from the forecast to `due_s`
+        :param lead_s: time from the forecast to `due_s`, in seconds
         :param values: forecast value of each series
         """
         self._due.append((due_s, lead_s, values))
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -27,9 +27,9 @@
 class FreshnessSettings(NamedTuple):
     """Timeouts of the table's freshness checks; the same on all nodes.
 
-    :param stale_s: age at which evidence expires.
-    :param join_s: maximum time that a starting node waits for a first peer,
-        which may know a newer table than the store.
+    :param stale_s: age at which evidence expires, in seconds.
+    :param join_s: maximum time, in seconds, that a starting node waits for a
+        first peer, which may hold a newer table than the store.
     """
 
     stale_s: float = 3.0
@@ -39,8 +39,10 @@
 class HostState(NamedTuple):
     """State of a host at one moment, as gossip carries it.
 
-    :param age_s: time from that moment to the encoding of the datagram.
-    :param store_age_s: age of the store's confirmation of the host's table.
+    :param age_s: time from that moment to the encoding of the datagram, in
+        seconds.
+    :param store_age_s: age of the store's confirmation of the host's table,
+        in seconds.
     :param rooted: whether the process has ever held a table confirmed by the
         store or by a quorum; only such hosts count towards a quorum.
     :param spare: share of the host's capacity that is free, 0 to 1.
@@ -85,6 +87,7 @@
     """The edit can't be accepted: the missing hosts may serve without it.
 
     There are enough of them to form a quorum.
+
     :param missing: hosts that have not acknowledged the edit.
     """
 
@@ -125,7 +128,7 @@
     * the store confirmed the node's table, to the node or to a peer at the
       end of a chain of answered probes, or
     * at least ``quorum`` hosts of the settings, including the node, were
-      seen that know no newer table.
+      seen that hold no newer table.
 
     A staged edit may be *accepted* once every host has acknowledged it, or
     fewer than ``quorum`` hosts are missing and their evidence has expired.
@@ -193,7 +196,7 @@
         """Record the evidence in the answer to a probe.
 
         :param sent_s: when the probe was sent.
-        :param host_states: first that of the peer, then those it relays.
+        :param host_states: the state of the peer, then those that it relays.
         """
         for position, host_state in enumerate(host_states):
             if host_state.host == self.host:
@@ -274,7 +277,7 @@
     def group(self, now_s: float) -> set[str]:
         """Hosts with recent evidence that count towards a quorum.
 
-        They know no newer table than this node.  The node itself is included
+        They hold no newer table than this node.  The node itself is included
         if it is rooted.
         """
         hosts = {
@@ -326,7 +329,7 @@
         return self.store_age_s(now_s) > self.settings.stale_s
 
     def own_host_state(self, now_s: float) -> HostState:
-        """The sighting that this node sends of itself."""
+        """Return the state of this host that the node sends to peers."""
         return HostState(
             self.host,
             self.incarnation,
@@ -342,9 +345,9 @@
     def relayed_host_states(
         self, now_s: float, max_hosts: int, rng: Any
     ) -> list[HostState]:
-        """Sightings of other hosts to relay, chosen at random.
+        """Return the states of other hosts to relay, chosen at random.
 
-        :param max_hosts: maximum number of sightings.
+        :param max_hosts: maximum number of hosts.
         :param rng: an object with ``randrange``.
         """
         recent = [evidence for _, evidence in self._recent(now_s)]
--- a/magnoliadyke/core/health.py
+++ b/magnoliadyke/core/health.py
@@ -25,9 +25,9 @@
     """Constants of ejection and probation.
 
     :param failures: consecutive failures that eject an endpoint
-    :param first_ejection_s: duration of the first ejection
-    :param max_ejection_s: longest duration; each ejection lasts twice as
-        long as the one before
+    :param first_ejection_s: duration of the first ejection, in seconds
+    :param max_ejection_s: maximum duration, in seconds; each ejection lasts
+        twice as long as the one before
     :param max_ejected_share: share of a pool that may be ejected at once
     :param probation_successes: successes that end probation
     """
@@ -45,10 +45,10 @@
 class EndpointHealth:
     """Health of one endpoint.
 
-    Its state has three sources: the probes and the host list (`observed`),
-    the endpoint's own load reports (`reported`) and the operators' table
-    (`table_state`).  The endpoint is out if any of them says so, since each may
-    lag behind the others.
+    Its state has three sources: the probes and the host list (``observed``),
+    the endpoint's own load reports (``reported``) and the operators' table
+    (``table_state``).  The endpoint is out if any of them says so, since each
+    may lag behind the others.
 
     :ivar probation_left: successes until the endpoint may run more than one
         job of this node at a time
--- a/magnoliadyke/core/hostdiscovery.py
+++ b/magnoliadyke/core/hostdiscovery.py
@@ -44,7 +44,7 @@
     that the list marks as leaving is not announced to callers, unless its
     process was started after the list was made.
 
-    :param at_s: wall time for which the list is valid
+    :param at_s: time for which the list is valid, in seconds since the epoch
     """
 
     at_s: float
--- a/magnoliadyke/core/jobs.py
+++ b/magnoliadyke/core/jobs.py
@@ -24,11 +24,12 @@
     :param prefix_blocks: chained ids of the prompt's cache blocks
     :param priority: 0 (urgent) to 9
     :param repeatable: whether it may run more than once
-    :param first_token_s: objective for the time to the first token
-    :param per_token_s: objective for the time between tokens
+    :param first_token_s: objective for the time to the first token, in
+        seconds
+    :param per_token_s: objective for the time between tokens, in seconds
     :param fingerprint: digest of customer and content, the same when the
         caller sends the request again
-    :param arrived_s: arrival, in monotonic seconds
+    :param arrived_s: when it arrived, in monotonic seconds
     """
 
     id: str
--- a/magnoliadyke/core/leases.py
+++ b/magnoliadyke/core/leases.py
@@ -27,10 +27,11 @@
 class LeaseSettings(NamedTuple):
     """Timing of a lease.
 
-    :param ttl_s: time to live after a renewal.
-    :param renew_s: interval between renewals.
-    :param watch_s: interval at which a contender reads the value.
-    :param retry_s: shortest time between two attempts after a failure.
+    :param ttl_s: time to live after a renewal, in seconds.
+    :param renew_s: interval between renewals, in seconds.
+    :param watch_s: interval at which a contender reads the value, in seconds.
+    :param retry_s: shortest time between two attempts after a failure, in
+        seconds.
     :param margin_share: share of the time to live by which the holder
         stops early and a contender waits longer, for clocks that run at
         different rates.
@@ -48,7 +49,7 @@
 
     :param incarnation: incarnation of the holder's process.
     :param serial: counts renewals; with holder, incarnation and fencing
-        number it identifies one write.
+        token it identifies one write.
     :param released: whether the holder has released the lease, which it
         does only with no command in progress.
     """
@@ -85,8 +86,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadLease:
-    """Read the value, then call :meth:`Lease.record_read` or
-    ``record_read_failure``."""
+    """Read the value.
+
+    Then call ``record_read`` or ``record_read_failure``.
+    """
 
 
 @dataclasses.dataclass(frozen=True)
@@ -167,13 +170,13 @@
     def tick(
         self, now_s: float, contending: bool, fencing_floor: int
     ) -> list[Action]:
-        """Return the actions that are due.
+        """Return the actions to take now.
 
         :param contending: whether the host contends for the duty.
         :param fencing_floor: smallest fencing token to claim the lease
             with: the larger of the wall-clock time in milliseconds and the
-            highest known number plus one.  Without it, a store restored
-            from an older backup would assign the same number twice.
+            highest token on record plus one.  Without it, a store restored
+            from an older backup would assign the same token twice.
         """
         if self._busy or now_s < self._next_s:
             return []
--- a/magnoliadyke/core/limits.py
+++ b/magnoliadyke/core/limits.py
@@ -15,19 +15,21 @@
 
 #: Share of a limit that is split evenly between the nodes.
 BASE_SHARE = 0.25
-#: Least retry-after of a request that exceeds a limit.
+#: Minimum retry-after of a request that exceeds a limit, in seconds.
 MIN_RETRY_S = 0.05
 
 
 class LimitSettings(NamedTuple):
     """Constants of the split of limits between the nodes.
 
-    :param fresh_s: age up to which a peer's digest counts
-    :param settle_s: delay after which a rise of this node's demand counts;
-        by then the peers have received it
-    :param node_hold_s: how long the share of vanished nodes is kept
+    :param fresh_s: age up to which a peer's digest counts, in seconds
+    :param settle_s: delay, in seconds, after which a rise of this node's
+        demand counts; by then the peers have received it
+    :param node_hold_s: how long the share of vanished nodes is kept, in
+        seconds
     :param burst_s: capacity of a token bucket, in seconds of its rate
-    :param rate_time_constant_s: time constant of the moving average of demand
+    :param rate_time_constant_s: time constant of the moving average of
+        demand, in seconds
     """
 
     fresh_s: float = 15.0
@@ -50,7 +52,7 @@
 class Rate:
     """Exponentially weighted moving rate per second.
 
-    :param time_constant_s: time constant
+    :param time_constant_s: time constant of the decay, in seconds
     """
 
     __slots__ = ('at_s', 'per_s', 'time_constant_s')
@@ -96,7 +98,7 @@
         self.at_s = now_s
 
     def wait_s(self, rate_s):
-        """Seconds until the level is above 0.
+        """Return the seconds until the level is above 0.
 
         :param rate_s: tokens per second
         """
@@ -320,7 +322,7 @@
             self.usage(customer).tokens.level -= tokens
 
     def concurrency(self, customer, now_s):
-        """Most requests of the customer that this node may run at once."""
+        """Return the maximum of the customer's concurrent requests here."""
         row = self.rows.get(customer)
         if row is None:
             return math.inf
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -46,10 +46,11 @@
     second, and the prefill engines would idle.  So some slots are reserved
     for short answers, and long answers queue for the others.
 
-    :param long_run_s: duration above which an answer counts as long
+    :param long_run_s: duration above which an answer counts as long, in
+        seconds
     :ivar expiry_heap: when to release the slot of each answer whose end was
         not reported, with its job
-    :ivar output_s: average decode time per token
+    :ivar output_s: average decode time per token, in seconds
     :ivar waiting: queue of the jobs that wait for a slot
     """
 
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -40,19 +40,19 @@
 class MembershipSettings(NamedTuple):
     """Intervals and limits of the protocol.
 
-    :param period_s: time between two probes.
-    :param ping_timeout_s: time without an answer after which indirect
-        probes are requested, at a health score of 0.
+    :param period_s: time between two probes, in seconds.
+    :param ping_timeout_s: time without an answer, in seconds, after which
+        indirect probes are requested, at a health score of 0.
     :param suspicion_s: minimum time from suspecting a host to declaring it
-        dead.
+        dead, in seconds.
     :param max_helpers: maximum number of peers that are asked for an indirect
         probe.
     :param max_updates: maximum number of members in a datagram.
     :param max_host_states: maximum number of host states in a datagram.
-    :param pause_threshold_s: a longer gap between two ticks means that the
-        process was paused.
+    :param pause_threshold_s: a longer gap between two ticks, in seconds,
+        means that the process was paused.
     :param unreachable_probe_interval_s: time between two probes of hosts
-        that are dead, have left or have never answered.
+        that are dead, have left or have never answered, in seconds.
     :param max_survey_probes: maximum number of peers that a survey probes.
     """
 
@@ -160,7 +160,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Paused:
-    """The process was paused: leases must be dropped before it acts."""
+    """The process was paused: leases must be dropped before it acts.
+
+    :param for_s: duration of the pause, in seconds.
+    """
 
     for_s: float
 
@@ -696,8 +699,8 @@
     ) -> None:
         """Merge table revisions, free capacity and readiness for work.
 
-        Revisions only grow within an incarnation, so sightings may arrive
-        in any order.
+        Revisions only grow within an incarnation, so host states may
+        arrive in any order.
         """
         for seen in host_states:
             known = self.members.get(seen.host)
@@ -713,7 +716,7 @@
             )
             self._set_member(seen_now)
 
-    # Piggybacked updates, sightings and digest of each datagram.
+    # Piggybacked updates, host states and digest of each datagram.
 
     def _ping(self, peer: Member, now_s: float) -> SendDatagram:
         self._sequence += 1
--- a/magnoliadyke/core/notices.py
+++ b/magnoliadyke/core/notices.py
@@ -26,9 +26,9 @@
     """A planner's announcement that an engine is in or out of use.
 
     :param fencing: the planner's fencing token; a notice with a lower
-        number than an earlier one is ignored
+        token than an earlier one is ignored
     :param changing: whether the engine is out of use
-    :param for_s: time after which the notice expires
+    :param for_s: time after which the notice expires, in seconds
     """
 
     engine: str
@@ -40,7 +40,8 @@
 class PromptNotice(NamedTuple):
     """A node's announcement that it has assigned a prompt to an engine.
 
-    :param read_s: prefill time of the prompt, predicted by that node
+    :param read_s: prefill time of the prompt, predicted by that node, in
+        seconds
     """
 
     engine: str
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -27,8 +27,8 @@
     """Parameters of the placement.
 
     :param reserve_s: margin between the expected first event and the
-        objective, for the network time to the caller and back, which the
-        placement can't measure
+        objective, in seconds, for the network time to the caller and back,
+        which the placement can't measure
     :param short_tokens: decode engines prefill prompts of up to this size
         without a noticeable delay to the answers that they generate
     :param max_wait_share: share of the time until its deadline for which a
@@ -37,10 +37,10 @@
         request that will miss its objective, even while others can still
         meet theirs; without it a long burst would leave all late requests
         unserved
-    :param long_run_s: an answer that takes longer than this keeps its engine
-        from prefilling prompts at the same time: each decode step would wait
-        for a chunk of a prompt, and the pauses between tokens would grow
-        several times over
+    :param long_run_s: an answer that takes longer than this, in seconds,
+        keeps its engine from prefilling prompts at the same time: each
+        decode step would wait for a chunk of a prompt, and the pauses
+        between tokens would grow several times over
     """
 
     reserve_s: float = 0.016
@@ -53,8 +53,8 @@
 #: Weight of a newly placed prompt in the moving average of the ratio between
 #: the prefill time at placement and the estimate made on arrival.
 BIAS_WEIGHT = 0.03
-#: Interval of the checks for jobs to demote or refuse; a refusal that is
-#: delayed by this much costs no caller anything.
+#: Interval of the checks for jobs to demote or refuse, in seconds; a refusal
+#: that is delayed by this much costs no caller anything.
 LATE_CHECK_INTERVAL_S = 0.02
 #: Retried jobs that one pass over the queue may skip because no open engine
 #: is left to them besides those that failed them.
--- a/magnoliadyke/core/prefillcost.py
+++ b/magnoliadyke/core/prefillcost.py
@@ -83,9 +83,10 @@
 class CostCoefficients(NamedTuple):
     """Learned coefficients, as one placement leader hands them to the next.
 
-    :param latency_s: latency of a prompt besides its prefill time
-    :param thousand_tokens_s: prefill time of a thousand tokens
-    :param million_pairs_s: prefill time of a million pairs of tokens
+    :param latency_s: latency of a prompt besides its prefill time, in seconds
+    :param thousand_tokens_s: prefill time of a thousand tokens, in seconds
+    :param million_pairs_s: prefill time of a million pairs of tokens, in
+        seconds
     :param decode_stage_factor: factor by which decode engines take longer
     """
 
@@ -130,7 +131,7 @@
     ) -> None:
         """Add a sample from an engine of ordinary speed.
 
-        :param seconds: the measured time
+        :param seconds: the measured prefill time
         :param with_latency: whether the time was measured from the arrival
             of the prompt, and not from when the engine was free for it
         """
--- a/magnoliadyke/core/prefixes.py
+++ b/magnoliadyke/core/prefixes.py
@@ -6,9 +6,9 @@
 
 BLOCK_TOKENS = 64
 ID_DIGITS = 16
-#: Most blocks tracked as cached by one engine.
+#: Maximum number of blocks tracked as cached by one engine.
 MAX_BLOCKS = 8192
-#: Most engines indexed as holders of one block.
+#: Maximum number of engines indexed as holders of one block.
 MAX_HOLDERS = 8
 #: Size of the holder index, as a multiple of the blocks of one engine.
 INDEX_FACTOR = 4
@@ -51,7 +51,7 @@
     Block ids are salted by customer, so an estimate reveals nothing about
     prompts of another customer.
 
-    :param max_blocks: most blocks tracked for each engine
+    :param max_blocks: maximum number of blocks tracked for each engine
     """
 
     def __init__(self, max_blocks=MAX_BLOCKS):
--- a/magnoliadyke/core/promptjobs.py
+++ b/magnoliadyke/core/promptjobs.py
@@ -14,17 +14,18 @@
 class Job:
     """A request to place on engines.
 
-    :param objective_s: moment at which the first event is due
-    :param deadline_s: moment at which the caller gives up
+    :param objective_s: when the first event is due, in monotonic seconds
+    :param deadline_s: when the caller's timeout ends, in monotonic seconds
     :param is_retry: whether the request is a retry after a refusal
     :param resumed: whether another engine generated part of the answer
     :param avoid: ids of engines that failed the job
-    :ivar tokens: length of the whole prompt
+    :ivar tokens: length of the whole prompt, in tokens
     :ivar submitted_s: when the job was submitted
     :ivar deferred: number of times that the job was deferred until another
         prompt's prefill
     :ivar latest_start_s: when the prefill has to start to meet the objective
-    :ivar need_s: prefill time at the engine that caches most of the prompt
+    :ivar need_s: prefill time at the engine that caches most of the prompt,
+        in seconds
     """
 
     id: int
@@ -55,7 +56,7 @@
     :param fetch_from: address of an engine to fetch cached parts from, if
         any
     :param prefill_tokens: tokens expected to be prefilled
-    :param expected_s: expected time until the answer can start
+    :param expected_s: expected time until the answer can start, in seconds
     :param report_end: whether the end of the answer has to be reported
     """
 
@@ -82,7 +83,7 @@
 class JobQueue:
     """A first-in, first-out queue of jobs.
 
-    :ivar need_s: total prefill time of the jobs
+    :ivar need_s: total prefill time of the jobs, in seconds
     """
 
     def __init__(self) -> None:
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -87,14 +87,14 @@
     """Crash attribution of one fingerprint.
 
     :ivar blames: crashes that the request may have caused
-    :ivar cleared_blames: crashes that it is known not to have caused; kept
-        because peers without that knowledge still report them
+    :ivar cleared_blames: crashes of which it was cleared; kept because peers
+        that have no report of that still send these crashes
     :ivar tokens_at_crash: output tokens that it had when the engine died, at
         most 255; fewer is more suspicious
     :ivar pool: checksum of the name of its pool
     :ivar seen_s: when it was last received or last blamed
-    :ivar waiting_s: when it was last known to wait on some node
-    :ivar running_s: when it was last known to run on some node
+    :ivar waiting_s: time of the latest report that it waits on some node
+    :ivar running_s: time of the latest report that it runs on some node
     """
 
     __slots__ = (
@@ -143,7 +143,7 @@
 
 
 class Quarantine:
-    """Suspected and convicted requests known to this node.
+    """The suspected and convicted requests of which this node has a record.
 
     :ivar entries: :class:`Entry` by fingerprint
     """
@@ -193,7 +193,7 @@
 
         All nodes order the suspects of a pool alike, so that no two of them
         run on the trial engine together, where a crash would convict both. A
-        suspect waits until all nodes know that it waits, until those before
+        suspect waits until all nodes have a report of it, until those before
         it in the order have run, and while another one runs. Only suspects
         reported as waiting or running within ``activity_report_ttl_s``
         count: one whose caller has gone away must not block the others.
--- a/magnoliadyke/core/refusals.py
+++ b/magnoliadyke/core/refusals.py
@@ -28,7 +28,7 @@
     """Refuses jobs and computes their retry times.
 
     :param stage_change_s: time for which an engine is unavailable while it
-        changes its stage
+        changes its stage, in seconds
     :param rng: source of randomness, with ``random()``
     :ivar outage_since_s: since when there is no decode engine; None while
         there is one
@@ -44,7 +44,7 @@
     ) -> promptjobs.Refused:
         """Refuse a job with a retry time around the expected wait.
 
-        :param wait_s: expected time until an engine has capacity
+        :param wait_s: expected time until an engine has capacity, in seconds
         :param reason: why the job is refused
         """
         left_s = max(0.0, job.deadline_s - now_s)
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -86,7 +86,8 @@
 
     :param engines: an :class:`EngineView` for each engine
     :param price_tokens: cell `role_change_price`
-    :param dwell_s: shortest time between two role changes of an engine
+    :param dwell_s: shortest time between two role changes of an engine, in
+        seconds
     :param planning: 'auto' if the planner may change roles
     """
 
@@ -101,17 +102,21 @@
 class PlannerSettings(NamedTuple):
     """Constants of a planner.
 
-    :param sample_s: shortest time between two samples of the demand
+    :param sample_s: shortest time between two samples of the demand, in
+        seconds
     :param time_constant_s: time constant with which the weight of samples
-        decays
+        decays, in seconds
     :param overlap: number of consecutive samples that count the same
         arrivals, since the demand is a mean over several seconds
-    :param trend_s: time constant with which a forecast trend decays
-    :param horizon_s: time over which the gain of a change is summed
-    :param cell_s: time step of the horizon
+    :param trend_s: time constant with which a forecast trend decays, in
+        seconds
+    :param horizon_s: time over which the gain of a change is summed, in
+        seconds
+    :param cell_s: time step of the horizon, in seconds
     :param role_change_downtime_s: time for which a change makes an engine
-        unavailable, drain included
-    :param max_report_age_s: no change is made on reports older than this
+        unavailable, drain included, in seconds
+    :param max_report_age_s: no change is made on reports older than this, in
+        seconds
     :param max_prefill_utilization: utilization of a prefill engine above
         which queueing violates the objectives, in terms of the fitted costs;
         it may exceed 1
@@ -127,13 +132,14 @@
     :param prefill_tokens_s: prompt tokens prefilled in an engine-second
     :param decode_tokens_s: output tokens decoded in an engine-second
     :param error_time_constant_s: time constant with which the weight of past
-        forecast errors decays
-    :param ramp_s: time after the first sample in which samples are
-        discarded
-    :param warm_up_s: time after the ramp in which samples are recorded but
-        no change is made
+        forecast errors decays, in seconds
+    :param ramp_s: time after the first sample, in seconds, in which samples
+        are discarded
+    :param warm_up_s: time after the ramp, in seconds, in which samples are
+        recorded but no change is made
     :param error_share: factor applied to the observed forecast errors
-    :param backlog_s: time within which the backlog is to be served
+    :param backlog_s: time within which the backlog is to be served, in
+        seconds
     :param cache_reread_share: share of the tokens in a lost prefix cache
         that have to be prefilled again
     """
@@ -501,6 +507,7 @@
         """Return the tokens served from a cell to the end of the horizon.
 
         The role change begins in that cell.
+
         :param start: prefill engines before the change
         :param after: prefill engines after the change
         """
--- a/magnoliadyke/core/routes.py
+++ b/magnoliadyke/core/routes.py
@@ -131,10 +131,9 @@
     """One version of the routes, services and limits.
 
     :param version: increases with each configuration, by one or more
-    :param workspaces: the workspaces that may use routes that are not public,
-        a
-        :class:`magnoliadyke.core.workspaces.Workspaces`; None where routes
-        need no key
+    :param workspaces: the workspaces that may use routes that are not
+        public, a :class:`magnoliadyke.core.workspaces.Workspaces`; None
+        where routes need no key
     """
 
     def __init__(
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoints that run a job now, if any has room."""
+"""Choice of the endpoints that run a job now, if any has capacity."""
 
 from typing import NamedTuple
 import zlib
@@ -30,13 +30,14 @@
 class RoutingSettings(NamedTuple):
     """Constants of routing.
 
-    :param engine_queue_s: most seconds of this node's queued prompts in an
-        engine at which it gets another prompt
+    :param engine_queue_s: an engine gets another prompt while the prefill of
+        this node's prompts queued there takes at most this long, in seconds
     :param sample: random endpoints that are compared for a job, besides
         the likely holders of its prefix
-    :param subset_size: most endpoints of a pool that one node uses
+    :param subset_size: maximum number of endpoints of a pool that one node
+        uses
     :param slack_s: predicted times to the first token that exceed the best
-        by no more than this count as equal
+        by no more than this, in seconds, count as equal
     :param peer_load_slack: added to ``slack_s`` for each second of
         unreported prompts that peers are estimated to have on an engine
     :param slack_streams: fill levels, as a share of the stream limit, that
@@ -49,8 +50,10 @@
         lost by prefill on a decode engine
     :param mixed_time_share: share of the remaining time to the first token
         within which prefill on a decode engine must be predicted to end
-    :param step_s: step time of an engine that prefills a long prompt
-    :param service_slots: most concurrent calls to one plain service
+    :param step_s: step time of an engine that prefills a long prompt, in
+        seconds
+    :param service_slots: maximum number of concurrent calls to one endpoint
+        of a plain service
     """
 
     engine_queue_s: float = 0.2
@@ -75,7 +78,8 @@
 
     :param endpoint: :class:`Endpoint` that decodes or serves it
     :param prefill: :class:`Endpoint` that prefills it, may be the same
-    :param first_token_s: predicted time to the first token, from now
+    :param first_token_s: predicted time from now to the first token, in
+        seconds
     :param prompt_s: predicted engine-seconds of the prefill
     :param cached_tokens: prompt tokens estimated to be in the cache of
         ``prefill``
@@ -96,9 +100,9 @@
     """State of the queue and the job that a placement depends on.
 
     :param credit_share: this node's share of the pool's stream credits
-    :param spare_s: time left until the first token is due
-    :param backlog_s: seconds of queued prompts that the prefill engines
-        take before it
+    :param spare_s: time left until the first token is due, in seconds
+    :param backlog_s: time that the prefill engines need for the prompts
+        queued before it, in seconds
     :param peers_share: share of the peers' prompts on an engine that are
         prefilled before it
     :param avoid: names of endpoints where it failed before
@@ -118,8 +122,9 @@
     """Predictions for the prefill of a job on one endpoint.
 
     :param score_s: predicted time to the first token, plus a penalty for
-        engine time lost by it
-    :param first_token_s: predicted time to the first token, from now
+        engine time lost by it, in seconds
+    :param first_token_s: predicted time from now to the first token, in
+        seconds
     :param prompt_s: predicted engine-seconds of the prefill
     :param cached_tokens: prompt tokens estimated to be cached there
     :param blocked: the endpoint's queue is at its limit, so the job has to
@@ -141,7 +146,7 @@
     previous end is the whole step for the first of them, and almost 0 for
     the others. Only their sum gives the time per token.
 
-    :ivar seconds: time of the step
+    :ivar seconds: time of the step, in seconds
     :ivar tokens: uncached prompt tokens of all its prompts
     :ivar streams: streams on the engine at the end of the step
     :ivar undisturbed: whether no prompts of other nodes were known to be
@@ -251,7 +256,7 @@
     member of a subset.
 
     :param infos: objects with a ``name``
-    :param size: most endpoints to select
+    :param size: maximum number of endpoints to select
     :param salt: differs from node to node
     """
     if len(infos) <= size:
@@ -299,7 +304,7 @@
         predictions for both roles are too early, most so for the role that
         is more loaded.
 
-        :param error_s: actual minus predicted time
+        :param error_s: actual minus predicted time, in seconds
         """
         key = (role, priority)
         mean_s = self.bias_s.get(key, 0.0)
@@ -356,7 +361,7 @@
         return read_s + moved_s + model.decode_step.at(1)
 
     def stream_limit(self, job):
-        """Most streams on an engine that meet the job's ``per_token_s``."""
+        """Return the maximum streams on an engine within ``per_token_s``."""
         usable_s = job.per_token_s * self.settings.decode_step_share
         return self.models.job_cost_model(job).streams_within(usable_s)
 
@@ -442,7 +447,7 @@
         return found
 
     def _max_local_streams(self, endpoint, limit, credit_share):
-        """Most streams that this node may have on the endpoint."""
+        """Return the maximum streams of this node on the endpoint."""
         streams = endpoint.load.streams
         if credit_share >= FULL_CREDIT_SHARE:
             return limit - streams.peers
--- a/magnoliadyke/core/runs.py
+++ b/magnoliadyke/core/runs.py
@@ -17,12 +17,12 @@
     :ivar tokens: output tokens so far
     :ivar prompt_at: endpoint that prefills the prompt now
     :ivar stream_at: endpoint that decodes the answer, or will
-    :ivar streaming: whether decode has begun on ``stream_at``
+    :ivar streaming: whether decode has started on ``stream_at``
     :ivar prefill_endpoint: endpoint of the attempt's prefill, also after
         its end
     :ivar prefill_undisturbed: whether no prompts of other nodes were known
         on the prefill endpoint when the prompt was sent
-    :ivar expected_s: time at which the first token was predicted
+    :ivar expected_s: when the first token is expected, in monotonic seconds
     :ivar streams_at_first: streams on the endpoint at the first token
     """
 
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -41,15 +41,16 @@
 MAX_UNPLACED_JOBS = 6
 #: Queued jobs of one customer that a dispatch round tries to place.
 LOOKAHEAD_JOBS = 4
-#: Time after which a pool's share of the stream credits is recomputed.
+#: Interval, in seconds, at which a pool's share of the stream credits is
+#: recomputed.
 CREDIT_SHARE_INTERVAL_S = 0.25
 #: Prefill capacity of a decode engine, as a fraction of a prefill engine.
 MIXED_PREFILL_CAPACITY = 0.2
 #: Cached blocks that are tracked in total, divided between the engines.
 ESTIMATED_BLOCKS = 60_000
-#: Least number of cached blocks that are tracked for each engine.
+#: Minimum number of cached blocks that are tracked for each engine.
 MIN_CACHED_BLOCKS = 512
-#: Least queue timeout of a suspect job, which other jobs overtake.
+#: Minimum queue timeout of a suspect job, in seconds; other jobs overtake it.
 MIN_SUSPECT_WAIT_S = 30.0
 #: Health states by the state in a load report, where the names differ.
 REPORTED_STATES = {'in': health.UP}
@@ -87,7 +88,8 @@
 class SchedulerSettings(NamedTuple):
     """Constants of one scheduler.
 
-    :param max_streams: most streams that an engine decodes in one step
+    :param max_streams: maximum number of streams that an engine decodes in
+        one step
     """
 
     max_streams: int = 64
--- a/magnoliadyke/core/shutdown.py
+++ b/magnoliadyke/core/shutdown.py
@@ -23,9 +23,10 @@
     """Schedule of a shutdown, in monotonic seconds.
 
     :param started_s: when this host received the request to stop
-    :param grace_s: time from then until the platform kills the process
+    :param grace_s: time from then until the platform kills the process, in
+        seconds
     :param directory_ttl_s: how long callers may cache a response of the
-        directory
+        directory, in seconds
     """
 
     started_s: float
@@ -65,7 +66,7 @@
         One that may not complete before this host ends is refused, so that
         its caller can have another host run it from the start.
 
-        :param deadline_s: when its caller gives up, in monotonic seconds
+        :param deadline_s: when its caller's timeout ends, in monotonic seconds
         """
         if now_s < self.refuses_from_s:
             return True
--- a/magnoliadyke/core/snapshot.py
+++ b/magnoliadyke/core/snapshot.py
@@ -21,7 +21,8 @@
     :param running: streams in its last load report; without a report, this
         node's jobs there
     :param own: this node's jobs on the endpoint
-    :param report_age_s: age of its last load report, None without one
+    :param report_age_s: age of its last load report in seconds, None without
+        one
     """
 
     state: str
--- a/magnoliadyke/core/stageplan.py
+++ b/magnoliadyke/core/stageplan.py
@@ -21,17 +21,17 @@
 class StagePlanSettings(NamedTuple):
     """Constants of the plan.
 
-    :param forecast_window_s: length of the window of past load that serves as
-        the forecast; longer than one swing of the load, so that a lull
-        between two swings causes no change
+    :param forecast_window_s: length, in seconds, of the window of past load
+        that serves as the forecast; longer than one swing of the load, so that
+        a lull between two swings causes no change
     :param gain: smallest increase of the served share of the load that
         justifies a change
     :param headroom: multiple of the present load, prefill margin included,
         from which on no spare capacity is prepared
     :param headroom_gain: factor by which a change that reduces no service
         now has to raise that multiple
-    :param pause_s: shortest time between two changes in opposite
-        directions, within which a change has to gain more than it costs
+    :param pause_s: shortest time between two changes in opposite directions,
+        in seconds, within which a change has to gain more than it costs
     :param max_changing_share: share of the engines that may change at one
         time
     :param prefill_margin: spare prefill capacity, in square roots of the
@@ -81,7 +81,8 @@
     :param decoding: engines in the decode stage
     :param changing: engines that are changing their stage
     :param to_decode: those of the changing engines that change to decode
-    :param change_s: time for which a change makes an engine unavailable
+    :param change_s: time for which a change makes an engine unavailable, in
+        seconds
     """
 
     prefilling: int
--- a/magnoliadyke/core/suspects.py
+++ b/magnoliadyke/core/suspects.py
@@ -13,7 +13,8 @@
 class SuspectQueue:
     """Keeps suspected requests apart from all other jobs of the node.
 
-    :param judge: :class:`magnoliadyke.core.quarantine.Quarantine`
+    :param judge: the :class:`magnoliadyke.core.quarantine.Quarantine` that
+        keeps the verdicts
     :ivar last_crash_s: time of the last recorded crash, by endpoint name
     """
 
--- a/magnoliadyke/gateway/caller.py
+++ b/magnoliadyke/gateway/caller.py
@@ -46,7 +46,7 @@
     :ivar close_announced: whether an answer had ``Connection: close``
     :ivar answer_started: whether bytes of an answer to the current request
         have been sent
-    :ivar streaming: whether a chunked answer has begun and is not complete
+    :ivar streaming: whether a chunked answer has started and is not complete
     :ivar broken: whether the connection can carry no further answer
     :ivar greenlet: greenlet that serves the current request and can be
         interrupted
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -75,7 +75,7 @@
 
     :param arrived_s: when the head of the request was complete, in monotonic
         seconds
-    :ivar deadline_s: when the caller gives up, in monotonic seconds
+    :ivar deadline_s: when the caller's timeout ends, in monotonic seconds
     :ivar runs: number of attempts that ran the request, or may have
     :ivar sends: number of attempts, including those that endpoints rejected
     :ivar tried: ids of endpoints that the request was sent to
@@ -122,7 +122,7 @@
 
     @property
     def left_s(self) -> float:
-        """Time until the caller gives up, in seconds."""
+        """Time until the caller's timeout ends, in seconds."""
         return self.deadline_s - self.parts.clock.now_s()
 
     def run(self) -> outcomes.Outcome:
--- a/magnoliadyke/gateway/inflightjobs.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -1,9 +1,9 @@
 """Tracks this host's jobs at engines, to inform a new placement leader.
 
-A new leader does not know the engines' cache contents and load.  For seconds
-it would send prompts to engines that do not cache them, to engines that are
-still busy with prefills of the previous leader, and into decode slots that
-are in use.  So each host sends its own jobs to a new leader.
+A new leader has no record of the engines' cache contents and load.  For
+seconds it would send prompts to engines that do not cache them, to engines
+that are still busy with prefills of the previous leader, and into decode slots
+that are in use.  So each host sends its own jobs to a new leader.
 """
 
 import collections
@@ -26,8 +26,8 @@
 class _InFlightJob:
     """A job that engines still work on.
 
-    :ivar is_prefilling: whether the prompt is long enough to be accounted and
-        its prefill is not known to be done
+    :ivar is_prefilling: whether the prompt is long enough to be tracked and
+        the end of its prefill was not recorded
     """
 
     service: str
@@ -72,7 +72,7 @@
     ) -> None:
         """Record that a job was placed.
 
-        :param short: whether its prompt is too short to be accounted
+        :param short: whether its prompt is too short to be tracked
         """
         self.in_flight[job.id] = _InFlightJob(service, placed, not short)
         for engine in {
@@ -82,7 +82,7 @@
             self.sent_prompts.append(_SentPrompt(now_s, service, job, engine))
 
     def record_prefill_done(self, job_id: int) -> None:
-        """Record that a job's prefill is done, or was given up."""
+        """Record that a job's prefill is done, or was abandoned."""
         in_flight_job = self.in_flight.get(job_id)
         if in_flight_job is not None:
             in_flight_job.is_prefilling = False
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -106,8 +106,8 @@
         """Apply all keys of a store that was restored from a backup.
 
         Endpoints that the backup lacks, or holds in an older state, stay as
-        this host knows them for a grace period, in which they write their
-        entries again.
+        this host last recorded them for a grace period, in which they write
+        their entries again.
 
         :param at: position as of which the items were read
         """
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -197,8 +197,9 @@
     def reachable_addresses(self) -> list[str]:
         """Return the addresses of all other hosts that may run.
 
-        Includes hosts that the store lists and gossip has not met yet: a host
-        that has just started has met few, but its messages concern all.
+        Includes hosts that the store lists and of which gossip has no state
+        yet: a host that has just started has the state of few others, but
+        its messages concern all.
         """
         members = self.membership.view().members
         found = [m.address for m in members.values() if _may_run(m)]
--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -95,7 +95,7 @@
 
     :param job: id of the job
     :param endpoint: engine of the event, empty where it concerns none
-    :param took_s: duration of a KV cache transfer
+    :param took_s: duration of a KV cache transfer, in seconds
     :param decode_engine: the engine that rejected a prefilled job
     """
 
@@ -178,7 +178,7 @@
     :param position: position of the last change, of the same store epoch
     :param complete: whether all changes fit into the message
     :param regained_s: time since the store was reachable again from the
-        sender, None if there was no outage
+        sender, in seconds; None if there was no outage
     """
 
     host: str
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -2,8 +2,8 @@
 
 One host, the leader, places the requests of all hosts, so that it accounts
 for all work at the engines.  Its decisions are soft state: when the leader
-does not answer, each host places its own requests, without knowing what the
-other hosts send to the same engines.
+does not answer, each host places its own requests, without a record of what
+the other hosts send to the same engines.
 """
 
 import collections
@@ -38,8 +38,9 @@
 
 #: Prompts up to this length, in tokens, take precedence at an engine.
 SHORT_TOKENS = placement.PlacementSettings().short_tokens
-#: An unanswered request is sent again after this time.  It is several
-#: round-trip times, so that only a lost datagram or a busy leader exceeds it.
+#: An unanswered request is sent again after this time, in seconds.  It is
+#: several round-trip times, so that only a lost datagram or a busy leader
+#: exceeds it.
 REQUEST_TIMEOUT_S = 0.02
 #: Bytes that may be queued on this host's link ahead of a placement request
 #: or its answer: the body of a long request.  On a narrow link they take
@@ -48,9 +49,10 @@
 QUEUED_BODY_BYTES = 64 * 1024
 #: Consecutive unanswered requests after which this host places a job itself.
 MAX_UNANSWERED_REQUESTS = 2
-#: Time for which a leader that did not answer gets no requests.
+#: Time for which a leader that did not answer gets no requests, in seconds.
 LEADER_COOLDOWN_S = 0.6
-#: The request for a job that is queued at the leader is repeated this often.
+#: Interval at which the request for a job that is queued at the leader is
+#: repeated, in seconds.
 RESEND_INTERVAL_S = 0.2
 #: Maximum number of prompts in a datagram, so that it does not exceed the
 #: 1,400 bytes of a network packet.
@@ -104,7 +106,8 @@
     :ivar term: term of the leader; each later leader has a larger one
     :ivar leading: whether this host is the leader
     :ivar hosts: number of live hosts
-    :ivar leader_retry_at_s: the leader gets no requests until then
+    :ivar leader_retry_at_s: when the leader, if it did not answer, gets
+        requests again
     :ivar served: placement of all hosts' jobs by service, used as the leader
     :ivar local: placement of this host's jobs by service, used without an
         answering leader
@@ -121,7 +124,8 @@
         admit too many or too few requests for seconds
     :ivar broadcast: sends a message to all other hosts
     :ivar transfer_s: estimated time from the end of a prefill to the first
-        event, which placement has to leave within the latency objective
+        event, in seconds, which placement has to leave within the latency
+        objective
     """
 
     def __init__(
@@ -486,7 +490,8 @@
         with slow transfers within a second or two, at a tenth of the
         messages.
 
-        :param took_s: time from the end of the prefill to the first event
+        :param took_s: time from the end of the prefill to the first event, in
+            seconds
         """
         self.transfer_s.add(took_s)
         if job_id % TRANSFER_SAMPLE_INTERVAL == 0:
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -177,7 +177,7 @@
         return self.parts.backoffs.shortest_remaining_s(decode_engines, now_s)
 
     def _unavailable_engines(self) -> list[str]:
-        """Return ids of unavailable engines that the leader may not know of.
+        """Return ids of engines that the leader may still list as available.
 
         Backoffs apply to this host alone, and an engine may have announced
         its planned stop only to this host so far.
@@ -206,7 +206,7 @@
         return outcomes.Refused(reason, retry_after_s)
 
     def _mark_incomplete(self, failure: outcomes.Failed) -> outcomes.Failed:
-        """Mark a begun stream to end without its last chunk, as incomplete."""
+        """Mark a started stream to end without its last chunk."""
         if self.caller.answer_started:
             self.caller.broken = True
         return failure
@@ -396,7 +396,7 @@
         """Wait for the next part of an answer.
 
         The wait has a stall timeout if another engine could resume the
-        stream. A stream that has begun and can't be resumed has none: only
+        stream. A stream that has started and can't be resumed has none: only
         its engine can still complete the answer.
 
         :param wait: waits for the part and returns it
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -29,7 +29,7 @@
 UNANSWERED_COOLDOWN_S = 15.0
 #: Cooldown of an engine after an order that it refused, in seconds.  While no
 #: engine is in the decode stage an unanswered order is repeated after this
-#: time too.  It is longer than the time-out of an order.
+#: time too.  It is longer than the timeout of an order.
 RETRY_INTERVAL_S = 2.0
 #: Limit on concurrent calls to engines.
 MAX_CONCURRENT_ORDERS = 8
--- a/magnoliadyke/gateway/upstream.py
+++ b/magnoliadyke/gateway/upstream.py
@@ -8,8 +8,8 @@
 
 __all__ = ['NoConnection', 'Upstream']
 
-#: Timeout for opening a connection: an endpoint that needs longer is down or
-#: unreachable, and another one can still answer in time.
+#: Timeout for opening a connection, in seconds: an endpoint that needs longer
+#: is down or unreachable, and another one can still answer in time.
 CONNECT_TIMEOUT_S = 0.25
 #: Maximum idle time of a connection that is reused for a request that may
 #: run at most once, in seconds. The endpoint may be closing a connection that
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -62,7 +62,7 @@
 
     :param own: host name and incarnation of this process
     :param calls: sends the reports to the platform; None if it requires none
-    :ivar reports: final reports known to this host
+    :ivar reports: final reports that this host has read or written
     :ivar key: store item with the final reports, as last read or written
     :ivar read_term: position of this host's leader key when it last read the
         reports as the leader
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -52,8 +52,9 @@
 #: Usage windows if no usage has to be reported.
 DEFAULT_USAGE_WINDOWS = usageduty.UsageSettings(60.0, 60.0)
 MAINTENANCE_INTERVAL_S = 0.5
-#: Maximum time to live of a directory response.  It is also how long callers
-#: may still connect to a host after it has announced that it stops.
+#: Maximum time to live of a directory response, in seconds.  It is also how
+#: long callers may still connect to a host after it has announced that it
+#: stops.
 DIRECTORY_TTL_S = 2.0
 
 
--- a/magnoliadyke/platform/settings.py
+++ b/magnoliadyke/platform/settings.py
@@ -71,7 +71,8 @@
     :param revoke_s: maximum time for which any host accepts an API key after
         its removal; None if the limit holds only for hosts that can reach the
         store
-    :param duties: singleton tasks, None if there are none
+    :param duties: singleton tasks that the hosts carry out, None if there are
+        none
     """
 
     name: str
--- a/magnoliadyke/platform/store.py
+++ b/magnoliadyke/platform/store.py
@@ -22,16 +22,18 @@
 
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 1.0
-#: Added to a watch's wait time to give its time limit.  A watch that gets no
-#: response by then waits on a connection whose state a middlebox has dropped.
+#: Added to a watch's wait time to give its time limit, in seconds.  A watch
+#: that gets no response by then waits on a connection whose state a middlebox
+#: has dropped.
 WATCH_GRACE_S = 0.7
-#: Time limits for the next part of a response's body and for the whole body.
-#: Many keys take seconds over a slow link, and after a time-out all of them
-#: are read again.
+#: Time limits for the next part of a response's body and for the whole body,
+#: in seconds.  Many keys take seconds over a slow link, and after a time-out
+#: all of them are read again.
 READ_TIMEOUT_S = 0.7
 RESPONSE_TIMEOUT_S = 3.0
-#: A connection that has been idle for longer is replaced.  A new one costs one
-#: round trip; a call on one that was silently dropped runs into its time-out.
+#: A connection that has been idle for longer, in seconds, is replaced.  A new
+#: one costs one round trip; a call on one that was silently dropped runs into
+#: its time-out.
 MAX_IDLE_S = 4.0
 JSON_HEADERS = [(b'Content-Type', b'application/json')]
 #: The store's epoch, raised by one at each restore from a backup.
