--- a/magnoliadyke/core/budget.py
+++ b/magnoliadyke/core/budget.py
@@ -170,7 +170,7 @@
 
         Halves this node's rate, which each later success raises a little.
 
-        :param retry_after_s: shortest pause that the store asked for, in
+        :param retry_after_s: shortest pause that the store requested, in
             seconds
         """
         self._rate_factor = max(0.05, self._rate_factor / 2)
--- a/magnoliadyke/core/burn.py
+++ b/magnoliadyke/core/burn.py
@@ -90,7 +90,7 @@
         single token
     :param queued_s: time in the node's queue, in seconds
     :param role_change_s: part of ``queued_s`` during which an engine of
-        the pool was unavailable for a role change
+        the pool was unavailable for a role change, in seconds
     :param failed_attempts: attempts that failed at an endpoint or on the
         network
     :param first_token_objective_s: objective for ``first_token_s``, from the
--- a/magnoliadyke/core/confirmation.py
+++ b/magnoliadyke/core/confirmation.py
@@ -44,7 +44,7 @@
 
     :param bound_s: longest time that a key may be used after it was revoked,
         in seconds; None if there is no bound
-    :ivar proved_s: when the configuration was last known to be the newest
+    :ivar proved_s: when the query of the latest proof was sent
     :ivar queries: when queries to other hosts were sent, by nonce
     :ivar newest_peer_version: newest version reported by another host
     """
--- a/magnoliadyke/core/digestexchange.py
+++ b/magnoliadyke/core/digestexchange.py
@@ -14,7 +14,7 @@
 #: other would hardly age: a run that ended long ago would seem to go on, and
 #: no other suspect would be retried.
 MAX_DIGEST_DELAY_S = 1.5
-#: The state of a peer is dropped after this time without a digest.
+#: The state of a peer is dropped after this time without a digest, in seconds.
 PEER_RETENTION_S = 60.0
 #: Customers whose totals are kept per peer. Those with much usage are in
 #: every digest and stay. For another customer whose total was dropped, the
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -442,7 +442,7 @@
     def need_s(self, cached: promptcache.CachedPrefixes, tokens: int) -> float:
         """Return the prefill time at the engine that caches most of a prompt.
 
-        :param tokens: length of the whole prompt
+        :param tokens: length of the complete prompt, in tokens
         """
         cost = self.costs[catalog.Stage.PREFILL]
         most = cached.max_tokens
--- a/magnoliadyke/core/hostdiscovery.py
+++ b/magnoliadyke/core/hostdiscovery.py
@@ -20,7 +20,8 @@
 LIVE = 'live'
 MIN_POLL_INTERVAL_S = 10.0
 MAX_POLL_INTERVAL_S = 60.0
-#: Used while no peer is alive: the list is then the only source of hosts.
+#: Poll interval while no peer is alive, in seconds: the list is then the only
+#: source of hosts.
 ISOLATED_POLL_INTERVAL_S = 2.0
 
 
--- a/magnoliadyke/core/medianestimator.py
+++ b/magnoliadyke/core/medianestimator.py
@@ -15,7 +15,7 @@
     down, or behind work from elsewhere.  All prompts would then be expected
     to be late, whatever engine they go to.
 
-    :param initial_s: estimate before the first sample, above zero
+    :param initial_s: estimate before the first sample, in seconds, above 0
     """
 
     def __init__(self, initial_s: float) -> None:
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -292,7 +292,7 @@
     ) -> list[promptjobs.Decision]:
         """Queue a job for a decode engine, or refuse it.
 
-        :param wait_s: expected wait for a decode engine
+        :param wait_s: expected wait for a decode engine, in seconds
         :param reason: reason of the refusal, if the wait is too long
         """
         left_s = job.deadline_s - now_s
--- a/magnoliadyke/core/promptjobs.py
+++ b/magnoliadyke/core/promptjobs.py
@@ -19,7 +19,7 @@
     :param is_retry: whether the request is a retry after a refusal
     :param resumed: whether another engine generated part of the answer
     :param avoid: ids of engines that failed the job
-    :ivar tokens: length of the whole prompt, in tokens
+    :ivar tokens: length of the complete prompt, in tokens
     :ivar submitted_s: when the job was submitted
     :ivar deferred: number of times that the job was deferred until another
         prompt's prefill
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -53,9 +53,8 @@
     :param settle_s: time after which all nodes have the report of a crash
     :param same_crash_s: reports of crashes of one endpoint less than this
         apart are of the same crash
-    :param suspect_s: a suspect that is not seen for this long is dropped
-    :param convicted_s: the same for a convicted request; each resend starts
-        the time anew
+    :param suspect_s: retention of a suspect after its latest resend or crash
+    :param convicted_s: the same for a convicted request
     :param activity_report_ttl_s: how long a report that a suspect waits or
         runs is valid
     :param max_entries: maximum number of entries kept
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -67,8 +67,8 @@
 
     :param state: 'in' or 'up' when the engine accepts work; 'changing'
         during a role change; any other value when it is unavailable
-    :param load: work in flight, in any unit; the least loaded engine is
-        changed
+    :param load: work in flight, in any unit; the engine with the smallest
+        load changes its role
     :param reported_at_s: time of measurement of its newest load report
     :param cached_tokens: prompt tokens in its prefix cache; 0 if unknown
     """
@@ -438,7 +438,7 @@
         :param plain: (prefill, decode) demand by extrapolated trend
         :param levels: present (prefill, decode) demand
         :param now: seasonal forecast for the present, or None
-        :param ahead_s: time from now to the forecast
+        :param ahead_s: time from now to the moment forecast, in seconds
         """
         then = self.seasonal.expected_at(ahead_s)
         if now is None or then is None:
--- a/magnoliadyke/core/routes.py
+++ b/magnoliadyke/core/routes.py
@@ -114,8 +114,8 @@
 class CallerLimits(NamedTuple):
     """Limits of a caller's requests.
 
-    :param header_bytes: maximum size of a request's head
-    :param body_bytes: maximum size of a request's body
+    :param header_bytes: maximum size of a request's head, in bytes
+    :param body_bytes: maximum size of a request's body, in bytes
     :param header_timeout_s: longest time to send a request's head, in seconds
     :param idle_timeout_s: longest wait for the next request on a connection,
         and longest time to send a request's body, in seconds
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -106,8 +106,8 @@
     :param peers_share: share of the peers' prompts on an engine that are
         prefilled before it
     :param avoid: names of endpoints where it failed before
-    :param first: whether its customer is the least served of those whose
-        jobs may start
+    :param first: whether its customer has the lowest fair-queueing counter
+        of those whose jobs may start
     """
 
     credit_share: float = 1.0
@@ -149,7 +149,7 @@
     :ivar seconds: time of the step, in seconds
     :ivar tokens: uncached prompt tokens of all its prompts
     :ivar streams: streams on the engine at the end of the step
-    :ivar undisturbed: whether no prompts of other nodes were known to be
+    :ivar undisturbed: whether no load report showed prompts of other nodes
         on the engine
     """
 
@@ -173,8 +173,8 @@
     def restart(self, tokens, seconds, streams, undisturbed):
         """Start a sample with the first prompt of a step.
 
-        :param undisturbed: whether no prompts of other nodes were known to
-            be on the engine
+        :param undisturbed: whether no load report showed prompts of other
+            nodes on the engine
         """
         self.seconds = seconds
         self.tokens = tokens
--- a/magnoliadyke/core/runs.py
+++ b/magnoliadyke/core/runs.py
@@ -20,8 +20,8 @@
     :ivar streaming: whether decode has started on ``stream_at``
     :ivar prefill_endpoint: endpoint of the attempt's prefill, also after
         its end
-    :ivar prefill_undisturbed: whether no prompts of other nodes were known
-        on the prefill endpoint when the prompt was sent
+    :ivar prefill_undisturbed: whether no load report showed prompts of other
+        nodes on the prefill endpoint when the prompt was sent
     :ivar expected_s: when the first token is expected, in monotonic seconds
     :ivar streams_at_first: streams on the endpoint at the first token
     """
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -239,7 +239,7 @@
         """Apply an engine's prefix cache events.
 
         :param events: mappings with ``kind`` and ``blocks``
-        :param gap: whether events before these were lost
+        :param gap: whether events before these did not arrive
         """
         if name not in self.endpoints:
             return []
--- a/magnoliadyke/core/suspects.py
+++ b/magnoliadyke/core/suspects.py
@@ -5,7 +5,8 @@
 
 __all__ = ['SuspectQueue']
 
-#: How long a suspect that may run waits for its engine to become idle.
+#: How long a suspect that may run waits for its engine to become idle, in
+#: seconds.
 TRIAL_WAIT_S = 5.0
 NEVER_S = float('-inf')
 
--- a/magnoliadyke/core/table.py
+++ b/magnoliadyke/core/table.py
@@ -123,7 +123,8 @@
         the operator had seen.
     :param cells: new value of each cell; None resets the cell to its
         default.
-    :param at_s: wall-clock time, for the history only.
+    :param at_s: wall-clock time in seconds since the epoch, for the history
+        only.
     """
 
     id: str
--- a/magnoliadyke/core/tickets.py
+++ b/magnoliadyke/core/tickets.py
@@ -20,7 +20,7 @@
 class Key(typing.NamedTuple):
     """A request key derived from a ticket.
 
-    :param raw: the whole key
+    :param raw: the complete key, as the caller sent it
     :param ticket: the ticket that it was derived from
     :param home: ``HOST.INCARNATION`` of the only node that may run the key
     :param issued_s: when the ticket was issued, in monotonic seconds of
--- a/magnoliadyke/core/workspaces.py
+++ b/magnoliadyke/core/workspaces.py
@@ -100,7 +100,8 @@
     since.
 
     :param key_digest: digest of the caller's key; None without a key
-    :param confirmed: whether the configuration is known to be the newest
+    :param confirmed: whether this host has proof that the configuration is
+        the newest
     """
     known = configuration.workspaces
     if known is None or route.public:
--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -100,7 +100,7 @@
         connection, in seconds; None if not given
     :param leaving: whether the endpoint is draining and takes no new work
     :param backoff_s: how long this host must send it no requests, in seconds;
-        0 if the endpoint asked for no backoff
+        0 if the endpoint requested no backoff
     """
 
     status: int
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -41,7 +41,8 @@
     stop working within a bound.  The leader queries the store on behalf of
     all hosts that can reach it.
 
-    :param bound_s: see :class:`confirmation.Confirmation`
+    :param bound_s: longest time that a key may be used after it was revoked,
+        in seconds; None if there is no bound
     :ivar proof: this host's proof that its configuration is current
     :ivar was_valid: whether the proof was valid at the last check, to log
         changes only
--- a/magnoliadyke/gateway/inflightjobs.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -15,8 +15,8 @@
 
 __all__ = ['InFlightJobs']
 
-#: Prompts placed within this time are sent to a new leader: engines are
-#: likely to still cache them.
+#: Prompts placed within this time, in seconds, are sent to a new leader:
+#: engines are likely to still cache them.
 IN_FLIGHT_RETENTION_S = 6.0
 #: Maximum number of placed prompts kept for a new leader.
 MAX_IN_FLIGHT = 400
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -110,8 +110,9 @@
     :param broadcast: sends a message to all other hosts
     :ivar contact: follower of the store, which reports whether the store is
         reachable
-    :ivar yielding: whether this host holds the lease and asks to be replaced
-    :ivar yielded: position of the key of a leader that asks to be replaced
+    :ivar yielding: whether this host holds the lease and requests a
+        successor, as it can't reach the store
+    :ivar yielded: position of the key of a leader that requests a successor
     :ivar held_position: position of this host's own key while it holds the
         lease
     :ivar holder_position: position of the current leader's key, or of the
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -43,8 +43,8 @@
 class PeerState(NamedTuple):
     """All keys of the store that a host has read.
 
-    :param items: keys with their values, of those written after the position
-        asked for
+    :param items: keys with their values, of those written after the requested
+        position
     :param positions: positions of all keys, including those without an item
     :param position: position up to which the host has read the store
     :param store_contact: the host's contact with the store, None if it has
--- a/magnoliadyke/gateway/smallserver.py
+++ b/magnoliadyke/gateway/smallserver.py
@@ -16,7 +16,7 @@
 
 LOG = logs.get('smallserver')
 
-#: Maximum time until the next request has been read and answered.
+#: Maximum time until the next request has been read and answered, in seconds.
 IDLE_TIMEOUT_S = 30.0
 
 
