--- a/magnoliadyke/gateway/catchup.py
+++ b/magnoliadyke/gateway/catchup.py
@@ -22,7 +22,7 @@
 #: is asked, and the pause after no host could answer.
 READ_SHARE = 0.1
 RETRY_DELAY_SHARE = 0.15
-#: Maximum number of hosts that are asked for their state at one time.
+#: Maximum number of hosts whose state is requested in one attempt.
 MAX_PEERS_QUERIED = 3
 #: A host that starts after a restore of the store asks others which entries
 #: are stale, until one answers or for this long, in seconds.  By then running
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -285,7 +285,7 @@
     """A host that comes back from a cut keeps an endpoint that has left."""
     node = world.nodes[0]
     leave_while_cut_off(world, clock, node)
-    peers, unanswered = node.members.peers, []
+    peers, unanswered = node.members.peer_addresses, []
 
     def nobody_at_first(first):
         if unanswered:
@@ -293,7 +293,7 @@
         unanswered.append(first)
         return []
 
-    node.members.peers = nobody_at_first
+    node.members.peer_addresses = nobody_at_first
     answer_calls(node)
     took_s = advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
     assert unanswered
--- a/tests/test_keyupdates.py
+++ b/tests/test_keyupdates.py
@@ -258,7 +258,7 @@
     test_follower.leave_while_cut_off(world, clock, node)
     others = [n.own for n in listening(world) if n is not node]
     assert others
-    node.members.peers = lambda first: [
+    node.members.peer_addresses = lambda first: [
         f'{each.address}:{each.gossip_port}' for each in others
     ]
     test_follower.answer_calls(node)
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -124,7 +124,7 @@
     def __init__(self, addresses):
         self.addresses = addresses
 
-    def peers(self, first):
+    def peer_addresses(self, first):
         return self.addresses
 
     def broadcast_position(self, seen):
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -204,11 +204,11 @@
             node.follower.lag.own_position,
         )
         assert state.position < node.follower.lag.own_position
-        node.members.peers = lambda first: [
+        node.members.peer_addresses = lambda first: [
             f'{old.own.address}:{old.own.gossip_port}'
         ]
         assert not node.follower.catch_up.fetch_from_peers(old.own.host)
-        del node.members.peers
+        del node.members.peer_addresses
         assert node.follower.lag.behind(clock.now_s() + 9.0) is None
         assert 'p1' in node.catalog.endpoints
     old.members.on_peer_position = old.follower.record_peer_position
