--- a/magnoliadyke/core/catalog.py
+++ b/magnoliadyke/core/catalog.py
@@ -1,4 +1,4 @@
-"""The newest known configuration and the listed endpoints."""
+"""The newest configuration received and the listed endpoints."""
 
 import collections
 from collections.abc import Iterable
@@ -60,7 +60,7 @@
 
 
 class Catalog:
-    """The newest known configuration and the listed endpoints.
+    """The newest configuration received and the listed endpoints.
 
     :ivar announced_leaving: ids of endpoints that announced in a response
         that they leave; no store entry reverts that
@@ -101,7 +101,7 @@
         return True
 
     def latest_started_ms(self, name: str) -> int:
-        """Return the start of the latest known process of a name, in ms.
+        """Return the start of the latest recorded process of a name, in ms.
 
         0 if unknown.
         """
@@ -133,7 +133,7 @@
     def mark_leaving(self, endpoint_id: str) -> bool:
         """Record that an endpoint announced in a response that it leaves.
 
-        :returns: whether a listed endpoint was not known to leave before
+        :returns: whether the endpoint is listed and was not leaving before
         """
         self.announced_leaving[endpoint_id] = None
         self.announced_leaving.move_to_end(endpoint_id)
--- a/magnoliadyke/core/commands.py
+++ b/magnoliadyke/core/commands.py
@@ -228,7 +228,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Idle:
-    """State and intent are known; no change is in progress."""
+    """State and intent have been read; no change is in progress."""
 
 
 @dataclasses.dataclass(frozen=True)
--- a/magnoliadyke/core/forecast.py
+++ b/magnoliadyke/core/forecast.py
@@ -164,7 +164,7 @@
         """Return the mean of both series at a phase in past cycles.
 
         :param ahead_s: time from now to the phase, in seconds
-        :returns: a pair, or None while no period or no past cycle is known
+        :returns: a pair, or None while there is no period or no past cycle
         """
         if self._lag is None:
             return None
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -323,7 +323,7 @@
         """Whether staged edits are in force before they are accepted.
 
         A node that has acknowledged an edit and then has no recent
-        confirmation by the store can't tell whether the edit was accepted.
+        confirmation by the store has no proof whether the edit was accepted.
         A staged edit is never withdrawn, so applying it early is consistent.
         """
         return self.store_age_s(now_s) > self.settings.stale_s
@@ -417,7 +417,7 @@
     ) -> frozenset[str]:
         """Hosts that were seen to take no work after the edit was staged.
 
-        A host that was last seen idle before that may have begun to take
+        A host that was last seen idle before that may have started to take
         work, so acceptance waits for it like for any other host.
         """
         return frozenset(
--- a/magnoliadyke/core/leases.py
+++ b/magnoliadyke/core/leases.py
@@ -150,7 +150,7 @@
         return self.authority
 
     def holder(self) -> str | None:
-        """Return the holder in the last known value, None if released."""
+        """Return the holder in the value last read, None if released."""
         if self.value is None or self.value.released:
             return None
         return self.value.holder
@@ -222,7 +222,7 @@
         )
 
     def _expires_s(self) -> float:
-        """Return when no host can still be acting on the last known value.
+        """Return when no host can still be acting on the value last read.
 
         A value of this host's own is waited out like any other: a store
         restored from an older backup may hold it while another host holds
--- a/magnoliadyke/core/longanswers.py
+++ b/magnoliadyke/core/longanswers.py
@@ -18,7 +18,7 @@
 #: Weight of a new answer in the average decode time per token.
 OUTPUT_WEIGHT = 0.1
 #: Expected wait for a slot, in seconds, when there are more queued jobs than
-#: answers with a known end; a long answer takes a second or two.
+#: answers with an expected end; a long answer takes a second or two.
 UNKNOWN_SLOT_S = 1.0
 
 
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -72,8 +72,8 @@
         """Return the share of prefill work of this or a higher priority.
 
         Lower numbers are higher priorities.  For the prompts of other nodes
-        only the total is known; they are assumed to have the distribution of
-        this node's prompts.
+        only the total is reported; they are assumed to have the distribution
+        of this node's prompts.
         """
         total = sum(self.mix.values())
         if not total:
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -176,7 +176,7 @@
         return entry.verdict()
 
     def extend_retention(self, fingerprint, now_s):
-        """Extend the retention of a known request that was sent again."""
+        """Extend the retention of an entry whose request was sent again."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
             entry.seen_s = now_s
--- a/magnoliadyke/core/records.py
+++ b/magnoliadyke/core/records.py
@@ -259,7 +259,7 @@
 
         The outcome ``NotRun`` is final too: an earlier copy of the request
         may still be in flight on a slow connection, and would otherwise run
-        after the caller was told that it had not run.
+        after the caller received the answer that it had not run.
         """
         record.state = 'settled'
         record.run = None
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -515,7 +515,7 @@
         return endpoint.load.local_wait_s(priority, now_s)
 
     def _best_split(self, job, members, context, now_s):
-        """The best prefill engine, marked blocked if none has room now.
+        """The best prefill engine, marked blocked if none has capacity.
 
         The predictions include the KV cache transfer to a decode engine.
         """
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -572,7 +572,7 @@
     def _try_place(self, run, pool, context, now_s):
         """Dispatch a queued job, or refuse it if it is predicted late.
 
-        :returns: the action, or None if no endpoint has room now
+        :returns: the action, or None if no endpoint has capacity now
         """
         spare_s = run.timing.deadline_s - now_s
         share = pool.priority_share(run.job.priority)
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -417,7 +417,7 @@
         """Whether a leader unknown to gossip leaves requests unanswered.
 
         This happens when all hosts were killed and the leader's does not
-        restart.  Gossip declares only known members dead, so without this
+        restart.  Gossip declares only its members dead, so without this
         check every host would place alone, and no host would order an
         engine, until the lease expires.  A running leader joins gossip or
         answers a placement request within ``UNKNOWN_LEADER_TIMEOUT_S``.  A
--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -259,8 +259,8 @@
 def decode(data: bytes) -> Message:
     """Decode a datagram.
 
-    :raises errors.ProtocolError: the datagram is malformed or holds no known
-        message
+    :raises errors.ProtocolError: the datagram is malformed or holds no message
+        of this version
     """
     datagram = ttypes.Datagram()
     try:
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -102,7 +102,7 @@
     :param address: address of this host at which it receives datagrams
     :param port: UDP port, the same on all hosts
     :param link_mbps: bandwidth of this host's link, in Mbit/s
-    :ivar leader: address of the leader, None if none is known
+    :ivar leader: address of the leader, None before the first one
     :ivar term: term of the leader; each later leader has a larger one
     :ivar leading: whether this host is the leader
     :ivar hosts: number of live hosts
--- a/magnoliadyke/gateway/store.py
+++ b/magnoliadyke/gateway/store.py
@@ -164,7 +164,7 @@
 
     @abc.abstractmethod
     def renew(self, lease: int) -> Granted | NoLease | Restored | Unavailable:
-        """Renew a lease granted in the store's last known era."""
+        """Renew a lease granted in the latest era of the store."""
 
     @abc.abstractmethod
     def revoke(self, lease: int) -> None:
