--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -323,7 +323,7 @@
         """Whether staged edits are in force before they are accepted.
 
         A node that has acknowledged an edit and then has no recent
-        confirmation by the store has no proof whether the edit was accepted.
+        confirmation by the store has no proof that the edit was accepted.
         A staged edit is never withdrawn, so applying it early is consistent.
         """
         return self.store_age_s(now_s) > self.settings.stale_s
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -343,7 +343,7 @@
             outcome = active.run()
         except Exception as error:
             # A bug must not end a connection without an answer: the caller
-            # would have no information whether the request has run.
+            # would have no information on whether the request has run.
             LOG.error_event(
                 'request_error', error, id=request.id.decode('latin-1')
             )
