--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -1,4 +1,4 @@
-"""The routes of the callers' listener."""
+"""The HTTP routes for callers."""
 
 import json
 import re
@@ -6,23 +6,24 @@
 
 import falcon
 
+from magnoliadyke import caller_codec
 from magnoliadyke.core import attempts
 from magnoliadyke.core import outcomes
 from magnoliadyke.core import records
-from magnoliadyke import directory
-from magnoliadyke import followers
-from magnoliadyke import forms
+from magnoliadyke import homedirectory
 from magnoliadyke import homes
+from magnoliadyke import responsestream
 from magnoliadyke import streams
 
 __all__ = ['HANDLER', 'build_app']
 
-#: Key of the WSGI environment under which the connection's handler is.
+#: Key of the connection's handler in the WSGI environment.
 HANDLER = 'magnoliadyke.handler'
 JSON = 'application/json'
 EVENTS = 'text/event-stream'
-#: An answer begins at the latest after this long, so that the caller's
-#: library sees keep-alive comments and can tell slow from dead.
+#: Time after which the head of a streamed response is sent even without a
+#: token. The caller's library then gets keep-alive comments, by which it
+#: tells a slow node from an unreachable one.
 HEAD_WAIT_S = 1.0
 SERVICES = re.compile(r'/v1/services/(?P<name>[^/?]+)(?P<path>/[^?]*)?')
 ANSWERS = re.compile(r'/v1/answers/(?P<key>.+)')
@@ -32,7 +33,7 @@
 CALLER_LEFT = outcomes.Unknown(
     'caller_left', 'keep the connection open, and ask again with the same key'
 )
-#: Headers of a service call that go on to the service.
+#: Headers of a service call that are forwarded to the service.
 PASSED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
 
 
@@ -45,27 +46,27 @@
     app.add_route('/v1/hosts', HostsResource(owner))
     app.add_route('/v1/completions', ModelResource(owner, chat=False))
     app.add_route('/v1/chat/completions', ModelResource(owner, chat=True))
-    app.add_route(f'{directory.HOMES_PATH}{{home}}', HomesResource(owner))
+    app.add_route(f'{homedirectory.HOMES_PATH}{{home}}', HomesResource(owner))
     app.add_sink(AnswersSink(owner), ANSWERS)
     app.add_sink(ServicesSink(owner), SERVICES)
-    app.add_error_handler(forms.OutcomeError, tell_error)
-    app.add_error_handler(followers.CallerGone, caller_gone)
+    app.add_error_handler(caller_codec.OutcomeError, send_error)
+    app.add_error_handler(responsestream.CallerDisconnected, send_caller_left)
     return app
 
 
-def tell_error(req, resp, error, params):
-    """Answer with the outcome that ended the handling of a request."""
-    tell(resp, error.outcome)
+def send_error(req, resp, error, params):
+    """Send the outcome that an :class:`forms.OutcomeError` carries."""
+    send_outcome(resp, error.outcome)
 
 
-def caller_gone(req, resp, error, params):
-    """Answer a caller that has closed its side, in case it still reads."""
+def send_caller_left(req, resp, error, params):
+    """Send an outcome to a caller that closed its side; it may still read."""
     req.env[HANDLER].close_connection = True
-    tell(resp, CALLER_LEFT)
+    send_outcome(resp, CALLER_LEFT)
 
 
-def tell(resp, outcome):
-    """Answer with an outcome."""
+def send_outcome(resp, outcome):
+    """Set the response to an outcome."""
     answer = outcomes.to_http(outcome)
     resp.set_header('X-Outcome', type(outcome).__name__)
     resp.status = answer.status
@@ -82,51 +83,58 @@
         self.owner = owner
 
     def on_get(self, req, resp):
-        """Name the hosts to use, and give a ticket."""
+        """Return the hosts that accept requests, and a ticket for keys."""
         resp.content_type = JSON
         resp.data = json.dumps(self.owner.hosts_answer()).encode()
 
 
 class HomesResource:
-    """``GET /v1/homes/HOME``: other nodes ask who has a home's records."""
+    """``GET /v1/homes/HOME``: other nodes query the successor of a home."""
 
     def __init__(self, owner):
         self.owner = owner
 
     def on_get(self, req, resp, home):
-        """Name the successor, as far as it is known here."""
+        """Return the successor, ``''`` if this node has no record of one."""
         successor = self.owner.homes.successor_of(home)
         resp.content_type = JSON
         resp.data = json.dumps({'successor': successor}).encode()
 
 
 class RequestResource:
-    """What the routes share that lead to a run."""
+    """Base of the routes whose requests run on an endpoint.
+
+    :param owner: :class:`magnoliadyke.callers.Callers`
+    """
 
     def __init__(self, owner):
         self.owner = owner
         self.homes = owner.homes
 
     def hops(self, req):
-        """Return the hosts that relayed a request."""
+        """Return the hosts that relayed a request, in order."""
         text = req.get_header('X-Relayed-By') or ''
         return tuple(part for part in text.split(',') if part)
 
     def priority(self, req, customer):
-        """Return the priority a request asks for."""
+        """Return the priority of a request; smaller numbers are more urgent.
+
+        A relay sends a number. A caller sends a word, or nothing to get the
+        customer's default.
+        """
         number = req.get_header('X-Priority-Number')
         if number is not None and number.isdigit():
-            return min(max(int(number), forms.MOST_URGENT), 9)
+            return min(max(int(number), caller_codec.MOST_URGENT), 9)
         row = self.owner.table.last.customers[customer]
         text = req.get_header('X-Priority') or ''
-        return forms.read_priority(text, row.priority)
+        return caller_codec.read_priority(text, row.priority)
 
     def repeatable(self, req):
-        """Return whether the caller lets the request run twice."""
+        """Return whether the caller allows the request to run twice."""
         return (req.get_header('X-Repeatable') or 'true').lower() != 'false'
 
     def common(self, req, customer):
-        """Return the fields that all requests share."""
+        """Return the fields that both kinds of requests share, as a dict."""
         return {
             'key': req.get_header('Idempotency-Key') or '',
             'customer': customer,
@@ -140,15 +148,19 @@
         """Return the customer that sent a request."""
         return self.owner.customer_of(req.get_header('Authorization') or '')
 
-    def wait_end(self, req, place):
-        """Return the outcome of a run; the caller may leave meanwhile."""
-        waiter = followers.Waiter(place.run, req.env[HANDLER])
+    def wait_end(self, req, routed):
+        """Wait for the outcome of a run, and return it.
+
+        :param routed: :class:`homes.Following`
+        :raises CallerGone: when the caller disconnects first
+        """
+        waiter = responsestream.OutcomeWaiter(routed.run, req.env[HANDLER])
         try:
-            return waiter.wait_end()
+            return waiter.wait_for_outcome()
         finally:
             waiter.close()
             has_key = req.get_header('Idempotency-Key') is not None
-            self.homes.left(place.run, has_key)
+            self.homes.on_follower_left(routed.run, has_key)
 
 
 class ModelResource(RequestResource):
@@ -157,23 +169,25 @@
     def __init__(self, owner, chat):
         super().__init__(owner)
         self.chat = chat
-        self.read_work = forms.read_chat if chat else forms.read_completion
+        self.read_work = (
+            caller_codec.read_chat if chat else caller_codec.read_completion
+        )
 
     def on_post(self, req, resp):
-        """Run a completion, or follow one whose key is known."""
+        """Run a completion, or follow the run that its key already has."""
         customer = self.customer(req)
-        document = forms.read_object(self.owner.read_body(req))
+        document = caller_codec.read_object(self.owner.read_body(req))
         request = self.request(req, customer, self.read_work(document))
-        place = self.homes.place(request)
-        reader = Reader(self, req, resp, self.chat, request.key)
-        reader.answer(place, bool(document.get('stream')))
+        routed = self.homes.route_request(request)
+        responder = ModelResponder(self, req, resp, self.chat, request.key)
+        responder.answer(routed, bool(document.get('stream')))
 
     def request(self, req, customer, work):
-        """Return the :class:`forms.ModelRequest` of a request."""
-        digest = forms.request_digest(
+        """Return the :class:`forms.ModelRequest` for an HTTP request."""
+        digest = caller_codec.request_digest(
             customer, work['model'], str(work['max_tokens']), work['prompt']
         )
-        return forms.ModelRequest(
+        return caller_codec.ModelRequest(
             work=work,
             repeatable=self.repeatable(req),
             digest=digest,
@@ -182,32 +196,33 @@
 
 
 class AnswersSink(RequestResource):
-    """``GET /v1/answers/KEY?offset=N``: go on reading an answer."""
+    """``GET /v1/answers/KEY?offset=N``: resume reading an answer."""
 
     def __call__(self, req, resp, key):
-        """Follow the answer of a key from an offset on."""
+        """Stream the answer of a key from an offset on."""
         offset = req.get_param_as_int('offset', min_value=0, default=0)
-        request = forms.ModelRequest(
+        request = caller_codec.ModelRequest(
             key=parse.unquote(key),
             customer=self.customer(req),
             credential=req.get_header('Authorization'),
             work={},
-            priority=forms.MOST_URGENT,
+            priority=caller_codec.MOST_URGENT,
             repeatable=False,
             digest='',
             hops=self.hops(req),
         )
-        place = self.homes.find(request, offset)
-        reader = Reader(self, req, resp, False, request.key, offset)
-        reader.answer(place, True)
+        routed = self.homes.find(request, offset)
+        responder = ModelResponder(self, req, resp, False, request.key, offset)
+        responder.answer(routed, True)
 
 
-class Reader:
-    """Answers one caller from the place where its request belongs.
+class ModelResponder:
+    """Sends the answer of a model to one caller.
 
-    :param chat: whether the caller wants the shape of chat events
+    :param resource: the :class:`RequestResource` of the route
+    :param chat: whether to send events in the chat format
     :param key: the caller's own key, or ``''``
-    :param offset: output tokens the caller has already
+    :param offset: output tokens that the caller has already
     """
 
     def __init__(self, resource, req, resp, chat, key, offset=0):
@@ -219,39 +234,43 @@
         self.key = key
         self.offset = offset
 
-    def answer(self, place, stream):
-        """Answer as a stream or whole.
+    def answer(self, routed, stream):
+        """Send the answer as a stream, or as one document.
 
-        :param place: what :meth:`homes.Homes.place` returned
+        :param routed: what :meth:`homes.Homes.route_request` returned
+        :param stream: whether to stream
         """
-        match place:
+        match routed:
             case homes.Settled(outcome):
-                tell(self.resp, outcome)
-            case homes.Kept(answer):
-                self.name_key(self.key)
-                self.give(answer, stream)
+                send_outcome(self.resp, outcome)
+            case homes.KeptAnswer(answer):
+                self.send_key(self.key)
+                self.send_answer(answer, stream)
             case homes.Following(run, key):
-                self.name_key(self.key or key)
+                self.send_key(self.key or key)
                 if stream:
                     self.follow(run)
                 else:
-                    self.end(self.resource.wait_end(self.req, place))
+                    self.send_result(self.resource.wait_end(self.req, routed))
 
-    def name_key(self, key):
-        """Tell the caller the key that it can ask again with."""
+    def send_key(self, key):
+        """Send the key with which the caller can resend or resume."""
         self.resp.set_header('X-Request-Key', key)
 
-    def end(self, outcome):
-        """Answer with the end of a run."""
+    def send_result(self, outcome):
+        """Send the answer or outcome of a run that has ended."""
         if isinstance(outcome, records.Answer):
-            self.give(outcome, False)
+            self.send_answer(outcome, False)
         else:
-            tell(self.resp, outcome)
+            send_outcome(self.resp, outcome)
+
+    def send_answer(self, answer, stream):
+        """Send a complete answer, as a stream of events or as one document.
 
-    def give(self, answer, stream):
-        """Answer with a whole answer."""
+        A service's answer means that its key was used for a service before.
+        """
         if answer.kind != 'model':
-            tell(self.resp, records.KEY_REUSED)
+            send_outcome(self.resp, records.KEY_REUSED)
             return
         events = streams.model_events(answer)
         if stream:
@@ -260,32 +279,32 @@
         else:
             self.resp.content_type = JSON
             key = self.resp.get_header('X-Request-Key')
-            self.resp.data = forms.render_answer(key, events, self.chat)
+            self.resp.data = caller_codec.render_answer(key, events, self.chat)
 
     def replay(self, events):
-        """Return kept events as the rest of a stream."""
+        """Return recorded events as a stream from the offset on."""
         rest = attempts.events_from(events, self.offset)
-        shaped = forms.chat_events(rest) if self.chat else rest
+        shaped = caller_codec.chat_events(rest) if self.chat else rest
         return shaped + attempts.DONE
 
     def follow(self, run):
-        """Stream a run's events."""
-        follower = followers.Follower(
+        """Stream a run's events, or send its outcome if it has no output."""
+        follower = responsestream.ResponseStream(
             run,
             self.req.env[HANDLER],
             self.offset,
-            forms.chat_events if self.chat else None,
+            caller_codec.chat_events if self.chat else None,
             self.owner.settings.limits.write_stall_s,
         )
         stream = CallerStream(follower, self.owner, bool(self.key))
         try:
-            follower.wait_head(HEAD_WAIT_S)
+            follower.wait_for_first_output(HEAD_WAIT_S)
         except BaseException:
             stream.close()
             raise
         if run.outcome is not None and not run.pieces:
             stream.close()
-            self.end(run.outcome)
+            self.send_result(run.outcome)
             return
         self.resp.content_type = EVENTS
         self.resp.set_header('Cache-Control', 'no-cache')
@@ -293,49 +312,49 @@
 
 
 class CallerStream:
-    """The body of a streamed answer, for the WSGI server.
+    """The body of a streamed response, for the WSGI server.
 
-    :param has_key: whether the caller can ask for the answer again
+    :param has_key: whether the caller sent a key, and so can resume
     """
 
     def __init__(self, follower, owner, has_key):
         self.follower = follower
         self.owner = owner
         self.has_key = has_key
-        owner.followers.add(follower)
+        owner.subscribers.add(follower)
 
     def __iter__(self):
         return iter(self.follower)
 
     def close(self):
-        """Stop to follow; called by the server in any case."""
-        self.owner.followers.discard(self.follower)
+        """Stop following the run; the server calls this in any case."""
+        self.owner.subscribers.discard(self.follower)
         self.follower.close()
-        self.owner.homes.left(self.follower.run, self.has_key)
+        self.owner.homes.on_follower_left(self.follower.run, self.has_key)
 
 
 class ServicesSink(RequestResource):
-    """Any call of ``/v1/services/NAME/PATH``."""
+    """``/v1/services/NAME/PATH``, with any method."""
 
     def __call__(self, req, resp, name, path):
-        """Make a call of a plain service, or give its kept answer."""
+        """Call a plain service, or send the recorded response."""
         customer = self.customer(req)
         request = self.request(req, customer, name)
-        place = self.homes.place(request)
-        match place:
+        routed = self.homes.route_request(request)
+        match routed:
             case homes.Settled(outcome):
-                tell(resp, outcome)
-            case homes.Kept(answer):
-                self.give(resp, request.key, answer)
+                send_outcome(resp, outcome)
+            case homes.KeptAnswer(answer):
+                self.send_answer(resp, request.key, answer)
             case homes.Following(key=key):
-                outcome = self.wait_end(req, place)
+                outcome = self.wait_end(req, routed)
                 if isinstance(outcome, records.Answer):
-                    self.give(resp, request.key or key, outcome)
+                    self.send_answer(resp, request.key or key, outcome)
                 else:
-                    tell(resp, outcome)
+                    send_outcome(resp, outcome)
 
-    def give(self, resp, key, answer):
-        """Answer as the service did."""
+    def send_answer(self, resp, key, answer):
+        """Send the response of the service."""
         resp.set_header('X-Request-Key', key)
         resp.status = answer.status
         if answer.content_type:
@@ -343,31 +362,34 @@
         resp.data = answer.body
 
     def request(self, req, customer, name):
-        """Return the :class:`forms.ServiceRequest` of a call."""
+        """Return the :class:`forms.ServiceRequest` for an HTTP request."""
         body = self.owner.read_body(req)
         path = service_path(req.env[HANDLER].path)
         route = path.partition('?')[0]
-        may_repeat = self.route_repeatable(name, req.method, route)
+        route_is_repeatable = self.route_repeatable(name, req.method, route)
         headers = tuple(
             (each, req.get_header(each))
             for each in PASSED_HEADERS
             if req.get_header(each)
         )
-        return forms.ServiceRequest(
+        return caller_codec.ServiceRequest(
             service=name,
             method=req.method,
             path=path,
             headers=headers,
             body=body,
-            repeatable=may_repeat and self.repeatable(req),
-            digest=forms.request_digest(
+            repeatable=route_is_repeatable and self.repeatable(req),
+            digest=caller_codec.request_digest(
                 customer, name, req.method, path, body
             ),
             **self.common(req, customer),
         )
 
     def route_repeatable(self, name, method, path):
-        """Return whether a call of a route may run twice."""
+        """Return whether the settings allow a call of a route to run twice.
+
+        :param name: name of the service
+        """
         service = self.homes.pool_of_service(name)
         for route in service.routes if service is not None else ():
             if route.method == method and path_matches(route.path, path):
@@ -379,10 +401,11 @@
     """Return path and query below the service's name, as they were sent.
 
     A service that resolves ``..`` would serve ``/notice/../charge`` as
-    ``/charge``, while here it counts as a route below ``/notice/`` that may
-    be repeated. Such paths are rejected, in any spelling.
+    ``/charge``, while the settings may list it as a repeatable route below
+    ``/notice/``. Such paths are rejected, percent-encoded ones as well.
 
     :param raw_path: path and query of the request line
+    :raises OutcomeError: for a path with ``.`` or ``..`` segments
     """
     named = raw_path.partition('/v1/services/')[2]
     name, slash, rest = named.partition('/')
@@ -391,12 +414,12 @@
         return f'/{mark}{query}'
     segments = parse.unquote(rest.partition('?')[0]).split('/')
     if '..' in segments or '.' in segments:
-        raise forms.OutcomeError(BAD_PATH)
+        raise caller_codec.OutcomeError(BAD_PATH)
     return f'/{rest}'
 
 
 def path_matches(pattern, path):
-    """Tell whether a path is the pattern's, or below one that ends in *."""
+    """Return whether a path equals a pattern, or its prefix before ``*``."""
     if pattern.endswith('*'):
         return path.startswith(pattern[:-1])
     return path == pattern
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -1,4 +1,4 @@
-"""The task that owns this node's copy of the table document."""
+"""Task that holds this node's copy of the table and accepts its edits."""
 
 import typing
 
@@ -19,31 +19,32 @@
 __all__ = ['Configuration', 'WorkPermit']
 
 TICK_INTERVAL_S = 0.1
-#: A starting node listens this long for peers that have a table.
-JOIN_S = 1.0
-#: The watch brings a newer table within milliseconds; a peer is asked when
-#: it has not come after this long.
-FETCH_AFTER_S = 0.25
+#: A starting node waits this long for a peer that has a table before it
+#: writes the initial one.
+JOIN_WAIT_S = 1.0
+#: The watch delivers a newer table within milliseconds; after this delay the
+#: node fetches it from a peer instead.
+FETCH_DELAY_S = 0.25
 FETCH_INTERVAL_S = 0.5
 READ_INTERVAL_S = 0.5
-#: The node that took an edit accepts it. When that node is gone another one
-#: does, after this long and a random part of it.
-ACCEPT_FOR_OTHERS_S = 2.0
-#: Nodes that find an older table in the store spread out over this long;
-#: the first one mends it for all.
-RESTORE_SPREAD_S = 1.0
+#: The node that staged an edit also accepts it. In case that node has
+#: failed, the others accept it after one to two times this delay.
+ACCEPT_FOR_OTHERS_DELAY_S = 2.0
+#: Nodes that find an older table in the store write theirs after a random
+#: delay up to this, so that mostly one of them writes.
+MAX_RESTORE_DELAY_S = 1.0
 DOCUMENT_TIMEOUT_S = 2.0
 
 INITIAL_EDIT = 'initial'
-INITIAL_AUTHOR = 'settings'
+INITIAL_OPERATOR = 'settings'
 
 LOG = logs.get('configuration')
 
 
 class WorkPermit(typing.NamedTuple):
-    """Whether this node may take new work, and why not.
+    """Whether this node may accept new requests.
 
-    :param reason: '' when it may; 'no_table', 'isolated'
+    :param reason: '' if allowed; otherwise 'no_table' or 'isolated'
     """
 
     allowed: bool
@@ -51,18 +52,22 @@
 
 
 class PeerRead(typing.NamedTuple):
-    """What a peer answered; ``text`` is None when it had nothing newer."""
+    """A peer's reply to a fetch of the table.
+
+    :param text: the serialized document, None if the peer has none newer
+    """
 
     text: str | None
 
 
 class Configuration(mailbox.Task):
-    """Owns this node's copy of the table document.
+    """Holds this node's copy of the table document and keeps it current.
 
-    Topics: ``views`` (:class:`magnoliadyke.core.table.View`, each newer one),
-    ``permits`` (:class:`WorkPermit`) and ``documents``
-    (:class:`magnoliadyke.edits.Held`). Answers ``EditCells``,
-    ``ShowTable`` and ``History`` of :mod:`magnoliadyke.tablemessages`.
+    Publishes the topics ``views`` (:class:`magnoliadyke.core.table.View`, one
+    for each newer revision), ``permits`` (:class:`WorkPermit`) and
+    ``documents`` (:class:`magnoliadyke.edits.HeldDocument`). Replies to
+    ``EditCells``, ``ShowTable`` and ``History`` of
+    :mod:`magnoliadyke.tablemessages`.
 
     :param settings: the deployment's settings
     :param host: name of this host
@@ -71,6 +76,13 @@
     :param keyvalue: a :class:`magnoliadyke.keyvalue.KeyValue`
     :param gossip: the :class:`magnoliadyke.gossip.Gossip` of this node
     :param peers: a :class:`magnoliadyke.peer.PeerClients`
+    :ivar own_revisions: staged revisions of edits that this node runs
+    :ivar overrides: staged revision to the operator who overrides for it
+    :ivar background_work: names of the work running in the background
+    :ivar behind_since_s: when a peer first reported a newer table, None if
+        none does
+    :ivar watch_behind_since_s: since when the watch is behind a revision
+        that a read returned, None if it is not
     """
 
     tick_interval_s = TICK_INTERVAL_S
@@ -83,91 +95,98 @@
         self.keyvalue = keyvalue
         self.gossip = gossip
         self.peers = peers
-        self.inventory = inventory_of(settings)
+        self.configured_names = configured_names_of(settings)
         self.views = mailbox.Topic()
         self.permits = mailbox.Topic(WorkPermit(False, 'no_table'))
-        self.documents = mailbox.Topic(edits.Held())
+        self.documents = mailbox.Topic(edits.HeldDocument())
         self.standing = gossips.Standing(clock.now_s())
         self.members = membership.MembersView({})
         self.watch = tablewatch.TableWatch(self, keyvalue, clock, rng)
-        self.writer = edits.Writer(self, keyvalue, clock)
+        self.writer = edits.DocumentWriter(self, keyvalue, clock)
         self.own_revisions = set()
         self.overrides = {}
-        self.busy = set()
+        self.background_work = set()
         self.started_s = clock.now_s()
-        self.newer_since_s = None
-        self.missed_since_s = None
+        self.behind_since_s = None
+        self.watch_behind_since_s = None
         self.next_fetch_s = 0.0
         self.next_read_s = 0.0
 
     def start(self):
-        """Follow the store and the peers."""
+        """Start the watch of the store and subscribe to gossip."""
         super().start()
         self.gossip.standings.subscribe(self)
         self.gossip.members.subscribe(self)
         self.watch.start()
 
     def stop(self, deadline_s=5.0):
-        """Stop following the store, then end."""
+        """Stop the watch of the store, then the task."""
         self.watch.stop(deadline_s)
         super().stop(deadline_s)
 
     # Messages.
 
     def handle(self, message):
-        """Act on one message."""
+        """Process one message of the mailbox."""
         match message:
             case tablewatch.StoreRead(outcome, sent_s):
-                self.take_store_read(outcome, sent_s)
+                self.handle_store_read(outcome, sent_s)
             case PeerRead(text):
-                self.take_text(text, self.clock.now_s())
+                self.handle_peer_document(text, self.clock.now_s())
             case gossips.Standing():
                 self.standing = message
-                self.consider_acceptance()
+                self.accept_staged_if_allowed()
                 self.publish_permit()
             case membership.MembersView():
-                self.take_members(message)
+                self.handle_members(message)
             case tablemessages.EditCells():
-                gevent.spawn(edits.EditRun(message, self).run)
+                gevent.spawn(edits.EditTask(message, self).run)
             case edits.Override(revision, author):
                 self.overrides[revision] = author
-                self.consider_acceptance()
+                self.accept_staged_if_allowed()
             case tablemessages.ShowTable():
                 message.reply(self.show())
             case tablemessages.History():
                 message.reply(self.history())
 
     def tick(self):
-        """Do what is due."""
+        """Run the periodic checks of the table and its staged edits."""
         self.fetch_if_due()
         self.read_if_due()
         self.check_watch()
         self.initialise_if_due()
-        self.consider_acceptance()
-        self.act_on_staged_if_due()
+        self.accept_staged_if_allowed()
+        self.apply_staged_if_unconfirmed()
         self.publish_permit()
 
-    def take_members(self, view):
-        """Note who is there; the store's rate is shared by them."""
+    def handle_members(self, view):
+        """Store the members; the nodes alive share the store's rate limit."""
         self.members = view
         budget = getattr(self.keyvalue, 'budget', None)
         if budget is not None:
             budget.set_nodes(len(view.alive()))
 
-    # Documents that come in.
+    # Documents received from the store and from peers.
 
-    def take_store_read(self, outcome, sent_s):
-        """Take in what the store showed."""
+    def handle_store_read(self, outcome, sent_s):
+        """Process the outcome of a read of the table key.
+
+        :param sent_s: monotonic time at which the read was sent
+        """
         match outcome:
             case keyvalues.Found(value=text, revision=revision):
                 document = self.parse(text)
                 if document is not None:
-                    self.take_stored(document, revision, sent_s)
+                    self.handle_stored_document(document, revision, sent_s)
             case keyvalues.Absent():
-                self.take_absent(sent_s)
+                self.handle_absent_document(sent_s)
 
-    def take_stored(self, document, store_revision, sent_s):
-        """Take in the store's document: newer, the same or older."""
+    def handle_stored_document(self, document, store_revision, sent_s):
+        """Adopt the store's document if newer; restore it if older.
+
+        :param store_revision: the store's revision of the key
+        :param sent_s: monotonic time at which the read was sent
+        """
         held = self.documents.last
         if self.is_newer(document):
             self.adopt(document, store_revision)
@@ -176,22 +195,25 @@
                 held._replace(store_revision=store_revision)
             )
         elif sent_s > held.adopted_s:
-            # An edit may now be written over it, the held table with it.
+            # The next edit, based on the held table, may replace this one.
             self.documents.publish(
                 held._replace(store_revision=store_revision)
             )
             self.restore('older')
             return
         else:
-            return  # the read began before a newer table came
+            return  # the read was sent before the held table was adopted
         self.gossip.post(
             gossips.StoreConfirmed(
                 sent_s, document['revision'], table.staged_revision(document)
             )
         )
 
-    def take_absent(self, sent_s):
-        """The store has no table: it is new, or lost what it had."""
+    def handle_absent_document(self, sent_s):
+        """Process an absent key: the store is new, or lost its data.
+
+        :param sent_s: monotonic time at which the read was sent
+        """
         held = self.documents.last
         if held.document is None:
             self.documents.publish(held._replace(store_revision=0))
@@ -199,15 +221,21 @@
             self.documents.publish(held._replace(store_revision=0))
             self.restore('absent')
 
-    def take_text(self, text, now_s):
-        """Take in a document from a peer; the watch should have brought it."""
+    def handle_peer_document(self, text, now_s):
+        """Adopt a newer document of a peer and restart the watch.
+
+        The watch should have delivered it before.
+
+        :param text: the serialized document, or None
+        :param now_s: monotonic time (not used)
+        """
         document = self.parse(text) if text is not None else None
         if document is not None and self.is_newer(document):
             self.adopt(document, self.documents.last.store_revision)
-            self.keyvalue.end_watches()
+            self.keyvalue.abort_watches()
 
     def parse(self, text):
-        """Return the document, or None if it is not one."""
+        """Parse a document; log it and return None if it is malformed."""
         try:
             return table.parse(text)
         except ValueError as error:
@@ -215,16 +243,22 @@
             return None
 
     def is_newer(self, document):
-        """Whether the document takes the place of the one held."""
+        """Whether the document is newer than the one held."""
         held = self.documents.last.document
         return held is None or table.newest(held, document) is document
 
     def adopt(self, document, store_revision):
-        """Hold a newer document and tell everybody."""
+        """Replace the held document; publish it and announce it to peers.
+
+        :param store_revision: the store's revision of the key, None if not
+            yet read
+        """
         now_s = self.clock.now_s()
         staged = table.staged_revision(document)
-        self.documents.publish(edits.Held(document, store_revision, now_s))
-        self.gossip.post(gossips.HoldTable(document['revision'], staged))
+        self.documents.publish(
+            edits.HeldDocument(document, store_revision, now_s)
+        )
+        self.gossip.post(gossips.TableAdopted(document['revision'], staged))
         LOG.event('table', revision=document['revision'], staged=staged)
         self.publish_view(table.view(document))
         self.overrides = {
@@ -234,13 +268,13 @@
         }
 
     def publish_view(self, view):
-        """Put a view in force unless a newer one is."""
+        """Publish a view if its revision is higher than the last one's."""
         last = self.views.last
         if view.revision and (last is None or view.revision > last.revision):
             self.views.publish(view)
 
     def publish_permit(self):
-        """Tell whether this node may take new work."""
+        """Publish whether this node may accept new requests, on change."""
         allowed = self.standing.takes_work
         reason = '' if allowed else 'isolated'
         if self.documents.last.document is None:
@@ -249,89 +283,96 @@
         if permit != self.permits.last:
             self.permits.publish(permit)
 
-    # What is due.
+    # Periodic work.
 
     def spawn_once(self, name, work):
-        """Run ``work`` in the background unless it is running already."""
-        if name in self.busy:
+        """Run ``work`` in a greenlet unless one of that name is running."""
+        if name in self.background_work:
             return
-        self.busy.add(name)
+        self.background_work.add(name)
 
         def run():
             try:
                 work()
             finally:
-                self.busy.discard(name)
+                self.background_work.discard(name)
 
         gevent.spawn(run)
 
     def fetch_if_due(self):
-        """Fetch a newer table from the peer that showed it."""
+        """Fetch the newer table that a peer reports, after a delay."""
         now_s = self.clock.now_s()
-        address = self.standing.newer_at
+        address = self.standing.newer_table_address
         if not address:
-            self.newer_since_s = None
+            self.behind_since_s = None
             return
-        if self.newer_since_s is None:
-            self.newer_since_s = now_s
-        waited_s = now_s - self.newer_since_s
-        if waited_s >= FETCH_AFTER_S and now_s >= self.next_fetch_s:
+        if self.behind_since_s is None:
+            self.behind_since_s = now_s
+        waited_s = now_s - self.behind_since_s
+        if waited_s >= FETCH_DELAY_S and now_s >= self.next_fetch_s:
             self.next_fetch_s = now_s + FETCH_INTERVAL_S
             self.spawn_once('fetch', lambda: self.fetch(address))
 
     def fetch(self, address):
-        """Fetch the table from one peer."""
+        """Fetch the table from one peer.
+
+        :param address: address of the peer's server
+        """
         held = self.documents.last.document
         known = held['revision'] if held is not None else 0
         try:
             reply = self.peers.fetch_table(address, known)
         except errors.HostUnreachable as error:
-            LOG.repeated('fetch_failed', address, error=str(error))
+            LOG.throttled_warning('fetch_failed', address, error=str(error))
             return
         self.post(PeerRead(reply[1] if reply is not None else None))
 
     def read_if_due(self):
-        """Read the store when the evidence of its word grows old.
+        """Read the store if peers cannot confirm that the table is current.
 
-        As long as enough peers are seen that know no newer table this is
-        not needed; then one waiting watch a node is all that the store has
-        to bear.
+        While a quorum of peers reports no newer table, and no edit is
+        staged, no read is needed: the store then serves only one pending
+        watch per node.
         """
         now_s = self.clock.now_s()
         staged = self.standing.acceptance is not None
-        needed = staged or not self.standing.quorate
-        if needed and self.standing.wants_store and now_s > self.next_read_s:
+        needed = staged or not self.standing.has_quorum
+        if (
+            needed
+            and self.standing.is_store_read_due
+            and now_s > self.next_read_s
+        ):
             self.next_read_s = now_s + READ_INTERVAL_S
-            self.watch.reader.read_later()
+            self.watch.reader.read_in_background()
 
     def check_watch(self):
-        """Begin the watch anew when it missed what a read has shown.
+        """Restart the watch if it missed a revision that a read returned.
 
-        Its connection may have gone silent for good: every later table
-        would come late by the time of a whole watch.
+        Its connection may be half open: each later table would then be
+        delayed until the watch times out.
         """
         now_s = self.clock.now_s()
         after = self.watch.after
         seen = self.documents.last.store_revision
         if after is None or seen is None or seen <= after:
-            self.missed_since_s = None
-        elif self.missed_since_s is None:
-            self.missed_since_s = now_s
-        elif now_s - self.missed_since_s > FETCH_AFTER_S:
-            self.missed_since_s = None
-            self.keyvalue.end_watches()
+            self.watch_behind_since_s = None
+        elif self.watch_behind_since_s is None:
+            self.watch_behind_since_s = now_s
+        elif now_s - self.watch_behind_since_s > FETCH_DELAY_S:
+            self.watch_behind_since_s = None
+            self.keyvalue.abort_watches()
 
     def initialise_if_due(self):
-        """Write the table of the settings when nobody has any."""
+        """Write the initial table if neither store nor peers have one."""
         held = self.documents.last
         waited_s = self.clock.now_s() - self.started_s
         if held.document is not None or held.store_revision != 0:
             return
-        if self.standing.newest == 0 and waited_s >= JOIN_S:
+        if self.standing.newest == 0 and waited_s >= JOIN_WAIT_S:
             self.spawn_once('initialise', self.initialise)
 
     def initialise(self):
-        """Write the first table, if it is still the first."""
+        """Write the table of the settings if there is still no other."""
         cells = {
             f'{sheet}/{row}/{column}': value
             for sheet, rows in self.settings.initial_table.items()
@@ -339,33 +380,37 @@
             for column, value in columns.items()
         }
         edit = table.Edit(
-            INITIAL_EDIT, INITIAL_AUTHOR, 0, cells, self.clock.wall_s()
+            INITIAL_EDIT, INITIAL_OPERATOR, 0, cells, self.clock.wall_s()
         )
-        match table.stage(table.empty(), edit, self.inventory):
+        match table.stage(table.empty(), edit, self.configured_names):
             case table.Staged(document, revision):
-                self.clock.sleep(self.rng.random() * JOIN_S / 4)
+                self.clock.sleep(self.rng.random() * JOIN_WAIT_S / 4)
                 if self.documents.last.document is None:
                     self.writer.write(table.accept(document, revision), 0)
             case table.Invalid(problems):
                 for problem in problems:
-                    LOG.repeated(
+                    LOG.throttled_warning(
                         'initial_table', problem.cell, problem=str(problem)
                     )
 
     def restore(self, found):
-        """Write the held table over an older one, as from a backup.
+        """Replace an older table in the store by the held one.
 
-        Operators would see an accepted edit undone, and a starting node
-        would take the older table: the store was restored. The nodes keep
-        the newest table they know, and the compare-and-swap lets just one
-        of them put it back.
+        A store restored from a backup would otherwise undo an accepted edit
+        on nodes that start later. All nodes keep the newest table that they
+        have received; the compare-and-swap lets only one of them write it.
+
+        :param found: 'older' or 'absent', for the log
         """
-        self.spawn_once('restore', lambda: self.put_back(found))
+        self.spawn_once('restore', lambda: self.restore_if_still_older(found))
+
+    def restore_if_still_older(self, found):
+        """Read again after a random delay; write if still older or absent.
 
-    def put_back(self, found):
-        """Read again after a random wait; write if it is still older."""
+        :param found: 'older' or 'absent', for the log
+        """
         LOG.warning_event('store_has_older_table', found=found)
-        self.clock.sleep(self.rng.random() * RESTORE_SPREAD_S)
+        self.clock.sleep(self.rng.random() * MAX_RESTORE_DELAY_S)
         held = self.documents.last
         match self.watch.reader.read():
             case keyvalues.Found(value=text, revision=revision):
@@ -376,54 +421,62 @@
             case keyvalues.Absent():
                 self.writer.write(held.document, 0)
 
-    def act_on_staged_if_due(self):
-        """Put staged edits in force when cut off from the store.
+    def apply_staged_if_unconfirmed(self):
+        """Apply staged edits while this node is cut off from the store.
 
-        Others may have accepted them on the acknowledgement of this node
-        while it can't learn of that; see ``core.freshness``.
+        This node has acknowledged them, so other nodes may have accepted
+        them without its being able to receive that; see ``core.freshness``.
         """
         held = self.documents.last
         held_s = self.clock.now_s() - held.adopted_s
         stale_s = self.settings.timing.stale_after_s
         if held.document is None or not held.document['staged']:
             return
-        if self.standing.unconfirmed and held_s > stale_s:
+        if self.standing.acts_on_staged and held_s > stale_s:
             self.publish_view(table.view(held.document, with_staged=True))
 
     # Acceptance.
 
-    def consider_acceptance(self):
-        """Accept staged edits when the rule allows and it is our turn."""
+    def accept_staged_if_allowed(self):
+        """Accept staged edits if freshness or an override allows it."""
         document = self.documents.last.document
         if document is None or not document['staged']:
             return
         match self.standing.acceptance:
-            case freshness.Accept(revision=revision) if self.is_our_turn():
+            case freshness.Accept(revision=revision) if self.is_acceptor():
                 self.spawn_once('accept', lambda: self.accept(revision, ''))
             case freshness.Blocked(revision=revision):
-                author = self.override_of(revision)
+                author = self.overriding_operator(revision)
                 if author:
                     self.spawn_once(
                         'accept', lambda: self.accept(revision, author)
                     )
 
-    def is_our_turn(self):
-        """Whether this node took the edit, or whoever did seems gone."""
+    def is_acceptor(self):
+        """Whether this node is to accept the staged edits.
+
+        It is if it runs one of them, or if they have been staged for so long
+        that the node that runs them has probably failed.
+        """
         if self.own_revisions:
             return True
         held_s = self.clock.now_s() - self.documents.last.adopted_s
-        wait_s = ACCEPT_FOR_OTHERS_S * (1 + self.rng.random())
+        wait_s = ACCEPT_FOR_OTHERS_DELAY_S * (1 + self.rng.random())
         return held_s > wait_s
 
-    def override_of(self, revision):
-        """Operator who overrides for this revision, '' if none."""
+    def overriding_operator(self, revision):
+        """Return the operator who overrides for a revision, '' if none."""
         for overridden, author in self.overrides.items():
             if overridden >= revision:
                 return author
         return ''
 
     def accept(self, revision, override):
-        """Make the staged edits up to ``revision`` accepted ones."""
+        """Write the document with the edits up to ``revision`` accepted.
+
+        :param override: operator who accepts although hosts are missing, or
+            ''
+        """
         held = self.documents.last
         if held.store_revision is None:
             self.watch.reader.read()
@@ -432,35 +485,41 @@
         if document is not held.document:
             self.writer.write(document, held.store_revision)
 
-    # What edits and pages ask.
+    # Calls of edits, operators and peers.
 
-    def may_edit(self):
-        """Whether this node knows enough to base an edit on its table."""
+    def can_stage(self):
+        """Whether an edit can be staged on the held table.
+
+        The store's revision of the key must be known for the
+        compare-and-swap, and no member may report a newer table.
+        """
         held = self.documents.last
         if held.document is None or held.store_revision is None:
             return False
         return self.standing.newest <= table.staged_revision(held.document)
 
     def stage(self, document, edit):
-        """Stage an edit with a revision that was never given before.
+        """Stage an edit under a revision that was never assigned before.
 
-        A store that was restored to an older copy, and a node that knows
-        nothing newer, would else give a number to another edit for a second
-        time; nodes that hold the first would never take the second.
+        After the store is restored from a backup, a node that has received
+        no newer table could otherwise assign a revision twice; nodes that
+        hold the first edit of that revision would never adopt the second.
+
+        :return: outcome of :func:`magnoliadyke.core.table.stage`
         """
         wall_ms = int(self.clock.wall_s() * 1000)
         floor = max(self.standing.newest + 1, wall_ms)
-        return table.stage(document, edit, self.inventory, floor)
+        return table.stage(document, edit, self.configured_names, floor)
 
     def await_document(self, revision):
-        """Wait until the held document reaches a staged revision."""
+        """Wait until the held document has a staged revision."""
         self.documents.wait_for(
             lambda held: table.staged_revision(held.document) >= revision,
             DOCUMENT_TIMEOUT_S,
         )
 
     def in_force(self):
-        """Revision in force on each live host."""
+        """Return the revision in force on each live host."""
         revisions = {
             member.host: member.table_revision
             for member in self.members.alive()
@@ -470,7 +529,7 @@
         return revisions
 
     def laggards(self, revision):
-        """Live hosts that have not confirmed a revision yet."""
+        """Return the live hosts that have not confirmed a revision yet."""
         return tuple(
             host
             for host, known in sorted(self.in_force().items())
@@ -502,7 +561,11 @@
         return [*document['history'], *document['staged']]
 
     def fetch_table(self, known_revision):
-        """Answer a peer; see :class:`magnoliadyke.peer.PeerServer`."""
+        """Serve a peer's fetch; see :class:`magnoliadyke.peer.PeerServer`.
+
+        :param known_revision: newest accepted revision that the peer has
+        :return: (revision, serialized document or None if not newer)
+        """
         document = self.documents.last.document
         if document is None:
             return 0, None
@@ -512,8 +575,8 @@
         return revision, table.dump(document)
 
 
-def inventory_of(settings):
-    """Names that cross-row checks of the table need."""
+def configured_names_of(settings):
+    """Return the names in the settings that the table's checks need."""
     return table.ConfiguredNames(
         pools={
             pool.name: tuple(each.name for each in pool.endpoints)
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -27,9 +27,9 @@
 class FreshnessSettings(NamedTuple):
     """Timeouts of the table's freshness checks; the same on all nodes.
 
-    :param stale_s: age at which evidence expires.
-    :param join_s: maximum time that a starting node waits for a first peer,
-        which may know a newer table than the store.
+    :param stale_s: age at which evidence expires, in seconds.
+    :param join_s: maximum time, in seconds, that a starting node waits for a
+        first peer, which may hold a newer table than the store.
     """
 
     stale_s: float = 3.0
@@ -39,8 +39,10 @@
 class HostState(NamedTuple):
     """State of a host at one moment, as gossip carries it.
 
-    :param age_s: time from that moment to the encoding of the datagram.
-    :param store_age_s: age of the store's confirmation of the host's table.
+    :param age_s: time from that moment to the encoding of the datagram, in
+        seconds.
+    :param store_age_s: age of the store's confirmation of the host's table,
+        in seconds.
     :param rooted: whether the process has ever held a table confirmed by the
         store or by a quorum; only such hosts count towards a quorum.
     :param spare: share of the host's capacity that is free, 0 to 1.
@@ -85,6 +87,7 @@
     """The edit can't be accepted: the missing hosts may serve without it.
 
     There are enough of them to form a quorum.
+
     :param missing: hosts that have not acknowledged the edit.
     """
 
@@ -95,7 +98,7 @@
 
 class _Evidence(NamedTuple):
     at_s: float
-    sighting: HostState
+    host_state: HostState
 
 
 def quorum_of(failure_domains: Mapping[str, str]) -> int:
@@ -125,7 +128,7 @@
     * the store confirmed the node's table, to the node or to a peer at the
       end of a chain of answered probes, or
     * at least ``quorum`` hosts of the settings, including the node, were
-      seen that know no newer table.
+      seen that hold no newer table.
 
     A staged edit may be *accepted* once every host has acknowledged it, or
     fewer than ``quorum`` hosts are missing and their evidence has expired.
@@ -176,7 +179,7 @@
         self.table_revision = table_revision
         self.staged_revision = staged_revision
 
-    def store_confirmed(
+    def record_store_confirmation(
         self, sent_s: float, table_revision: int, staged_revision: int
     ) -> None:
         """Record the revisions that a read of the store returned.
@@ -188,31 +191,33 @@
             self.rooted = True
 
     def handle_probe_answer(
-        self, sent_s: float, now_s: float, sightings: Iterable[HostState]
+        self, sent_s: float, now_s: float, host_states: Iterable[HostState]
     ) -> None:
         """Record the evidence in the answer to a probe.
 
         :param sent_s: when the probe was sent.
-        :param sightings: first that of the peer, then those it relays.
+        :param host_states: the state of the peer, then those that it relays.
         """
-        for position, sighting in enumerate(sightings):
-            if sighting.host == self.host:
+        for position, host_state in enumerate(host_states):
+            if host_state.host == self.host:
                 continue
-            at_s = sent_s - max(0.0, sighting.age_s)
-            self._record_evidence(at_s, sighting)
+            at_s = sent_s - max(0.0, host_state.age_s)
+            self._record_evidence(at_s, host_state)
             if position == 0:
                 self.first_peer_s = min(self.first_peer_s, now_s)
-                self._adopt_store_confirmation(sent_s, sighting)
+                self._adopt_store_confirmation(sent_s, host_state)
 
-    def _record_evidence(self, at_s: float, sighting: HostState) -> None:
-        known = self.evidence.get(sighting.host)
-        if known is None or self._is_newer(at_s, sighting, known):
-            self.evidence[sighting.host] = _Evidence(at_s, sighting)
+    def _record_evidence(self, at_s: float, host_state: HostState) -> None:
+        known = self.evidence.get(host_state.host)
+        if known is None or self._is_newer(at_s, host_state, known):
+            self.evidence[host_state.host] = _Evidence(at_s, host_state)
 
     @staticmethod
-    def _is_newer(at_s: float, sighting: HostState, known: _Evidence) -> bool:
-        if sighting.incarnation != known.sighting.incarnation:
-            return sighting.incarnation > known.sighting.incarnation
+    def _is_newer(
+        at_s: float, host_state: HostState, known: _Evidence
+    ) -> bool:
+        if host_state.incarnation != known.host_state.incarnation:
+            return host_state.incarnation > known.host_state.incarnation
         return at_s > known.at_s
 
     def _adopt_store_confirmation(
@@ -238,16 +243,16 @@
         newest = max(
             self.evidence.values(),
             key=lambda e: (
-                e.sighting.staged_revision,
-                e.sighting.table_revision,
+                e.host_state.staged_revision,
+                e.host_state.table_revision,
             ),
             default=None,
         )
         if newest is None or self._holds(
-            newest.sighting.table_revision, newest.sighting.staged_revision
+            newest.host_state.table_revision, newest.host_state.staged_revision
         ):
             return None
-        return newest.sighting.host
+        return newest.host_state.host
 
     def store_age_s(self, now_s: float) -> float:
         """Age of the store's last confirmation, also one through peers."""
@@ -272,16 +277,16 @@
     def group(self, now_s: float) -> set[str]:
         """Hosts with recent evidence that count towards a quorum.
 
-        They know no newer table than this node.  The node itself is included
+        They hold no newer table than this node.  The node itself is included
         if it is rooted.
         """
         hosts = {
             host
             for host, evidence in self._recent(now_s)
-            if evidence.sighting.rooted
+            if evidence.host_state.rooted
             and self._holds(
-                evidence.sighting.table_revision,
-                evidence.sighting.staged_revision,
+                evidence.host_state.table_revision,
+                evidence.host_state.staged_revision,
             )
         }
         return hosts | ({self.host} if self.rooted else set())
@@ -318,13 +323,13 @@
         """Whether staged edits are in force before they are accepted.
 
         A node that has acknowledged an edit and then has no recent
-        confirmation by the store can't tell whether the edit was accepted.
+        confirmation by the store has no proof that the edit was accepted.
         A staged edit is never withdrawn, so applying it early is consistent.
         """
         return self.store_age_s(now_s) > self.settings.stale_s
 
-    def sighting(self, now_s: float) -> HostState:
-        """The sighting that this node sends of itself."""
+    def own_host_state(self, now_s: float) -> HostState:
+        """Return the state of this host that the node sends to peers."""
         return HostState(
             self.host,
             self.incarnation,
@@ -337,12 +342,12 @@
             self.spare,
         )
 
-    def relayed_sightings(
+    def relayed_host_states(
         self, now_s: float, max_hosts: int, rng: Any
     ) -> list[HostState]:
-        """Sightings of other hosts to relay, chosen at random.
+        """Return the states of other hosts to relay, chosen at random.
 
-        :param max_hosts: maximum number of sightings.
+        :param max_hosts: maximum number of hosts.
         :param rng: an object with ``randrange``.
         """
         recent = [evidence for _, evidence in self._recent(now_s)]
@@ -352,7 +357,7 @@
             recent[drawn], recent[-1] = recent[-1], recent[drawn]
             chosen.append(recent.pop())
         return [
-            evidence.sighting._replace(age_s=now_s - evidence.at_s)
+            evidence.host_state._replace(age_s=now_s - evidence.at_s)
             for evidence in chosen
         ]
 
@@ -379,14 +384,14 @@
         newer = [
             host
             for host, evidence in recent.items()
-            if evidence.sighting.table_revision > revision
+            if evidence.host_state.table_revision > revision
         ]
         if newer:
             return Wait(revision, tuple(sorted(newer)))
         holders = {
             host
             for host, evidence in recent.items()
-            if evidence.sighting.staged_revision >= revision
+            if evidence.host_state.staged_revision >= revision
         } | {self.host}
         self._record_acknowledgements(holders, revision, now_s)
         stopped = frozenset(stopped)
@@ -412,13 +417,13 @@
     ) -> frozenset[str]:
         """Hosts that were seen to take no work after the edit was staged.
 
-        A host that was last seen idle before that may have begun to take
+        A host that was last seen idle before that may have started to take
         work, so acceptance waits for it like for any other host.
         """
         return frozenset(
             host
             for host, evidence in recent.items()
-            if not evidence.sighting.takes_work
+            if not evidence.host_state.takes_work
             and evidence.at_s >= self._staged_s
         )
 
@@ -437,7 +442,7 @@
             for host, evidence in self.evidence.items()
             if host not in self.configured_hosts
             and evidence.at_s > oldest_s
-            and evidence.sighting.staged_revision < revision
+            and evidence.host_state.staged_revision < revision
         }
 
     def _record_acknowledgements(
--- a/magnoliadyke/core/health.py
+++ b/magnoliadyke/core/health.py
@@ -25,9 +25,9 @@
     """Constants of ejection and probation.
 
     :param failures: consecutive failures that eject an endpoint
-    :param first_ejection_s: duration of the first ejection
-    :param max_ejection_s: longest duration; each ejection lasts twice as
-        long as the one before
+    :param first_ejection_s: duration of the first ejection, in seconds
+    :param max_ejection_s: maximum duration, in seconds; each ejection lasts
+        twice as long as the one before
     :param max_ejected_share: share of a pool that may be ejected at once
     :param probation_successes: successes that end probation
     """
@@ -45,10 +45,10 @@
 class EndpointHealth:
     """Health of one endpoint.
 
-    Its state has three sources: the probes and the host list (`observed`),
-    the endpoint's own load reports (`reported`) and the operators' table
-    (`tabled`).  The endpoint is out if any of them says so, since each may
-    lag behind the others.
+    Its state has three sources: the probes and the host list (``observed``),
+    the endpoint's own load reports (``reported``) and the operators' table
+    (``table_state``).  The endpoint is out if any of them says so, since each
+    may lag behind the others.
 
     :ivar probation_left: successes until the endpoint may run more than one
         job of this node at a time
@@ -63,7 +63,7 @@
         'probation_left',
         'reported',
         'settings',
-        'tabled',
+        'table_state',
     )
 
     def __init__(self, settings=DEFAULT_SETTINGS):
@@ -71,7 +71,7 @@
         self.observed = UP
         self.observed_s = float('-inf')
         self.reported = UP
-        self.tabled = UP
+        self.table_state = UP
         self.failures = 0
         self.ejections = 0
         self.ejected_until_s = float('-inf')
@@ -132,7 +132,7 @@
         return (
             self.observed in OUT_STATES
             or self.reported in OUT_STATES
-            or self.tabled in OUT_STATES
+            or self.table_state in OUT_STATES
         )
 
     def takes_work(self, now_s, in_flight):
--- a/magnoliadyke/core/hostdiscovery.py
+++ b/magnoliadyke/core/hostdiscovery.py
@@ -20,7 +20,8 @@
 LIVE = 'live'
 MIN_POLL_INTERVAL_S = 10.0
 MAX_POLL_INTERVAL_S = 60.0
-#: Used while no peer is alive: the list is then the only source of hosts.
+#: Poll interval while no peer is alive, in seconds: the list is then the only
+#: source of hosts.
 ISOLATED_POLL_INTERVAL_S = 2.0
 
 
@@ -44,7 +45,7 @@
     that the list marks as leaving is not announced to callers, unless its
     process was started after the list was made.
 
-    :param at_s: wall time for which the list is valid
+    :param at_s: time for which the list is valid, in seconds since the epoch
     """
 
     at_s: float
@@ -95,16 +96,16 @@
 
 
 def without_leaving(
-    members: Mapping[str, membership.Member], listed: HostList, own: str
+    members: Mapping[str, membership.Member], listed: HostList, own_host: str
 ) -> dict[str, membership.Member]:
     """Return the members, with leaving ones marked as taking no work.
 
     If no member would take work, the list is ignored: it lags, and callers
     would be left without any host.
 
-    :param own: this host, whose entry in the list is ignored
+    :param own_host: name of this host, whose entry in the list is ignored
     """
-    leaving = {row.host for row in listed.hosts if row.leaving} - {own}
+    leaving = {row.host for row in listed.hosts if row.leaving} - {own_host}
     without_work = {
         host: member._replace(takes_work=False)
         for host, member in members.items()
--- a/magnoliadyke/core/leases.py
+++ b/magnoliadyke/core/leases.py
@@ -27,10 +27,11 @@
 class LeaseSettings(NamedTuple):
     """Timing of a lease.
 
-    :param ttl_s: time to live after a renewal.
-    :param renew_s: interval between renewals.
-    :param watch_s: interval at which a contender reads the value.
-    :param retry_s: shortest time between two attempts after a failure.
+    :param ttl_s: time to live after a renewal, in seconds.
+    :param renew_s: interval between renewals, in seconds.
+    :param watch_s: interval at which a contender reads the value, in seconds.
+    :param retry_s: shortest time between two attempts after a failure, in
+        seconds.
     :param margin_share: share of the time to live by which the holder
         stops early and a contender waits longer, for clocks that run at
         different rates.
@@ -48,7 +49,7 @@
 
     :param incarnation: incarnation of the holder's process.
     :param serial: counts renewals; with holder, incarnation and fencing
-        number it identifies one write.
+        token it identifies one write.
     :param released: whether the holder has released the lease, which it
         does only with no command in progress.
     """
@@ -85,14 +86,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReadLease:
-    """Read the value, then call :meth:`Lease.read` or ``read_failed``."""
+    """Read the value.
+
+    Then call ``record_read`` or ``record_read_failure``.
+    """
 
 
 @dataclasses.dataclass(frozen=True)
 class WriteLease:
     """Write the value if the key still has the revision ``if_revision``.
 
-    Then call ``written``, ``write_refused`` or ``write_unknown``.
+    Then call ``record_written``, ``record_write_refusal`` or
+    ``record_write_unknown``.
     """
 
     value: LeaseValue
@@ -145,7 +150,7 @@
         return self.authority
 
     def holder(self) -> str | None:
-        """Return the holder in the last known value, None if released."""
+        """Return the holder in the value last read, None if released."""
         if self.value is None or self.value.released:
             return None
         return self.value.holder
@@ -165,13 +170,13 @@
     def tick(
         self, now_s: float, contending: bool, fencing_floor: int
     ) -> list[Action]:
-        """Return the actions that are due.
+        """Return the actions to take now.
 
         :param contending: whether the host contends for the duty.
         :param fencing_floor: smallest fencing token to claim the lease
             with: the larger of the wall-clock time in milliseconds and the
-            highest known number plus one.  Without it, a store restored
-            from an older backup would assign the same number twice.
+            highest token on record plus one.  Without it, a store restored
+            from an older backup would assign the same token twice.
         """
         if self._busy or now_s < self._next_s:
             return []
@@ -217,7 +222,7 @@
         )
 
     def _expires_s(self) -> float:
-        """Return when no host can still be acting on the last known value.
+        """Return when no host can still be acting on the value last read.
 
         A value of this host's own is waited out like any other: a store
         restored from an older backup may hold it while another host holds
@@ -237,7 +242,9 @@
             and value.incarnation == self.incarnation
         )
 
-    def read(self, now_s: float, revision: int, text: str | None) -> None:
+    def record_read(
+        self, now_s: float, revision: int, text: str | None
+    ) -> None:
         """Handle the store's answer to a read.
 
         :param revision: revision of the key, 0 if it is absent.
@@ -253,14 +260,14 @@
         self._record_value(now_s, revision, value)
         self._next_s = self._next_read_s(now_s)
 
-    def written(self, now_s: float, revision: int) -> None:
+    def record_written(self, now_s: float, revision: int) -> None:
         """Handle a successful write."""
         self._busy = False
         pending = self._pending
         self._pending = None
         self._settle(pending, now_s, revision)
 
-    def write_refused(
+    def record_write_refusal(
         self, now_s: float, revision: int, text: str | None
     ) -> None:
         """Handle a write refused because the key had another revision.
@@ -268,14 +275,14 @@
         :param revision: present revision of the key, 0 if it is absent.
         :param text: present value of the key, None if it is absent.
         """
-        self.read(now_s, revision, text)
+        self.record_read(now_s, revision, text)
 
-    def write_unknown(self, now_s: float) -> None:
+    def record_write_unknown(self, now_s: float) -> None:
         """Handle a write of unknown outcome; a later read determines it."""
         self._busy = False
         self._next_s = now_s + self.settings.retry_s
 
-    def read_failed(self, now_s: float) -> None:
+    def record_read_failure(self, now_s: float) -> None:
         """Handle a failed read; it is retried after ``retry_s``."""
         self._busy = False
         self._next_s = now_s + self.settings.retry_s
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -42,7 +42,7 @@
 CONVICTED = 'convicted'
 
 CRASHES_TO_CONVICT = 2
-MAX_RANK = 255
+MAX_TOKENS_AT_CRASH = 255
 MAX_CLEARED_BLAMES = 4
 FINGERPRINT_BYTES = 6
 
@@ -53,9 +53,8 @@
     :param settle_s: time after which all nodes have the report of a crash
     :param same_crash_s: reports of crashes of one endpoint less than this
         apart are of the same crash
-    :param suspect_s: a suspect that is not seen for this long is dropped
-    :param convicted_s: the same for a convicted request; each resend starts
-        the time anew
+    :param suspect_s: retention of a suspect after its latest resend or crash
+    :param convicted_s: the same for a convicted request
     :param activity_report_ttl_s: how long a report that a suspect waits or
         runs is valid
     :param max_entries: maximum number of entries kept
@@ -87,30 +86,30 @@
     """Crash attribution of one fingerprint.
 
     :ivar blames: crashes that the request may have caused
-    :ivar cleared_blames: crashes that it is known not to have caused; kept
-        because peers without that knowledge still report them
-    :ivar rank: output tokens that it had when the engine died, at most 255;
-        fewer is more suspicious
+    :ivar cleared_blames: crashes of which it was cleared; kept because peers
+        that have no report of that still send these crashes
+    :ivar tokens_at_crash: output tokens that it had when the engine died, at
+        most 255; fewer is more suspicious
     :ivar pool: checksum of the name of its pool
     :ivar seen_s: when it was last received or last blamed
-    :ivar waiting_s: when it was last known to wait on some node
-    :ivar running_s: when it was last known to run on some node
+    :ivar waiting_s: time of the latest report that it waits on some node
+    :ivar running_s: time of the latest report that it runs on some node
     """
 
     __slots__ = (
         'blames',
         'pool',
-        'rank',
+        'tokens_at_crash',
         'running_s',
         'seen_s',
         'cleared_blames',
         'waiting_s',
     )
 
-    def __init__(self, rank, pool, now_s):
+    def __init__(self, tokens_at_crash, pool, now_s):
         self.blames = []
         self.cleared_blames = []
-        self.rank = rank
+        self.tokens_at_crash = tokens_at_crash
         self.pool = pool
         self.seen_s = now_s
         self.waiting_s = float('-inf')
@@ -143,7 +142,7 @@
 
 
 class Quarantine:
-    """Suspected and convicted requests known to this node.
+    """The suspected and convicted requests of which this node has a record.
 
     :ivar entries: :class:`Entry` by fingerprint
     """
@@ -161,8 +160,10 @@
         """
         crash = name_checksum(endpoint)
         for fingerprint, tokens in batch:
-            rank = min(int(tokens), MAX_RANK)
-            entry = self._entry(fingerprint, rank, name_checksum(pool), now_s)
+            tokens_at_crash = min(int(tokens), MAX_TOKENS_AT_CRASH)
+            entry = self._entry(
+                fingerprint, tokens_at_crash, name_checksum(pool), now_s
+            )
             self._add_blame(entry, Blame(crash, now_s))
         self._clear_bystanders(now_s)
         self._trim()
@@ -174,8 +175,8 @@
             return CLEAR
         return entry.verdict()
 
-    def record_sighting(self, fingerprint, now_s):
-        """Extend the retention of a known request that was sent again."""
+    def extend_retention(self, fingerprint, now_s):
+        """Extend the retention of an entry whose request was sent again."""
         entry = self.entries.get(fingerprint)
         if entry is not None:
             entry.seen_s = now_s
@@ -191,7 +192,7 @@
 
         All nodes order the suspects of a pool alike, so that no two of them
         run on the trial engine together, where a crash would convict both. A
-        suspect waits until all nodes know that it waits, until those before
+        suspect waits until all nodes have a report of it, until those before
         it in the order have run, and while another one runs. Only suspects
         reported as waiting or running within ``activity_report_ttl_s``
         count: one whose caller has gone away must not block the others.
@@ -208,10 +209,13 @@
                 continue
             if known.verdict() != SUSPECT:
                 continue
-            before = (known.rank, other) < (entry.rank, fingerprint)
+            precedes = (known.tokens_at_crash, other) < (
+                entry.tokens_at_crash,
+                fingerprint,
+            )
             if known.running_s >= max(recent_since_s, self._earliest_s(known)):
                 return False
-            if before and known.waiting_s >= recent_since_s:
+            if precedes and known.waiting_s >= recent_since_s:
                 return False
         return True
 
@@ -234,13 +238,15 @@
         if entry is not None:
             entry.running_s = max(entry.running_s, now_s)
 
-    def merge(self, fingerprint, pool, rank, cleared, blames, now_s):
+    def merge(
+        self, fingerprint, pool, tokens_at_crash, cleared, blames, now_s
+    ):
         """Merge a peer's report of one fingerprint.
 
         :param cleared: whether the request did not cause these crashes
         :param blames: list of :class:`Blame`, in this node's time
         """
-        entry = self._entry(fingerprint, rank, pool, now_s)
+        entry = self._entry(fingerprint, tokens_at_crash, pool, now_s)
         for blame in blames:
             if cleared:
                 self._merge_cleared(entry, blame, now_s)
@@ -275,12 +281,12 @@
             if self._is_expired(entry, now_s):
                 del self.entries[fingerprint]
 
-    def _entry(self, fingerprint, rank, pool, now_s):
+    def _entry(self, fingerprint, tokens_at_crash, pool, now_s):
         entry = self.entries.get(fingerprint)
         if entry is None or self._is_expired(entry, now_s):
-            entry = Entry(rank, pool, now_s)
+            entry = Entry(tokens_at_crash, pool, now_s)
             self.entries[fingerprint] = entry
-        entry.rank = min(entry.rank, rank)
+        entry.tokens_at_crash = min(entry.tokens_at_crash, tokens_at_crash)
         return entry
 
     def _add_blame(self, entry, blame):
@@ -353,7 +359,7 @@
     """Sort key: convicted before suspect before clear, then recent first."""
     fingerprint, entry = item
     group = (CONVICTED, SUSPECT, CLEAR).index(entry.verdict())
-    return group, -entry.seen_s, entry.rank, fingerprint
+    return group, -entry.seen_s, entry.tokens_at_crash, fingerprint
 
 
 def _send_order(item, held, recent_since_s):
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoints that run a job now, if any has room."""
+"""Choice of the endpoints that run a job now, if any has capacity."""
 
 from typing import NamedTuple
 import zlib
@@ -15,13 +15,13 @@
     'Router',
     'RoutingSettings',
     'PlacementContext',
-    'subset',
+    'select_subset',
 ]
 
 PREFILL = 'prefill'
 DECODE = 'decode'
 ROLES = (PREFILL, DECODE)
-FULL_FRACTION = 1.0
+FULL_CREDIT_SHARE = 1.0
 LOWEST_PRIORITY = 9
 #: Weight of one first token in the moving average of prediction errors.
 BIAS_STEP = 0.02
@@ -30,18 +30,19 @@
 class RoutingSettings(NamedTuple):
     """Constants of routing.
 
-    :param engine_queue_s: most seconds of this node's queued prompts in an
-        engine at which it gets another prompt
+    :param engine_queue_s: an engine gets another prompt while the prefill of
+        this node's prompts queued there takes at most this long, in seconds
     :param sample: random endpoints that are compared for a job, besides
         the likely holders of its prefix
-    :param subset: most endpoints of a pool that one node uses
+    :param subset_size: maximum number of endpoints of a pool that one node
+        uses
     :param slack_s: predicted times to the first token that exceed the best
-        by no more than this count as equal
+        by no more than this, in seconds, count as equal
     :param peer_load_slack: added to ``slack_s`` for each second of
         unreported prompts that peers are estimated to have on an engine
     :param slack_streams: fill levels, as a share of the stream limit, that
         exceed the lowest by no more than this count as equal
-    :param pace_share: share of the job's time between tokens that the
+    :param decode_step_share: share of the job's time between tokens that the
         predicted decode step may take
     :param mixed_fill: a decode engine above this share of its stream limit
         gets no prompts
@@ -49,17 +50,19 @@
         lost by prefill on a decode engine
     :param mixed_time_share: share of the remaining time to the first token
         within which prefill on a decode engine must be predicted to end
-    :param step_s: step time of an engine that prefills a long prompt
-    :param service_slots: most concurrent calls to one plain service
+    :param step_s: step time of an engine that prefills a long prompt, in
+        seconds
+    :param service_slots: maximum number of concurrent calls to one endpoint
+        of a plain service
     """
 
     engine_queue_s: float = 0.2
     sample: int = 6
-    subset: int = 64
+    subset_size: int = 64
     slack_s: float = 0.02
     peer_load_slack: float = 4.0
     slack_streams: float = 0.05
-    pace_share: float = 0.93
+    decode_step_share: float = 0.93
     mixed_fill: float = 0.8
     mixed_cost: float = 0.1
     mixed_time_share: float = 0.6
@@ -75,7 +78,8 @@
 
     :param endpoint: :class:`Endpoint` that decodes or serves it
     :param prefill: :class:`Endpoint` that prefills it, may be the same
-    :param first_token_s: predicted time to the first token, from now
+    :param first_token_s: predicted time from now to the first token, in
+        seconds
     :param prompt_s: predicted engine-seconds of the prefill
     :param cached_tokens: prompt tokens estimated to be in the cache of
         ``prefill``
@@ -95,18 +99,18 @@
 class PlacementContext(NamedTuple):
     """State of the queue and the job that a placement depends on.
 
-    :param fraction: this node's share of the pool's stream credits
-    :param spare_s: time left until the first token is due
-    :param backlog_s: seconds of queued prompts that the prefill engines
-        take before it
+    :param credit_share: this node's share of the pool's stream credits
+    :param spare_s: time left until the first token is due, in seconds
+    :param backlog_s: time that the prefill engines need for the prompts
+        queued before it, in seconds
     :param peers_share: share of the peers' prompts on an engine that are
         prefilled before it
     :param avoid: names of endpoints where it failed before
-    :param first: whether its customer is the least served of those whose
-        jobs may start
+    :param first: whether its customer has the lowest fair-queueing counter
+        of those whose jobs may start
     """
 
-    fraction: float = 1.0
+    credit_share: float = 1.0
     spare_s: float = float('inf')
     backlog_s: float = 0.0
     first: bool = True
@@ -118,8 +122,9 @@
     """Predictions for the prefill of a job on one endpoint.
 
     :param score_s: predicted time to the first token, plus a penalty for
-        engine time lost by it
-    :param first_token_s: predicted time to the first token, from now
+        engine time lost by it, in seconds
+    :param first_token_s: predicted time from now to the first token, in
+        seconds
     :param prompt_s: predicted engine-seconds of the prefill
     :param cached_tokens: prompt tokens estimated to be cached there
     :param blocked: the endpoint's queue is at its limit, so the job has to
@@ -141,10 +146,10 @@
     previous end is the whole step for the first of them, and almost 0 for
     the others. Only their sum gives the time per token.
 
-    :ivar seconds: time of the step
+    :ivar seconds: time of the step, in seconds
     :ivar tokens: uncached prompt tokens of all its prompts
     :ivar streams: streams on the engine at the end of the step
-    :ivar undisturbed: whether no prompts of other nodes were known to be
+    :ivar undisturbed: whether no load report showed prompts of other nodes
         on the engine
     """
 
@@ -165,11 +170,11 @@
         """
         return seconds < self.SAME_STEP_S
 
-    def begin(self, tokens, seconds, streams, undisturbed):
+    def restart(self, tokens, seconds, streams, undisturbed):
         """Start a sample with the first prompt of a step.
 
-        :param undisturbed: whether no prompts of other nodes were known to
-            be on the engine
+        :param undisturbed: whether no load report showed prompts of other
+            nodes on the engine
         """
         self.seconds = seconds
         self.tokens = tokens
@@ -185,7 +190,7 @@
         other jobs of this node, or None
     :ivar is_reserved_for_trial: whether it takes no new jobs, so that a
         suspect can run there without others
-    :ivar pace: observed decode time as a multiple of the predicted one
+    :ivar slowness_fit: fit of the ratio of observed to predicted decode time
     """
 
     def __init__(self, info, health_settings=health.DEFAULT_SETTINGS):
@@ -197,7 +202,7 @@
         self.reported_streams = 0
         self.reported_at_s = float('-inf')
         self.slowness = 1.0
-        self.pace = costs.RatioFit(1.0, 10.0, 120.0)
+        self.slowness_fit = costs.RatioFit(1.0, 10.0, 120.0)
         self.prefill_sample = PrefillSample()
         self.exclusive_job_id = None
         self.is_reserved_for_trial = False
@@ -243,7 +248,7 @@
     return [each for each in members if each.name not in names] or members
 
 
-def subset(infos, size, salt):
+def select_subset(infos, size, salt):
     """Select a node's endpoints of a large pool by rendezvous hashing.
 
     Each node uses its own salt, so each endpoint is used by about the same
@@ -251,7 +256,7 @@
     member of a subset.
 
     :param infos: objects with a ``name``
-    :param size: most endpoints to select
+    :param size: maximum number of endpoints to select
     :param salt: differs from node to node
     """
     if len(infos) <= size:
@@ -299,7 +304,7 @@
         predictions for both roles are too early, most so for the role that
         is more loaded.
 
-        :param error_s: actual minus predicted time
+        :param error_s: actual minus predicted time, in seconds
         """
         key = (role, priority)
         mean_s = self.bias_s.get(key, 0.0)
@@ -326,7 +331,7 @@
                 job, prefills or decodes, context, now_s
             )
         open_decodes = self._decode_engines_with_room(
-            job, decodes, context.fraction, now_s
+            job, decodes, context.credit_share, now_s
         )
         if not open_decodes:
             return None
@@ -353,11 +358,11 @@
         tokens = job.prompt_tokens * model.uncached.ratio
         read_s = model.prefill_s(PREFILL, tokens)
         moved_s = job.prompt_tokens * model.transfer.ratio
-        return read_s + moved_s + model.pace.at(1)
+        return read_s + moved_s + model.decode_step.at(1)
 
     def stream_limit(self, job):
-        """Most streams on an engine that meet the job's ``per_token_s``."""
-        usable_s = job.per_token_s * self.settings.pace_share
+        """Return the maximum streams on an engine within ``per_token_s``."""
+        usable_s = job.per_token_s * self.settings.decode_step_share
         return self.models.job_cost_model(job).streams_within(usable_s)
 
     def _usable(self, pool, role, job, context, only_endpoint, now_s):
@@ -420,7 +425,7 @@
             return None
         return Placement(best.endpoint, best.endpoint, *best[2:5])
 
-    def _decode_engines_with_room(self, job, members, fraction, now_s):
+    def _decode_engines_with_room(self, job, members, credit_share, now_s):
         """Decode engines with a free stream and KV cache memory.
 
         :returns: list of (fill level, endpoint)
@@ -430,7 +435,7 @@
         found = []
         for endpoint in members:
             load = endpoint.load
-            room = self._max_local_streams(endpoint, limit, fraction)
+            room = self._max_local_streams(endpoint, limit, credit_share)
             if load.streams.local + load.reserved >= room:
                 continue
             kv_capacity = load.kv_capacity
@@ -441,28 +446,28 @@
             found.append((streams / limit * endpoint.slowness, endpoint))
         return found
 
-    def _max_local_streams(self, endpoint, limit, fraction):
-        """Most streams that this node may have on the endpoint."""
+    def _max_local_streams(self, endpoint, limit, credit_share):
+        """Return the maximum streams of this node on the endpoint."""
         streams = endpoint.load.streams
-        if fraction >= FULL_FRACTION:
+        if credit_share >= FULL_CREDIT_SHARE:
             return limit - streams.peers
         own = streams.local_at(endpoint.reported_at_s)
         return credits.allowed_streams(
-            limit, fraction, own, endpoint.reported_streams
+            limit, credit_share, own, endpoint.reported_streams
         )
 
-    def _choose_decode_engine(self, found):
+    def _choose_decode_engine(self, open_decodes):
         """The emptier of two random engines among the emptiest.
 
         If all nodes took the emptiest engine, those that have the same load
         reports would all choose the same one and overload it.
 
-        :param found: list of (fill level, endpoint)
+        :param open_decodes: list of (fill level, endpoint)
         """
-        least = min(item[0] for item in found)
+        least = min(item[0] for item in open_decodes)
         good = [
             item
-            for item in found
+            for item in open_decodes
             if item[0] <= least + self.settings.slack_streams
         ]
         return self._better_of_two(good)[1]
@@ -510,7 +515,7 @@
         return endpoint.load.local_wait_s(priority, now_s)
 
     def _best_split(self, job, members, context, now_s):
-        """The best prefill engine, marked blocked if none has room now.
+        """The best prefill engine, marked blocked if none has capacity.
 
         The predictions include the KV cache transfer to a decode engine.
         """
@@ -529,7 +534,9 @@
         if best is None:
             return None
         model = self.models.job_cost_model(job)
-        moved_s = job.prompt_tokens * model.transfer.ratio + model.pace.base
+        moved_s = (
+            job.prompt_tokens * model.transfer.ratio + model.decode_step.base
+        )
         return best._replace(
             score_s=best.score_s + moved_s,
             first_token_s=best.first_token_s + moved_s,
@@ -540,12 +547,12 @@
         base_s = self.models.job_cost_model(job).mixed_prefill.base
         return split.blocked or job.prompt_tokens * base_s < split.score_s
 
-    def _best_mixed(self, job, found, context, now_s):
+    def _best_mixed(self, job, open_decodes, context, now_s):
         """The best decode engine for both prefill and decode, or None."""
         model = self.models.job_cost_model(job)
         lost = model.mixed_prefill.base / model.prefill.ratio - 1.0
         candidates = []
-        for fill, endpoint in found:
+        for fill, endpoint in open_decodes:
             if fill > self.settings.mixed_fill:
                 continue
             queue_ahead_s = self._queue_ahead_s(endpoint, job, context, now_s)
@@ -554,7 +561,7 @@
             each = self._predict_prefill(job, endpoint, context, now_s)
             extra_s = each.prompt_s * max(0.0, lost) * fill
             cost_s = self.settings.mixed_cost * extra_s
-            pace_s = model.pace.at(endpoint.load.streams.total())
+            pace_s = model.decode_step.at(endpoint.load.streams.total())
             candidates.append(
                 each._replace(
                     score_s=each.score_s + pace_s + cost_s,
--- a/magnoliadyke/core/runs.py
+++ b/magnoliadyke/core/runs.py
@@ -17,12 +17,12 @@
     :ivar tokens: output tokens so far
     :ivar prompt_at: endpoint that prefills the prompt now
     :ivar stream_at: endpoint that decodes the answer, or will
-    :ivar streaming: whether decode has begun on ``stream_at``
+    :ivar streaming: whether decode has started on ``stream_at``
     :ivar prefill_endpoint: endpoint of the attempt's prefill, also after
         its end
-    :ivar prefill_undisturbed: whether no prompts of other nodes were known
-        on the prefill endpoint when the prompt was sent
-    :ivar expected_s: time at which the first token was predicted
+    :ivar prefill_undisturbed: whether no load report showed prompts of other
+        nodes on the prefill endpoint when the prompt was sent
+    :ivar expected_s: when the first token is expected, in monotonic seconds
     :ivar streams_at_first: streams on the endpoint at the first token
     """
 
@@ -38,9 +38,9 @@
         self.charged_s = 0.0
         self.tokens = 0
         self.queued_s = job.arrived_s
-        self.begin_attempt()
+        self.reset_attempt()
 
-    def begin_attempt(self):
+    def reset_attempt(self):
         """Reset the state of the previous attempt."""
         self.prompt_at = None
         self.stream_at = None
@@ -96,7 +96,7 @@
             load.reserved += 1
             load.kv_tokens.add(self.admitted_tokens, now_s)
 
-    def begin_stream(self, now_s):
+    def start_stream(self, now_s):
         """Turn the reservation into a stream when decode begins."""
         if self.stream_at is None or self.streaming:
             return
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -41,16 +41,17 @@
     stop working within a bound.  The leader queries the store on behalf of
     all hosts that can reach it.
 
-    :param bound_s: see :class:`confirmation.Confirmation`
+    :param bound_s: longest time that a key may be used after it was revoked,
+        in seconds; None if there is no bound
     :ivar proof: this host's proof that its configuration is current
-    :ivar was_held: whether the proof was valid at the last check, to log
+    :ivar was_valid: whether the proof was valid at the last check, to log
         changes only
     """
 
     def __init__(
         self,
         bound_s: float | None,
-        known: catalog.Catalog,
+        endpoint_catalog: catalog.Catalog,
         decoder: keymirror.Decoder,
         kv_store: store.Store,
         followed: follower.Follower,
@@ -60,7 +61,7 @@
         rng: random.Random,
     ) -> None:
         self.proof = confirmation.Confirmation(bound_s)
-        self.catalog = known
+        self.catalog = endpoint_catalog
         self.decoder = decoder
         self.store = kv_store
         self.follower = followed
@@ -122,9 +123,9 @@
                 self._ask_peers([leader] if leader else self._sample_peers())
 
     def _sample_peers(self) -> list[str]:
-        listening = self.members.reachable_addresses()
-        asked = self.rng.sample(listening, min(PEERS_ASKED, len(listening)))
-        return list({*asked, *self.members.watchers()})
+        addresses = self.members.reachable_addresses()
+        asked = self.rng.sample(addresses, min(PEERS_ASKED, len(addresses)))
+        return list({*asked, *self.members.watcher_addresses()})
 
     def _may_ask_store(self) -> bool:
         """Whether this host should query the store for a proof.
@@ -136,7 +137,8 @@
         if self.placer.leading:
             return True
         return (
-            not self.follower.listening and not self.follower.unreachable_s()
+            not self.follower.is_following_peers
+            and not self.follower.unreachable_s()
         )
 
     def record_full_read(self, asked_s: float) -> None:
--- a/magnoliadyke/gateway/crashreports.py
+++ b/magnoliadyke/gateway/crashreports.py
@@ -60,7 +60,7 @@
             self.sent_in_window = 0
         self.sent_in_window += 1
         if self.sent_in_window > MAX_NOTIFICATIONS_PER_S:
-            LOG.repeated(
+            LOG.throttled_warning(
                 'broken_request_untold', endpoint, told=self.sent_in_window
             )
             return
@@ -90,10 +90,10 @@
         if not len(self.history):
             return 0.0
         now_s = self.clock.now_s()
-        return self.history.barred_s(_fingerprint(request), now_s)
+        return self.history.blocked_s(_fingerprint(request), now_s)
 
     def _log_blocked(self, fingerprint: bytes, now_s: float) -> None:
-        if self.history.barred_s(fingerprint, now_s):
+        if self.history.blocked_s(fingerprint, now_s):
             endpoints = self.history.requests[fingerprint].endpoints
             LOG.warning_event(
                 'request_barred',
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -110,8 +110,9 @@
     :param broadcast: sends a message to all other hosts
     :ivar contact: follower of the store, which reports whether the store is
         reachable
-    :ivar yielding: whether this host holds the lease and asks to be replaced
-    :ivar yielded: position of the key of a leader that asks to be replaced
+    :ivar yielding: whether this host holds the lease and requests a
+        successor, as it can't reach the store
+    :ivar yielded: position of the key of a leader that requests a successor
     :ivar held_position: position of this host's own key while it holds the
         lease
     :ivar holder_position: position of the current leader's key, or of the
@@ -416,7 +417,7 @@
         """Whether a leader unknown to gossip leaves requests unanswered.
 
         This happens when all hosts were killed and the leader's does not
-        restart.  Gossip declares only known members dead, so without this
+        restart.  Gossip declares only its members dead, so without this
         check every host would place alone, and no host would order an
         engine, until the lease expires.  A running leader joins gossip or
         answers a placement request within ``UNKNOWN_LEADER_TIMEOUT_S``.  A
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -183,7 +183,7 @@
                 found.append(f'{member.address}:{member.caller_port}')
         return found
 
-    def peers(self, first: str) -> list[str]:
+    def peer_addresses(self, first: str) -> list[str]:
         """Return the other hosts' addresses; see :class:`follower.Others`."""
         others = [
             member
@@ -197,8 +197,9 @@
     def reachable_addresses(self) -> list[str]:
         """Return the addresses of all other hosts that may run.
 
-        Includes hosts that the store lists and gossip has not met yet: a host
-        that has just started has met few, but its messages concern all.
+        Includes hosts that the store lists and of which gossip has no state
+        yet: a host that has just started has the state of few others, but
+        its messages concern all.
         """
         members = self.membership.view().members
         found = [m.address for m in members.values() if _may_run(m)]
@@ -214,7 +215,7 @@
         domain = self._domain()
         return not domain or self.own in domain[:WATCHERS]
 
-    def watchers(self) -> list[str]:
+    def watcher_addresses(self) -> list[str]:
         """Return the addresses of this failure domain's other watching hosts.
 
         Empty in a small fleet, where every host watches the store.
@@ -274,7 +275,9 @@
         try:
             record = HostRecord.parse(value)
         except (ValueError, KeyError, TypeError) as error:
-            LOG.repeated('host_record_ignored', 'record', error=str(error))
+            LOG.throttled_warning(
+                'host_record_ignored', 'record', error=str(error)
+            )
             return
         self.records[record.host] = record
         self.listed.add(record.host)
@@ -358,12 +361,14 @@
             try:
                 message = gossip_codec.decode(DEPLOYMENT, data)
             except errors.ProtocolError as error:
-                LOG.repeated('datagram_ignored', 'gossip', reason=str(error))
+                LOG.throttled_warning(
+                    'datagram_ignored', 'gossip', reason=str(error)
+                )
                 continue
             self._act(self.membership.receive(message, self.clock.now_s()))
             self._log_changes()
             if self.on_peer_position is not None:
-                for seen in message.sightings:
+                for seen in message.host_states:
                     self.on_peer_position(
                         seen.host,
                         position.Position.unpack(seen.table_revision),
@@ -393,7 +398,7 @@
         try:
             self.socket.sendto(data, address)
         except OSError as error:
-            LOG.repeated('send_failed', address[0], error=str(error))
+            LOG.throttled_warning('send_failed', address[0], error=str(error))
             return
         self.sent_bytes += len(data)
 
--- a/magnoliadyke/gateway/placement_codec.py
+++ b/magnoliadyke/gateway/placement_codec.py
@@ -95,7 +95,7 @@
 
     :param job: id of the job
     :param endpoint: engine of the event, empty where it concerns none
-    :param took_s: duration of a KV cache transfer
+    :param took_s: duration of a KV cache transfer, in seconds
     :param decode_engine: the engine that rejected a prefilled job
     """
 
@@ -111,15 +111,15 @@
     """Parts of a prompt that an engine is estimated to cache.
 
     :param job: id of the job, None if no engine works on it any longer
-    :param read_tokens: tokens that the engine has to prefill, None if it has
-        no prefill of the job to do
+    :param prefill_tokens: tokens that the engine has to prefill, None if it
+        has no prefill of the job to do
     :param answers: whether the job holds a decode slot of the engine
     """
 
     engine: str
     parts: tuple[promptcache.PromptPart, ...]
     job: int | None = None
-    read_tokens: int | None = None
+    prefill_tokens: int | None = None
     answers: bool = False
 
 
@@ -178,7 +178,7 @@
     :param position: position of the last change, of the same store epoch
     :param complete: whether all changes fit into the message
     :param regained_s: time since the store was reachable again from the
-        sender, None if there was no outage
+        sender, in seconds; None if there was no outage
     """
 
     host: str
@@ -259,8 +259,8 @@
 def decode(data: bytes) -> Message:
     """Decode a datagram.
 
-    :raises errors.ProtocolError: the datagram is malformed or holds no known
-        message
+    :raises errors.ProtocolError: the datagram is malformed or holds no message
+        of this version
     """
     datagram = ttypes.Datagram()
     try:
@@ -331,7 +331,7 @@
         output_tokens=job.output_tokens,
         objective_us=_to_microseconds(job.objective_s),
         deadline_us=_to_microseconds(job.deadline_s),
-        returning=job.returning,
+        returning=job.is_retry,
         resumed=job.resumed,
         failure_domain=job.failure_domain,
         avoid=list(job.avoid),
@@ -346,7 +346,7 @@
         objective_s=ask.objective_us / MICROSECONDS_PER_S,
         deadline_s=ask.deadline_us / MICROSECONDS_PER_S,
         failure_domain=ask.failure_domain,
-        returning=ask.returning,
+        is_retry=ask.returning,
         resumed=ask.resumed,
         avoid=tuple(ask.avoid),
     )
@@ -358,12 +358,12 @@
         case promptjobs.Placed():
             return ttypes.Decision(
                 job=decision.job,
-                prefill=decision.prefill,
-                run=decision.run,
+                prefill=decision.prefill_engine,
+                run=decision.decode_engine,
                 fetch_from=decision.fetch_from,
-                read_tokens=decision.read_tokens,
+                read_tokens=decision.prefill_tokens,
                 expected_us=_to_microseconds(decision.expected_s),
-                tell_end=decision.tell_end,
+                tell_end=decision.report_end,
             )
         case promptjobs.Refused(job, retry_after_s, reason):
             return ttypes.Decision(
@@ -475,7 +475,7 @@
         contents.engine,
         _encode_parts(contents.parts),
         contents.job,
-        contents.read_tokens,
+        contents.prefill_tokens,
         contents.answers or None,
     )
 
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -2,8 +2,8 @@
 
 One host, the leader, places the requests of all hosts, so that it accounts
 for all work at the engines.  Its decisions are soft state: when the leader
-does not answer, each host places its own requests, without knowing what the
-other hosts send to the same engines.
+does not answer, each host places its own requests, without a record of what
+the other hosts send to the same engines.
 """
 
 import collections
@@ -38,8 +38,9 @@
 
 #: Prompts up to this length, in tokens, take precedence at an engine.
 SHORT_TOKENS = placement.PlacementSettings().short_tokens
-#: An unanswered request is sent again after this time.  It is several
-#: round-trip times, so that only a lost datagram or a busy leader exceeds it.
+#: An unanswered request is sent again after this time, in seconds.  It is
+#: several round-trip times, so that only a lost datagram or a busy leader
+#: exceeds it.
 REQUEST_TIMEOUT_S = 0.02
 #: Bytes that may be queued on this host's link ahead of a placement request
 #: or its answer: the body of a long request.  On a narrow link they take
@@ -48,9 +49,10 @@
 QUEUED_BODY_BYTES = 64 * 1024
 #: Consecutive unanswered requests after which this host places a job itself.
 MAX_UNANSWERED_REQUESTS = 2
-#: Time for which a leader that did not answer gets no requests.
+#: Time for which a leader that did not answer gets no requests, in seconds.
 LEADER_COOLDOWN_S = 0.6
-#: The request for a job that is queued at the leader is repeated this often.
+#: Interval at which the request for a job that is queued at the leader is
+#: repeated, in seconds.
 RESEND_INTERVAL_S = 0.2
 #: Maximum number of prompts in a datagram, so that it does not exceed the
 #: 1,400 bytes of a network packet.
@@ -88,8 +90,8 @@
     :ivar generation: catalog generation of the engines that it places on
     """
 
-    def __init__(self, core: placement.Placement) -> None:
-        self.core = core
+    def __init__(self, service_placement: placement.Placement) -> None:
+        self.placement = service_placement
         self.generation = -1
         self.timer = None
 
@@ -100,11 +102,12 @@
     :param address: address of this host at which it receives datagrams
     :param port: UDP port, the same on all hosts
     :param link_mbps: bandwidth of this host's link, in Mbit/s
-    :ivar leader: address of the leader, None if none is known
+    :ivar leader: address of the leader, None before the first one
     :ivar term: term of the leader; each later leader has a larger one
     :ivar leading: whether this host is the leader
     :ivar hosts: number of live hosts
-    :ivar leader_retry_at_s: the leader gets no requests until then
+    :ivar leader_retry_at_s: when the leader, if it did not answer, gets
+        requests again
     :ivar served: placement of all hosts' jobs by service, used as the leader
     :ivar local: placement of this host's jobs by service, used without an
         answering leader
@@ -121,21 +124,22 @@
         admit too many or too few requests for seconds
     :ivar broadcast: sends a message to all other hosts
     :ivar transfer_s: estimated time from the end of a prefill to the first
-        event, which placement has to leave within the latency objective
+        event, in seconds, which placement has to leave within the latency
+        objective
     """
 
     def __init__(
         self,
         address: str,
         port: int,
-        known: catalog.Catalog,
+        endpoint_catalog: catalog.Catalog,
         clock: clocks.Clock,
         rng: random.Random,
         link_mbps: float,
     ) -> None:
         self.address = address
         self.port = port
-        self.catalog = known
+        self.catalog = endpoint_catalog
         self.clock = clock
         self.rng = rng
         self.request_timeout_s = request_timeout_s(link_mbps)
@@ -283,7 +287,9 @@
         for job_id in self.in_flight_jobs.in_flight:
             if self.placed_by.get(job_id) is None:
                 for pool in self.local.values():
-                    self._publish(pool, pool.core.release_job(job_id, now_s))
+                    self._publish(
+                        pool, pool.placement.release_job(job_id, now_s)
+                    )
             self.placed_by[job_id] = leader
 
     def _run_stall_checks(self) -> None:
@@ -300,7 +306,7 @@
                 continue
             now_s = self.clock.now_s()
             for pool in list(self.served.values()):
-                for engine in pool.core.find_stalled(now_s):
+                for engine in pool.placement.find_stalled(now_s):
                     self._abort_prefill_waits(engine)
                     if self.broadcast is not None:
                         self.broadcast(placement_codec.EngineStalled(engine))
@@ -312,7 +318,7 @@
             if not self.leading:
                 continue
             for service, pool in list(self.served.items()):
-                costs = pool.core.pool.learned_costs()
+                costs = pool.placement.pool.learned_costs()
                 if costs is None:
                     continue
                 self.learned_costs[service] = costs
@@ -324,25 +330,27 @@
         waits = self.prefill_waits.get(engine, ())
         LOG.event('engine_silent', endpoint=engine, waits=len(waits))
         for limit in waits:
-            limit.end('the engine reads nothing')
+            limit.abort('the engine reads nothing')
 
     def _restore_snapshot(
         self, snapshot: placement_codec.CacheSnapshot
     ) -> None:
         if not self._is_model_service(snapshot.service):
             return
-        core = self._pool(self.served, snapshot.service).core
+        service_placement = self._pool(self.served, snapshot.service).placement
         now_s = self.clock.now_s()
         for (
             engine,
             parts,
             job,
-            read_tokens,
+            prefill_tokens,
             answers,
         ) in snapshot.cache_contents:
-            core.restore_cache(engine, parts)
+            service_placement.restore_cache(engine, parts)
             if job is not None:
-                core.adopt(job, engine, read_tokens, answers, now_s)
+                service_placement.adopt(
+                    job, engine, prefill_tokens, answers, now_s
+                )
 
     def _place(
         self, service: str, job: promptjobs.Job, waiting: _WaitingJob
@@ -370,7 +378,7 @@
         self.placed_by[job.id] = None
         pool = self._pool(pools, service)
         now_s = self.clock.now_s()
-        self._publish(pool, pool.core.submit(job, now_s))
+        self._publish(pool, pool.placement.submit(job, now_s))
         return waiting.decided.get()
 
     def _place_remotely(
@@ -398,7 +406,7 @@
                 return waiting.decided.get()
         self.leader_retry_at_s = self.clock.now_s() + LEADER_COOLDOWN_S
         self.counts['silent'] += 1
-        LOG.repeated('placing_host_silent', leader, leader=leader)
+        LOG.throttled_warning('placing_host_silent', leader, leader=leader)
         return None
 
     def _with_relative_times(self, job: promptjobs.Job) -> promptjobs.Job:
@@ -411,7 +419,7 @@
             job.objective_s - now_s,
             job.deadline_s - now_s,
             job.failure_domain,
-            job.returning,
+            job.is_retry,
             job.resumed,
             job.avoid,
         )
@@ -482,7 +490,8 @@
         with slow transfers within a second or two, at a tenth of the
         messages.
 
-        :param took_s: time from the end of the prefill to the first event
+        :param took_s: time from the end of the prefill to the first event, in
+            seconds
         """
         self.transfer_s.add(took_s)
         if job_id % TRANSFER_SAMPLE_INTERVAL == 0:
@@ -530,11 +539,15 @@
         pool = pools.get(service)
         if pool is None:
             traits = self.catalog.configuration.services[service].engine
-            core = placement.Placement(traits, self.rng)
+            service_placement = placement.Placement(traits, self.rng)
             if service in self.learned_costs:
-                core.pool.restore_costs(self.learned_costs[service])
-            pool = pools[service] = _ServicePlacement(core)
-        pool.core.sharers = 1 if pools is self.served else self.hosts
+                service_placement.pool.restore_costs(
+                    self.learned_costs[service]
+                )
+            pool = pools[service] = _ServicePlacement(service_placement)
+        pool.placement.placing_hosts = (
+            1 if pools is self.served else self.hosts
+        )
         if pool.generation != self.catalog.generation:
             pool.generation = self.catalog.generation
             engines = self.catalog.usable(service)
@@ -542,7 +555,7 @@
                 # Of equal engines the first one is chosen: without a leader
                 # all hosts would send their jobs to the same one.
                 self.rng.shuffle(engines)
-            pool.core.set_engines(engines)
+            pool.placement.set_engines(engines)
         return pool
 
     def _receive_all(self) -> None:
@@ -551,7 +564,9 @@
             try:
                 message = placement_codec.decode(data)
             except errors.ProtocolError as error:
-                LOG.repeated('datagram_ignored', sender[0], reason=str(error))
+                LOG.throttled_warning(
+                    'datagram_ignored', sender[0], reason=str(error)
+                )
                 continue
             self._receive(message, sender[0])
 
@@ -595,7 +610,7 @@
             return
         self.learned_costs[service] = costs
         if service in self.local:
-            self.local[service].core.pool.restore_costs(costs)
+            self.local[service].placement.pool.restore_costs(costs)
 
     def _handle_request(
         self, service: str, job: promptjobs.Job, sender: str
@@ -609,14 +624,14 @@
             return
         pool = self._pool(self.served, service)
         waits = placement_codec.PlacementQueued(job.id)
-        if pool.core.is_waiting(job.id):
+        if pool.placement.is_waiting(job.id):
             self.send(sender, waits)
             return
         now_s = self.clock.now_s()
         job.objective_s += now_s
         job.deadline_s += now_s
         self.requesters[job.id] = sender
-        self._publish(pool, pool.core.submit(job, now_s))
+        self._publish(pool, pool.placement.submit(job, now_s))
         if job.id not in self.decided:
             self.send(sender, waits)
 
@@ -631,28 +646,28 @@
         self, pool: _ServicePlacement, report: placement_codec.Report
     ) -> None:
         now_s = self.clock.now_s()
-        core = pool.core
+        service_placement = pool.placement
         match report.event:
             case placement_codec.Event.READ:
-                decisions = core.record_prefill_done(
+                decisions = service_placement.record_prefill_done(
                     report.job, report.endpoint, now_s
                 )
             case placement_codec.Event.ENDED:
-                decisions = core.record_end(report.job, now_s)
+                decisions = service_placement.record_end(report.job, now_s)
             case placement_codec.Event.FAILED:
-                decisions = core.record_failure(
+                decisions = service_placement.record_failure(
                     report.job, report.endpoint, now_s
                 )
             case placement_codec.Event.LAPSED:
-                decisions = core.record_rejection(
+                decisions = service_placement.record_rejection(
                     report.job, report.endpoint, report.decode_engine, now_s
                 )
             case placement_codec.Event.MOVED:
-                decisions = core.record_kv_transfer(
+                decisions = service_placement.record_kv_transfer(
                     report.endpoint, report.took_s, now_s
                 )
             case placement_codec.Event.WITHDRAWN:
-                decisions = core.withdraw(report.job, now_s)
+                decisions = service_placement.withdraw(report.job, now_s)
         self._publish(pool, decisions)
 
     def _publish(
@@ -676,7 +691,7 @@
         if pool.timer is not None:
             return
         now_s = self.clock.now_s()
-        wake_s = pool.core.wake_s(now_s)
+        wake_s = pool.placement.wake_s(now_s)
         if wake_s is None:
             return
         timer = gevent.get_hub().loop.timer(wake_s - now_s)
@@ -685,7 +700,9 @@
         def on_timer() -> None:
             pool.timer = None
             timer.close()
-            self._publish(pool, pool.core.pump(self.clock.now_s()))
+            self._publish(
+                pool, pool.placement.place_queued(self.clock.now_s())
+            )
 
         timer.start(on_timer)
 
@@ -698,7 +715,7 @@
         try:
             self.socket._sock.sendto(data, (address, self.port))
         except OSError as error:
-            LOG.repeated('send_failed', address, error=str(error))
+            LOG.throttled_warning('send_failed', address, error=str(error))
 
 
 def request_timeout_s(link_mbps: float) -> float:
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -85,7 +85,7 @@
             try:
                 result = self._run_placed(job, decision, resume_after)
                 if isinstance(result, outcomes.Answered):
-                    report_end = decision.tell_end
+                    report_end = decision.report_end
                 elif (
                     isinstance(result, outcomes.NotRun | outcomes.Lost)
                     and not self.budget_spent
@@ -98,7 +98,7 @@
             match result:
                 case outcomes.Answered() | outcomes.Failed():
                     return result
-                case outcomes.Whole(facts=facts) if self.caller.answer_begun:
+                case outcomes.Whole(facts=facts) if self.caller.answer_started:
                     # An error answer can't be sent in the middle of a stream.
                     reason = f'status {facts.status} on resume'
                     return self._mark_incomplete(outcomes.Failed(502, reason))
@@ -141,10 +141,10 @@
                 LOG.event(
                     'placed',
                     **fields,
-                    reads=decision.prefill or decision.run,
-                    endpoint=decision.run,
+                    reads=decision.prefill_engine or decision.decode_engine,
+                    endpoint=decision.decode_engine,
                     fetch_from=decision.fetch_from or 'none',
-                    read_tokens=decision.read_tokens,
+                    read_tokens=decision.prefill_tokens,
                     expected_ms=round(decision.expected_s * 1000),
                 )
             case promptjobs.Refused(_, retry_after_s, reason):
@@ -157,7 +157,7 @@
 
     def _engine_in_backoff(self, placed: promptjobs.Placed) -> str | None:
         """Return an assigned engine in backoff on this host, None if none."""
-        for engine in (placed.prefill, placed.run):
+        for engine in (placed.prefill_engine, placed.decode_engine):
             if engine is not None and self._backoff_s(engine):
                 return engine
         return None
@@ -177,7 +177,7 @@
         return self.parts.backoffs.shortest_remaining_s(decode_engines, now_s)
 
     def _unavailable_engines(self) -> list[str]:
-        """Return ids of unavailable engines that the leader may not know of.
+        """Return ids of engines that the leader may still list as available.
 
         Backoffs apply to this host alone, and an engine may have announced
         its planned stop only to this host so far.
@@ -206,8 +206,8 @@
         return outcomes.Refused(reason, retry_after_s)
 
     def _mark_incomplete(self, failure: outcomes.Failed) -> outcomes.Failed:
-        """Mark a begun stream to end without its last chunk, as incomplete."""
-        if self.caller.answer_begun:
+        """Mark a started stream to end without its last chunk."""
+        if self.caller.answer_started:
             self.caller.broken = True
         return failure
 
@@ -220,12 +220,12 @@
         now_s = self.parts.clock.now_s()
         prompt = self.request.prompt
         wait_s = self.request.wait_s
-        returning = (
+        is_retry = (
             wait_s is not None
             and wait_s < self.route.timeout_s - RETRY_DETECTION_S
         )
         objective_s = self.arrived_s + self.route.objective_s
-        if returning:
+        if is_retry:
             objective_s -= self.route.timeout_s - wait_s
         objective_s -= self.parts.placer.transfer_s.high_s
         return promptjobs.Job(
@@ -235,7 +235,7 @@
             objective_s=max(objective_s, now_s),
             deadline_s=self.deadline_s,
             failure_domain=self.parts.balancer.failure_domain,
-            returning=returning or self.prefills > 0,
+            is_retry=is_retry or self.prefills > 0,
             resumed=resumed,
             avoid=(*avoid, *self._unavailable_engines()),
         )
@@ -252,21 +252,21 @@
         | outcomes.NotRun
         | outcomes.Lost
     ):
-        self.endpoint = placed.run
-        source = None
-        if placed.prefill is not None:
-            source = self._prefill(job, placed)
-            if isinstance(source, outcomes.NotRun):
-                self.endpoint = placed.prefill
-                return source
+        self.endpoint = placed.decode_engine
+        kv_source = None
+        if placed.prefill_engine is not None:
+            kv_source = self._prefill(job, placed)
+            if isinstance(kv_source, outcomes.NotRun):
+                self.endpoint = placed.prefill_engine
+                return kv_source
         # The engine is looked up after the prefill: one that has announced its
         # stop in the meantime accepts no more work.
-        engine = self._find_staying_engine(placed.run)
-        if engine is None and source is not None:
-            engine = self._alternative_engine(placed.run)
+        engine = self._find_staying_engine(placed.decode_engine)
+        if engine is None and kv_source is not None:
+            engine = self._alternative_engine(placed.decode_engine)
         if engine is None:
-            if source is not None:
-                self._release_kv_cache(source)
+            if kv_source is not None:
+                self._release_kv_cache(kv_source)
             return outcomes.NotRun(
                 remoteprefill.ENGINE_LEFT, was_received=False
             )
@@ -275,15 +275,15 @@
             endpoint=engine.name,
             left_s=self.left_s,
             urgent=job.tokens <= placementservice.SHORT_TOKENS,
-            source=source,
-            fetch_from=placed.fetch_from if source is None else None,
+            kv_source=kv_source,
+            fetch_from=placed.fetch_from if kv_source is None else None,
             resume_after=resume_after,
         )
         started = False
         try:
             result = self._stream(engine, options, job)
             started = not isinstance(result, outcomes.NotRun)
-            if not started and source is not None:
+            if not started and kv_source is not None:
                 # The decode engine is full, or the prefilled KV cache is
                 # gone. An engine that prefills the prompt itself can still
                 # answer.
@@ -292,12 +292,12 @@
                 if other is not None:
                     self.endpoint = other.id
                     options = options._replace(
-                        endpoint=other.name, source=None
+                        endpoint=other.name, kv_source=None
                     )
                     result = self._stream(other, options, job)
         finally:
-            if source is not None and not started:
-                self._release_kv_cache(source)
+            if kv_source is not None and not started:
+                self._release_kv_cache(kv_source)
         return result
 
     def _report_rejection(
@@ -315,11 +315,14 @@
         placer = self.parts.placer
         if result.was_received:
             placer.record_rejection(
-                self.service, job.id, placed.prefill, placed.run
+                self.service,
+                job.id,
+                placed.prefill_engine,
+                placed.decode_engine,
             )
             self._log_attempt('turned away after reading', 'not run')
         else:
-            placer.record_failure(self.service, job.id, placed.run)
+            placer.record_failure(self.service, job.id, placed.decode_engine)
             self._log_attempt(result.reason, 'not run')
 
     def _alternative_engine(self, failed: str) -> catalog.Endpoint | None:
@@ -393,7 +396,7 @@
         """Wait for the next part of an answer.
 
         The wait has a stall timeout if another engine could resume the
-        stream. A stream that has begun and can't be resumed has none: only
+        stream. A stream that has started and can't be resumed has none: only
         its engine can still complete the answer.
 
         :param wait: waits for the part and returns it
@@ -402,7 +405,7 @@
         """
         if not self.route.resumable:
             return wait()
-        if self.caller.answer_begun and not self._can_resume():
+        if self.caller.answer_started and not self._can_resume():
             return wait()
         stall_s = max(min_stall_s, self.route.pause_s * STALL_FACTOR)
         with gevent.Timeout(stall_s, http.OutOfTime('the engine is silent')):
@@ -460,7 +463,7 @@
                 continue
             if first:
                 self._record_start()
-            if first and options.source is None:
+            if first and options.kv_source is None:
                 self._report_prefill_done(job, engine)
             elif first and self.prefill_done_s is not None:
                 took_s = self.parts.clock.now_s() - self.prefill_done_s
@@ -480,6 +483,6 @@
         return outcomes.Answered(200, self.endpoint)
 
     def _begin(self, head: http.Head) -> None:
-        if not self.caller.answer_begun:
+        if not self.caller.answer_started:
             headers = self.parts.codec.answer_headers(head)
-            self.caller.begin_stream(head.status, headers)
+            self.caller.start_stream(head.status, headers)
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -90,10 +90,10 @@
         :returns: address of the engine and handle of the KV cache, as
             ``ADDRESS/HANDLE``; the outcome if the prefill failed
         """
-        prefill_engine = self._find_staying_engine(placed.prefill)
+        prefill_engine = self._find_staying_engine(placed.prefill_engine)
         if prefill_engine is None:
             return self._record_prefill_failure(
-                placed.prefill, ENGINE_LEFT, False
+                placed.prefill_engine, ENGINE_LEFT, False
             )
         sent_s = self.parts.clock.now_s()
         options = codecs.RunOptions(
@@ -150,7 +150,7 @@
             'prompt_read',
             id=self.request.id.decode('latin-1'),
             endpoint=prefill_engine.id,
-            tokens=placed.read_tokens,
+            tokens=placed.prefill_tokens,
             took_ms=round((self.prefill_done_s - sent_s) * 1000),
             expected_ms=round(placed.expected_s * 1000),
         )
@@ -168,12 +168,12 @@
         )
         return outcomes.NotRun(reason, was_received)
 
-    def _release_kv_cache(self, source: str) -> None:
+    def _release_kv_cache(self, kv_source: str) -> None:
         """Release the KV cache of a request that will not be decoded.
 
-        :param source: the KV cache, as :meth:`_prefill` returned it
+        :param kv_source: the KV cache, as :meth:`_prefill` returned it
         """
-        address, _, handle = source.partition('/')
+        address, _, handle = kv_source.partition('/')
         gevent.spawn(self._send_kv_cache_release, address, handle)
 
     def _send_kv_cache_release(self, address: str, handle: str) -> None:
@@ -189,7 +189,7 @@
         try:
             used = self.parts.upstream.acquire(endpoint, 0, repeatable=True)
         except upstream.NoConnection as error:
-            LOG.repeated('handle_kept', endpoint.id, cause=str(error))
+            LOG.throttled_warning('handle_kept', endpoint.id, cause=str(error))
             return
         try:
             with gevent.Timeout(
@@ -203,5 +203,5 @@
             http.PeerClosed,
         ) as error:
             used.close()
-            LOG.repeated('handle_kept', endpoint.id, cause=str(error))
+            LOG.throttled_warning('handle_kept', endpoint.id, cause=str(error))
         self.parts.upstream.release(endpoint, used)
--- a/magnoliadyke/gossip_codec.py
+++ b/magnoliadyke/gossip_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams of the membership protocol as compact thrift."""
+"""Encoding of the membership protocol's datagrams in compact thrift."""
 
 import math
 import typing
@@ -22,12 +22,13 @@
     'encode_prompts',
 ]
 
-#: An age above this is as good as never; it keeps the field small.
+#: Higher ages are sent as this one, or as absent, to keep the field small;
+#: evidence of this age has expired long since.
 MAX_AGE_S = 3600.0
 MAX_STRING_BYTES = 64 * 1024
 MAX_ITEMS = 1024
 
-FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
+PROTOCOL_FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
     string_length_limit=MAX_STRING_BYTES,
     container_length_limit=MAX_ITEMS,
     fallback=True,
@@ -43,16 +44,20 @@
 
 
 class Notice(typing.NamedTuple):
-    """A datagram that tells of one engine."""
+    """A datagram with a notice on one engine.
+
+    :param source: state of the sender
+    """
 
     source: membership.Member
     notice: notices.EngineNotice
 
 
 class Prompts(typing.NamedTuple):
-    """Prompts that the source has given to engines.
+    """A datagram with prompts that the sender has assigned to engines.
 
-    :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
+    :param source: state of the sender
+    :param prompts: tuple of :class:`magnoliadyke.core.notices.PromptNotice`
     """
 
     source: membership.Member
@@ -60,7 +65,7 @@
 
 
 def encode_prompts(deployment, message):
-    """Return the bytes of :class:`Prompts`."""
+    """Return the datagram for :class:`Prompts`, as bytes."""
     datagram = ttypes.Datagram(
         version=constants.VERSION,
         kind=ttypes.MessageKind.PROMPTS,
@@ -72,20 +77,20 @@
             for each in message.prompts
         ],
     )
-    return TSerialization.serialize(datagram, FACTORY)
+    return TSerialization.serialize(datagram, PROTOCOL_FACTORY)
 
 
 def decode_prompts(datagram):
-    """Message of a datagram of kind PROMPTS."""
-    told = tuple(
+    """Return the :class:`Prompts` in a datagram of kind PROMPTS."""
+    prompts = tuple(
         notices.PromptNotice(each.engine, each.read_ms / 1000)
         for each in datagram.prompts or ()
     )
-    return Prompts(decode_member(datagram.source), told)
+    return Prompts(decode_member(datagram.source), prompts)
 
 
 def encode_notice(deployment, message):
-    """Return the bytes of a :class:`Notice`."""
+    """Return the datagram for a :class:`Notice`, as bytes."""
     notice = message.notice
     datagram = ttypes.Datagram(
         version=constants.VERSION,
@@ -101,11 +106,11 @@
             milliseconds(notice.for_s),
         ),
     )
-    return TSerialization.serialize(datagram, FACTORY)
+    return TSerialization.serialize(datagram, PROTOCOL_FACTORY)
 
 
 def decode_notice(datagram):
-    """Message of a datagram of kind NOTICE."""
+    """Return the :class:`Notice` in a datagram of kind NOTICE."""
     notice = datagram.notice
     return Notice(
         decode_member(datagram.source),
@@ -119,9 +124,10 @@
 
 
 def encode(deployment, message):
-    """Return the bytes of one datagram.
+    """Return the datagram for a message, as bytes.
 
-    :param deployment: name of the deployment; others ignore the datagram
+    :param deployment: name of the deployment; nodes of other deployments
+        ignore the datagram
     :param message: a message of :mod:`magnoliadyke.core.membership`
     """
     datagram = ttypes.Datagram(
@@ -132,13 +138,14 @@
         target=message.target,
         updates=[encode_member(each) for each in message.updates] or None,
     )
-    sightings = message.sightings
+    sightings = message.host_states
     match message:
         case membership.Ping():
             datagram.kind = ttypes.MessageKind.PING
-            # A digest on every answer as well would double its cost.
+            # Sending the digest with answers too would double its cost.
             datagram.digest = message.digest or None
-            sightings = sightings[:1]  # of others, only answers are evidence
+            # Sightings of other hosts are evidence only in answers.
+            sightings = sightings[:1]
         case membership.Ack():
             datagram.kind = ttypes.MessageKind.ACK
         case membership.PingRequest():
@@ -149,30 +156,34 @@
     datagram.sightings = [
         encode_sighting(each, message.source) for each in sightings
     ] or None
-    return TSerialization.serialize(datagram, FACTORY)
+    return TSerialization.serialize(datagram, PROTOCOL_FACTORY)
 
 
 def decode(deployment, data):
     """Return the message in a datagram.
 
-    :raises magnoliadyke.errors.ProtocolError: when it is malformed, of
-        another deployment or of a kind that this version doesn't know
+    :param deployment: name of the deployment
+    :param data: bytes of the datagram
+    :raises magnoliadyke.errors.ProtocolError: if it is malformed, of another
+        deployment or of a kind that this version does not support
     """
     try:
-        datagram = TSerialization.deserialize(ttypes.Datagram(), data, FACTORY)
+        datagram = TSerialization.deserialize(
+            ttypes.Datagram(), data, PROTOCOL_FACTORY
+        )
     except Exception as error:
-        # The C codec raises half a dozen unrelated kinds for bad bytes.
+        # The C codec raises many unrelated exceptions for malformed bytes.
         raise malformed(f'{type(error).__name__}: {error}') from error
     if datagram.deployment != deployment:
-        raise malformed(f'it is of deployment {datagram.deployment!r}')
+        raise malformed(f'sent by deployment {datagram.deployment!r}')
     try:
         return decode_message(datagram)
     except (AttributeError, KeyError, TypeError) as error:
-        raise malformed(f'a field is absent: {error}') from error
+        raise malformed(f'missing field: {error}') from error
 
 
 def malformed(reason):
-    """Error for a datagram that can't be used."""
+    """Return the error for a datagram that can't be decoded."""
     return errors.ProtocolError(
         f'datagram ignored: {reason}',
         'check that only nodes of this deployment use its peer ports',
@@ -180,7 +191,10 @@
 
 
 def decode_message(datagram):
-    """Message of a datagram whose bytes were whole."""
+    """Return the message of a datagram that was deserialized.
+
+    :raises magnoliadyke.errors.ProtocolError: if its kind is not supported
+    """
     if datagram.kind == ttypes.MessageKind.NOTICE:
         return decode_notice(datagram)
     if datagram.kind == ttypes.MessageKind.PROMPTS:
@@ -188,16 +202,20 @@
     sequence = datagram.sequence
     source = decode_member(datagram.source)
     sightings = datagram.sightings or ()
-    riders = (
+    piggybacked = (
         tuple(decode_member(each) for each in datagram.updates or ()),
         tuple(decode_sighting(each, source) for each in sightings),
         datagram.digest or b'',
     )
     match datagram.kind:
         case ttypes.MessageKind.PING:
-            return membership.Ping(sequence, source, datagram.target, *riders)
+            return membership.Ping(
+                sequence, source, datagram.target, *piggybacked
+            )
         case ttypes.MessageKind.ACK:
-            return membership.Ack(sequence, source, datagram.target, *riders)
+            return membership.Ack(
+                sequence, source, datagram.target, *piggybacked
+            )
         case ttypes.MessageKind.PING_REQUEST:
             return membership.PingRequest(
                 sequence,
@@ -205,13 +223,13 @@
                 datagram.target,
                 datagram.target_address,
                 datagram.target_port,
-                *riders,
+                *piggybacked,
             )
-    raise malformed(f'kind {datagram.kind} is unknown')
+    raise malformed(f'unsupported kind {datagram.kind}')
 
 
 def encode_member(member):
-    """A member as it travels."""
+    """Return the thrift structure of a member."""
     return ttypes.Member(
         host=member.host,
         incarnation=member.incarnation,
@@ -230,7 +248,7 @@
 
 
 def decode_member(member):
-    """A member as the core knows it."""
+    """Return the member in a thrift structure."""
     return membership.Member(
         host=member.host,
         incarnation=member.incarnation,
@@ -249,7 +267,11 @@
 
 
 def encode_sighting(sighting, source):
-    """A sighting as it travels, relative to the datagram's source."""
+    """Return the thrift structure of a sighting.
+
+    Incarnation and table revision are encoded as differences from those of
+    the datagram's sender, the staged revision as one from the table revision.
+    """
     store_age_ms = None
     if sighting.store_age_s < MAX_AGE_S:
         store_age_ms = milliseconds(sighting.store_age_s)
@@ -258,10 +280,14 @@
     table_revision = sighting.table_revision
     return ttypes.Sighting(
         host=sighting.host,
-        incarnation_ahead=ahead(sighting.incarnation, source.incarnation),
+        incarnation_ahead=nonzero_difference(
+            sighting.incarnation, source.incarnation
+        ),
         age_ms=milliseconds(min(sighting.age_s, MAX_AGE_S)),
-        table_ahead=ahead(table_revision, source.table_revision),
-        staged_ahead=ahead(sighting.staged_revision, table_revision),
+        table_ahead=nonzero_difference(table_revision, source.table_revision),
+        staged_ahead=nonzero_difference(
+            sighting.staged_revision, table_revision
+        ),
         store_age_ms=store_age_ms,
         flags=rooted | takes_work,
         spare_percent=percent(sighting.spare),
@@ -269,7 +295,11 @@
 
 
 def decode_sighting(sighting, source):
-    """A sighting as the core knows it."""
+    """Return the sighting in a thrift structure.
+
+    :param source: the datagram's sender, to whose numbers the differences are
+        added
+    """
     store_age_s = math.inf
     if sighting.store_age_ms is not None:
         store_age_s = sighting.store_age_ms / 1000
@@ -287,16 +317,19 @@
     )
 
 
-def ahead(number, base):
-    """How far a number is ahead; None, which takes no room, if it is equal."""
+def nonzero_difference(number, base):
+    """Return the difference of a number to a base.
+
+    It is None instead of 0, since an absent field takes no space.
+    """
     return number - base or None
 
 
 def milliseconds(seconds):
-    """Whole milliseconds, rounded up: evidence never looks younger."""
+    """Return whole milliseconds, rounded up so that no age gets smaller."""
     return math.ceil(seconds * 1000)
 
 
 def percent(share):
-    """A share as a small whole number."""
+    """Return a share as a percentage, rounded to an integer."""
     return round(100 * share)
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -1,10 +1,11 @@
-"""Decide where a request's key belongs, and run what belongs here."""
+"""Route each request to the home of its key; run those of this node."""
 
 import hashlib
 import typing
 
 import gevent
 
+from magnoliadyke import caller_codec
 from magnoliadyke import claiming
 from magnoliadyke.core import claims
 from magnoliadyke.core import jobs
@@ -12,9 +13,8 @@
 from magnoliadyke.core import prefixes
 from magnoliadyke.core import records
 from magnoliadyke.core import tickets
-from magnoliadyke import directory
-from magnoliadyke import forms
 from magnoliadyke import handover
+from magnoliadyke import homedirectory
 from magnoliadyke import relay
 from magnoliadyke import streams
 
@@ -22,7 +22,9 @@
 
 SECRET_BYTES = 16
 DIGEST_DIGITS = 24
+#: How long a run without followers is kept for its caller to resume.
 LINGER_S = 5.0
+#: Prefix of record names of foreign keys.
 FOREIGN = 'foreign:'
 
 BAD_TICKET = outcomes.Rejected(
@@ -42,20 +44,21 @@
 
 
 class Settled(typing.NamedTuple):
-    """Nothing runs; the caller is told an outcome."""
+    """The request does not run; the caller gets this outcome."""
 
     outcome: object
 
 
-class Kept(typing.NamedTuple):
-    """The whole answer is kept here."""
+class KeptAnswer(typing.NamedTuple):
+    """The complete answer is in this node's records."""
 
     answer: records.Answer
 
 
 class Following(typing.NamedTuple):
-    """The request runs; ``run`` can be followed.
+    """The request runs, here or at its home.
 
+    :param run: the run or relay whose output can be followed
     :param key: the key it runs under
     """
 
@@ -64,16 +67,22 @@
 
 
 class Homes:
-    """The request records of this node and the ways to those of others.
+    """Owns the request records of this node; relays to other homes.
 
-    :param parts: :class:`magnoliadyke.nodeparts.NodeParts`
+    The home of a key is the node (``HOST.INCARNATION``) that keeps its
+    record and is the only one to run it. Other nodes relay to it. A node
+    that stops hands its records to a successor, which adopts that home.
+
+    :param parts: :class:`magnoliadyke.requestdependencies.RequestDependencies`
     :param runner: :class:`magnoliadyke.streams.Streams`
-    :param closed: called with the customer's name; returns ``NotRun`` when no
-        new work is taken, or None
+    :param refusal_for: called with the customer's name; returns ``NotRun``
+        when this node accepts no new requests, or None
     :param reports: :class:`magnoliadyke.reports.Reports`
+    :ivar relays: relays to other homes that have not ended
+    :ivar runs: runs of this node that have not ended, by key
     """
 
-    def __init__(self, parts, runner, closed, reports):
+    def __init__(self, parts, runner, refusal_for, reports):
         host, incarnation = parts.host, parts.incarnation
         self.settings = parts.settings
         self.host = host
@@ -83,17 +92,17 @@
         self.rng = parts.rng
         self.table = parts.table
         self.streams = runner
-        self.closed = closed
+        self.refusal_for = refusal_for
         self.reports = reports
         secret = self.rng.getrandbits(8 * SECRET_BYTES).to_bytes(SECRET_BYTES)
         self.issuer = tickets.TicketIssuer(host, incarnation, secret)
         self.records = records.RecordTable(
             record_settings(self.settings.limits)
         )
-        self.claiming = claiming.Claiming(
+        self.claiming = claiming.ClaimTask(
             self.name, parts.store, self.settings.keyvalue.prefix, self.clock
         )
-        self.directory = directory.Directory(
+        self.home_directory = homedirectory.HomeDirectory(
             self.name, host, parts.members, self.clock, self.rng
         )
         self.handover = handover.Handover(
@@ -101,55 +110,61 @@
             incarnation,
             self.records,
             parts.peers,
-            self.directory,
+            self.home_directory,
             self.clock,
         )
         self.relays = set()
         self.runs = {}
 
-    # Where a key belongs.
+    # Routing by key.
+
+    def route_request(self, request):
+        """Run, relay or replay a request, as its key says.
 
-    def place(self, request):
-        """Return :class:`Following`, :class:`Kept` or :class:`Settled`."""
+        A request whose key has a record gets the recorded run, answer or
+        outcome.
+
+        :return: :class:`Following`, :class:`KeptAnswer` or :class:`Settled`
+        """
         if not request.key:
-            return self.place_own(request)
+            return self.route_own(request)
         key = tickets.parse_key(request.key)
         if key is None:
-            return self.place_foreign(request)
+            return self.route_foreign(request)
         if key.home == self.name:
             if not self.issuer.accepts(key):
                 return Settled(BAD_TICKET)
-            return self.open(request, key.text, key.issued_s)
+            return self.open(request, key.raw, key.issued_s)
         adopted = self.handover.adopted.get(key.home)
         if adopted is not None:
             if not adopted.issuer.accepts(key):
                 return Settled(BAD_TICKET)
             issued_s = key.issued_s + adopted.shift_s
-            return self.open(request, key.text, issued_s, adopted.floor_s)
-        return self.place_elsewhere(request, key.text, key.home)
+            return self.open(request, key.raw, issued_s, adopted.floor_s)
+        return self.route_elsewhere(request, key.raw, key.home)
 
-    def place_own(self, request):
-        """Run a request that came without a key; nobody can resend it."""
+    def route_own(self, request):
+        """Run a request that has no key, and so can't be resent."""
         now_s = self.clock.now_s()
         key = f'{self.issuer.issue(now_s)}/0'
         return self.open(request, key, now_s)
 
-    def place_foreign(self, request):
-        """Claim a key that the caller made up, or find who has it."""
+    def route_foreign(self, request):
+        """Claim a foreign key in the store, or route it to its owner."""
         digest = claims.claim_digest(request.customer, request.key)
         key = FOREIGN + digest
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
         if self.handover.sealed is not None and self.handover.wait():
-            # A claim made now would name a home that is about to end.
+            # A claim made now would name this home, which is stopping.
             return self.relay_to_successor(request, request.key)
         match self.claim(digest):
             case claims.Won():
                 return self.open_claimed(request, key)
-            case claims.Lost(owner=owner) if self.lives_here(owner):
-                return self.place_adopted(request, key, owner)
+            case claims.Lost(owner=owner) if self.has_records_of(owner):
+                return self.route_adopted(request, key, owner)
             case claims.Lost(owner=owner):
-                return self.place_elsewhere(request, key, owner)
+                return self.route_elsewhere(request, key, owner)
             case claims.Refused(reason=reason):
                 return Settled(
                     outcomes.NotRun(reason, 'use a key of a ticket', 1.0)
@@ -158,63 +173,76 @@
     def open_claimed(self, request, key):
         """Run a foreign key that this node has just claimed.
 
-        Also when the node has begun to stop meanwhile: the claim names this
-        home, and no other node would run the key.
+        The request also runs if the node has begun to stop meanwhile: the
+        claim names this home, so no other node would run the key.
         """
         now_s = self.clock.now_s()
         found = self.records.open(
             key, request.customer, request.digest, now_s, now_s
         )
         if not isinstance(found, records.New):
-            return self.known(found, key)
+            return self.route_recorded(found, key)
         if self.handover.sealed is not None:
             return self.run_here(request, found.record)
         return self.admit(request, found.record)
 
-    def lives_here(self, home):
-        """Tell whether the records of a home are on this node."""
+    def has_records_of(self, home):
+        """Return whether this node holds the records of a home."""
         return home == self.name or home in self.handover.adopted
 
     def claim(self, digest):
-        """Ask the store for a claim."""
-        message = claiming.AskClaim(digest)
+        """Claim a foreign key in the store; wait for the result.
+
+        :param digest: :func:`magnoliadyke.core.claims.claim_digest`
+        :return: ``Won``, ``Lost`` or ``Refused`` of ``core.claims``
+        """
+        message = claiming.ClaimKey(digest)
         return self.claiming.ask(message, None)
 
-    def place_adopted(self, request, key, owner):
-        """Place a foreign key that a home which lives here has claimed.
+    def route_adopted(self, request, key, owner):
+        """Route a foreign key claimed by a home whose records are here.
 
-        A home that is still stopping may run it, and tell at its end.
+        An adopted home that is still stopping may run the request, and sends
+        its outcome only when it ends.
+
+        :param owner: home that the claim names
         """
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
-        if owner != self.name and self.directory.member_of(owner):
+        if owner != self.name and self.home_directory.reachable_member(owner):
             return self.relay(request, request.key, owner)
         return Settled(records.ANSWER_GONE)
 
-    def place_elsewhere(self, request, key, home):
-        """Relay to the home of a key, or say that it is gone.
+    def route_elsewhere(self, request, key, home):
+        """Relay to the home of a key, if a node still holds its records.
 
-        :param key: name of the record, should the request run here after all
+        :param key: name of the record if the request runs here after all
+        :param home: ``HOST.INCARNATION`` of the key's home
         """
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
-        if self.directory.locate(home) is None:
+        if self.home_directory.locate(home) is None:
             return self.home_gone(request, key)
         return self.relay(request, key, home)
 
     def home_gone(self, request, key):
-        """Answer for a home that ended without a successor.
+        """Handle a request whose home ended without a successor.
 
-        Only a request that may be repeated is run again, here.
+        A repeatable request runs here; the outcome of any other is unknown.
         """
         if not request.repeatable:
             return Settled(HOME_GONE)
         return self.open(request, key, self.clock.now_s())
 
-    # What runs here.
+    # Runs of this node.
 
     def open(self, request, key, issued_s, floor_s=records.NO_FLOOR):
-        """Look a key up in this node's records; run it when it is new."""
+        """Look a key up in this node's records; run it when it is new.
+
+        :param key: name of the record
+        :param issued_s: issue time of the key's ticket, in monotonic seconds
+        :param floor_s: issue time up to which records may be missing
+        """
         found = self.records.open(
             key,
             request.customer,
@@ -227,33 +255,37 @@
             case records.New(record):
                 return self.admit(request, record)
             case records.RunningElsewhere(home):
-                return self.follow_away(request, key, home)
+                return self.follow_at_stopping_home(request, key, home)
             case _:
-                return self.known(found, key)
+                return self.route_recorded(found, key)
 
-    def follow_away(self, request, key, home):
-        """Follow a request that still runs at a home that is stopping."""
-        if self.directory.member_of(home) is None:
+    def follow_at_stopping_home(self, request, key, home):
+        """Relay to a stopping home that still runs the request."""
+        if self.home_directory.reachable_member(home) is None:
             return Settled(records.HOME_STOPPED)
         return self.relay(request, key, home)
 
-    def known(self, found, key):
-        """Return the place of a key that is in the records."""
+    def route_recorded(self, found, key):
+        """Return the run, answer or outcome of a recorded key.
+
+        :param found: ``Attach``, ``Replay`` or ``Resolved`` of
+            ``core.records``
+        """
         match found:
             case records.Attach(record):
                 return Following(record.run, key)
             case records.Replay(answer):
-                return Kept(answer)
+                return KeptAnswer(answer)
             case records.Resolved(outcome):
                 return Settled(outcome)
 
     def admit(self, request, record):
-        """Run a new request, unless this node takes no new work."""
+        """Run a new request, unless this node accepts no new requests."""
         if self.handover.sealed is not None:
             return self.pass_on(request, record)
-        refusal = self.closed(request.customer)
+        refusal = self.refusal_for(request.customer)
         if refusal is not None:
-            self.close_refused(request, record, refusal)
+            self.record_refusal(request, record, refusal)
             return Settled(refusal)
         return self.run_here(request, record)
 
@@ -262,45 +294,46 @@
         try:
             run = self.build(request, record)
         except Exception:
-            # A record without a run would keep each copy waiting for good.
+            # A resend would follow a record without a run forever.
             self.records.forget(record)
             raise
         if isinstance(run, outcomes.Rejected):
-            self.close_refused(request, record, run)
+            self.record_refusal(request, record, run)
             return Settled(run)
-        self.enter(request, record, run)
+        self.register_run(request, record, run)
         run.start()
         return Following(run, record.key)
 
-    def enter(self, request, record, run):
-        """Join a run with its record."""
+    def register_run(self, request, record, run):
+        """Link a run with its record, and list it as running."""
         record.run = run
         run.record = record
         run.request = request
         self.runs[record.key] = run
 
     def pass_on(self, request, record):
-        """Send a new key after the records, to the successor.
+        """Relay a new key to the successor, which has the records now.
 
-        Refusing it here would be untrue as soon as an older copy of the
-        request, which the caller has given up, reached the successor.
+        ``NotRun`` from here could turn out untrue: an older copy of the
+        request, on which the caller has timed out, may still reach the
+        successor and run there.
         """
         self.records.forget(record)
         successor = self.handover.wait()
         if not successor:
             self.records.insert(record)
-            self.close_refused(request, record, NO_SUCCESSOR)
+            self.record_refusal(request, record, NO_SUCCESSOR)
             return Settled(NO_SUCCESSOR)
         return self.relay_to_successor(request, record.key)
 
     def relay_to_successor(self, request, key):
-        """Relay a request to the node that took the records over."""
-        home = self.directory.full_name(self.handover.successor)
+        """Relay a request to the node that took over the records."""
+        home = self.home_directory.home_of_host(self.handover.successor)
         return self.relay(request, key, home)
 
-    def close_refused(self, request, record, outcome):
-        """End the record of a request that does not run."""
-        self.reports.refused(request.customer, outcome)
+    def record_refusal(self, request, record, outcome):
+        """Count a refused request, and end its record."""
+        self.reports.record_refusal(request.customer, outcome)
         if request.key:
             self.records.settle(record, outcome)
         else:
@@ -309,9 +342,9 @@
     def build(self, request, record):
         """Return the run of a request, or ``Rejected``."""
         match request:
-            case forms.ModelRequest():
+            case caller_codec.ModelRequest():
                 return self.build_model(request, record.key)
-            case forms.ServiceRequest():
+            case caller_codec.ServiceRequest():
                 return self.build_service(request, record.key)
 
     def build_model(self, request, key):
@@ -356,7 +389,10 @@
         )
 
     def job(self, request, key, pool):
-        """Return the fields of a job that both kinds share."""
+        """Return a job with the fields that both kinds share.
+
+        :param pool: name of the pool that serves the request
+        """
         row = self.table.last.customers[request.customer]
         return jobs.Job(
             id=key,
@@ -371,10 +407,10 @@
         )
 
     def engine_id(self, key):
-        """Return the start of the ids under which engines know a key.
+        """Return the prefix of the attempt ids that engines get for a key.
 
-        The node is part of it: a request that may be repeated and is run
-        again here must not meet the attempt of the home that died.
+        It depends on the node: a repeatable request that runs here again
+        must not be taken for an attempt of the home that crashed.
         """
         return engine_id(self.name, key)
 
@@ -393,9 +429,9 @@
         return None
 
     def on_end(self, run):
-        """Keep the outcome of a run that ended."""
+        """Record the outcome of a run that ended."""
         self.runs.pop(run.key, None)
-        self.reports.ended(run)
+        self.reports.record_run_end(run)
         record = run.record
         match run.outcome:
             case records.Answer():
@@ -408,15 +444,16 @@
             case _:
                 self.records.settle(record, run.outcome)
 
-    def left(self, run, has_key):
-        """A follower left; end a run that nobody wants any more.
+    def on_follower_left(self, run, has_key):
+        """Abandon a run whose last follower has left.
 
-        A request that may not be repeated runs to its end, so that its
-        caller can still ask what became of it.
+        With a key the caller can resume, so the run is kept for
+        ``LINGER_S``. A request that may not be repeated runs to its end, so
+        that its caller can still query the outcome.
 
-        :param has_key: whether the caller can ask again
+        :param has_key: whether the caller sent a key
         """
-        if run.followers or run.outcome is not None:
+        if run.subscribers or run.outcome is not None:
             return
         if run.job is not None and not run.job.repeatable:
             return
@@ -425,20 +462,23 @@
         else:
             run.abandon()
 
-    # Other homes.
+    # Requests at other homes.
 
     def relay(self, request, key, home, offset=0, resume_only=False):
-        """Follow a request at its home.
+        """Send a request to its home, and follow it there.
 
-        :param key: name of the request here; foreign keys are sent as the
-            caller made them
+        :param key: key to send if the request has none; a foreign key is
+            sent as the caller made it
+        :param home: ``HOST.INCARNATION``
+        :param offset: output tokens that the caller has already
+        :param resume_only: whether only an existing answer may be read
         """
         if len(request.hops) >= relay.MAX_HOPS:
             return Settled(TOO_MANY_HOPS)
         sent_key = request.key or key
 
         def locate():
-            return self.directory.locate(home)
+            return self.home_directory.locate(home)
 
         hops = (*request.hops, self.host)
         arguments = (
@@ -447,34 +487,35 @@
             locate,
             hops,
             self.streams,
-            self.relay_end,
+            self.on_relay_end,
         )
         match request:
-            case forms.ServiceRequest():
+            case caller_codec.ServiceRequest():
                 run = relay.ServiceRelay(*arguments)
             case _:
                 run = relay.ModelRelay(*arguments, offset, resume_only)
-        run.go_on_here = self.go_on_here
-        run.settled_here = self.settled_here
+        run.continue_here = self.continue_here
+        run.recorded_outcome = self.recorded_outcome
         run.home = home
         self.relays.add(run)
         run.start()
         return Following(run, sent_key)
 
-    def relay_end(self, run):
-        """A relay ended."""
+    def on_relay_end(self, run):
+        """Drop a relay that ended."""
         self.relays.discard(run)
 
-    def settled_here(self, lost):
-        """Return what the records say of a request that a relay followed.
+    def recorded_outcome(self, lost_relay):
+        """Return the recorded end of a request that a relay followed.
 
-        Its home may have stopped and told its end to this node, its
+        Its home may have stopped and sent the outcome to this node, its
         successor.
 
-        :return: answer or outcome, or None
+        :param lost_relay: :class:`relay.Relay` whose home is gone
+        :return: answer or outcome, or None when the records have none
         """
-        name = record_name(lost.key, lost.request.customer)
-        found = self.records.find(name, lost.request.customer)
+        name = record_name(lost_relay.key, lost_relay.request.customer)
+        found = self.records.find(name, lost_relay.request.customer)
         match found:
             case records.Replay(answer):
                 return answer
@@ -483,19 +524,22 @@
             case _:
                 return None
 
-    def go_on_here(self, lost):
-        """Run here what a relay followed at a home that is gone.
+    def continue_here(self, lost_relay):
+        """Run a relayed request here after its home was lost.
 
-        Only a request that may be repeated. Its attempt begins at the offset
-        that the caller has, so that the caller sees one answer.
+        Only a repeatable request is run. The run starts at the offset that
+        the caller has, so that the caller gets one continuous answer.
 
-        :param lost: :class:`relay.Relay` whose output the run continues
+        :param lost_relay: :class:`relay.Relay` whose output the run continues
         :return: the run's outcome, or None when it may not run here
         """
-        request = lost.request
-        if not request.repeatable or self.closed(request.customer) is not None:
+        request = lost_relay.request
+        if (
+            not request.repeatable
+            or self.refusal_for(request.customer) is not None
+        ):
             return None
-        key = record_name(lost.key, request.customer)
+        key = record_name(lost_relay.key, request.customer)
         now_s = self.clock.now_s()
         found = self.records.open(
             key, request.customer, request.digest, now_s, now_s
@@ -504,19 +548,20 @@
             return None
         run = self.build(request, found.record)
         if isinstance(run, streams.ModelRun):
-            run.go_on_from(lost)
-            digest = engine_id(lost.home, key)
+            run.continue_from(lost_relay)
+            digest = engine_id(lost_relay.home, key)
             self.streams.cancel_everywhere(run.job.pool, digest)
-        self.enter(request, found.record, run)
+        self.register_run(request, found.record, run)
         run.main()
         return run.outcome
 
     def find(self, request, offset):
-        """Return the place of an answer that a caller wants to go on with.
+        """Find the answer that a caller wants to resume.
 
-        :param request: :class:`forms.ModelRequest` that has a key, and no
-            work
-        :param offset: output tokens the caller has already
+        :param request: :class:`forms.ModelRequest` with a key and empty
+            ``work``
+        :param offset: output tokens that the caller has already
+        :return: :class:`Following`, :class:`KeptAnswer` or :class:`Settled`
         """
         key = tickets.parse_key(request.key)
         if key is None:
@@ -524,81 +569,91 @@
         found = self.records.find(request.key, request.customer)
         if isinstance(found, records.RunningElsewhere):
             return self.find_elsewhere(request, found.home, offset)
-        known = request.key in self.records.records
-        if known or self.lives_here(key.home):
-            return self.known(found, request.key)
+        is_recorded = request.key in self.records.records
+        if is_recorded or self.has_records_of(key.home):
+            return self.route_recorded(found, request.key)
         return self.find_elsewhere(request, key.home, offset)
 
     def find_foreign(self, request, offset):
-        """Return the place of an answer under a key without a ticket."""
+        """Find the answer to resume under a foreign key."""
         digest = claims.claim_digest(request.customer, request.key)
         key = FOREIGN + digest
         if key in self.records.records:
             found = self.records.find(key, request.customer)
             if isinstance(found, records.RunningElsewhere):
                 return self.find_elsewhere(request, found.home, offset)
-            return self.known(found, key)
-        owner = self.claiming.owner_of(digest)
+            return self.route_recorded(found, key)
+        owner = self.claiming.fetch_owner(digest)
         if not owner or owner == self.name:
             return Settled(records.ANSWER_GONE)
         return self.find_elsewhere(request, owner, offset)
 
     def find_elsewhere(self, request, home, offset):
-        """Relay a resume to the home of the key."""
-        if self.directory.locate(home) is None:
+        """Relay the resume of an answer to the home of its key."""
+        if self.home_directory.locate(home) is None:
             return Settled(HOME_GONE)
         return self.relay(request, request.key, home, offset, True)
 
-    # Life cycle and hand-over.
+    # Life cycle and hand-over of records.
 
     def start(self):
-        """Start the task that settles claims."""
+        """Start the task that claims foreign keys in the store."""
         self.claiming.start()
 
     def stop(self):
-        """Stop the tasks and close connections."""
+        """Stop that task and close the connections to other nodes."""
         self.claiming.stop()
-        self.directory.close()
+        self.home_directory.close()
 
     def take_records(self, host, incarnation, lines, last):
-        """Take over records of a host that is leaving.
+        """Take over records of a host that is stopping.
 
-        :param lines: JSON lines (bytes)
-        :param last: whether the hand-over is complete
-        :return: number of lines taken, None to refuse
+        :param lines: JSON lines, each as bytes
+        :param last: whether this batch completes the hand-over
+        :return: number of lines accepted, or None when this node refuses,
+            since it is stopping or accepts no new requests
         """
-        if self.handover.sealed is not None or self.closed('') is not None:
+        if (
+            self.handover.sealed is not None
+            or self.refusal_for('') is not None
+        ):
             return None
         return self.handover.take(host, incarnation, lines, last)
 
     def hand_over(self):
-        """Give all records to a successor; new keys run there from now on.
+        """Send all records to a successor; new keys run there from then on.
 
-        :return: the successor's host name, or ``''`` if nobody took them
+        :return: the successor's host name, or ``''`` if no member took them
         """
-        able = [
+        candidates = [
             member
-            for member in self.directory.all_members().values()
+            for member in self.home_directory.members_by_host().values()
             if member.host != self.host
             and member.state == 'alive'
             and member.takes_work
         ]
-        self.rng.shuffle(able)
-        self.handover.begin(able)
+        self.rng.shuffle(candidates)
+        self.handover.begin(candidates)
         return self.handover.successor
 
     def successor_of(self, home):
-        """Return ``HOST.INCARNATION`` that has a home's records, or ``''``."""
+        """Return the home that took over another home's records.
+
+        :param home: ``HOST.INCARNATION``
+        :return: ``HOST.INCARNATION``, or ``''`` when this node has no record
+            of a successor
+        """
         if home == self.name or home in self.handover.adopted:
             return self.name
-        self.directory.learn_successors()
-        return self.directory.successors.get(home, '')
+        self.home_directory.record_successors()
+        return self.home_directory.successors.get(home, '')
 
 
 def record_name(key, customer):
-    """Return the name of a key's record.
+    """Return the name under which a key's record is kept.
 
     :param key: key as the caller sent it
+    :param customer: name of the customer that sent it
     """
     if tickets.parse_key(key) is not None:
         return key
@@ -606,19 +661,19 @@
 
 
 def engine_id(home, key):
-    """Return the start of the ids under which engines know a home's key."""
+    """Return the prefix of the attempt ids for a key that a home runs."""
     text = f'{home} {key}'.encode()
     return hashlib.sha256(text).hexdigest()[:DIGEST_DIGITS]
 
 
 def abandon_unfollowed(run):
-    """End a run if nobody has come back to it."""
-    if not run.followers:
+    """Abandon a run that still has no follower."""
+    if not run.subscribers:
         run.abandon()
 
 
 def record_settings(limits):
-    """Return the bounds of the records by the deployment's settings."""
+    """Return the record limits that the deployment's settings give."""
     return records.RecordSettings(
         answer_bytes=limits.answer_bytes, answer_keep_s=limits.answer_keep_s
     )
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -1,4 +1,4 @@
-"""One node: builds the tasks, joins them, starts and stops them."""
+"""The node of one host: builds, connects, starts and stops its tasks."""
 
 import os
 import random
@@ -18,45 +18,50 @@
 from magnoliadyke import dispatch
 from magnoliadyke import duties
 from magnoliadyke import gossip
-from magnoliadyke import hostlist
+from magnoliadyke import hostlistreader
 from magnoliadyke import keyvalue
 from magnoliadyke import logs
 from magnoliadyke import mailbox
 from magnoliadyke import metrics
-from magnoliadyke import nodeparts
 from magnoliadyke import peer
+from magnoliadyke import requestdependencies
 
-__all__ = ['Bridge', 'Departure', 'Node', 'run']
+__all__ = ['Bridge', 'LeaveAnnouncer', 'Node', 'run']
 
-#: How often a node tells its peers whether it takes work, in seconds.
+#: Interval at which a node reports to its peers whether it accepts requests.
 OWN_STATE_INTERVAL_S = 0.25
-#: Time for telling the peers that this node leaves, in seconds.
+#: Time limit for announcing to the peers that this node leaves.
 LEAVE_TIMEOUT_S = 2.0
 #: Exit status after a second stop signal.
 EXIT_FORCED = 3
 
 
 class Bridge(mailbox.Task):
-    """Carries messages between tasks that don't know each other.
+    """Forwards messages between tasks that hold no reference to each other.
 
+    :param clock: a :class:`magnoliadyke.clock.Clock`
     :param status: :class:`magnoliadyke.callers.NodeStatus`
-    :param stop_asked: event that makes the process stop gracefully
+    :param stop_requested: event that makes the process stop gracefully
+    :param members: the :class:`magnoliadyke.gossip.Gossip`
+    :param table: the :class:`magnoliadyke.configuration.Configuration`
+    :param work: the :class:`magnoliadyke.dispatch.Dispatcher`
+    :param planning: the :class:`magnoliadyke.duties.Duties`
     """
 
     tick_interval_s = OWN_STATE_INTERVAL_S
 
     def __init__(
-        self, clock, status, stop_asked, members, table, work, planning
+        self, clock, status, stop_requested, members, table, work, planning
     ):
         super().__init__('bridge', clock)
         self.status = status
-        self.stop_asked = stop_asked
+        self.stop_requested = stop_requested
         self.members = members
         self.work = work
         self.planning = planning
         self.log = logs.get('bridge')
         members.digests.subscribe(self)
-        members.uses.subscribe(self)
+        members.engine_uses.subscribe(self)
         members.prompts.subscribe(self)
         work.prompts.subscribe(self)
         members.superseded.subscribe(self)
@@ -65,68 +70,78 @@
         work.demand.subscribe(self)
 
     def handle(self, message):
-        """Pass one message on to whom it concerns."""
+        """Forward one message to the task that processes it."""
         match message:
             case gossip.PeerDigest(host=host, data=data):
-                self.pass_digest(host, data)
+                self.forward_digest(host, data)
             case configuration.WorkPermit(allowed=allowed, reason=reason):
-                self.permit(allowed, reason)
+                self.apply_permit(allowed, reason)
             case notices.EngineUse(engine=engine, state=state):
-                self.work.post(dispatch.StateSeen(engine, state))
-            case gossip.PromptsHeard(prompts=prompts):
-                self.work.post(dispatch.PromptsHeard(prompts))
+                self.work.post(dispatch.EndpointStateChanged(engine, state))
+            case gossip.PromptsReceived(prompts=prompts):
+                self.work.post(dispatch.PeerPromptsPlaced(prompts))
             case membership.Superseded():
                 self.stop_superseded()
-            case dispatch.CrashSeen(digest=digest):
-                self.spread_at_once(digest)
+            case dispatch.CrashReported(digest=digest):
+                self.broadcast_crash_digest(digest)
             case scheduler.Digest():
                 self.members.post(gossip.OwnDigest(message.to_bytes()))
             case dispatch.PromptsPlaced(prompts=prompts):
-                self.members.post(gossip.PromptsSent(prompts))
+                self.members.post(gossip.PromptsAssigned(prompts))
             case dispatch.Demands(pools=pools):
                 self.planning.post(duties.Demands(pools))
 
-    def pass_digest(self, host, data):
-        """Decode a peer's digest; one that can't be read is dropped.
+    def forward_digest(self, host, data):
+        """Forward a peer's digest to the dispatcher; drop a malformed one.
+
+        During a rollout a newer node may send a digest of another format.
+        Digests only correct how limits are shared, so dropping one is safe.
 
-        During a rollout a newer node may send a digest of another shape. It
-        corrects shares of limits only, so doing without it is safe.
+        :param host: the peer
+        :param data: the encoded :class:`magnoliadyke.core.scheduler.Digest`
         """
         try:
             digest = scheduler.Digest.from_bytes(data)
         except (ValueError, TypeError, KeyError) as error:
-            self.log.repeated('digest_unreadable', host, error=str(error))
+            self.log.throttled_warning(
+                'digest_unreadable', host, error=str(error)
+            )
             return
         self.work.post(dispatch.PeerDigest(host, digest))
 
-    def spread_at_once(self, digest):
-        """Tell the peers now which requests may have crashed an endpoint.
+    def broadcast_crash_digest(self, digest):
+        """Send all peers at once the requests that may crash an endpoint.
 
-        One probe a period takes seconds to reach all. A caller that is told
-        the outcome and sends the request again would be faster, and the
-        request would crash an endpoint for each host that has not heard.
+        One probe per gossip period takes seconds to reach all peers. A
+        caller that retries at once after the failure would be faster, and
+        its request would crash another endpoint at each host that has not
+        received the digest.
         """
         self.members.post(gossip.OwnDigest(digest.to_bytes()))
         self.members.post(gossip.Survey())
 
     def stop_superseded(self):
-        """Stop: a newer process runs under this host's name.
+        """Stop the node, since a newer process runs under its host's name.
 
-        This one was paused so long that it was replaced. If both went on,
-        peers would take turns in believing either, and callers would be
-        sent to a host that is left out a moment later.
+        This process was paused for so long that it was replaced. If both
+        continued, the peers' view of the host would alternate between them,
+        and callers would be sent to a host that is removed a moment later.
         """
         self.log.event('node_superseded')
-        self.stop_asked.set()
+        self.stop_requested.set()
 
-    def permit(self, allowed, reason):
-        """Take new work or stop taking it, and say so when it changes."""
+    def apply_permit(self, allowed, reason):
+        """Start or stop accepting requests; log each change.
+
+        :param allowed: whether the table allows it
+        :param reason: why not, '' if allowed
+        """
         if self.status.fresh != allowed:
             self.log.event('work_permit', allowed=allowed, reason=reason)
         self.status.fresh = allowed
 
     def tick(self):
-        """Tell the peers how this node does."""
+        """Report to the peers spare capacity and whether it accepts work."""
         self.members.post(
             gossip.OwnState(
                 spare=self.status.spare, takes_work=self.status.takes_work
@@ -134,12 +149,15 @@
         )
 
 
-class Departure(app.Component):
+class LeaveAnnouncer(app.Component):
     """Announces that this node leaves, after its last request has ended.
 
-    Without the announcement the peers would find the node dead only after
-    probes time out, and until then would relay to it requests whose records
-    it has handed over; their callers would see ``Unknown``.
+    Without the announcement the peers would detect its end only when probes
+    time out. Until then they would relay requests to it whose records it has
+    handed over, and the callers would get ``Unknown``.
+
+    :param status: :class:`magnoliadyke.callers.NodeStatus`
+    :param members: the :class:`magnoliadyke.gossip.Gossip`
     """
 
     def __init__(self, status, members):
@@ -150,7 +168,10 @@
         """Do nothing."""
 
     def stop(self, deadline_s):
-        """Name the successor of this node's records to the peers."""
+        """Announce the leave, with the successor for the request records.
+
+        :param deadline_s: time limit in seconds
+        """
         leave = gossip.Leave(self.status.successor)
         try:
             self.members.ask(leave, min(deadline_s, LEAVE_TIMEOUT_S))
@@ -158,8 +179,11 @@
             logs.get('node').event('leave_unannounced')
 
 
-class Closer(app.Component):
-    """Closes connections that no task owns."""
+class ConnectionCloser(app.Component):
+    """Closes the connections of objects that are not tasks, at the stop.
+
+    :param owners: objects with a ``close`` method
+    """
 
     def __init__(self, *owners):
         self.owners = owners
@@ -168,13 +192,13 @@
         """Do nothing."""
 
     def stop(self, deadline_s):
-        """Close them."""
+        """Close the connections."""
         for owner in self.owners:
             owner.close()
 
 
 class Node:
-    """Everything that runs in the process of one host.
+    """All components of the process of one host.
 
     :param settings: :class:`magnoliadyke.settings.Settings`
     :param host: name of this host
@@ -186,33 +210,33 @@
         self.host = host
         self.clock = clock
         self.rng = random.SystemRandom()
-        # Larger than those of earlier processes on this host, as long as
-        # its wall clock does not run backwards across a restart.
+        # Larger than those of earlier processes on this host, unless its
+        # wall clock is set back across a restart.
         self.incarnation = int(clock.wall_s() * 1000)
         self.status = callers.NodeStatus()
-        self.stop_asked = event.Event()
+        self.stop_requested = event.Event()
         self.app = app.Application(clock)
         self.build()
 
     def build(self):
-        """Make all components, in the order in which they start."""
+        """Create all components, in the order in which they start."""
         self.metrics = self.app.add(
             metrics.Metrics(self.settings, self.host, self.clock)
         )
         self.build_coordination()
         self.build_request_path()
         self.admin = self.app.add(admin.Admin(self))
-        self.app.add(Departure(self.status, self.gossip))
+        self.app.add(LeaveAnnouncer(self.status, self.gossip))
         self.callers = self.app.add(self.build_callers())
-        self.join_peers()
+        self.connect_peer_server()
         self.add_gauges()
 
     def build_coordination(self):
-        """Make what the nodes agree through."""
+        """Create store client, gossip, configuration and duties."""
         settings, host, clock = self.settings, self.host, self.clock
         self.keyvalue = keyvalue.HttpKeyValue(settings, host, clock)
         self.peers = peer.PeerClients(settings, host, clock)
-        self.app.add(Closer(self.keyvalue, self.peers))
+        self.app.add(ConnectionCloser(self.keyvalue, self.peers))
         self.peer_server = self.app.add(
             peer.PeerServer(settings, host, self.incarnation, clock)
         )
@@ -220,7 +244,9 @@
             gossip.Gossip(settings, host, clock, self.rng, self.incarnation)
         )
         self.app.add(
-            hostlist.HostListReader(settings, clock, self.rng, self.gossip)
+            hostlistreader.HostListReader(
+                settings, clock, self.rng, self.gossip
+            )
         )
         self.configuration = self.app.add(
             configuration.Configuration(
@@ -247,7 +273,7 @@
         )
 
     def build_request_path(self):
-        """Make what places requests."""
+        """Create the dispatcher and the bridge."""
         self.dispatcher = self.app.add(
             dispatch.Dispatcher(
                 self.settings,
@@ -262,7 +288,7 @@
             Bridge(
                 self.clock,
                 self.status,
-                self.stop_asked,
+                self.stop_requested,
                 self.gossip,
                 self.configuration,
                 self.dispatcher,
@@ -271,8 +297,8 @@
         )
 
     def build_callers(self):
-        """Make the listener for callers."""
-        parts = nodeparts.NodeParts(
+        """Return the listener for callers."""
+        dependencies = requestdependencies.RequestDependencies(
             settings=self.settings,
             host=self.host,
             incarnation=self.incarnation,
@@ -284,18 +310,18 @@
             peers=self.peers,
         )
         return callers.Callers(
-            parts, self.dispatcher, self.status, self.metrics
+            dependencies, self.dispatcher, self.status, self.metrics
         )
 
-    def join_peers(self):
-        """Let the peer server answer from the tasks of this node."""
+    def connect_peer_server(self):
+        """Give the peer server the handlers of its calls."""
         self.peer_server.fetch_table = self.configuration.fetch_table
         self.peer_server.take_records = self.callers.take_records
         self.peer_server.pool_status = self.duties.pool_status
 
     def add_gauges(self):
-        """Let the cost of control be read from the metrics."""
-        self.metrics.gauge(
+        """Add metrics of the traffic between nodes and to the store."""
+        self.metrics.add_gauge(
             'magnoliadyke.peer_bytes',
             'Bytes of membership datagrams since the start.',
             lambda: [
@@ -303,7 +329,7 @@
                 ({'direction': 'received'}, self.gossip.received_bytes),
             ],
         )
-        self.metrics.gauge(
+        self.metrics.add_gauge(
             'magnoliadyke.store_calls',
             'Calls to the key-value service since the start.',
             lambda: [
@@ -318,17 +344,17 @@
         logs.get('node').event('node_started', incarnation=self.incarnation)
 
     def stop(self):
-        """Stop gracefully, within the time of the settings."""
+        """Stop gracefully, within ``timing.stop_s`` of the settings."""
         logs.get('node').event('node_stopping')
         self.app.stop(self.settings.timing.stop_s)
         logs.get('node').event('node_stopped')
 
 
 def run(settings, host):
-    """Run a node until a stop signal; the process's whole life.
+    """Run a node until a stop signal.
 
     The first SIGTERM or SIGINT stops it gracefully. A second one ends the
-    process at once, for operators who can't wait.
+    process at once, with status EXIT_FORCED.
 
     :param settings: :class:`magnoliadyke.settings.Settings`
     :param host: name of this host
@@ -339,13 +365,13 @@
     node = Node(settings, host, clock)
 
     def on_signal():
-        if node.stop_asked.is_set():
+        if node.stop_requested.is_set():
             os._exit(EXIT_FORCED)
-        node.stop_asked.set()
+        node.stop_requested.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, on_signal)
     node.start()
-    node.stop_asked.wait()
+    node.stop_requested.wait()
     node.stop()
     return 0
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -52,8 +52,9 @@
 #: Usage windows if no usage has to be reported.
 DEFAULT_USAGE_WINDOWS = usageduty.UsageSettings(60.0, 60.0)
 MAINTENANCE_INTERVAL_S = 0.5
-#: Maximum time to live of a directory response.  It is also how long callers
-#: may still connect to a host after it has announced that it stops.
+#: Maximum time to live of a directory response, in seconds.  It is also how
+#: long callers may still connect to a host after it has announced that it
+#: stops.
 DIRECTORY_TTL_S = 2.0
 
 
@@ -105,10 +106,10 @@
             settings.retry_extra,
             settings.retry_window_s,
         )
-        self.own = self._own_record()
+        self.own_record = self._own_record()
         first_port = settings.peer_ports[0]
         self.members = members.Members(
-            self.own, self.store, clock, rng, settings.link_mbps
+            self.own_record, self.store, clock, rng, settings.link_mbps
         )
         self.placer = placementservice.PlacementService(
             settings.ip,
@@ -119,7 +120,7 @@
             settings.link_mbps,
         )
         self.leadership = leadership.Leadership(
-            self.own,
+            self.own_record,
             self.members,
             self.placer,
             self.store,
@@ -271,14 +272,14 @@
         asked = self.settings.duties
         names = () if asked is None else asked.names
         calls = None if asked is None else cloud.PlatformCalls(asked.address)
-        windows = DEFAULT_USAGE_WINDOWS
+        usage_settings = DEFAULT_USAGE_WINDOWS
         if asked is not None:
-            windows = usageduty.UsageSettings(
+            usage_settings = usageduty.UsageSettings(
                 asked.usage_window_s, asked.usage_due_s
             )
         usage = usageduty.UsageDuty(
-            (self.own.host, self.own.incarnation),
-            windows,
+            (self.own_record.host, self.own_record.incarnation),
+            usage_settings,
             self.leadership,
             self.members,
             self.placer,
@@ -359,7 +360,7 @@
             self.budgets.set_hosts(hosts)
             self.placer.hosts = hosts
             self.upstream.trim()
-            self.balancer.forget(set(self.catalog.endpoints))
+            self.balancer.drop_unlisted(set(self.catalog.endpoints))
             if ticks % 10 == 0:
                 self.metrics.log()
 
