--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -1,4 +1,4 @@
-"""The duty of planning one pool: lease, engines and their commands."""
+"""Duty of planning one pool: its lease and the commands to its engines."""
 
 import collections
 import json
@@ -18,27 +18,32 @@
 
 __all__ = ['PoolDuty']
 
-#: Longest wait for what runs on an engine to end before its change.
+#: Longest wait for the requests of an engine to end before its role change.
 DRAIN_TIMEOUT_S = 8.0
-#: Requests that were on their way when the notice went out arrive meanwhile.
-LEAST_DRAIN_S = 0.5
+#: Shortest drain: requests that other nodes sent before they received the
+#: notice arrive within this time.
+MIN_DRAIN_S = 0.5
 DRAIN_POLL_S = 0.25
-#: A notice lapses after this long unless it is repeated.
-NOTICE_S = 5.0
+#: A notice expires after this time unless it is repeated.
+NOTICE_TTL_S = 5.0
 NOTICE_INTERVAL_S = 1.0
 PLAN_INTERVAL_S = 1.0
-#: A role is short for this long before an engine is moved to it; an engine
-#: that crashed may be back by then.
-SHORT_FOR_S = 3.0
-CHANGES_KEPT = 50
-WEIGHTS_TIMEOUT_S = 2.0
-WEIGHTS_RETRY_S = 2.0
+#: A role has too few engines for this time before an engine of the other role
+#: is switched to it; an engine that crashed may have restarted by then.
+SHORTAGE_DELAY_S = 3.0
+MAX_RECENT_CHANGES = 50
+WEIGHT_STORE_TIMEOUT_S = 2.0
+WEIGHT_STORE_RETRY_S = 2.0
 
 LOG = logs.get('duties')
 
 
 class LeaseAnswered(typing.NamedTuple):
-    """The store's answer to a call for the lease of a pool."""
+    """Outcome of a store call for the lease of a pool.
+
+    :param action: ``leases.ReadLease`` or ``leases.WriteLease``
+    :param outcome: an outcome of :mod:`magnoliadyke.keyvalue`
+    """
 
     pool: str
     action: object
@@ -46,7 +51,10 @@
 
 
 class IntentAnswered(typing.NamedTuple):
-    """The store's answer to a call for the intent of an engine."""
+    """Outcome of a store call for the intent of an engine.
+
+    :param outcome: an outcome of :mod:`magnoliadyke.keyvalue`
+    """
 
     pool: str
     engine: str
@@ -54,7 +62,11 @@
 
 
 class StateAnswered(typing.NamedTuple):
-    """An engine's reading, None when it is away."""
+    """State and load of an engine.
+
+    :param reading: :class:`magnoliadyke.enginecontrol.Reading`, or None if
+        the engine could not be read
+    """
 
     pool: str
     engine: str
@@ -62,7 +74,11 @@
 
 
 class CommandAnswered(typing.NamedTuple):
-    """An engine's verdict, None when it is not known."""
+    """An engine's answer to a command.
+
+    :param verdict: :class:`magnoliadyke.enginecontrol.Verdict`, or None if
+        the outcome of the command is unknown
+    """
 
     pool: str
     engine: str
@@ -70,7 +86,11 @@
 
 
 class WeightsAnswered(typing.NamedTuple):
-    """Whether the weight store lets a load begin, or when to come back."""
+    """The weight store's answer to a request to load a model.
+
+    :param granted: whether the load may start now
+    :param retry_after_s: seconds until the next request if it may not
+    """
 
     pool: str
     engine: str
@@ -79,10 +99,17 @@
 
 
 class Engine:
-    """One engine of the pool and what is under way with it.
+    """One engine of the pool, and its change in progress if there is one.
 
     :param settings: its :class:`magnoliadyke.settings.EndpointSettings`
     :param control: an :class:`magnoliadyke.enginecontrol.EngineControl`
+    :ivar reading: last :class:`magnoliadyke.enginecontrol.Reading`, None
+        before the first one and after a failed one
+    :ivar read_s: monotonic time of the last successful reading, or None
+    :ivar draining_since_s: monotonic time at which the drain started, None
+        if the engine is not being drained
+    :ivar is_out_of_use: whether notices are repeated by which all nodes send
+        the engine no new requests
     """
 
     def __init__(self, settings, control):
@@ -95,34 +122,34 @@
         self.reading = None
         self.read_s = None
         self.draining_since_s = None
-        self.out_of_use = False
+        self.is_out_of_use = False
         self.next_drain_poll_s = 0.0
         self.next_notice_s = 0.0
         self.next_load_s = 0.0
 
-    def take_reading(self, reading, now_s):
-        """Keep what the engine said of itself."""
+    def record_reading(self, reading, now_s):
+        """Record the engine's state and load, or None if it did not answer."""
         self.reading = reading
         if reading is not None:
             self.read_s = now_s
             self.role = reading.state.role
 
-    def astray(self):
-        """Whether the engine is in another role than was last intended.
+    def is_in_unintended_role(self):
+        """Whether the engine has another role than was last ordered.
 
-        It will be told to go back. A planner that took its role for real
-        would move another engine in its stead, and the pool would be left
-        with none in one of the roles when both are done.
+        It will be commanded to switch back. If the planner counted it in its
+        present role, it would switch another engine to replace it, and after
+        both changes the pool could have no engine in one of the roles.
         """
         intended = self.commands.role
         return intended is not None and self.role != intended.target
 
 
 class PoolDuty:
-    """Takes part in the election for one pool and plans it when elected.
+    """Contends for the lease of one pool and plans the pool while it holds it.
 
-    All calls that wait run in greenlets of their own and come back to the
-    owning task as messages.
+    Blocking calls run in greenlets of their own, which post the results to
+    the owning task as messages.
 
     :param pool: :class:`magnoliadyke.settings.PoolSettings`
     :param task: the :class:`magnoliadyke.duties.Duties` that owns this
@@ -146,79 +173,92 @@
             each.name: Engine(each, controls[each.name])
             for each in pool.endpoints
         }
-        self.weights = endpoint.Connections(
+        self.weight_store = endpoint.Connections(
             settings.weight_store.address, task.clock, endpoint.DEFAULTS
         )
-        self.changes = collections.deque(maxlen=CHANGES_KEPT)
+        self.changes = collections.deque(maxlen=MAX_RECENT_CHANGES)
         self.highest_fencing = 0
         self.next_plan_s = 0.0
         self.short_since_s = None
-        self.holding = False
+        self.holds_lease = False
 
     # Time.
 
     def tick(self, now_s, contending):
-        """Do what is due.
+        """Renew or claim the lease, drive the engines' commands, and plan.
 
-        :param contending: whether this node wants the duty
+        :param contending: whether this node stands for election
         """
         floor = max(
             int(self.task.clock.wall_s() * 1000), self.highest_fencing + 1
         )
         for action in self.lease.tick(now_s, contending, floor):
-            self.call_store_for_lease(action)
+            self.spawn_lease_call(action)
         authority = self.lease.held(now_s)
-        self.note_holding(authority)
+        self.log_lease_change(authority)
         for engine in self.engines.values():
             self.tick_engine(engine, now_s, authority)
         if authority is not None and now_s >= self.next_plan_s:
             self.next_plan_s = now_s + PLAN_INTERVAL_S
             self.plan(now_s)
 
-    def note_holding(self, authority):
-        """Log when the duty is taken or lost."""
-        holding = authority is not None
-        if holding != self.holding:
-            self.holding = holding
+    def log_lease_change(self, authority):
+        """Log that the lease was acquired or lost."""
+        holds_lease = authority is not None
+        if holds_lease != self.holds_lease:
+            self.holds_lease = holds_lease
             LOG.event(
-                'duty_taken' if holding else 'duty_lost',
+                'duty_taken' if holds_lease else 'duty_lost',
                 pool=self.name,
-                fencing=authority.fencing if holding else 0,
+                fencing=authority.fencing if holds_lease else 0,
             )
 
     def tick_engine(self, engine, now_s, authority):
-        """Drive the commands of one engine."""
-        if self.row_state(engine) == 'withdrawn':
+        """Advance the commands, notices and drain of one engine.
+
+        The lease is released if the engine has accepted a higher fencing
+        token than this node's.
+        """
+        if self.table_state(engine) == 'withdrawn':
             return
         for action in engine.commands.tick(now_s, authority):
-            self.act(engine, action, now_s)
+            self.execute(engine, action, now_s)
         if authority is None:
             engine.draining_since_s = None
-            engine.out_of_use = False
+            engine.is_out_of_use = False
             return
-        if engine.out_of_use and now_s >= engine.next_notice_s:
+        if engine.is_out_of_use and now_s >= engine.next_notice_s:
             engine.next_notice_s = now_s + NOTICE_INTERVAL_S
-            self.announce(engine, changing=True)
+            self.send_notice(engine, changing=True)
         if engine.draining_since_s is not None:
             self.drain(engine, now_s)
         if engine.commands.is_superseded:
-            heard = engine.commands.highest_fencing
-            self.highest_fencing = max(self.highest_fencing, heard)
+            accepted = engine.commands.highest_fencing
+            self.highest_fencing = max(self.highest_fencing, accepted)
             self.lease.release()
 
-    def row_state(self, engine):
-        """State of the engine in the operators' table."""
+    def table_state(self, engine):
+        """Return the engine's state in the operators' table.
+
+        It is 'in' as long as this node has no table.
+        """
         view = self.task.view
         return view.endpoint(engine.name).state if view is not None else 'in'
 
     # Planning.
 
     def observe(self, demand, now_s):
-        """Feed the planner; every node does, so that each could take over."""
+        """Record the pool's demand in the planner.
+
+        All nodes record it, so that any of them can take over the planning.
+        """
         self.planner.observe(demand, now_s)
 
     def plan(self, now_s):
-        """Ask the planner; begin the change that it wants."""
+        """Start the role change that the planner proposes, or a model load.
+
+        A change that ends a shortage of engines in a role takes precedence.
+        """
         view = self.task.view
         if view is None:
             return
@@ -232,62 +272,72 @@
             row.planning,
         )
         change = self.planner.plan(state, now_s)
-        change = self.shortage(state, now_s) or change
+        change = self.change_for_shortage(state, now_s) or change
         if change is not None:
-            self.begin(change)
+            self.start_role_change(change)
         else:
             self.load_models(now_s)
 
-    def shortage(self, state, now_s):
-        """Return the change that ends a lack of engines in a role.
+    def change_for_shortage(self, state, now_s):
+        """Return the role change that ends a shortage of engines in a role.
 
-        The planner never goes below the least numbers of the table, but an
-        engine that dies, or an operator who raises a number, does. This
-        holds with planning off as well: it is how operators ask for roles.
+        The planner never takes a role below its minimum in the table, but an
+        engine that fails or an operator who raises a minimum does. Shortages
+        are also corrected while planning is off: this is how operators then
+        request roles.
         """
-        change = change_for_minimum(state)
+        change = change_to_minimum(state)
         if change is None:
             self.short_since_s = None
             return None
         if self.short_since_s is None:
             self.short_since_s = now_s
-        if now_s - self.short_since_s < SHORT_FOR_S:
+        if now_s - self.short_since_s < SHORTAGE_DELAY_S:
             return None
         self.planner.reason = f'too few engines in role {change.role}'
         return change
 
     def engine_view(self, engine):
-        """The engine as the planner wants to know it."""
+        """Return the planner's view of an engine."""
         reading = engine.reading
         active = reading.active if reading is not None else 0
         read_s = engine.read_s if engine.read_s is not None else -1e9
         return roles.EngineView(
-            engine.name, engine.role, self.state_of(engine), active, read_s
+            engine.name,
+            engine.role,
+            self.planner_state(engine),
+            active,
+            read_s,
         )
 
-    def state_of(self, engine):
-        """Whether the planner may count on the engine."""
+    def planner_state(self, engine):
+        """Return the engine's state for the planner.
+
+        :returns: 'in', 'changing', 'leaving' or 'away'; the planner counts
+            only on engines that are 'in'
+        """
         reading = engine.reading
         if engine.commands.under_way:
-            # Also while it is away: it may have crashed half-way, and comes
-            # back to go on. Another change meanwhile would be one too many.
+            # Also if the engine can't be read: it may have crashed during
+            # the change and continue it after its restart. A second change
+            # started meanwhile would take one engine too many out of use.
             return 'changing'
         if reading is None:
             return 'away'
-        if reading.state.changing or engine.astray():
+        if reading.state.changing or engine.is_in_unintended_role():
             return 'changing'
-        if self.row_state(engine) != 'in' or not reading.takes_work:
+        if self.table_state(engine) != 'in' or not reading.takes_work:
             return 'leaving'
         return 'in'
 
-    def begin(self, change):
-        """Begin a role change, unless the pool would fall short."""
+    def start_role_change(self, change):
+        """Request a role change, unless its role would lose its minimum."""
         row = self.task.view.pool(self.name)
         engine = self.engines[change.endpoint]
         working = [
             each.role
             for each in self.engines.values()
-            if self.state_of(each) == 'in'
+            if self.planner_state(each) == 'in'
         ]
         kept = commands.keeps_minimum(
             working, engine.role, row.min_prefill, row.min_decode
@@ -305,39 +355,45 @@
     # Models.
 
     def load_models(self, now_s):
-        """Load the pool's model where it is missing, one at a time.
+        """Load the pool's model on one engine that lacks it.
 
-        The weight store is shared by all pools, so it is asked first.
+        The weight store is shared by all pools, so its permission for the
+        bytes of the load is requested first.
         """
         for engine in self.engines.values():
             missing = (
-                self.state_of(engine) == 'in'
+                self.planner_state(engine) == 'in'
                 and self.pool.model not in engine.reading.state.models
             )
             if missing and now_s >= engine.next_load_s:
-                engine.next_load_s = now_s + 2 * WEIGHTS_TIMEOUT_S
-                self.task.spawn(lambda e=engine: self.ask_weight_store(e))
+                engine.next_load_s = now_s + 2 * WEIGHT_STORE_TIMEOUT_S
+                self.task.spawn(lambda e=engine: self.request_load_permit(e))
                 return
 
-    def ask_weight_store(self, engine):
-        """Ask the weight store for the bytes of one load."""
+    def request_load_permit(self, engine):
+        """Request permission from the weight store to load the model once."""
         body = json.dumps({'bytes': self.pool.model_bytes}).encode()
-        granted, retry_after_s = False, WEIGHTS_RETRY_S
+        granted, retry_after_s = False, WEIGHT_STORE_RETRY_S
         try:
-            reply = self.weights.call(
-                'POST', '/tokens', body, (), WEIGHTS_TIMEOUT_S
+            reply = self.weight_store.call(
+                'POST', '/tokens', body, (), WEIGHT_STORE_TIMEOUT_S
             )
             granted = reply.status == enginecontrol.STATUS_OK
             if not granted:
                 retry_after_s = float(reply.json()['retry_after_s'])
         except (errors.EndpointUnreachable, ValueError, KeyError) as error:
-            LOG.repeated('weight_store_failed', self.name, error=str(error))
+            LOG.throttled_warning(
+                'weight_store_failed', self.name, error=str(error)
+            )
         self.task.post(
             WeightsAnswered(self.name, engine.name, granted, retry_after_s)
         )
 
-    def take_weights(self, answer, now_s):
-        """Begin the load, or wait."""
+    def handle_weights_answer(self, answer, now_s):
+        """Request the load if the weight store permits it.
+
+        Nothing is requested if this node no longer holds the lease.
+        """
         engine = self.engines[answer.engine]
         engine.next_load_s = now_s + answer.retry_after_s
         if answer.granted and self.lease.held(now_s) is not None:
@@ -346,10 +402,10 @@
             )
             LOG.event('load_wanted', engine=engine.name, model=self.pool.model)
 
-    # Actions of the core.
+    # Actions of core.commands.
 
-    def act(self, engine, action, now_s):
-        """Carry out one action for an engine."""
+    def execute(self, engine, action, now_s):
+        """Execute one action that ``core.commands`` returned for an engine."""
         match action:
             case commands.ReadState():
                 self.task.spawn(lambda: self.read_state(engine))
@@ -364,15 +420,15 @@
                     lambda: self.send_command(engine, command, deadline_s)
                 )
             case commands.Prepare(change):
-                self.prepare(engine, change, now_s)
+                self.take_out_of_use(engine, change, now_s)
             case commands.Settled(change, generation, corrected):
-                self.settled(engine, change, generation, corrected)
+                self.handle_settled(engine, change, generation, corrected)
             case commands.ChangeFailed(change, reason):
-                self.gave_up(engine, change, reason)
+                self.handle_change_failed(engine, change, reason)
 
-    def settled(self, engine, change, generation, corrected):
-        """A change is done; give the engine back to use."""
-        self.give_back(engine)
+    def handle_settled(self, engine, change, generation, corrected):
+        """Return an engine to use whose change is complete, and record it."""
+        self.return_to_use(engine)
         LOG.event(
             'engine_settled',
             engine=engine.name,
@@ -385,13 +441,13 @@
             at_s = self.task.clock.wall_s()
             self.changes.append((at_s, engine.name, change.target))
             if self.task.metrics is not None:
-                self.task.metrics.role_change(
+                self.task.metrics.record_role_change(
                     self.name, engine.name, change.target
                 )
 
-    def gave_up(self, engine, change, reason):
-        """A change failed; give the engine back to use."""
-        self.give_back(engine)
+    def handle_change_failed(self, engine, change, reason):
+        """Return an engine to use whose change failed."""
+        self.return_to_use(engine)
         LOG.warning_event(
             'engine_change_failed',
             engine=engine.name,
@@ -400,39 +456,45 @@
             reason=reason,
         )
 
-    def give_back(self, engine):
-        """Let all nodes place work on the engine again."""
+    def return_to_use(self, engine):
+        """End the drain and notify all nodes that the engine is in use."""
         engine.draining_since_s = None
-        engine.out_of_use = False
-        self.announce(engine, changing=False)
+        engine.is_out_of_use = False
+        self.send_notice(engine, changing=False)
+
+    def send_notice(self, engine, changing):
+        """Notify all nodes whether they may send requests to the engine.
 
-    def announce(self, engine, changing):
-        """Tell all nodes whether to place work on the engine."""
+        :param changing: whether the engine is out of use for a change
+        """
         authority = self.lease.authority
         if authority is not None:
             notice = notices.EngineNotice(
-                engine.name, authority.fencing, changing, NOTICE_S
+                engine.name, authority.fencing, changing, NOTICE_TTL_S
             )
-            self.task.gossip.post(gossip.Announce(notice))
+            self.task.gossip.post(gossip.SendEngineNotice(notice))
 
     # Draining.
 
-    def prepare(self, engine, change, now_s):
-        """Take the engine out of use before a role change."""
+    def take_out_of_use(self, engine, change, now_s):
+        """Start to drain the engine before a role change.
+
+        Model loads need no drain and go on at once.
+        """
         if change.kind != 'role':
             for action in engine.commands.record_engine_drained(now_s):
-                self.act(engine, action, now_s)
+                self.execute(engine, action, now_s)
             return
         engine.draining_since_s = now_s
-        engine.out_of_use = True
+        engine.is_out_of_use = True
         engine.next_notice_s = now_s
-        engine.next_drain_poll_s = now_s + LEAST_DRAIN_S
+        engine.next_drain_poll_s = now_s + MIN_DRAIN_S
 
     def drain(self, engine, now_s):
-        """Wait until nothing runs on the engine, then go on.
+        """Continue the change once the engine is idle or has timed out.
 
-        What still runs at the end of the wait is frozen during the change
-        and goes on after it; nothing is cut.
+        Requests that still run after ``DRAIN_TIMEOUT_S`` are suspended during
+        the change and resumed after it; none is cancelled.
         """
         waited_s = now_s - engine.draining_since_s
         if now_s >= engine.next_drain_poll_s:
@@ -441,22 +503,22 @@
         reading = engine.reading
         read_since = (
             engine.read_s is not None
-            and engine.read_s - engine.draining_since_s > LEAST_DRAIN_S
+            and engine.read_s - engine.draining_since_s > MIN_DRAIN_S
         )
         empty = read_since and reading is not None and reading.active == 0
         if empty or waited_s > DRAIN_TIMEOUT_S:
             engine.draining_since_s = None
             for action in engine.commands.record_engine_drained(now_s):
-                self.act(engine, action, now_s)
+                self.execute(engine, action, now_s)
 
-    # Calls that wait; each runs in a greenlet of its own.
+    # Blocking calls; each runs in a greenlet of its own.
 
-    def call_store_for_lease(self, action):
-        """Make the lease's next call to the store."""
-        self.task.spawn(lambda: self.lease_call(action))
+    def spawn_lease_call(self, action):
+        """Start the lease's next call to the store in a new greenlet."""
+        self.task.spawn(lambda: self.make_lease_call(action))
 
-    def lease_call(self, action):
-        """Call the store for the lease."""
+    def make_lease_call(self, action):
+        """Read or write the lease in the store, and post the outcome."""
         store = self.task.lease_store
         match action:
             case leases.ReadLease():
@@ -466,31 +528,38 @@
         self.task.post(LeaseAnswered(self.name, action, outcome))
 
     def read_intent(self, engine):
-        """Read the engine's intent from the store."""
+        """Read the engine's intent from the store, and post the outcome."""
         outcome = self.task.intent_store.get(f'intent/{engine.name}')
         self.task.post(IntentAnswered(self.name, engine.name, outcome))
 
     def write_intent(self, engine, intent, if_revision):
-        """Write the engine's intent to the store."""
+        """Write the engine's intent to the store, and post the outcome."""
         outcome = self.task.intent_store.put(
             f'intent/{engine.name}', intent.dump(), if_revision
         )
         self.task.post(IntentAnswered(self.name, engine.name, outcome))
 
     def read_state(self, engine, polled=False):
-        """Read the engine's state; a poll of the drain is for us alone."""
+        """Read the engine's state and load.
+
+        :param polled: whether the drain polls the engine; the reading is then
+            only recorded, and not posted to the engine's commands
+        """
         try:
             reading = engine.control.read()
         except (errors.EndpointUnreachable, ValueError) as error:
-            LOG.repeated('engine_away', engine.name, error=str(error))
+            LOG.throttled_warning('engine_away', engine.name, error=str(error))
             reading = None
         if polled:
-            engine.take_reading(reading, self.task.clock.now_s())
+            engine.record_reading(reading, self.task.clock.now_s())
             return
         self.task.post(StateAnswered(self.name, engine.name, reading))
 
     def send_command(self, engine, command, deadline_s):
-        """Send one command, if the authority still stands."""
+        """Send one command if the lease outlives it, and post the verdict.
+
+        :param deadline_s: monotonic time at which the connection is closed
+        """
 
         def may_send():
             now_s = self.task.clock.now_s()
@@ -502,90 +571,98 @@
             if left_s > 0:
                 verdict = engine.control.send(command, left_s, may_send)
         except errors.EndpointUnreachable as error:
-            LOG.repeated('command_unknown', engine.name, error=str(error))
+            LOG.throttled_warning(
+                'command_unknown', engine.name, error=str(error)
+            )
         self.task.post(CommandAnswered(self.name, engine.name, verdict))
 
     # Answers.
 
-    def take_lease_answer(self, answer, now_s):
-        """Tell the lease what the store answered."""
+    def handle_lease_answer(self, answer, now_s):
+        """Pass the outcome of a store call to the lease."""
         match answer.outcome:
             case keyvalue.Stored(revision):
-                self.lease.written(now_s, revision)
+                self.lease.record_written(now_s, revision)
             case keyvalue.Found(value=text, revision=revision):
-                self.lease.read(now_s, revision, text)
+                self.lease.record_read(now_s, revision, text)
             case keyvalue.Absent():
-                self.lease.read(now_s, 0, None)
+                self.lease.record_read(now_s, 0, None)
             case keyvalue.Conflict(revision, value):
-                self.lease.write_refused(now_s, revision, value)
+                self.lease.record_write_refusal(now_s, revision, value)
             case _ if isinstance(answer.action, leases.ReadLease):
-                self.lease.read_failed(now_s)
+                self.lease.record_read_failure(now_s)
             case _:
-                self.lease.write_unknown(now_s)
+                self.lease.record_write_unknown(now_s)
 
-    def take_intent_answer(self, answer, now_s):
-        """Tell the engine's commands what the store answered."""
+    def handle_intent_answer(self, answer, now_s):
+        """Pass the outcome of a store call to the engine's commands."""
         engine = self.engines[answer.engine]
         match answer.outcome:
             case keyvalue.Stored(revision):
-                actions = engine.commands.intent_written(now_s, revision)
+                actions = engine.commands.record_intent_written(
+                    now_s, revision
+                )
             case keyvalue.Found(value=text, revision=revision):
-                actions = engine.commands.intent_read(now_s, revision, text)
+                actions = engine.commands.record_intent_read(
+                    now_s, revision, text
+                )
             case keyvalue.Conflict(revision, value):
-                actions = engine.commands.intent_read(now_s, revision, value)
+                actions = engine.commands.record_intent_read(
+                    now_s, revision, value
+                )
             case keyvalue.Absent():
-                actions = engine.commands.intent_read(now_s, 0, None)
+                actions = engine.commands.record_intent_read(now_s, 0, None)
             case _:
-                actions = engine.commands.intent_failed(now_s)
-        self.act_all(engine, actions, now_s)
+                actions = engine.commands.record_intent_failure(now_s)
+        self.execute_all(engine, actions, now_s)
 
-    def take_state_answer(self, answer, now_s):
-        """Tell the engine's commands what the engine said."""
+    def handle_state_answer(self, answer, now_s):
+        """Pass the state that was read to the engine's commands."""
         engine = self.engines[answer.engine]
-        engine.take_reading(answer.reading, now_s)
+        engine.record_reading(answer.reading, now_s)
         if answer.reading is None:
-            actions = engine.commands.state_failed(now_s)
+            actions = engine.commands.record_state_failure(now_s)
         else:
-            actions = engine.commands.state_read(now_s, answer.reading.state)
-        self.act_all(engine, actions, now_s)
+            actions = engine.commands.record_state(now_s, answer.reading.state)
+        self.execute_all(engine, actions, now_s)
 
-    def take_command_answer(self, answer, now_s):
-        """Tell the engine's commands what became of a command."""
+    def handle_command_answer(self, answer, now_s):
+        """Pass the engine's verdict on a command to its commands."""
         engine = self.engines[answer.engine]
         match answer.verdict:
             case enginecontrol.Verdict(code, highest):
-                actions = engine.commands.command_answered(
+                actions = engine.commands.record_command_answer(
                     now_s, code, highest
                 )
             case _:
-                actions = engine.commands.command_unknown(now_s)
-        self.act_all(engine, actions, now_s)
+                actions = engine.commands.record_command_unknown(now_s)
+        self.execute_all(engine, actions, now_s)
 
-    def act_all(self, engine, actions, now_s):
-        """Carry out several actions for an engine."""
+    def execute_all(self, engine, actions, now_s):
+        """Execute several actions for an engine."""
         for action in actions:
-            self.act(engine, action, now_s)
+            self.execute(engine, action, now_s)
 
-    # Ending and telling.
+    # Release and status.
 
-    def under_way(self):
-        """Whether a command relies on the lease at this moment."""
+    def has_change_in_progress(self):
+        """Whether a change that relies on the lease is in progress."""
         return any(each.commands.under_way for each in self.engines.values())
 
     def release(self, in_time):
-        """Give the duty up.
+        """Release the lease once no change is in progress.
 
-        :param in_time: False when a change is still under way and can't be
-            waited for: the lease then lapses by itself, and the successor
-            waits for what may be on its way
+        :param in_time: whether there is time to wait for a change in
+            progress. If not, the authority is dropped and the lease expires;
+            the next holder waits for commands that may still be in flight.
         """
         if not in_time:
             self.lease.drop()
-        elif not self.under_way():
+        elif not self.has_change_in_progress():
             self.lease.release()
 
     def status(self, now_s):
-        """Return what this node knows of the pool's planning."""
+        """Return the pool's status as far as this node has a record of it."""
         value = self.lease.value
         return poolstatus.PoolStatus(
             self.name,
@@ -597,7 +674,7 @@
         )
 
     def engine_status(self, engine, now_s):
-        """Return how one engine does."""
+        """Return the role, target role and generation of one engine."""
         reading = engine.reading
         intended = engine.commands.role
         target = intended.target if intended is not None else engine.role
@@ -611,14 +688,17 @@
         )
 
     def close(self):
-        """Drop idle connections."""
-        self.weights.close()
+        """Close idle connections."""
+        self.weight_store.close()
         for engine in self.engines.values():
             engine.control.close()
 
 
-def change_for_minimum(state):
-    """Return the role change that a pool below its least numbers needs.
+def change_to_minimum(state):
+    """Return the role change for a pool with a role below its minimum.
+
+    No change is returned while an engine is changing, or if the other role
+    has no engine beyond its own minimum.
 
     :param state: :class:`magnoliadyke.core.roles.PoolState`
     :return: :class:`magnoliadyke.core.roles.RoleChange`, or None
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -203,17 +203,19 @@
     for engine in prefills:
         engine.active = 1
     sent = [len(engine.taken) for engine in prefills]
-    while not any(node.gossip.uses.last for node in fleet.nodes.values()):
+    while not any(
+        node.gossip.engine_uses.last for node in fleet.nodes.values()
+    ):
         press(fleet, 1, prefill=0.3, decode=2.6)
     press(fleet, 3, prefill=0.3, decode=2.6)
-    uses = {node.gossip.uses.last for node in fleet.nodes.values()}
+    uses = {node.gossip.engine_uses.last for node in fleet.nodes.values()}
     assert [use.state for use in uses] == [notices.CHANGING]
     assert [len(engine.taken) for engine in prefills] == sent
     for engine in prefills:
         engine.active = 0
     press(fleet, 5, prefill=0.3, decode=2.6)
     assert roles_of(fleet).count('decode') == 3
-    uses = {node.gossip.uses.last for node in fleet.nodes.values()}
+    uses = {node.gossip.engine_uses.last for node in fleet.nodes.values()}
     assert [use.state for use in uses] == [notices.UP]
 
 
@@ -278,7 +280,7 @@
 def test_a_model_is_loaded_when_the_weight_store_allows(fleet):
     (holder,) = holders(fleet)
     weights = FakeWeights(fleet.clock, 7.0)
-    duty(fleet, holder).weights = weights
+    duty(fleet, holder).weight_store = weights
     engine = fleet.controls['e2']
     engine.taken.clear()
     engine.models.clear()
@@ -294,7 +296,7 @@
     press(fleet, 40, prefill=0.3, decode=2.6)
     (holder,) = holders(fleet)
     for name, node in fleet.nodes.items():
-        ask = duties.RoleStatus()
+        ask = duties.ShowPoolStatuses()
         node.duties.post(ask)
         fleet.run(0.1)
         status = ask.result.get()[POOL]
@@ -306,6 +308,6 @@
 def test_few_stand_for_election_and_a_loss_moves_one_place():
     hosts = {f'h{index}' for index in range(420)}
     chosen = duties.candidates('p', hosts)
-    assert len(chosen) == duties.CANDIDATES
+    assert len(chosen) == duties.MAX_CANDIDATES
     after = duties.candidates('p', hosts - {chosen[0]})
     assert after[:2] == chosen[1:]
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -164,7 +164,7 @@
 def test_others_that_know_no_more_change_nothing(world, clock):
     node = world.nodes[0]
     node.follower.record_peer_position(
-        world.nodes[1].own.host, later(node, 1000)
+        world.nodes[1].own_record.host, later(node, 1000)
     )
     advance_until(
         clock, lambda: node.follower.catch_up.caught_up['nobody'] > 0
@@ -253,7 +253,7 @@
     """Values that the asker has seen are left out, keys are not."""
     node = world.nodes[0]
     own = node.follower.state(position.START)
-    address = f'{node.own.address}:{node.own.gossip_port}'
+    address = f'{node.own_record.address}:{node.own_record.gossip_port}'
     whole = peerstate.fetch(address, position.START)
     assert whole.items == own.items
     assert whole.positions == own.positions
@@ -285,7 +285,7 @@
     """A host that comes back from a cut keeps an endpoint that has left."""
     node = world.nodes[0]
     leave_while_cut_off(world, clock, node)
-    peers, unanswered = node.members.peers, []
+    peers, unanswered = node.members.peer_addresses, []
 
     def nobody_at_first(first):
         if unanswered:
@@ -293,7 +293,7 @@
         unanswered.append(first)
         return []
 
-    node.members.peers = nobody_at_first
+    node.members.peer_addresses = nobody_at_first
     answer_calls(node)
     took_s = advance_until(clock, lambda: 'p1' not in node.catalog.endpoints)
     assert unanswered
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -218,7 +218,7 @@
     network.run(6.0)
     assert network.nodes[0].view().members['h4'].takes_work is False
     for node in network.nodes.values():
-        node.freshness.store_confirmed(network.now_s, 1, 1)
+        node.freshness.record_store_confirmation(network.now_s, 1, 1)
     network.run(0.5)
     network.nodes[0].survey(network.now_s)
     assert network.nodes[4].own.takes_work
@@ -258,16 +258,16 @@
         own, membership.MembershipSettings(), random.Random(1), peers
     )
     for peer in peers:
-        sighting = freshness.HostState(
+        host_state = freshness.HostState(
             peer.host, 1, 0.0, 1, 1, 0.0, True, True, 1.0
         )
-        ack = membership.Ack(0, peer, 'h0', (), (sighting,), b'')
+        ack = membership.Ack(0, peer, 'h0', (), (host_state,), b'')
         node.receive(ack, 0.1)
-        node.freshness.handle_probe_answer(0.0, 0.1, [sighting])
+        node.freshness.handle_probe_answer(0.0, 0.1, [host_state])
     (send, *_) = node.tick(0.5)
     settings = membership.MembershipSettings()
-    assert len(send.message.updates) <= settings.updates
-    assert len(send.message.sightings) == settings.sightings
+    assert len(send.message.updates) <= settings.max_updates
+    assert len(send.message.host_states) == settings.max_host_states
 
 
 class Weather(stateful.RuleBasedStateMachine):
--- a/tests/test_overview.py
+++ b/tests/test_overview.py
@@ -5,7 +5,7 @@
 
 from magnoliadyke import dispatch
 from magnoliadyke import duties
-from magnoliadyke import fleet
+from magnoliadyke import fleetqueries
 from tests import fakenode
 
 
@@ -13,13 +13,13 @@
 def others(monkeypatch):
     """Answer for the other hosts: none is there, unless a test adds one."""
     answers = {'entry-2': None}
-    monkeypatch.setattr(fleet, 'ask_others', lambda *_: answers)
+    monkeypatch.setattr(fleetqueries, 'query_other_hosts', lambda *_: answers)
     return answers
 
 
 def test_status_tells_hosts_customers_store_and_leases():
     node = fakenode.make()
-    node.metrics.request_finished('lease', 'answered')
+    node.metrics.record_request_end('lease', 'answered')
     body = fakenode.client(node).simulate_get('/admin/status').json
     assert body['table']['revision'] == 12
     assert body['members'][0]['host'] == fakenode.HOST
@@ -35,7 +35,7 @@
 
 def test_status_adds_up_the_customers_of_all_hosts(others):
     node = fakenode.make()
-    node.metrics.request_finished('lease', 'answered')
+    node.metrics.record_request_end('lease', 'answered')
     counts = {'name': 'lease', 'answered': 2, 'queued': 3}
     others['entry-2'] = {'customers': [counts]}
     client = fakenode.client(node)
@@ -60,7 +60,7 @@
     """Two tasks do not answer; the rest of the status is shown."""
     node = fakenode.make()
     node.dispatcher.answers[dispatch.TakeSnapshot] = gevent.Timeout(1)
-    node.duties.answers[duties.RoleStatus] = gevent.Timeout(1)
+    node.duties.answers[duties.ShowPoolStatuses] = gevent.Timeout(1)
     client = fakenode.client(node)
     body = client.simulate_get('/admin/status').json
     assert body['members'] and 'no answer' in body['leases'][0]['holder']
