--- a/tests/test_streammigration.py
+++ b/tests/test_streammigration.py
@@ -33,7 +33,7 @@
     connections = types.SimpleNamespace(is_suspect=lambda: False)
 
     def __init__(self, run):
-        self.run_ = run
+        self.target_run = run
 
     def check(self, now_s, suspect):
         """The connection is well."""
