--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -832,7 +832,7 @@
         """
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
-            endpoint.load.peers.told(read_s, now_s)
+            endpoint.load.peers.record_peer_prompt(read_s, now_s)
 
     def demand(self, pool_name, now_s):
         """Return the pool's demand, summed over nodes with fresh digests."""
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -143,6 +143,15 @@
     assert (action.prefill_endpoint, action.endpoint) == ('p1', 'd1')
 
 
+def test_a_large_prompt_of_a_peer_raises_the_load_of_its_engine():
+    # A peer's notification that fails here would leave the engine looking
+    # idle until its next report.
+    plan = make_scheduler()
+    plan.record_peer_prompt('p1', 0.4, 10.0)
+    assert plan.endpoints['p1'].load.peers.wait_s(10.0, False) == 0.4
+    assert plan.endpoints['p2'].load.peers.wait_s(10.0, False) == 0.0
+
+
 def test_engines_that_left_make_a_typed_refusal():
     plan = make_scheduler()
     for name in ENGINES:
