--- a/magnoliadyke/admin.py
+++ b/magnoliadyke/admin.py
@@ -95,7 +95,7 @@
     application = falcon.App(
         middleware=[RequestGuard(node.settings.admin_token)], cors_enable=False
     )
-    adminerrors.install(application)
+    adminerrors.install_error_handlers(application)
     routes = {
         '/': page.PageResource(),
         '/admin/table': admintable.TableResource(node),
--- a/magnoliadyke/adminerrors.py
+++ b/magnoliadyke/adminerrors.py
@@ -9,10 +9,16 @@
 
 from magnoliadyke import errors
 
-__all__ = ['Refusal', 'ask', 'install', 'optional_text', 'require_text']
+__all__ = [
+    'Refusal',
+    'ask',
+    'install_error_handlers',
+    'optional_text',
+    'require_text',
+]
 
 #: Maximum length of the name of an operator or an edit, in characters.
-NAME_LENGTH = 128
+MAX_TEXT_LENGTH = 128
 
 
 class Refusal(errors.AdminRefused):
@@ -35,7 +41,7 @@
         return _body(self.code, self.message, self.remedy, self.extra)
 
 
-def install(application) -> None:
+def install_error_handlers(application) -> None:
     """Make a falcon application answer all errors in the same format.
 
     :param application: the :class:`falcon.App`
@@ -75,14 +81,14 @@
         return ''
     if (
         not isinstance(value, str)
-        or len(value) > NAME_LENGTH
+        or len(value) > MAX_TEXT_LENGTH
         or not value.isprintable()
     ):
         raise Refusal(
             400,
             'invalid',
             f'{field!r} is {reprlib.repr(value)}, not short printable text',
-            f'send a string of at most {NAME_LENGTH} printable characters',
+            f'send a string of at most {MAX_TEXT_LENGTH} printable characters',
         )
     return value
 
@@ -100,7 +106,7 @@
             400,
             'invalid',
             f'{field!r} is missing or empty',
-            f'send a string of at most {NAME_LENGTH} printable characters',
+            f'send a string of at most {MAX_TEXT_LENGTH} printable characters',
         )
     return value
 
--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -133,7 +133,7 @@
         """Return whether the caller allows the request to run twice."""
         return (req.get_header('X-Repeatable') or 'true').lower() != 'false'
 
-    def common(self, req, customer):
+    def common_fields(self, req, customer):
         """Return the fields that both kinds of requests share, as a dict."""
         return {
             'key': req.get_header('Idempotency-Key') or '',
@@ -148,7 +148,7 @@
         """Return the customer that sent a request."""
         return self.owner.customer_of(req.get_header('Authorization') or '')
 
-    def wait_end(self, req, routed):
+    def wait_for_run_outcome(self, req, routed):
         """Wait for the outcome of a run, and return it.
 
         :param routed: :class:`homes.Following`
@@ -191,7 +191,7 @@
             work=work,
             repeatable=self.repeatable(req),
             digest=digest,
-            **self.common(req, customer),
+            **self.common_fields(req, customer),
         )
 
 
@@ -211,7 +211,7 @@
             digest='',
             hops=self.hops(req),
         )
-        routed = self.homes.find(request, offset)
+        routed = self.homes.find_answer(request, offset)
         responder = ModelResponder(self, req, resp, False, request.key, offset)
         responder.answer(routed, True)
 
@@ -249,9 +249,11 @@
             case homes.Following(run, key):
                 self.send_key(self.key or key)
                 if stream:
-                    self.follow(run)
+                    self.stream_run(run)
                 else:
-                    self.send_result(self.resource.wait_end(self.req, routed))
+                    self.send_result(
+                        self.resource.wait_for_run_outcome(self.req, routed)
+                    )
 
     def send_key(self, key):
         """Send the key with which the caller can resend or resume."""
@@ -287,7 +289,7 @@
         shaped = caller_codec.chat_events(rest) if self.chat else rest
         return shaped + attempts.DONE
 
-    def follow(self, run):
+    def stream_run(self, run):
         """Stream a run's events, or send its outcome if it has no output."""
         follower = responsestream.ResponseStream(
             run,
@@ -347,7 +349,7 @@
             case homes.KeptAnswer(answer):
                 self.send_answer(resp, request.key, answer)
             case homes.Following(key=key):
-                outcome = self.wait_end(req, routed)
+                outcome = self.wait_for_run_outcome(req, routed)
                 if isinstance(outcome, records.Answer):
                     self.send_answer(resp, request.key or key, outcome)
                 else:
@@ -382,7 +384,7 @@
             digest=caller_codec.request_digest(
                 customer, name, req.method, path, body
             ),
-            **self.common(req, customer),
+            **self.common_fields(req, customer),
         )
 
     def route_repeatable(self, name, method, path):
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -123,7 +123,8 @@
     hosts), hands the records to a successor, lets running requests end until
     the deadline and only then closes the listener.
 
-    :param parts: :class:`magnoliadyke.requestdependencies.RequestDependencies`
+    :param dependencies:
+        :class:`magnoliadyke.requestdependencies.RequestDependencies`
     :param dispatcher: :class:`magnoliadyke.dispatch.Dispatcher`
     :param status: :class:`NodeStatus` shared with gossip
     :param metrics: :class:`magnoliadyke.metrics.Metrics`, or None
@@ -134,21 +135,21 @@
     :ivar active: number of requests that are being served
     """
 
-    def __init__(self, parts, dispatcher, status, metrics=None):
-        self.settings = parts.settings
-        self.host = parts.host
-        self.clock = parts.clock
-        self.rng = parts.rng
-        self.table = parts.table
-        self.members = parts.members
+    def __init__(self, dependencies, dispatcher, status, metrics=None):
+        self.settings = dependencies.settings
+        self.host = dependencies.host
+        self.clock = dependencies.clock
+        self.rng = dependencies.rng
+        self.table = dependencies.table
+        self.members = dependencies.members
         self.status = status
-        self.own = parts.settings.host(parts.host)
-        self.streams = streams.Streams(dispatcher, parts.clock)
+        self.host_settings = dependencies.settings.host(dependencies.host)
+        self.streams = streams.Streams(dispatcher, dependencies.clock)
         self.homes = homes.Homes(
-            parts,
+            dependencies,
             self.streams,
             self.refusal_for,
-            reports.Reports(metrics, dispatcher, parts.clock),
+            reports.Reports(metrics, dispatcher, dependencies.clock),
         )
         self.key_ring = None
         self.key_ring_view = None
@@ -176,7 +177,9 @@
             },
         )
         self.server = pywsgi.WSGIServer(
-            listener(self.own.address, self.own.caller_port),
+            listener(
+                self.host_settings.address, self.host_settings.caller_port
+            ),
             self.app,
             log=None,
             error_log=sys.stderr,
@@ -194,7 +197,7 @@
         end_s = self.clock.now_s() + deadline_s
         self.begin_stop()
         self.wait_for_runs(end_s)
-        self.homes.handover.finish()
+        self.homes.handover.finish_transfer()
         self.server.stop_accepting()
         self.wait_for_answers(end_s)
         self.server.stop(timeout=0.1)
@@ -243,9 +246,9 @@
         running = len(self.homes.runs)
         self.status.spare = 1.0 / (1.0 + running / BUSY_REQUESTS)
 
-    def take_records(self, host, incarnation, lines, last):
-        """Take over records; see :meth:`homes.Homes.take_records`."""
-        return self.homes.take_records(host, incarnation, lines, last)
+    def receive_records(self, host, incarnation, lines, last):
+        """Take over records; see :meth:`homes.Homes.receive_records`."""
+        return self.homes.receive_records(host, incarnation, lines, last)
 
     # Admission.
 
@@ -362,7 +365,7 @@
         return sorted(
             candidates,
             key=lambda member: (
-                member.failure_domain != self.own.failure_domain,
+                member.failure_domain != self.host_settings.failure_domain,
                 -(self.rng.random() ** (1.0 / max(member.spare, 0.01))),
             ),
         )
--- a/magnoliadyke/cli.py
+++ b/magnoliadyke/cli.py
@@ -106,15 +106,15 @@
 
 __all__ = ['main']
 
-DONE = 0
-REFUSED = 1
-WRONG_USAGE = 2
-UNAVAILABLE = 3
-CONFLICT = 4
-NOT_IN_FORCE = 5
-NOT_RUN = 6
-UNKNOWN = 7
-INTERRUPTED = 130
+EXIT_OK = 0
+EXIT_REFUSED = 1
+EXIT_USAGE = 2
+EXIT_UNAVAILABLE = 3
+EXIT_CONFLICT = 4
+EXIT_NOT_IN_FORCE = 5
+EXIT_NOT_RUN = 6
+EXIT_UNKNOWN = 7
+EXIT_INTERRUPTED = 130
 
 DEFAULT_OPERATOR = 'the login name'
 
@@ -131,30 +131,32 @@
         return _run(list(argv))
     except docopt.DocoptExit as error:
         return _fail(
-            WRONG_USAGE,
+            EXIT_USAGE,
             'the arguments match none of these usage patterns\n'
             f'{error.usage.strip()}\nTry: magnoliadyke --help',
         )
     except errors.UsageError as error:
-        return _fail(WRONG_USAGE, str(error))
+        return _fail(EXIT_USAGE, str(error))
     except errors.SettingsError as error:
-        return _fail(REFUSED, str(error))
+        return _fail(EXIT_REFUSED, str(error))
     except (errors.HostUnreachable, errors.StoreUnavailable) as error:
-        return _fail(UNAVAILABLE, str(error))
+        return _fail(EXIT_UNAVAILABLE, str(error))
     except adminclient.EditConflict as error:
-        return _fail(CONFLICT, f'{error}\n{render.conflicts(error.conflicts)}')
+        return _fail(
+            EXIT_CONFLICT, f'{error}\n{render.conflicts(error.conflicts)}'
+        )
     except errors.AdminRefused as error:
-        refused = UNAVAILABLE if error.status == 503 else REFUSED
+        refused = EXIT_UNAVAILABLE if error.status == 503 else EXIT_REFUSED
         return _fail(refused, str(error))
     except errors.MagnoliadykeError as error:
-        return _fail(REFUSED, str(error))
+        return _fail(EXIT_REFUSED, str(error))
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     except BrokenPipeError:
         # The reader of the pipe, such as head, has exited.  Standard output
         # is redirected to avoid a second error when Python flushes it.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        return DONE
+        return EXIT_OK
 
 
 def _run(argv: list[str]) -> int:
@@ -166,15 +168,15 @@
         return _list_lab_programs()
     args = docopt.docopt(__doc__, argv, version=magnoliadyke.__version__)
     for words, command in COMMANDS.items():
-        if all(args[word] for word in words.split()):
+        if all(args[part] for part in words.split()):
             return command(args)
     raise errors.UsageError(
         'the arguments name no command', "see 'magnoliadyke --help'"
     )
 
 
-def _is_help_flag(word: str) -> bool:
-    return word in ('-h', '--help')
+def _is_help_flag(argument: str) -> bool:
+    return argument in ('-h', '--help')
 
 
 def _list_lab_programs() -> int:
@@ -183,7 +185,7 @@
     print('Programs of the lab: magnoliadyke lab VERB [ARGS...]')
     for name, purpose in rows:
         print(f'  {name.ljust(width)}  {purpose}')
-    return DONE
+    return EXIT_OK
 
 
 def _node(args: Args) -> int:
@@ -200,7 +202,7 @@
         print(f'problems: {len(problems)}', file=sys.stderr)
     else:
         print('no problems')
-    return REFUSED if problems else DONE
+    return EXIT_REFUSED if problems else EXIT_OK
 
 
 def _hosts(args: Args) -> int:
@@ -224,7 +226,7 @@
     match outcome:
         case outcomes.Answered() if streams:
             print()
-            return DONE
+            return EXIT_OK
     return _show_outcome(args, outcome)
 
 
@@ -240,7 +242,7 @@
     status = _show_outcome(args, outcome)
     match outcome:
         case outcomes.Answered(finish_reason=code) if not code.startswith('2'):
-            return _fail(REFUSED, f'the service answered {code}')
+            return _fail(EXIT_REFUSED, f'the service answered {code}')
     return status
 
 
@@ -264,9 +266,9 @@
 
 
 def _show_outcome(args: Args, outcome: outcomes.Outcome) -> int:
-    status, word = OUTCOMES[type(outcome)]
+    status, outcome_name = OUTCOMES[type(outcome)]
     if args['--json']:
-        _print_json({'outcome': word, **dataclasses.asdict(outcome)})
+        _print_json({'outcome': outcome_name, **dataclasses.asdict(outcome)})
         return status
     match outcome:
         case outcomes.Answered(text=text):
@@ -276,7 +278,7 @@
             again = f'; retry after {retry_after_s:g} s'
         case _:
             reason, remedy, again = outcome.reason, outcome.remedy, ''
-    shown = word.replace('_', ' ')
+    shown = outcome_name.replace('_', ' ')
     return _fail(status, f'{shown}: {reason}; {remedy}{again}')
 
 
@@ -321,7 +323,7 @@
     if args['--json']:
         return _table_show(args)
     sys.stdout.write(porcelain.table_export(_admin(args), args['SHEET']))
-    return DONE
+    return EXIT_OK
 
 
 def _table_history(args: Args) -> int:
@@ -365,10 +367,10 @@
 
 #: Exit status and JSON name of each outcome of a call.
 OUTCOMES = {
-    outcomes.Answered: (DONE, 'answered'),
-    outcomes.NotRun: (NOT_RUN, 'not_run'),
-    outcomes.Unknown: (UNKNOWN, 'unknown'),
-    outcomes.Rejected: (REFUSED, 'rejected'),
+    outcomes.Answered: (EXIT_OK, 'answered'),
+    outcomes.NotRun: (EXIT_NOT_RUN, 'not_run'),
+    outcomes.Unknown: (EXIT_UNKNOWN, 'unknown'),
+    outcomes.Rejected: (EXIT_REFUSED, 'rejected'),
 }
 
 
@@ -376,14 +378,14 @@
     problems = porcelain.platform(args['SETTINGS'], args['--check'])
     for problem in problems:
         print(problem, file=sys.stderr)
-    return REFUSED if problems else DONE
+    return EXIT_REFUSED if problems else EXIT_OK
 
 
 def _explain(args: Args) -> int:
     found = porcelain.explain(args['ID'], args['LOGFILE'])
     if not found.lines:
         return _fail(
-            REFUSED,
+            EXIT_REFUSED,
             f'no line of {len(args["LOGFILE"])} log file(s) has request id '
             f'{args["ID"]!r}; check the id, and name the log files of all '
             'hosts',
@@ -394,7 +396,7 @@
     print('log lines of the request:')
     for line in found.lines:
         print(f'  {line.text}')
-    return DONE
+    return EXIT_OK
 
 
 #: Handler of each command, by the words of the command line that select it.
@@ -479,7 +481,7 @@
         _print_json(answer)
     else:
         print(text(answer))
-    return DONE
+    return EXIT_OK
 
 
 def _show_edit(args: Args, result: porcelain.EditResult) -> int:
@@ -487,7 +489,11 @@
         _print_json({**result.body, 'state': result.state})
     else:
         print(render.edit(result.state, result.body))
-    return DONE if result.state in ('in_force', 'unchanged') else NOT_IN_FORCE
+    return (
+        EXIT_OK
+        if result.state in ('in_force', 'unchanged')
+        else EXIT_NOT_IN_FORCE
+    )
 
 
 def _format_value(value: Any) -> str:
--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -91,12 +91,12 @@
         self.address = address
         self.ticket = ticket
         self.until_s = until_s
-        self.number = 0
+        self.last_key_number = 0
 
     def new_key(self):
         """Return a new idempotency key."""
-        self.number += 1
-        return f'{self.ticket}/{self.number}'
+        self.last_key_number += 1
+        return f'{self.ticket}/{self.last_key_number}'
 
 
 class Request(typing.NamedTuple):
@@ -270,8 +270,8 @@
         :param deadline_s: time limit in seconds, None for that of the
             settings
         """
-        longest_s = deadline_s or self.settings.deadline_s
-        end_s = self.clock.now_s() + longest_s
+        timeout_s = deadline_s or self.settings.deadline_s
+        end_s = self.clock.now_s() + timeout_s
         self.budget.deposit(BUDGET_NAME, RETRY_SHARE)
         tries = 1
         while True:
@@ -389,8 +389,8 @@
         reply = self.open_stream(connections, request, progress)
         progress.sent = True
         if reply.status != 200:
-            whole = reply.read_whole()
-            return caller_codec.outcome_from(whole) or NO_ANSWER
+            complete_reply = reply.read_whole()
+            return caller_codec.outcome_from(complete_reply) or NO_ANSWER
         connection = reply.connection
         label = id(connection)
         progress.assembly.start_attempt(label)
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -352,7 +352,7 @@
         delayed until the watch times out.
         """
         now_s = self.clock.now_s()
-        after = self.watch.after
+        after = self.watch.watched_after_revision
         seen = self.documents.last.store_revision
         if after is None or seen is None or seen <= after:
             self.watch_behind_since_s = None
@@ -368,7 +368,7 @@
         waited_s = self.clock.now_s() - self.started_s
         if held.document is not None or held.store_revision != 0:
             return
-        if self.standing.newest == 0 and waited_s >= JOIN_WAIT_S:
+        if self.standing.newest_revision == 0 and waited_s >= JOIN_WAIT_S:
             self.spawn_once('initialise', self.initialise)
 
     def initialise(self):
@@ -496,7 +496,9 @@
         held = self.documents.last
         if held.document is None or held.store_revision is None:
             return False
-        return self.standing.newest <= table.staged_revision(held.document)
+        return self.standing.newest_revision <= table.staged_revision(
+            held.document
+        )
 
     def stage(self, document, edit):
         """Stage an edit under a revision that was never assigned before.
@@ -508,7 +510,7 @@
         :return: outcome of :func:`magnoliadyke.core.table.stage`
         """
         wall_ms = int(self.clock.wall_s() * 1000)
-        floor = max(self.standing.newest + 1, wall_ms)
+        floor = max(self.standing.newest_revision + 1, wall_ms)
         return table.stage(document, edit, self.configured_names, floor)
 
     def await_document(self, revision):
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -42,7 +42,7 @@
 PUBLISH_INTERVAL_S = 1.0
 CACHE_WAIT_S = 10.0
 CACHE_RETRY_INTERVAL_S = 1.0
-CHANGES_KEPT = 20
+MAX_CHANGES_KEPT = 20
 #: Predicted prefill time from which a prompt is announced to other nodes, in
 #: seconds; an announcement of a shorter one would cost more than it saves.
 MIN_ANNOUNCED_PREFILL_S = 0.03
@@ -297,7 +297,7 @@
         self.pending = {}
         self.changing = {}
         self.changes = collections.defaultdict(
-            lambda: collections.deque(maxlen=CHANGES_KEPT)
+            lambda: collections.deque(maxlen=MAX_CHANGES_KEPT)
         )
         self.pollers = []
         self.published_s = 0.0
--- a/magnoliadyke/edits.py
+++ b/magnoliadyke/edits.py
@@ -22,7 +22,7 @@
 BLOCKED_REPORT_S = 2.0
 #: Time limit for all live nodes to confirm that it is in force.
 IN_FORCE_TIMEOUT_S = 5.0
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 #: While it waits, an edit probes all members; the interval doubles each time.
 INITIAL_PROBE_INTERVAL_S = 0.02
 MAX_PROBE_INTERVAL_S = 0.5
@@ -142,7 +142,7 @@
         while self.clock.now_s() < end_s:
             held = self.configuration.documents.last
             if not self.configuration.can_stage():
-                self.clock.sleep(POLL_S)
+                self.clock.sleep(POLL_INTERVAL_S)
                 continue
             reply = self.stage_once(held)
             if reply is not None:
@@ -232,7 +232,7 @@
                 if self.clock.now_s() > end_s or self.is_blocked_too_long():
                     return messages.Pending(revision, self.awaited_hosts())
                 self.probe_members_if_due()
-                self.clock.sleep(POLL_S)
+                self.clock.sleep(POLL_INTERVAL_S)
         finally:
             self.configuration.own_revisions.discard(revision)
         return self.await_in_force(revision)
@@ -268,7 +268,7 @@
         laggards = self.configuration.laggards(revision)
         while laggards and self.clock.now_s() < end_s:
             self.probe_members_if_due()
-            self.clock.sleep(POLL_S)
+            self.clock.sleep(POLL_INTERVAL_S)
             laggards = self.configuration.laggards(revision)
         took_s = self.clock.now_s() - self.started_s
         return messages.Accepted(revision, took_s, laggards)
--- a/magnoliadyke/enginecontrol.py
+++ b/magnoliadyke/enginecontrol.py
@@ -11,7 +11,12 @@
 from magnoliadyke import endpoint
 from magnoliadyke import errors
 
-__all__ = ['EngineControl', 'HttpEngineControl', 'Reading', 'Verdict']
+__all__ = [
+    'EngineControl',
+    'HttpEngineControl',
+    'EngineReading',
+    'CommandReply',
+]
 
 STATE_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
@@ -23,7 +28,7 @@
 RESET_ON_CLOSE = b'\x01\x00\x00\x00\x00\x00\x00\x00'
 
 
-class Reading(typing.NamedTuple):
+class EngineReading(typing.NamedTuple):
     """State and load of an engine, read from the engine itself.
 
     :param state: :class:`magnoliadyke.core.commands.EngineState`
@@ -37,7 +42,7 @@
     active: int
 
 
-class Verdict(typing.NamedTuple):
+class CommandReply(typing.NamedTuple):
     """An engine's answer to a command.
 
     :param code: '' if the command was accepted, else the error code
@@ -54,7 +59,7 @@
 
     @abc.abstractmethod
     def read(self):
-        """:return: :class:`Reading`
+        """:return: :class:`EngineReading`
 
         :raises magnoliadyke.errors.EndpointUnreachable: if the engine does
             not answer
@@ -69,7 +74,7 @@
         :param may_send: called right before the last byte is sent; if it
             returns False, the byte is not sent and the engine ignores the
             incomplete command
-        :return: :class:`Verdict`
+        :return: :class:`CommandReply`
         :raises magnoliadyke.errors.EndpointUnreachable: if the command was not
             sent completely, or not answered in time
         """
@@ -102,7 +107,7 @@
         state = self.get('/v1/state')
         load = self.get('/v1/load')
         try:
-            return Reading(
+            return EngineReading(
                 commands.EngineState(
                     state['role'],
                     bool(state['changing']),
@@ -161,7 +166,7 @@
     def exchange(self, connection, command, left_s, may_send):
         """Send the request, with ``may_send`` before its last byte.
 
-        :return: :class:`Verdict`
+        :return: :class:`CommandReply`
         """
         data = endpoint.request_bytes(
             'POST',
@@ -202,11 +207,13 @@
 
 
 def parse_verdict(reply):
-    """Return the :class:`Verdict` in an engine's HTTP response."""
+    """Return the :class:`CommandReply` in an engine's HTTP response."""
     if reply.status == STATUS_COMMAND_ACCEPTED:
-        return Verdict('')
+        return CommandReply('')
     try:
         highest = int(reply.json()['error'].get('highest') or 0)
     except (ValueError, KeyError, TypeError, AttributeError):
         highest = 0
-    return Verdict(reply.error_code() or f'status {reply.status}', highest)
+    return CommandReply(
+        reply.error_code() or f'status {reply.status}', highest
+    )
--- a/magnoliadyke/explain.py
+++ b/magnoliadyke/explain.py
@@ -5,7 +5,7 @@
 import re
 from typing import NamedTuple
 
-__all__ = ['Line', 'find_request_lines', 'find_state_changes']
+__all__ = ['LogLine', 'find_request_lines', 'find_state_changes']
 
 _AT = re.compile(r'\bat=(\S+)')
 _HOST = re.compile(r'\bhost=(\S+)')
@@ -32,7 +32,7 @@
 )
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One line of a host's log.
 
     :param at: time of the line, by the clock of the host
@@ -45,20 +45,20 @@
     text: str
 
 
-def find_request_lines(request_id: str, lines: Iterable[str]) -> list[Line]:
+def find_request_lines(request_id: str, lines: Iterable[str]) -> list[LogLine]:
     """Return the log lines with a request id, in order of time.
 
     :param request_id: value of the field ``id`` to search for
     :param lines: lines of the logs of all hosts
     """
-    mark = f' id={request_id} '
-    found = [_parse(text) for text in lines if mark in f'{text.rstrip()} ']
+    id_field = f' id={request_id} '
+    found = [_parse(text) for text in lines if id_field in f'{text.rstrip()} ']
     return sorted(line for line in found if line is not None)
 
 
 def find_state_changes(
-    lines: Iterable[str], around: list[Line], seconds: float
-) -> list[Line]:
+    lines: Iterable[str], request_lines: list[LogLine], seconds: float
+) -> list[LogLine]:
     """Return the state changes that may have affected a request.
 
     These are changes on the hosts that handled the request, and changes of
@@ -66,14 +66,16 @@
     until its last line.
 
     :param lines: lines of the logs of all hosts
-    :param around: the lines of the request, in order of time
+    :param request_lines: the lines of the request, in order of time
     :param seconds: length of the period before the first line
     """
-    if not around:
+    if not request_lines:
         return []
-    hosts = {line.host for line in around}
-    endpoints = {m for each in around for m in _ENDPOINT.findall(each.text)}
-    from_at = around[0].at - datetime.timedelta(seconds=seconds)
+    hosts = {line.host for line in request_lines}
+    endpoints = {
+        m for each in request_lines for m in _ENDPOINT.findall(each.text)
+    }
+    from_at = request_lines[0].at - datetime.timedelta(seconds=seconds)
     found = []
     for text in lines:
         if not any(
@@ -81,7 +83,7 @@
         ):
             continue
         line = _parse(text)
-        if line is None or not from_at <= line.at <= around[-1].at:
+        if line is None or not from_at <= line.at <= request_lines[-1].at:
             continue
         names = set(_ENDPOINT.findall(text))
         if names & endpoints or (not names and line.host in hosts):
@@ -89,7 +91,7 @@
     return sorted(found)
 
 
-def _parse(text: str) -> Line | None:
+def _parse(text: str) -> LogLine | None:
     at = _AT.search(text)
     if at is None:
         return None
@@ -99,4 +101,4 @@
     except ValueError:
         # The line was written by another program.
         return None
-    return Line(moment, host[1] if host else '', text.strip())
+    return LogLine(moment, host[1] if host else '', text.strip())
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -93,7 +93,7 @@
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
         sock.settimeout(CONNECTION_TIMEOUT_S)
-        protocol = peer.protocol_over(sock)
+        protocol = peer.protocol_on(sock)
         try:
             State.Processor(_Handler(self.get_state)).process(
                 protocol, protocol
@@ -170,7 +170,7 @@
             FETCH_TIMEOUT_S, TimeoutError('state not fetched in time')
         ):
             sock = peer.connect(address)
-            client = State.Client(peer.protocol_over(sock))
+            client = State.Client(peer.protocol_on(sock))
             reply = client.fetch(constants.VERSION, known.revision, known.era)
             return _decode(reply)
     except (*peer.FAILURES, errors.ProtocolError) as error:
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -162,8 +162,8 @@
     :param acts_on_staged: whether the last confirmation by the store is so old
         that staged edits may have to be put in force
     :param newer_table_address: ``ip:port`` of a peer with a newer table, or ''
-    :param newest: highest revision that a member has reported, staged or
-        accepted
+    :param newest_revision: highest revision that a member has reported,
+        staged or accepted
     :param acceptance: whether the staged edit may be accepted, an outcome of
         :mod:`magnoliadyke.core.freshness`; None without a staged edit
     """
@@ -175,7 +175,7 @@
     is_store_read_due: bool = True
     acts_on_staged: bool = True
     newer_table_address: str = ''
-    newest: int = 0
+    newest_revision: int = 0
     acceptance: object = None
 
 
@@ -299,15 +299,15 @@
         if listed.at_s < self.host_list.at_s:
             return
         self.host_list = listed
-        known = self.membership
+        protocol = self.membership
         names = {row.host for row in listed.hosts}
-        for host in known.seeds.keys() - self.configured_hosts - names:
-            del known.seeds[host]
+        for host in protocol.seeds.keys() - self.configured_hosts - names:
+            del protocol.seeds[host]
         for peer in hostdiscovery.hosts_to_probe(
-            listed, known.seeds, known.own
+            listed, protocol.seeds, protocol.own
         ):
             LOG.event('host_listed', member=peer.host, address=peer.address)
-            known.add_seed(peer)
+            protocol.add_seed(peer)
 
     def view(self):
         """Return the members, with those that leave marked as such.
@@ -385,10 +385,18 @@
         that may continue to serve would stop for seconds. While the store
         confirms the table nothing depends on this evidence, and it may expire.
         """
-        known = self.membership.freshness
-        store_out_s = STORE_UNREACHABLE_SHARE * known.settings.stale_s
-        store_out = known.store_age_s(now_s) > store_out_s
-        if store_out and now_s >= self.next_survey_s and not self.has_quorum():
+        evidence = self.membership.freshness
+        store_unreachable_s = (
+            STORE_UNREACHABLE_SHARE * evidence.settings.stale_s
+        )
+        is_store_unreachable = (
+            evidence.store_age_s(now_s) > store_unreachable_s
+        )
+        if (
+            is_store_unreachable
+            and now_s >= self.next_survey_s
+            and not self.has_quorum()
+        ):
             self.next_survey_s = now_s + SURVEY_INTERVAL_S
             self.execute(self.membership.survey(now_s))
 
@@ -398,10 +406,10 @@
         It has to last for ``MIN_REMAINING_SHARE`` of the time after which
         evidence expires.
         """
-        known = self.membership.freshness
-        lasts_s = MIN_REMAINING_SHARE * known.settings.stale_s
+        evidence = self.membership.freshness
+        lasts_s = MIN_REMAINING_SHARE * evidence.settings.stale_s
         soon_s = self.clock.now_s() + lasts_s
-        return len(known.group(soon_s)) >= known.quorum
+        return len(evidence.group(soon_s)) >= evidence.quorum
 
     def receive(self, data, now_s):
         """Decode and handle one datagram; a malformed one is logged."""
@@ -475,24 +483,24 @@
 
     def build_standing(self, now_s):
         """Return this node's :class:`Standing` at ``now_s``."""
-        known = self.membership.freshness
-        staged = known.staged_revision > known.table_revision
-        newest = max(
+        evidence = self.membership.freshness
+        staged = evidence.staged_revision > evidence.table_revision
+        newest_revision = max(
             (each.staged_revision for each in self.members.last.alive()),
             default=0,
         )
         return Standing(
             at_s=now_s,
-            fresh=known.is_fresh(now_s),
-            takes_work=known.takes_work(now_s),
+            fresh=evidence.is_fresh(now_s),
+            takes_work=evidence.takes_work(now_s),
             has_quorum=self.has_quorum(),
-            is_store_read_due=known.is_store_read_due(now_s),
-            acts_on_staged=known.acts_on_staged(now_s),
+            is_store_read_due=evidence.is_store_read_due(now_s),
+            acts_on_staged=evidence.acts_on_staged(now_s),
             newer_table_address=self.peer_address(
-                known.host_with_newer_table()
+                evidence.host_with_newer_table()
                 or self.host_with_newer_revision()
             ),
-            newest=max(newest, known.staged_revision),
+            newest_revision=max(newest_revision, evidence.staged_revision),
             acceptance=self.acceptance(now_s) if staged else None,
         )
 
@@ -503,10 +511,10 @@
         before there is evidence, which only answers to this node's own probes
         provide. It is sufficient for fetching the table.
         """
-        known = self.membership.freshness
+        evidence = self.membership.freshness
         for member in self.members.last.alive():
-            newer_staged = member.staged_revision > known.staged_revision
-            if newer_staged or member.table_revision > known.table_revision:
+            newer_staged = member.staged_revision > evidence.staged_revision
+            if newer_staged or member.table_revision > evidence.table_revision:
                 return member.host
         return None
 
@@ -535,8 +543,8 @@
     def log_changes(self, before, after):
         """Log the members that are new or have changed their state."""
         for host, member in after.members.items():
-            known = before.members.get(host)
-            if known is None or known.state != member.state:
+            previous = before.members.get(host)
+            if previous is None or previous.state != member.state:
                 LOG.event(
                     'member',
                     member=host,
--- a/magnoliadyke/gossip_codec.py
+++ b/magnoliadyke/gossip_codec.py
@@ -138,23 +138,23 @@
         target=message.target,
         updates=[encode_member(each) for each in message.updates] or None,
     )
-    sightings = message.host_states
+    host_states = message.host_states
     match message:
         case membership.Ping():
             datagram.kind = ttypes.MessageKind.PING
             # Sending the digest with answers too would double its cost.
             datagram.digest = message.digest or None
             # Sightings of other hosts are evidence only in answers.
-            sightings = sightings[:1]
+            host_states = host_states[:1]
         case membership.Ack():
             datagram.kind = ttypes.MessageKind.ACK
         case membership.PingRequest():
             datagram.kind = ttypes.MessageKind.PING_REQUEST
             datagram.target_address = message.target_address
             datagram.target_port = message.target_port
-            sightings = sightings[:1]
+            host_states = host_states[:1]
     datagram.sightings = [
-        encode_sighting(each, message.source) for each in sightings
+        encode_host_state(each, message.source) for each in host_states
     ] or None
     return TSerialization.serialize(datagram, PROTOCOL_FACTORY)
 
@@ -204,7 +204,7 @@
     sightings = datagram.sightings or ()
     piggybacked = (
         tuple(decode_member(each) for each in datagram.updates or ()),
-        tuple(decode_sighting(each, source) for each in sightings),
+        tuple(decode_host_state(each, source) for each in sightings),
         datagram.digest or b'',
     )
     match datagram.kind:
@@ -266,36 +266,36 @@
     )
 
 
-def encode_sighting(sighting, source):
-    """Return the thrift structure of a sighting.
+def encode_host_state(host_state, source):
+    """Return the thrift structure of a host state.
 
     Incarnation and table revision are encoded as differences from those of
     the datagram's sender, the staged revision as one from the table revision.
     """
     store_age_ms = None
-    if sighting.store_age_s < MAX_AGE_S:
-        store_age_ms = milliseconds(sighting.store_age_s)
-    rooted = constants.FLAG_ROOTED if sighting.rooted else 0
-    takes_work = constants.FLAG_TAKES_WORK if sighting.takes_work else 0
-    table_revision = sighting.table_revision
+    if host_state.store_age_s < MAX_AGE_S:
+        store_age_ms = milliseconds(host_state.store_age_s)
+    rooted = constants.FLAG_ROOTED if host_state.rooted else 0
+    takes_work = constants.FLAG_TAKES_WORK if host_state.takes_work else 0
+    table_revision = host_state.table_revision
     return ttypes.Sighting(
-        host=sighting.host,
+        host=host_state.host,
         incarnation_ahead=nonzero_difference(
-            sighting.incarnation, source.incarnation
+            host_state.incarnation, source.incarnation
         ),
-        age_ms=milliseconds(min(sighting.age_s, MAX_AGE_S)),
+        age_ms=milliseconds(min(host_state.age_s, MAX_AGE_S)),
         table_ahead=nonzero_difference(table_revision, source.table_revision),
         staged_ahead=nonzero_difference(
-            sighting.staged_revision, table_revision
+            host_state.staged_revision, table_revision
         ),
         store_age_ms=store_age_ms,
         flags=rooted | takes_work,
-        spare_percent=percent(sighting.spare),
+        spare_percent=percent(host_state.spare),
     )
 
 
-def decode_sighting(sighting, source):
-    """Return the sighting in a thrift structure.
+def decode_host_state(sighting, source):
+    """Return the host state in a thrift structure.
 
     :param source: the datagram's sender, to whose numbers the differences are
         added
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -12,7 +12,7 @@
 __all__ = ['Adopted', 'Handover']
 
 HOME_LINE = b'{"home"'
-SEAL_TIMEOUT_S = 5.0
+FIRST_TRANSFER_TIMEOUT_S = 5.0
 BATCH_BYTES = 256 << 10
 MAX_FINISH_ATTEMPTS = 3
 #: Stands for an infinite age, which JSON can't express.
@@ -51,8 +51,8 @@
     :ivar adopted: :class:`Adopted` by home
     :ivar incoming_lines: lines of hand-overs that are incomplete, by host and
         incarnation
-    :ivar sealed: event that is set when the first transfer has succeeded or
-        failed; None while this node runs new keys itself
+    :ivar first_transfer_ended: event that is set when the first transfer has
+        succeeded or failed; None while this node runs new keys itself
     :ivar member: successor as a gossip member, or None
     :ivar successor: host name, ``''`` if no member took the records
     """
@@ -66,13 +66,13 @@
         self.clock = clock
         self.adopted = {}
         self.incoming_lines = {}
-        self.sealed = None
+        self.first_transfer_ended = None
         self.member = None
         self.successor = ''
 
     # Receiving.
 
-    def take(self, host, incarnation, lines, last):
+    def receive_batch(self, host, incarnation, lines, last):
         """Receive a batch of records of a host that is stopping.
 
         :param lines: JSON lines, each as bytes
@@ -114,12 +114,12 @@
 
     # Sending.
 
-    def begin(self, members):
+    def start_transfer(self, members):
         """Make the first transfer; new keys run at the successor from now.
 
         :param members: gossip members to try, in order
         """
-        self.sealed = event.Event()
+        self.first_transfer_ended = event.Event()
         try:
             for member in members:
                 if self.transfer_to(member, self.issuer.home):
@@ -127,9 +127,9 @@
                     self.successor = member.host
                     break
         finally:
-            self.sealed.set()
+            self.first_transfer_ended.set()
 
-    def finish(self):
+    def finish_transfer(self):
         """Make the second transfer, with the outcomes of requests that ran."""
         member = self.member
         for _ in range(MAX_FINISH_ATTEMPTS):
@@ -139,12 +139,12 @@
             home = tickets.home_name(member.host, member.incarnation)
             member = self.home_directory.current_holder(home)
 
-    def wait(self):
+    def wait_for_transfer(self):
         """Wait for the end of the first transfer.
 
         :return: host name of the successor, or ``''``
         """
-        self.sealed.wait(SEAL_TIMEOUT_S)
+        self.first_transfer_ended.wait(FIRST_TRANSFER_TIMEOUT_S)
         return self.successor
 
     def transfer_to(self, member, running_at):
@@ -159,7 +159,7 @@
         """
         address = f'{member.address}:{member.peer_port}'
         now_s = self.clock.now_s()
-        *batches, final = self.batches(now_s, running_at)
+        *batches, last_batch = self.batches(now_s, running_at)
         try:
             for batch in batches:
                 if not self.send(address, batch, False):
@@ -167,7 +167,7 @@
         except errors.HostUnreachable:
             return False
         try:
-            return self.send(address, final, True)
+            return self.send(address, last_batch, True)
         except errors.HostUnreachable:
             return True
 
@@ -211,5 +211,7 @@
         :param last: whether this batch completes the hand-over
         :raises HostUnreachable: when the peer did not reply
         """
-        taken = self.peers.handover(address, self.incarnation, batch, last)
-        return taken is not None
+        accepted_count = self.peers.handover(
+            address, self.incarnation, batch, last
+        )
+        return accepted_count is not None
--- a/magnoliadyke/homedirectory.py
+++ b/magnoliadyke/homedirectory.py
@@ -14,7 +14,7 @@
 MAX_SUCCESSORS = 10_000
 #: Number of nodes queried about a home that this node has no record of.
 MAX_NODES_ASKED = 4
-ASK_TIMEOUT_S = 0.5
+QUERY_TIMEOUT_S = 0.5
 #: Time for which a home that was not found is not queried again.
 NOT_FOUND_CACHE_S = 1.0
 MAX_NOT_FOUND_ENTRIES = 1000
@@ -160,7 +160,7 @@
         path = HOMES_PATH + parse.quote(home)
         try:
             reply = self.connections_to(member).call(
-                'GET', path, b'', (), ASK_TIMEOUT_S
+                'GET', path, b'', (), QUERY_TIMEOUT_S
             )
             return json.loads(reply.body).get('successor', '')
         except (errors.EndpointUnreachable, ValueError, AttributeError):
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -73,7 +73,8 @@
     record and is the only one to run it. Other nodes relay to it. A node
     that stops hands its records to a successor, which adopts that home.
 
-    :param parts: :class:`magnoliadyke.requestdependencies.RequestDependencies`
+    :param dependencies:
+        :class:`magnoliadyke.requestdependencies.RequestDependencies`
     :param runner: :class:`magnoliadyke.streams.Streams`
     :param refusal_for: called with the customer's name; returns ``NotRun``
         when this node accepts no new requests, or None
@@ -82,15 +83,15 @@
     :ivar runs: runs of this node that have not ended, by key
     """
 
-    def __init__(self, parts, runner, refusal_for, reports):
-        host, incarnation = parts.host, parts.incarnation
-        self.settings = parts.settings
+    def __init__(self, dependencies, runner, refusal_for, reports):
+        host, incarnation = dependencies.host, dependencies.incarnation
+        self.settings = dependencies.settings
         self.host = host
         self.incarnation = incarnation
         self.name = tickets.home_name(host, incarnation)
-        self.clock = parts.clock
-        self.rng = parts.rng
-        self.table = parts.table
+        self.clock = dependencies.clock
+        self.rng = dependencies.rng
+        self.table = dependencies.table
         self.streams = runner
         self.refusal_for = refusal_for
         self.reports = reports
@@ -100,16 +101,19 @@
             record_settings(self.settings.limits)
         )
         self.claiming = claiming.ClaimTask(
-            self.name, parts.store, self.settings.keyvalue.prefix, self.clock
+            self.name,
+            dependencies.store,
+            self.settings.keyvalue.prefix,
+            self.clock,
         )
         self.home_directory = homedirectory.HomeDirectory(
-            self.name, host, parts.members, self.clock, self.rng
+            self.name, host, dependencies.members, self.clock, self.rng
         )
         self.handover = handover.Handover(
             self.issuer,
             incarnation,
             self.records,
-            parts.peers,
+            dependencies.peers,
             self.home_directory,
             self.clock,
         )
@@ -155,7 +159,10 @@
         key = FOREIGN + digest
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
-        if self.handover.sealed is not None and self.handover.wait():
+        if (
+            self.handover.first_transfer_ended is not None
+            and self.handover.wait_for_transfer()
+        ):
             # A claim made now would name this home, which is stopping.
             return self.relay_to_successor(request, request.key)
         match self.claim(digest):
@@ -182,7 +189,7 @@
         )
         if not isinstance(found, records.New):
             return self.route_recorded(found, key)
-        if self.handover.sealed is not None:
+        if self.handover.first_transfer_ended is not None:
             return self.run_here(request, found.record)
         return self.admit(request, found.record)
 
@@ -222,10 +229,10 @@
         if key in self.records.records:
             return self.open(request, key, self.clock.now_s())
         if self.home_directory.locate(home) is None:
-            return self.home_gone(request, key)
+            return self.handle_home_gone(request, key)
         return self.relay(request, key, home)
 
-    def home_gone(self, request, key):
+    def handle_home_gone(self, request, key):
         """Handle a request whose home ended without a successor.
 
         A repeatable request runs here; the outcome of any other is unknown.
@@ -281,7 +288,7 @@
 
     def admit(self, request, record):
         """Run a new request, unless this node accepts no new requests."""
-        if self.handover.sealed is not None:
+        if self.handover.first_transfer_ended is not None:
             return self.pass_on(request, record)
         refusal = self.refusal_for(request.customer)
         if refusal is not None:
@@ -319,7 +326,7 @@
         successor and run there.
         """
         self.records.forget(record)
-        successor = self.handover.wait()
+        successor = self.handover.wait_for_transfer()
         if not successor:
             self.records.insert(record)
             self.record_refusal(request, record, NO_SUCCESSOR)
@@ -555,7 +562,7 @@
         run.main()
         return run.outcome
 
-    def find(self, request, offset):
+    def find_answer(self, request, offset):
         """Find the answer that a caller wants to resume.
 
         :param request: :class:`forms.ModelRequest` with a key and empty
@@ -605,7 +612,7 @@
         self.claiming.stop()
         self.home_directory.close()
 
-    def take_records(self, host, incarnation, lines, last):
+    def receive_records(self, host, incarnation, lines, last):
         """Take over records of a host that is stopping.
 
         :param lines: JSON lines, each as bytes
@@ -614,11 +621,11 @@
             since it is stopping or accepts no new requests
         """
         if (
-            self.handover.sealed is not None
+            self.handover.first_transfer_ended is not None
             or self.refusal_for('') is not None
         ):
             return None
-        return self.handover.take(host, incarnation, lines, last)
+        return self.handover.receive_batch(host, incarnation, lines, last)
 
     def hand_over(self):
         """Send all records to a successor; new keys run there from then on.
@@ -633,7 +640,7 @@
             and member.takes_work
         ]
         self.rng.shuffle(candidates)
-        self.handover.begin(candidates)
+        self.handover.start_transfer(candidates)
         return self.handover.successor
 
     def successor_of(self, home):
--- a/magnoliadyke/labverbs.py
+++ b/magnoliadyke/labverbs.py
@@ -8,7 +8,7 @@
 
 from magnoliadyke import errors
 
-__all__ = ['STAND_IN_PROGRAMS', 'VERBS', 'find', 'run']
+__all__ = ['STAND_IN_PROGRAMS', 'VERBS', 'import_program', 'run']
 
 #: Stand-ins: servers that are started with an address and a JSON object.
 STAND_IN_PROGRAMS = {
@@ -50,7 +50,7 @@
         not installed, or the arguments of a stand-in are invalid.
     """
     verb, *rest = argv
-    module = find(verb)
+    module = import_program(verb)
     if verb in STAND_IN_PROGRAMS:
         if HELP_FLAGS.intersection(rest):
             print(_stand_in_help(verb, module))
@@ -59,7 +59,7 @@
     return module.main(rest) or 0
 
 
-def find(verb: str) -> types.ModuleType:
+def import_program(verb: str) -> types.ModuleType:
     """Import a program of the lab.
 
     :param verb: name of the program.
--- a/magnoliadyke/mailbox.py
+++ b/magnoliadyke/mailbox.py
@@ -144,10 +144,10 @@
             message = self.inbox.get()
             if message is STOP:
                 break
-            self.run_one(message)
+            self.process_message(message)
         self.on_stop()
 
-    def run_one(self, message):
+    def process_message(self, message):
         """Process one message; log an exception instead of raising it.
 
         An exception would end the task, while its node went on to serve
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -42,32 +42,40 @@
     :param clock: a :class:`magnoliadyke.clock.Clock`
     :param status: :class:`magnoliadyke.callers.NodeStatus`
     :param stop_requested: event that makes the process stop gracefully
-    :param members: the :class:`magnoliadyke.gossip.Gossip`
-    :param table: the :class:`magnoliadyke.configuration.Configuration`
-    :param work: the :class:`magnoliadyke.dispatch.Dispatcher`
-    :param planning: the :class:`magnoliadyke.duties.Duties`
+    :param gossip_task: the :class:`magnoliadyke.gossip.Gossip`
+    :param configuration_task: the
+        :class:`magnoliadyke.configuration.Configuration`
+    :param dispatcher: the :class:`magnoliadyke.dispatch.Dispatcher`
+    :param duties_task: the :class:`magnoliadyke.duties.Duties`
     """
 
     tick_interval_s = OWN_STATE_INTERVAL_S
 
     def __init__(
-        self, clock, status, stop_requested, members, table, work, planning
+        self,
+        clock,
+        status,
+        stop_requested,
+        gossip_task,
+        configuration_task,
+        dispatcher,
+        duties_task,
     ):
         super().__init__('bridge', clock)
         self.status = status
         self.stop_requested = stop_requested
-        self.members = members
-        self.work = work
-        self.planning = planning
+        self.gossip_task = gossip_task
+        self.dispatcher = dispatcher
+        self.duties_task = duties_task
         self.log = logs.get('bridge')
-        members.digests.subscribe(self)
-        members.engine_uses.subscribe(self)
-        members.prompts.subscribe(self)
-        work.prompts.subscribe(self)
-        members.superseded.subscribe(self)
-        table.permits.subscribe(self)
-        work.digest.subscribe(self)
-        work.demand.subscribe(self)
+        gossip_task.digests.subscribe(self)
+        gossip_task.engine_uses.subscribe(self)
+        gossip_task.prompts.subscribe(self)
+        dispatcher.prompts.subscribe(self)
+        gossip_task.superseded.subscribe(self)
+        configuration_task.permits.subscribe(self)
+        dispatcher.digest.subscribe(self)
+        dispatcher.demand.subscribe(self)
 
     def handle(self, message):
         """Forward one message to the task that processes it."""
@@ -77,19 +85,21 @@
             case configuration.WorkPermit(allowed=allowed, reason=reason):
                 self.apply_permit(allowed, reason)
             case notices.EngineUse(engine=engine, state=state):
-                self.work.post(dispatch.EndpointStateChanged(engine, state))
+                self.dispatcher.post(
+                    dispatch.EndpointStateChanged(engine, state)
+                )
             case gossip.PromptsReceived(prompts=prompts):
-                self.work.post(dispatch.PeerPromptsPlaced(prompts))
+                self.dispatcher.post(dispatch.PeerPromptsPlaced(prompts))
             case membership.Superseded():
                 self.stop_superseded()
             case dispatch.CrashReported(digest=digest):
                 self.broadcast_crash_digest(digest)
             case scheduler.Digest():
-                self.members.post(gossip.OwnDigest(message.to_bytes()))
+                self.gossip_task.post(gossip.OwnDigest(message.to_bytes()))
             case dispatch.PromptsPlaced(prompts=prompts):
-                self.members.post(gossip.PromptsAssigned(prompts))
+                self.gossip_task.post(gossip.PromptsAssigned(prompts))
             case dispatch.Demands(pools=pools):
-                self.planning.post(duties.Demands(pools))
+                self.duties_task.post(duties.Demands(pools))
 
     def forward_digest(self, host, data):
         """Forward a peer's digest to the dispatcher; drop a malformed one.
@@ -107,7 +117,7 @@
                 'digest_unreadable', host, error=str(error)
             )
             return
-        self.work.post(dispatch.PeerDigest(host, digest))
+        self.dispatcher.post(dispatch.PeerDigest(host, digest))
 
     def broadcast_crash_digest(self, digest):
         """Send all peers at once the requests that may crash an endpoint.
@@ -117,8 +127,8 @@
         its request would crash another endpoint at each host that has not
         received the digest.
         """
-        self.members.post(gossip.OwnDigest(digest.to_bytes()))
-        self.members.post(gossip.Survey())
+        self.gossip_task.post(gossip.OwnDigest(digest.to_bytes()))
+        self.gossip_task.post(gossip.Survey())
 
     def stop_superseded(self):
         """Stop the node, since a newer process runs under its host's name.
@@ -142,7 +152,7 @@
 
     def tick(self):
         """Report to the peers spare capacity and whether it accepts work."""
-        self.members.post(
+        self.gossip_task.post(
             gossip.OwnState(
                 spare=self.status.spare, takes_work=self.status.takes_work
             )
@@ -157,12 +167,12 @@
     handed over, and the callers would get ``Unknown``.
 
     :param status: :class:`magnoliadyke.callers.NodeStatus`
-    :param members: the :class:`magnoliadyke.gossip.Gossip`
+    :param gossip_task: the :class:`magnoliadyke.gossip.Gossip`
     """
 
-    def __init__(self, status, members):
+    def __init__(self, status, gossip_task):
         self.status = status
-        self.members = members
+        self.gossip_task = gossip_task
 
     def start(self):
         """Do nothing."""
@@ -174,7 +184,7 @@
         """
         leave = gossip.Leave(self.status.successor)
         try:
-            self.members.ask(leave, min(deadline_s, LEAVE_TIMEOUT_S))
+            self.gossip_task.ask(leave, min(deadline_s, LEAVE_TIMEOUT_S))
         except gevent.Timeout:
             logs.get('node').event('leave_unannounced')
 
@@ -316,7 +326,7 @@
     def connect_peer_server(self):
         """Give the peer server the handlers of its calls."""
         self.peer_server.fetch_table = self.configuration.fetch_table
-        self.peer_server.take_records = self.callers.take_records
+        self.peer_server.receive_records = self.callers.receive_records
         self.peer_server.pool_status = self.duties.pool_status
 
     def add_gauges(self):
--- a/magnoliadyke/overview.py
+++ b/magnoliadyke/overview.py
@@ -64,7 +64,7 @@
     """
     now_s = node.clock.now_s()
     view = node.configuration.views.last
-    seen = _snapshot(node)
+    scheduler_snapshot = _snapshot(node)
     return {
         'deployment': node.settings.deployment,
         'host': node.host,
@@ -78,8 +78,8 @@
         'work_permit': node.configuration.permits.last.reason or 'granted',
         'store': _store(node.keyvalue, now_s),
         'members': _members(node.gossip.members.last),
-        'endpoints': _endpoints(node, seen),
-        'customers': _customers(node, view, seen),
+        'endpoints': _endpoints(node, scheduler_snapshot),
+        'customers': _customers(node, view, scheduler_snapshot),
         'leases': _leases(node),
     }
 
@@ -122,33 +122,37 @@
         return snapshot.Snapshot({}, {})
 
 
-def _endpoints(node, seen):
+def _endpoints(node, scheduler_snapshot):
     return [
         {
             'name': endpoint.name,
             'pool': pool.name,
             'failure_domain': endpoint.failure_domain,
         }
-        | _fields(seen.endpoints.get(endpoint.name))
+        | _fields(scheduler_snapshot.endpoints.get(endpoint.name))
         for pool in node.settings.pools
         for endpoint in pool.endpoints
     ]
 
 
-def _customers(node, view, seen):
+def _customers(node, view, scheduler_snapshot):
     if view is None:
         return []
     return [
         {'name': name}
-        | _fields(seen.customers.get(name, snapshot.CustomerSnapshot(0, 0)))
+        | _fields(
+            scheduler_snapshot.customers.get(
+                name, snapshot.CustomerSnapshot(0, 0)
+            )
+        )
         | dict.fromkeys(SHOWN_OUTCOMES, 0)
         | node.metrics.totals.get(name, {})
         for name in sorted(view.customers)
     ]
 
 
-def _fields(seen):
-    return seen._asdict() if seen is not None else {}
+def _fields(entry):
+    return entry._asdict() if entry is not None else {}
 
 
 def _add_customer_counts(own, others):
@@ -199,8 +203,8 @@
     """
     pools = _pools(node)
     view = node.configuration.views.last
-    told = node.dispatcher.demand.last
-    demands = told.pools if told is not None else {}
+    demands_message = node.dispatcher.demand.last
+    demands = demands_message.pools if demands_message is not None else {}
     return {
         'pools': [
             _pool_roles(node, pool, view, demands.get(name))
--- a/magnoliadyke/peer.py
+++ b/magnoliadyke/peer.py
@@ -38,7 +38,7 @@
 LOG = logs.get('peer')
 
 
-def protocol_over(handle):
+def protocol_on(handle):
     """Return a framed compact protocol over a connected socket.
 
     :param handle: the socket
@@ -82,7 +82,7 @@
 
     The node sets the functions that handle the calls:
     ``fetch_table(known_revision)`` returns (revision, text), with None as text
-    if the table is not newer; ``take_records(host, incarnation, records,
+    if the table is not newer; ``receive_records(host, incarnation, records,
     last)`` returns the number of records accepted, or None to refuse them;
     ``pool_status(pool)`` returns JSON text, or None if another node plans the
     pool.
@@ -93,7 +93,7 @@
         self.incarnation = incarnation
         self.clock = clock
         self.fetch_table = None
-        self.take_records = None
+        self.receive_records = None
         self.pool_status = None
         own = next(each for each in settings.hosts if each.name == host)
         self.listener = server.StreamServer(
@@ -113,7 +113,7 @@
     def serve(self, handle, address):
         """Answer calls on one connection until it is closed or idle."""
         handle.settimeout(SERVER_IDLE_TIMEOUT_S)
-        protocol = protocol_over(handle)
+        protocol = protocol_on(handle)
         processor = Peer.Processor(PeerHandler(self))
         try:
             while True:
@@ -149,8 +149,8 @@
     def handover(self, batch):
         """Accept request records from a node that leaves."""
         taken = None
-        if self.owner.take_records is not None:
-            taken = self.owner.take_records(
+        if self.owner.receive_records is not None:
+            taken = self.owner.receive_records(
                 batch.host, batch.incarnation, batch.records, batch.last
             )
         return ttypes.HandoverReply(
@@ -177,7 +177,7 @@
     def __init__(self, address, clock):
         self.clock = clock
         self.handle = connect(address)
-        self.client = Peer.Client(protocol_over(self.handle))
+        self.client = Peer.Client(protocol_on(self.handle))
         self.last_used_s = clock.now_s()
 
     def call(self, name, *arguments, timeout_s=CALL_TIMEOUT_S):
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -64,8 +64,8 @@
 class StateAnswered(typing.NamedTuple):
     """State and load of an engine.
 
-    :param reading: :class:`magnoliadyke.enginecontrol.Reading`, or None if
-        the engine could not be read
+    :param reading: :class:`magnoliadyke.enginecontrol.EngineReading`, or None
+        if the engine could not be read
     """
 
     pool: str
@@ -76,8 +76,8 @@
 class CommandAnswered(typing.NamedTuple):
     """An engine's answer to a command.
 
-    :param verdict: :class:`magnoliadyke.enginecontrol.Verdict`, or None if
-        the outcome of the command is unknown
+    :param verdict: :class:`magnoliadyke.enginecontrol.CommandReply`, or None
+        if the outcome of the command is unknown
     """
 
     pool: str
@@ -103,7 +103,7 @@
 
     :param settings: its :class:`magnoliadyke.settings.EndpointSettings`
     :param control: an :class:`magnoliadyke.enginecontrol.EngineControl`
-    :ivar reading: last :class:`magnoliadyke.enginecontrol.Reading`, None
+    :ivar reading: last :class:`magnoliadyke.enginecontrol.EngineReading`, None
         before the first one and after a failed one
     :ivar read_s: monotonic time of the last successful reading, or None
     :ivar draining_since_s: monotonic time at which the drain started, None
@@ -630,7 +630,7 @@
         """Pass the engine's verdict on a command to its commands."""
         engine = self.engines[answer.engine]
         match answer.verdict:
-            case enginecontrol.Verdict(code, highest):
+            case enginecontrol.CommandReply(code, highest):
                 actions = engine.commands.record_command_answer(
                     now_s, code, highest
                 )
--- a/magnoliadyke/porcelain.py
+++ b/magnoliadyke/porcelain.py
@@ -471,8 +471,8 @@
         affected it
     """
 
-    lines: list[explanation.Line]
-    beliefs: list[explanation.Line]
+    lines: list[explanation.LogLine]
+    beliefs: list[explanation.LogLine]
 
 
 #: State changes up to this long before a request are shown, in seconds: a
--- a/magnoliadyke/reports.py
+++ b/magnoliadyke/reports.py
@@ -66,11 +66,11 @@
         :param outcome: one of :mod:`magnoliadyke.core.outcomes`
         """
         if self.metrics is not None:
-            word = outcome_label(outcome)
+            label = outcome_label(outcome)
             # The caller tries another host, which counts the request.
-            if word == 'not_run':
-                word = 'declined'
-            self.metrics.record_request_end(customer, word)
+            if label == 'not_run':
+                label = 'declined'
+            self.metrics.record_request_end(customer, label)
 
     def record_run_end(self, run):
         """Count a run that has ended.
@@ -83,22 +83,22 @@
         if isinstance(run.outcome, records.Answer):
             prompt_tokens = run.outcome.prompt_tokens
             output_tokens = run.outcome.output_tokens
-        word = outcome_label(run.outcome)
+        label = outcome_label(run.outcome)
         verdict = self.metrics.record_request_end(
             run.job.customer,
-            word,
+            label,
             self.timings(run, output_tokens),
             prompt_tokens,
             output_tokens,
         )
-        if word in LOGGED_OUTCOMES:
+        if label in LOGGED_OUTCOMES:
             reason = getattr(run.outcome, 'reason', 'endpoint_error')
             LOG.throttled_warning(
                 'request_failed',
-                (run.job.customer, word, reason),
+                (run.job.customer, label, reason),
                 key=run.key,
                 customer=run.job.customer,
-                outcome=word,
+                outcome=label,
                 reason=reason,
                 cause=verdict.cause,
             )
@@ -120,8 +120,8 @@
                 span_s = now_s - first_output_s
                 per_token_s = span_s / (output_tokens - 1)
         waited_until_s = run.dispatched_s or now_s
-        shed = is_shed(run.outcome)
-        since_s = now_s - SHED_LOOK_BACK_S if shed else job.arrived_s
+        was_shed = is_shed(run.outcome)
+        since_s = now_s - SHED_LOOK_BACK_S if was_shed else job.arrived_s
         return burn.Timings(
             first_s,
             per_token_s,
@@ -130,5 +130,5 @@
             run.failures,
             job.first_token_s,
             job.per_token_s,
-            shed,
+            was_shed,
         )
--- a/magnoliadyke/requestdependencies.py
+++ b/magnoliadyke/requestdependencies.py
@@ -25,7 +25,7 @@
     :param store: key-value store, for the claims of foreign keys (made
         without a ticket)
     :param peers: clients of the peers; ``handover`` delivers request records
-        to the ``take_records`` of the successor's ``Callers``
+        to the ``receive_records`` of the successor's ``Callers``
     """
 
     settings: settings_module.Settings
--- a/magnoliadyke/responsestream.py
+++ b/magnoliadyke/responsestream.py
@@ -157,15 +157,15 @@
             self.is_idle = False
             self.write(framed)
 
-    def wait_for_first_output(self, longest_s):
+    def wait_for_first_output(self, max_wait_s):
         """Wait for the first output or the outcome, to choose the HTTP status.
 
-        :param longest_s: longest wait, in seconds; the response then starts
+        :param max_wait_s: longest wait, in seconds; the response then starts
             without a token, and later errors are sent within the stream
         :return: whether there is output or an outcome
         """
         self.watch()
-        with gevent.Timeout(longest_s, False):
+        with gevent.Timeout(max_wait_s, False):
             while not self.ready and self.index == len(self.run.pieces):
                 if self.run.outcome is not None:
                     break
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -40,7 +40,7 @@
 #: Ticks of 0.25 s between reports of progress to the scheduler.
 PROGRESS_TICKS = 4
 #: Ticks of 0.25 s between retries of a failed move of a stream.
-MOVE_TICKS = 4
+MIGRATION_RETRY_TICKS = 4
 RESUME_PAUSE_S = 0.1
 COMPRESSION_LEVEL = 1
 COMPRESSED_FROM_BYTES = 4096
@@ -258,10 +258,11 @@
 
     :param work: the engine's request body without the id, as a dict
     :param digest: short digest of the key, the prefix of attempt ids
-    :ivar number: number of the current attempt
+    :ivar attempt_number: number of the current attempt
     :ivar stream_started: whether the engine has begun to stream its answer
     :ivar engine: client of the engine of the current attempt
-    :ivar moving: :class:`magnoliadyke.moves.Move` in progress, or None
+    :ivar migration: :class:`magnoliadyke.streammigration.StreamMigration` in
+        progress, or None
     :ivar assembly: :class:`attempts.Assembly` of the answer so far
     """
 
@@ -269,12 +270,12 @@
         super().__init__(key, job, streams, on_end)
         self.work = work
         self.digest = digest
-        self.number = 0
+        self.attempt_number = 0
         self.stream_started = False
         self.attempt_id = ''
         self.engine = None
         self.connection = None
-        self.moving = None
+        self.migration = None
         self.assembly = attempts.Assembly()
 
     def continue_from(self, other):
@@ -289,9 +290,9 @@
 
     def attempt(self, action):
         """Prefill on another engine if the scheduler says so, then decode."""
-        self.number += 1
+        self.attempt_number += 1
         self.stream_started = False
-        self.attempt_id = attempts.attempt_id(self.digest, self.number)
+        self.attempt_id = attempts.attempt_id(self.digest, self.attempt_number)
         work = {**self.work, 'id': self.attempt_id}
         if action.prefill_endpoint:
             kv = self.prefill(action.prefill_endpoint, work)
@@ -355,7 +356,7 @@
         if reply.status == STATUS_OK:
             self.sent = self.stream_started = True
             if self.read(reply):
-                return self.answered()
+                return self.complete_answer()
             return self.resume_attempt(name)
         try:
             response = reply.read_whole()
@@ -368,7 +369,7 @@
         if code == NOT_RUN_CODE:
             return self.record_failure(name, 'decode', False)
         if response.status < STATUS_SERVER_ERROR:
-            return self.refused_by_engine(name, code)
+            return self.reject_request(name, code)
         return self.record_failure(name, 'decode', True)
 
     @property
@@ -376,7 +377,7 @@
         """Return the connections to the engine of the current attempt."""
         return self.engine.connections
 
-    def refused_by_engine(self, name, code):
+    def reject_request(self, name, code):
         """Report a request that the engine rejects as invalid.
 
         :param code: error code of the engine, or ``''``
@@ -414,10 +415,10 @@
         :return: the answer, or ``jobs.Failed`` after too many resumes
             without a new token
         """
-        if self.moving is not None:
-            move, self.moving = self.moving, None
-            if move.wait_for_export():
-                return self.continue_at(move)
+        if self.migration is not None:
+            migration, self.migration = self.migration, None
+            if migration.wait_for_export():
+                return self.continue_at(migration)
         failures = 0
         while failures < self.max_resumes():
             offset = self.assembly.offset
@@ -444,41 +445,48 @@
                 )
             self.stream_started = True
             if self.read(reply):
-                return self.answered()
-            moved = self.assembly.offset > offset
-            failures = 0 if moved else failures + 1
+                return self.complete_answer()
+            has_progress = self.assembly.offset > offset
+            failures = 0 if has_progress else failures + 1
             self.clock.sleep(RESUME_PAUSE_S * failures)
         self.cancel_attempt()
         return self.record_failure(name, 'decode', True)
 
-    def move(self, again=False):
+    def start_migration(self, again=False):
         """Start to move the stream to another engine, if it has tokens.
 
         :param again: whether to retry a move that has failed
         """
-        if again and self.moving is not None and self.moving.has_failed():
-            self.moving = None
-        if self.moving is None and self.assembly.offset:
-            self.moving = streammigration.StreamMigration(self)
-
-    def continue_at(self, move):
+        if (
+            again
+            and self.migration is not None
+            and self.migration.has_failed()
+        ):
+            self.migration = None
+        if self.migration is None and self.assembly.offset:
+            self.migration = streammigration.StreamMigration(self)
+
+    def continue_at(self, migration):
         """Continue the answer on another engine, from the exported KV cache.
 
         An engine that refuses has not run it: the cache stays where it was
         computed, and another engine is tried.
 
-        :param move: completed :class:`magnoliadyke.moves.Move`
+        :param migration: completed
+            :class:`magnoliadyke.streammigration.StreamMigration`
         """
-        name = move.target
+        name = migration.target
         while True:
-            self.number += 1
+            self.attempt_number += 1
             self.stream_started = False
-            self.attempt_id = attempts.attempt_id(self.digest, self.number)
-            work = {**self.work, 'id': self.attempt_id, 'kv': move.kv}
+            self.attempt_id = attempts.attempt_id(
+                self.digest, self.attempt_number
+            )
+            work = {**self.work, 'id': self.attempt_id, 'kv': migration.kv}
             result = self.decode(name, work)
             if not isinstance(result, jobs.Failed) or result.ran:
                 return result
-            name = move.request_next_target()
+            name = migration.request_next_target()
             if not name:
                 return result
 
@@ -490,7 +498,7 @@
         """
         return MAX_RESUMES if self.job.repeatable else MAX_RESUMES_UNREPEATABLE
 
-    def answered(self):
+    def complete_answer(self):
         """Report completion to the scheduler; return the complete answer."""
         usage = attempts.read_usage(self.assembly.finished)
         finished = jobs.Finished(
@@ -572,22 +580,22 @@
 
     :param call: :class:`ServiceCall`
     :param digest: short digest of the key, the prefix of attempt ids
-    :ivar number: number of the current attempt
+    :ivar attempt_number: number of the current attempt
     """
 
     def __init__(self, key, job, call, digest, streams, on_end):
         super().__init__(key, job, streams, on_end)
         self.call = call
         self.digest = digest
-        self.number = 0
+        self.attempt_number = 0
 
     def attempt(self, action):
         """Make the call once, on the endpoint that was chosen."""
         name = action.endpoint
         server = self.dispatcher.endpoints[name]
         call = self.call
-        self.number += 1
-        attempt = attempts.attempt_id(self.digest, self.number)
+        self.attempt_number += 1
+        attempt = attempts.attempt_id(self.digest, self.attempt_number)
         headers = (
             *call.headers,
             ('X-Request-Id', attempt),
@@ -658,11 +666,11 @@
             connections = pump.connections
             if pump.check(now_s, connections.is_suspect()):
                 connections.mark_suspect()
-        self.move_streams(now_s)
+        self.migrate_streams(now_s)
         if self.ticks % PROGRESS_TICKS == 0:
             self.report_progress()
 
-    def move_streams(self, now_s):
+    def migrate_streams(self, now_s):
         """Move the streams of engines that are about to change their role."""
         changing = self.dispatcher.changing
         for pump in list(self.pumps) if changing else ():
@@ -671,11 +679,13 @@
                 continue  # a relay; the home moves the stream
             since_s = changing.get(run.engine.name, math.inf)
             if now_s - since_s >= streammigration.MIGRATE_AFTER_S:
-                run.move(again=self.ticks % MOVE_TICKS == 0)
+                run.start_migration(
+                    again=self.ticks % MIGRATION_RETRY_TICKS == 0
+                )
 
     def report_progress(self):
         """Report the output tokens of the streams to the scheduler."""
-        moved = [pump.progress() for pump in self.pumps]
-        moved = tuple(each for each in moved if each is not None)
-        if moved:
-            self.dispatcher.post(dispatch.Progress(moved))
+        progress = [pump.progress() for pump in self.pumps]
+        progress = tuple(each for each in progress if each is not None)
+        if progress:
+            self.dispatcher.post(dispatch.Progress(progress))
--- a/magnoliadyke/tablewatch.py
+++ b/magnoliadyke/tablewatch.py
@@ -71,8 +71,8 @@
     :param owner: task to which each :class:`StoreRead` is posted
     :param store: a :class:`magnoliadyke.keyvalue.KeyValue`
     :param rng: source of randomness
-    :ivar after: the watch in flight waits for a higher revision than this one;
-        None if there is no watch in flight
+    :ivar watched_after_revision: the watch in flight waits for a revision
+        above this one; None if there is no watch in flight
     """
 
     def __init__(self, owner, store, clock, rng):
@@ -81,7 +81,7 @@
         self.reader = TableReader(owner, store, clock)
         self.clock = clock
         self.rng = rng
-        self.after = None
+        self.watched_after_revision = None
         self.greenlet = None
 
     def start(self):
@@ -112,9 +112,9 @@
         returned.
         """
         sent_s = self.clock.now_s()
-        self.after = after
+        self.watched_after_revision = after
         outcome = self.store.watch(KEY, after, WATCH_WAIT_S)
-        self.after = None
+        self.watched_after_revision = None
         match outcome:
             case keyvalue.Unchanged():
                 return self.reader.read()
@@ -137,10 +137,10 @@
                 self.pause(0.0)
         return None
 
-    def pause(self, least_s):
+    def pause(self, min_pause_s):
         """Sleep with jitter, so that nodes do not retry at the same time.
 
-        :param least_s: shortest pause, in seconds
+        :param min_pause_s: shortest pause, in seconds
         """
-        spread_s = max(least_s, MIN_PAUSE_S) * self.rng.random()
-        self.clock.sleep(least_s + MIN_PAUSE_S + spread_s)
+        jitter_s = max(min_pause_s, MIN_PAUSE_S) * self.rng.random()
+        self.clock.sleep(min_pause_s + MIN_PAUSE_S + jitter_s)
--- a/tests/requestpath.py
+++ b/tests/requestpath.py
@@ -112,7 +112,7 @@
         for node in self.bench.nodes.values():
             own = node.callers.own
             if f'{own.address}:{own.peer_port}' == address:
-                taken = node.callers.take_records(
+                taken = node.callers.receive_records(
                     self.host, incarnation, records, last
                 )
                 if last and self.lose_last_reply:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -49,32 +49,32 @@
 
 
 EDIT_RESULTS = [
-    (tablemessages.Accepted(13, 0.5), cli.DONE, 'in force on all'),
+    (tablemessages.Accepted(13, 0.5), cli.EXIT_OK, 'in force on all'),
     (
         tablemessages.Accepted(13, 9.0, ('entry-2',)),
-        cli.NOT_IN_FORCE,
+        cli.EXIT_NOT_IN_FORCE,
         'not yet in force on entry-2',
     ),
     (
         tablemessages.Pending(13, ('entry-3',), 'override it'),
-        cli.NOT_IN_FORCE,
+        cli.EXIT_NOT_IN_FORCE,
         'no word from entry-3; override it',
     ),
     (
         tablemessages.Conflict({WEIGHT: (5, 3)}, 14, ('bolat',)),
-        cli.CONFLICT,
+        cli.EXIT_CONFLICT,
         'bolat',
     ),
     (
         tablemessages.Invalid(
             (table.Problem(WEIGHT, 3, 'too heavy', 'use 1'),)
         ),
-        cli.REFUSED,
+        cli.EXIT_REFUSED,
         f'{WEIGHT}=3: too heavy; use 1',
     ),
     (
         tablemessages.StoreUnavailable(True),
-        cli.UNAVAILABLE,
+        cli.EXIT_UNAVAILABLE,
         'same edit id',
     ),
 ]
@@ -90,7 +90,7 @@
     got, out, err = run('table', 'set', WEIGHT, '3')
     assert got == status
     assert text in out + err
-    in_error = status not in (cli.DONE, cli.NOT_IN_FORCE)
+    in_error = status not in (cli.EXIT_OK, cli.EXIT_NOT_IN_FORCE)
     assert bool(err) == in_error
 
 
@@ -103,7 +103,7 @@
     invalid = tablemessages.Invalid((problem,))
     node.configuration.answers[tablemessages.EditCells] = invalid
     status, out, err = run('table', 'set', keys, 'a-key-in-the-clear')
-    assert status == cli.REFUSED
+    assert status == cli.EXIT_REFUSED
     assert keys in err
     assert 'a-key-in-the-clear' not in out + err
 
@@ -118,7 +118,7 @@
 
 def test_table_shows_defaults_and_what_is_staged(run):
     status, out, _ = run('table', 'show', 'customers')
-    assert status == cli.DONE
+    assert status == cli.EXIT_OK
     assert 'portal' in out
     assert '(5)' in out
     assert f'by marat (edit e1): {WEIGHT} = 3' in out
@@ -137,10 +137,10 @@
 )
 def test_reading_verbs_have_text_and_json(run, words):
     status, text, _ = run(*words)
-    assert status == cli.DONE
+    assert status == cli.EXIT_OK
     assert text.strip()
     status, out, _ = run(*words, '--json')
-    assert status == cli.DONE
+    assert status == cli.EXIT_OK
     json.loads(out)
 
 
@@ -164,7 +164,7 @@
 )
 def test_wrong_usage_names_the_remedy(words, capsys, monkeypatch):
     monkeypatch.delenv('MAGNOLIADYKE_SETTINGS', raising=False)
-    assert cli.main(words) == cli.WRONG_USAGE
+    assert cli.main(words) == cli.EXIT_USAGE
     out, err = capsys.readouterr()
     assert not out
     assert err.startswith('magnoliadyke: ')
@@ -173,19 +173,19 @@
 
 def test_no_host_answers(capsys):
     status = cli.main(['status', '--admin=127.0.0.1:1'])
-    assert status == cli.UNAVAILABLE
+    assert status == cli.EXIT_UNAVAILABLE
     assert 'check that the hosts run' in capsys.readouterr().err
 
 
 def test_check_of_settings(tmp_path, capsys):
-    assert cli.main(['check', DALA]) == cli.DONE
+    assert cli.main(['check', DALA]) == cli.EXIT_OK
     bad = tmp_path / 'bad.json'
     bad.write_text('{}')
     capsys.readouterr()
-    assert cli.main(['check', str(bad), '--json']) == cli.REFUSED
+    assert cli.main(['check', str(bad), '--json']) == cli.EXIT_REFUSED
     problems = json.loads(capsys.readouterr().out)['problems']
     assert {'hosts', 'pools'} <= {problem['path'] for problem in problems}
-    assert cli.main(['node', str(bad), '--host=x']) == cli.REFUSED
+    assert cli.main(['node', str(bad), '--host=x']) == cli.EXIT_REFUSED
 
 
 @pytest.mark.parametrize(
@@ -200,5 +200,5 @@
 
 
 def test_lab_lists_its_programs(capsys):
-    assert cli.main(['lab']) == cli.DONE
+    assert cli.main(['lab']) == cli.EXIT_OK
     assert 'demo' in capsys.readouterr().out
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -45,26 +45,26 @@
         state = commands.EngineState(
             self.role, changing, self.generation, tuple(self.models)
         )
-        return enginecontrol.Reading(state, True, self.active)
+        return enginecontrol.EngineReading(state, True, self.active)
 
     def send(self, command, left_s, may_send):
         if not may_send():
             raise errors.EndpointUnreachable('authority ended')
         if self.checks_fencing and command.fencing < self.highest:
-            return enginecontrol.Verdict('stale_fencing', self.highest)
+            return enginecontrol.CommandReply('stale_fencing', self.highest)
         self.highest = max(self.highest, command.fencing)
         self.generation = command.generation
         self.taken.append(command)
         if command.change.kind == 'load':
             self.models.append(command.change.target)
-            return enginecontrol.Verdict('')
+            return enginecontrol.CommandReply('')
         if command.change.target != self.target:
             self.until_s = self.clock.now_s() + CHANGE_S
         self.target = command.change.target
         if self.lost_replies:
             self.lost_replies -= 1
             raise errors.EndpointUnreachable('reply lost', sent=True)
-        return enginecontrol.Verdict('')
+        return enginecontrol.CommandReply('')
 
     def close(self):
         pass
--- a/tests/test_enginecontrol.py
+++ b/tests/test_enginecontrol.py
@@ -58,15 +58,15 @@
     )
     expected = commands.EngineState('decode', False, 4, ('m',))
     reading = engine.control.read()
-    assert reading == enginecontrol.Reading(expected, False, 3)
+    assert reading == enginecontrol.EngineReading(expected, False, 3)
 
 
 def test_verdicts_carry_the_highest_number(monkeypatch):
     stale = '{"error": {"code": "stale_fencing", "highest": 9}}'
     engine = Engine(monkeypatch, [answer(202, '{}'), answer(409, stale)])
     send = engine.control.send
-    assert send(COMMAND, 1.0, lambda: True) == enginecontrol.Verdict('')
-    assert send(COMMAND, 1.0, lambda: True) == enginecontrol.Verdict(
+    assert send(COMMAND, 1.0, lambda: True) == enginecontrol.CommandReply('')
+    assert send(COMMAND, 1.0, lambda: True) == enginecontrol.CommandReply(
         'stale_fencing', 9
     )
 
--- a/tests/test_labverbs.py
+++ b/tests/test_labverbs.py
@@ -8,7 +8,7 @@
 
 @pytest.mark.parametrize('verb', labverbs.VERBS)
 def test_every_program_is_there(verb):
-    assert callable(labverbs.find(verb).main)
+    assert callable(labverbs.import_program(verb).main)
 
 
 @pytest.mark.parametrize('verb', labverbs.STAND_IN_PROGRAMS)
--- a/tests/test_peer.py
+++ b/tests/test_peer.py
@@ -40,7 +40,9 @@
     server, clients, _ = pair
     text = 'x' * 900_000
     server.fetch_table = lambda known: (7, text if known < 7 else None)
-    server.take_records = lambda host, incarnation, records, last: len(records)
+    server.receive_records = lambda host, incarnation, records, last: len(
+        records
+    )
     assert clients.fetch_table(ADDRESS, 3) == (7, text)
     assert clients.fetch_table(ADDRESS, 7) is None
     assert clients.handover(ADDRESS, 1, [b'a', b'b'], True) == 2
@@ -49,7 +51,7 @@
 
 def test_refused_records_are_told_apart_from_none_taken(pair):
     server, clients, _ = pair
-    server.take_records = lambda *_: None
+    server.receive_records = lambda *_: None
     assert clients.handover(ADDRESS, 1, [b'a'], True) is None
 
 
--- a/tests/test_streammigration.py
+++ b/tests/test_streammigration.py
@@ -56,7 +56,7 @@
     run = streams.ModelRun('key', job, {}, 'digest', task, None)
     run.engine = Engine(outcome)
     run.attempt_id = 'digest-1'
-    run.number = 1
+    run.attempt_number = 1
     return run
 
 
@@ -90,7 +90,7 @@
         return 'answer'
 
     run.decode = decode
-    run.moving = streammigration.StreamMigration(run)
+    run.migration = streammigration.StreamMigration(run)
     gevent.sleep(0)
     assert run.resume_attempt('e1') == 'answer'
     assert asked == [('e2', 'digest-2', KV), ('e3', 'digest-3', KV)]
@@ -99,9 +99,9 @@
 def test_refusals_of_all_come_to_an_end():
     run = make_run(['e2'] * 9)
     run.decode = lambda name, work: jobs.Failed(name, 'decode', ran=False)
-    run.moving = streammigration.StreamMigration(run)
+    run.migration = streammigration.StreamMigration(run)
     assert run.resume_attempt('e1').ran is False
-    assert run.number == 1 + streammigration.MAX_TARGETS
+    assert run.attempt_number == 1 + streammigration.MAX_TARGETS
 
 
 def test_a_stream_that_found_no_place_at_first_is_moved_later():
