--- a/magnoliadyke/admintable.py
+++ b/magnoliadyke/admintable.py
@@ -136,11 +136,11 @@
         :raises Refusal: the body is malformed, or the edit is refused
         """
         body = _read_body(request)
-        named = {
+        names = {
             sheet: adminerrors.optional_text(body, field)
             for sheet, field in (('hosts', 'host'), ('endpoints', 'endpoint'))
         }
-        named_rows = [(sheet, name) for sheet, name in named.items() if name]
+        named_rows = [(sheet, name) for sheet, name in names.items() if name]
         if len(named_rows) != 1:
             raise adminerrors.Refusal(
                 400,
--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -85,7 +85,7 @@
     def on_get(self, req, resp):
         """Return the hosts that accept requests, and a ticket for keys."""
         resp.content_type = JSON
-        resp.data = json.dumps(self.owner.hosts_answer()).encode()
+        resp.data = json.dumps(self.owner.build_hosts_response()).encode()
 
 
 class HomesResource:
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -336,9 +336,9 @@
 
     # Hosts.
 
-    def hosts_answer(self):
+    def build_hosts_response(self):
         """Return the response to ``GET /v1/hosts`` as a dict."""
-        listed = [
+        hosts = [
             {
                 'host': member.host,
                 'address': f'{member.address}:{member.caller_port}',
@@ -347,7 +347,7 @@
             for member in self.ordered_members()
         ]
         return {
-            'hosts': listed,
+            'hosts': hosts,
             'keep_s': self.settings.timing.hosts_keep_s,
             'ticket': self.homes.issuer.issue(self.clock.now_s()),
         }
--- a/magnoliadyke/cli.py
+++ b/magnoliadyke/cli.py
@@ -215,7 +215,7 @@
     streams = args['--stream'] and not args['--json']
     printer = _StreamPrinter()
     if streams:
-        options['on_text'] = printer.take
+        options['on_text'] = printer.print_text
     outcome = porcelain.call_model(
         _caller(args),
         args['MODEL'],
@@ -252,7 +252,7 @@
     def __init__(self):
         self.printed = 0
 
-    def take(self, text: str, offset: int) -> None:
+    def print_text(self, text: str, offset: int) -> None:
         """Print a piece of the answer.
 
         :param text: the piece.
--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -15,7 +15,7 @@
 from magnoliadyke import endpoint as endpoints
 from magnoliadyke import errors
 
-__all__ = ['Client', 'ClientSettings', 'HostSeen']
+__all__ = ['Client', 'ClientSettings', 'CallerHost']
 
 HOSTS_PATH = '/v1/hosts'
 #: Reasons of NotRun that concern one host only. A retry at another host
@@ -66,7 +66,7 @@
     idle_s: float = 5.0
 
 
-class HostSeen(typing.NamedTuple):
+class CallerHost(typing.NamedTuple):
     """A host in the answer of ``/v1/hosts``.
 
     :param host: name of the host
@@ -243,11 +243,11 @@
     def hosts(self):
         """Return the hosts to send requests to, best first.
 
-        :return: list of :class:`HostSeen`
+        :return: list of :class:`CallerHost`
         :raises HostUnreachable: if no host answers
         """
         document = self.query_any_host()
-        return [HostSeen(**each) for each in document['hosts']]
+        return [CallerHost(**each) for each in document['hosts']]
 
     # One request.
 
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -319,9 +319,9 @@
         :param address: address of the peer's server
         """
         held = self.documents.last.document
-        known = held['revision'] if held is not None else 0
+        held_revision = held['revision'] if held is not None else 0
         try:
-            reply = self.peers.fetch_table(address, known)
+            reply = self.peers.fetch_table(address, held_revision)
         except errors.HostUnreachable as error:
             LOG.throttled_warning('fetch_failed', address, error=str(error))
             return
@@ -534,8 +534,8 @@
         """Return the live hosts that have not confirmed a revision yet."""
         return tuple(
             host
-            for host, known in sorted(self.in_force().items())
-            if known < revision
+            for host, host_revision in sorted(self.in_force().items())
+            if host_revision < revision
         )
 
     def show(self):
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -26,7 +26,7 @@
     'FirstToken',
     'JobFailed',
     'JobFinished',
-    'MoveStream',
+    'RequestMigrationTarget',
     'PeerDigest',
     'PeerPromptsPlaced',
     'PrefillDone',
@@ -85,7 +85,7 @@
         self.failed = failed
 
 
-class MoveStream(mailbox.Ask):
+class RequestMigrationTarget(mailbox.Ask):
     """Asks for another engine for a running stream; the reply is its name.
 
     The reply is ``''`` when no other engine accepts requests.
@@ -378,7 +378,7 @@
             case JobFailed(job_id=job_id, failed=failed):
                 self.pending[job_id] = message
                 return core.record_result(job_id, failed, now_s)
-            case MoveStream():
+            case RequestMigrationTarget():
                 return self.move_stream(message, now_s)
             case JobFinished(job_id, result):
                 return core.record_result(job_id, result, now_s)
--- a/magnoliadyke/edits.py
+++ b/magnoliadyke/edits.py
@@ -175,9 +175,9 @@
         That of the edit with the id of the override, or the newest staged
         one if there is no such edit.
         """
-        known = table.edit_revision(document, self.request.edit_id or '')
-        if known is not None:
-            return known.revision
+        earlier = table.edit_revision(document, self.request.edit_id or '')
+        if earlier is not None:
+            return earlier.revision
         return table.staged_revision(document)
 
     def build_edit(self, document):
--- a/magnoliadyke/endpoint.py
+++ b/magnoliadyke/endpoint.py
@@ -301,7 +301,7 @@
         """
         return Connection(self.address, self.settings.connect_s)
 
-    def take(self):
+    def reuse_or_open(self):
         """Return a connection idle for at most ``idle_s``, or a new one."""
         oldest_s = self.clock.now_s() - self.settings.idle_s
         while self.idle:
@@ -352,7 +352,7 @@
         :raises EndpointUnreachable: ``sent`` says whether a byte may have
             arrived
         """
-        connection = self.open() if fresh else self.take()
+        connection = self.open() if fresh else self.reuse_or_open()
         data = request_bytes(method, path, self.address, headers, body)
         try:
             connection.send(method, data)
@@ -375,7 +375,7 @@
         :raises EndpointUnreachable: ``sent`` says whether a byte may have
             arrived
         """
-        connection = self.open() if fresh else self.take()
+        connection = self.open() if fresh else self.reuse_or_open()
         data = request_bytes(method, path, self.address, headers, body)
         try:
             connection.send(method, data)
--- a/magnoliadyke/enginecontrol.py
+++ b/magnoliadyke/enginecontrol.py
@@ -186,7 +186,9 @@
             connection.fail(error)
         connection.read_head(left_s)
         text = connection.read_body(MAX_ANSWER_BYTES, left_s)
-        return parse_verdict(endpoint.build_reply(connection.parser, text))
+        return parse_command_reply(
+            endpoint.build_reply(connection.parser, text)
+        )
 
     def close(self):
         """Close idle connections."""
@@ -206,14 +208,14 @@
     }
 
 
-def parse_verdict(reply):
+def parse_command_reply(reply):
     """Return the :class:`CommandReply` in an engine's HTTP response."""
     if reply.status == STATUS_COMMAND_ACCEPTED:
         return CommandReply('')
     try:
-        highest = int(reply.json()['error'].get('highest') or 0)
+        highest_fencing = int(reply.json()['error'].get('highest') or 0)
     except (ValueError, KeyError, TypeError, AttributeError):
-        highest = 0
+        highest_fencing = 0
     return CommandReply(
-        reply.error_code() or f'status {reply.status}', highest
+        reply.error_code() or f'status {reply.status}', highest_fencing
     )
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -477,9 +477,9 @@
         if view != self.members.last:
             self.log_changes(self.members.last, view)
             self.members.publish(view)
-        standing = self.build_standing(now_s)
-        if standing != self.standings.last._replace(at_s=now_s):
-            self.standings.publish(standing)
+        new_standing = self.build_standing(now_s)
+        if new_standing != self.standings.last._replace(at_s=now_s):
+            self.standings.publish(new_standing)
 
     def build_standing(self, now_s):
         """Return this node's :class:`Standing` at ``now_s``."""
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -138,27 +138,29 @@
         if key.home == self.name:
             if not self.issuer.accepts(key):
                 return Settled(BAD_TICKET)
-            return self.open(request, key.raw, key.issued_s)
+            return self.run_or_follow(request, key.raw, key.issued_s)
         adopted = self.handover.adopted.get(key.home)
         if adopted is not None:
             if not adopted.issuer.accepts(key):
                 return Settled(BAD_TICKET)
             issued_s = key.issued_s + adopted.shift_s
-            return self.open(request, key.raw, issued_s, adopted.floor_s)
+            return self.run_or_follow(
+                request, key.raw, issued_s, adopted.floor_s
+            )
         return self.route_elsewhere(request, key.raw, key.home)
 
     def route_own(self, request):
         """Run a request that has no key, and so can't be resent."""
         now_s = self.clock.now_s()
         key = f'{self.issuer.issue(now_s)}/0'
-        return self.open(request, key, now_s)
+        return self.run_or_follow(request, key, now_s)
 
     def route_foreign(self, request):
         """Claim a foreign key in the store, or route it to its owner."""
         digest = claims.claim_digest(request.customer, request.key)
         key = FOREIGN + digest
         if key in self.records.records:
-            return self.open(request, key, self.clock.now_s())
+            return self.run_or_follow(request, key, self.clock.now_s())
         if (
             self.handover.first_transfer_ended is not None
             and self.handover.wait_for_transfer()
@@ -215,7 +217,7 @@
         :param owner: home that the claim names
         """
         if key in self.records.records:
-            return self.open(request, key, self.clock.now_s())
+            return self.run_or_follow(request, key, self.clock.now_s())
         if owner != self.name and self.home_directory.reachable_member(owner):
             return self.relay(request, request.key, owner)
         return Settled(records.ANSWER_GONE)
@@ -227,7 +229,7 @@
         :param home: ``HOST.INCARNATION`` of the key's home
         """
         if key in self.records.records:
-            return self.open(request, key, self.clock.now_s())
+            return self.run_or_follow(request, key, self.clock.now_s())
         if self.home_directory.locate(home) is None:
             return self.handle_home_gone(request, key)
         return self.relay(request, key, home)
@@ -239,11 +241,11 @@
         """
         if not request.repeatable:
             return Settled(HOME_GONE)
-        return self.open(request, key, self.clock.now_s())
+        return self.run_or_follow(request, key, self.clock.now_s())
 
     # Runs of this node.
 
-    def open(self, request, key, issued_s, floor_s=records.NO_FLOOR):
+    def run_or_follow(self, request, key, issued_s, floor_s=records.NO_FLOOR):
         """Look a key up in this node's records; run it when it is new.
 
         :param key: name of the record
--- a/magnoliadyke/peer.py
+++ b/magnoliadyke/peer.py
@@ -294,9 +294,9 @@
     def call_on(self, connection, address, name, arguments, timeout_s):
         """Call on a connection, then keep it idle for the next call."""
         reply = connection.call(name, *arguments, timeout_s=timeout_s)
-        spare = self.idle.pop(address, None)
-        if spare is not None:
-            spare.handle.close()
+        idle_connection = self.idle.pop(address, None)
+        if idle_connection is not None:
+            idle_connection.handle.close()
         self.idle[address] = connection
         return reply
 
--- a/magnoliadyke/porcelain.py
+++ b/magnoliadyke/porcelain.py
@@ -106,9 +106,9 @@
             raise errors.UsageError(
                 f'{address!r} is not an admin address', 'write IP:PORT'
             )
-        where = [adminclient.AdminAddress(address, ip, int(port))]
+        addresses = [adminclient.AdminAddress(address, ip, int(port))]
     elif settings_path:
-        where = [
+        addresses = [
             adminclient.AdminAddress(
                 host.name, host.admin_address, host.admin_port
             )
@@ -120,7 +120,7 @@
             'give --settings=FILE or --admin=IP:PORT, or set '
             'MAGNOLIADYKE_SETTINGS',
         )
-    return adminclient.AdminClient(where, token)
+    return adminclient.AdminClient(addresses, token)
 
 
 def caller_client(
@@ -134,9 +134,9 @@
     :raises UsageError: if neither settings nor an address are given.
     """
     if address:
-        known = [address]
+        seeds = [address]
     elif settings_path:
-        known = [
+        seeds = [
             f'{host.address}:{host.caller_port}'
             for host in settings_module.load(settings_path).hosts
         ]
@@ -146,10 +146,10 @@
             'give --settings=FILE or --entry=IP:PORT, or set '
             'MAGNOLIADYKE_SETTINGS',
         )
-    return client_module.Client(known, key)
+    return client_module.Client(seeds, key)
 
 
-def hosts(client: client_module.Client) -> list[client_module.HostSeen]:
+def hosts(client: client_module.Client) -> list[client_module.CallerHost]:
     """Return the hosts to send requests to, best first.
 
     :param client: the client of a customer.
@@ -227,18 +227,18 @@
     """
     sheet, row, column = _split_cell(cell)
     content = table_show(client, sheet)['sheets'][sheet]
-    known = {item['name']: item for item in content['columns']}
-    if column not in known:
+    sheet_columns = {item['name']: item for item in content['columns']}
+    if column not in sheet_columns:
         raise errors.UsageError(
             f'sheet {sheet} has no column {column!r}',
-            'use one of ' + ', '.join(known),
+            'use one of ' + ', '.join(sheet_columns),
         )
     if row not in content['rows']:
         raise errors.UsageError(
             f'sheet {sheet} has no row {row!r}',
             'use one of ' + ', '.join(sorted(content['rows'])),
         )
-    return content['rows'][row].get(column, known[column]['default'])
+    return content['rows'][row].get(column, sheet_columns[column]['default'])
 
 
 def table_set(
--- a/magnoliadyke/pumps.py
+++ b/magnoliadyke/pumps.py
@@ -39,7 +39,7 @@
         monotonic seconds
     :ivar last_token_s: when :meth:`check` last saw more tokens, in monotonic
         seconds
-    :ivar reported: output tokens at the last report of progress
+    :ivar reported_tokens: output tokens at the last report of progress
     """
 
     def __init__(self, run, connection, label):
@@ -59,7 +59,7 @@
         self.last_read_s = 0.0
         self.checked_offset = -1
         self.last_token_s = 0.0
-        self.reported = 0
+        self.reported_tokens = 0
 
     def run(self, first):
         """Read until the final event or until the connection fails.
@@ -144,9 +144,9 @@
         """
         run = self.target_run
         tokens = self.assembly.offset
-        if tokens == self.reported or run.job is None:
+        if tokens == self.reported_tokens or run.job is None:
             return None
-        self.reported = tokens
+        self.reported_tokens = tokens
         return run.job.id, tokens
 
     def check(self, now_s, suspect):
@@ -167,8 +167,8 @@
             self.last_read_s = now_s
             self.check_stalled(now_s)
             return False
-        quiet_s = now_s - self.last_read_s
-        if quiet_s < self.silence_timeout.silence_limit_s(suspect):
+        silent_s = now_s - self.last_read_s
+        if silent_s < self.silence_timeout.silence_limit_s(suspect):
             return False
         self.stop()
         return True
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -202,17 +202,17 @@
 
     def ask(self, home):
         """Send the request, or resume an answer that has started."""
-        reply = self.open(home)
+        reply = self.open_stream(home)
         if reply.status != streams.STATUS_OK:
             return self.outcome_of_refusal(reply)
         self.sent = True
         if self.read(home, reply):
-            return self.answered()
+            return self.complete_answer()
         if self.assembly.error is not None:
             return caller_codec.error_outcome(self.assembly.error)
         return None
 
-    def open(self, home):
+    def open_stream(self, home):
         """Open a stream at the home, for a resume from the offset on.
 
         :return: :class:`magnoliadyke.endpoint.StreamReply`
@@ -248,7 +248,7 @@
         finally:
             reply.connection.close()
 
-    def answered(self):
+    def complete_answer(self):
         """Return the complete answer."""
         usage = attempts.read_usage(self.assembly.finished)
         return records.Answer(
--- a/magnoliadyke/settings_checks.py
+++ b/magnoliadyke/settings_checks.py
@@ -220,20 +220,20 @@
 
 
 def _check_failure_domains(document: dict[str, Any]) -> Iterator[Problem]:
-    known = document.get('failure_domains')
-    if not isinstance(known, list):
+    declared = document.get('failure_domains')
+    if not isinstance(declared, list):
         return
     for path, item in _items(document, 'hosts') + _endpoints(document):
         domain = item.get('failure_domain')
-        if isinstance(domain, str) and domain not in known:
+        if isinstance(domain, str) and domain not in declared:
             yield _problem(
                 f'{path}.failure_domain',
                 domain,
                 'is not listed in failure_domains',
                 'add it there'
                 + (
-                    ' or use one of ' + ', '.join(map(str, known))
-                    if known
+                    ' or use one of ' + ', '.join(map(str, declared))
+                    if declared
                     else ''
                 ),
             )
--- a/magnoliadyke/streammigration.py
+++ b/magnoliadyke/streammigration.py
@@ -56,7 +56,7 @@
 
     def request_target(self):
         """Request another engine from the dispatcher; '' if there is none."""
-        message = dispatch.MoveStream(self.run.job.id)
+        message = dispatch.RequestMigrationTarget(self.run.job.id)
         try:
             return self.run.dispatcher.ask(message, PLACE_TIMEOUT_S)
         except gevent.Timeout:
--- a/tests/requestpath.py
+++ b/tests/requestpath.py
@@ -110,7 +110,7 @@
 
     def handover(self, address, incarnation, records, last):
         for node in self.bench.nodes.values():
-            own = node.callers.own
+            own = node.callers.host_settings
             if f'{own.address}:{own.peer_port}' == address:
                 taken = node.callers.receive_records(
                     self.host, incarnation, records, last
