--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -23,7 +23,7 @@
 EVENTS = 'text/event-stream'
 #: Time after which the head of a streamed response is sent even without a
 #: token. The caller's library then gets keep-alive comments, by which it
-#: tells a slow node from an unreachable one.
+#: distinguishes a slow node from an unreachable one.
 HEAD_WAIT_S = 1.0
 SERVICES = re.compile(r'/v1/services/(?P<name>[^/?]+)(?P<path>/[^?]*)?')
 ANSWERS = re.compile(r'/v1/answers/(?P<key>.+)')
@@ -55,12 +55,12 @@
 
 
 def send_error(req, resp, error, params):
-    """Send the outcome that an :class:`forms.OutcomeError` carries."""
+    """Send the outcome that a :class:`caller_codec.OutcomeError` holds."""
     send_outcome(resp, error.outcome)
 
 
 def send_caller_left(req, resp, error, params):
-    """Send an outcome to a caller that closed its side; it may still read."""
+    """Send an outcome to a caller that shut down its sending side only."""
     req.env[HANDLER].close_connection = True
     send_outcome(resp, CALLER_LEFT)
 
@@ -89,7 +89,7 @@
 
 
 class HomesResource:
-    """``GET /v1/homes/HOME``: other nodes query the successor of a home."""
+    """``GET /v1/homes/HOME``: the successor of a home, for other nodes."""
 
     def __init__(self, owner):
         self.owner = owner
@@ -119,8 +119,8 @@
     def priority(self, req, customer):
         """Return the priority of a request; smaller numbers are more urgent.
 
-        A relay sends a number. A caller sends a word, or nothing to get the
-        customer's default.
+        A relay sends a number. A caller sends ``urgent``, ``normal`` or
+        ``background``, or nothing to get the customer's default.
         """
         number = req.get_header('X-Priority-Number')
         if number is not None and number.isdigit():
@@ -152,7 +152,7 @@
         """Wait for the outcome of a run, and return it.
 
         :param routed: :class:`homes.Following`
-        :raises CallerGone: when the caller disconnects first
+        :raises CallerDisconnected: when the caller disconnects first
         """
         waiter = responsestream.OutcomeWaiter(routed.run, req.env[HANDLER])
         try:
@@ -174,7 +174,7 @@
         )
 
     def on_post(self, req, resp):
-        """Run a completion, or follow the run that its key already has."""
+        """Run a completion, or subscribe to the run that its key has."""
         customer = self.customer(req)
         document = caller_codec.read_object(self.owner.read_body(req))
         request = self.request(req, customer, self.read_work(document))
@@ -183,7 +183,7 @@
         responder.answer(routed, bool(document.get('stream')))
 
     def request(self, req, customer, work):
-        """Return the :class:`forms.ModelRequest` for an HTTP request."""
+        """Return the :class:`caller_codec.ModelRequest` of an HTTP call."""
         digest = caller_codec.request_digest(
             customer, work['model'], str(work['max_tokens']), work['prompt']
         )
@@ -269,7 +269,7 @@
     def send_answer(self, answer, stream):
         """Send a complete answer, as a stream of events or as one document.
 
-        A service's answer means that its key was used for a service before.
+        If the answer is a service's, the key was used for a service before.
         """
         if answer.kind != 'model':
             send_outcome(self.resp, records.KEY_REUSED)
@@ -329,7 +329,7 @@
         return iter(self.follower)
 
     def close(self):
-        """Stop following the run; the server calls this in any case."""
+        """Unsubscribe from the run; the server always calls this."""
         self.owner.subscribers.discard(self.follower)
         self.follower.close()
         self.owner.homes.on_follower_left(self.follower.run, self.has_key)
@@ -364,7 +364,7 @@
         resp.data = answer.body
 
     def request(self, req, customer, name):
-        """Return the :class:`forms.ServiceRequest` for an HTTP request."""
+        """Return the :class:`caller_codec.ServiceRequest` for a request."""
         body = self.owner.read_body(req)
         path = service_path(req.env[HANDLER].path)
         route = path.partition('?')[0]
--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -90,7 +90,7 @@
         return None
 
     def log_request(self):
-        """Do nothing: saves the server from formatting a line per request."""
+        """Write no access log: formatting a line per request costs time."""
 
     def handle_one_response(self):
         """Serve one request, which counts as active meanwhile."""
@@ -101,7 +101,7 @@
             self.owner.active -= 1
 
     def handle_error(self, t, v, tb):
-        """Close the connection without a response if no outcome is certain.
+        """Close the connection without a response if the outcome is unknown.
 
         That is so when the caller has disconnected, or when this node's stop
         has reached its deadline. A plain 500 from the WSGI server would look
@@ -128,10 +128,11 @@
     :param dispatcher: :class:`magnoliadyke.dispatch.Dispatcher`
     :param status: :class:`NodeStatus` shared with gossip
     :param metrics: :class:`magnoliadyke.metrics.Metrics`, or None
-    :ivar own: this host's row of the settings
-    :ivar key_ring: :class:`forms.KeyRing` of the table ``key_ring_view``
-    :ivar followers: :class:`magnoliadyke.followers.Follower` of each open
-        stream
+    :ivar host_settings: this host's row of the settings
+    :ivar key_ring: :class:`caller_codec.KeyRing` built from the table
+        ``key_ring_view``
+    :ivar subscribers: :class:`magnoliadyke.responsestream.ResponseStream` of
+        each open stream
     :ivar active: number of requests that are being served
     """
 
@@ -241,7 +242,7 @@
             self.update_status()
 
     def update_status(self):
-        """Update what gossip sends of this node's admission and capacity."""
+        """Update the admission and capacity that gossip sends to peers."""
         self.status.takes_work = self.accepts_work()
         running = len(self.homes.runs)
         self.status.spare = 1.0 / (1.0 + running / BUSY_REQUESTS)
@@ -269,7 +270,7 @@
         return '' if self.status.fresh else 'stale_table'
 
     def refer_to_other_hosts(self, reason):
-        """Return a ``NotRun`` that lists other hosts.
+        """Return a ``NotRun`` whose remedy lists other hosts.
 
         :param reason: reason code of the refusal
         """
@@ -356,7 +357,7 @@
         """Return members that accept requests, own failure domain first.
 
         Among members of the own domain, and among all others, the order is
-        random, weighted by spare capacity, so that callers that ask at the
+        random, weighted by spare capacity, so that callers that query at the
         same time don't all choose the same host.
         """
         view = self.members.last
--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -45,13 +45,13 @@
 class ClientSettings(typing.NamedTuple):
     """Time limits of the client, in seconds.
 
-    :param connect_s: for a connection
-    :param head_s: for the head of a response
-    :param silence_s: for data of a stream; nodes send at least a comment
-        each second, so the host is unreachable after this time
+    :param connect_s: to open a connection
+    :param head_s: to receive the head of a response
+    :param silence_s: between two reads of a stream; nodes send at least a
+        comment each second, so the host is unreachable after this time
     :param service_s: for one call of a plain service, after which it is
         sent again under the same key
-    :param deadline_s: for a request with all its retries
+    :param deadline_s: to complete a request, all retries included
     :param remember_s: how long an address from a list of hosts is preferred
         to the initial ones
     :param idle_s: how long an idle connection is kept
@@ -297,7 +297,7 @@
     def leave_host(self, leave):
         """Drop the session if the next attempt is to use another host.
 
-        :param leave: whether it is
+        :param leave: whether the next attempt is to use another host
         """
         if leave:
             self.session = None
@@ -336,7 +336,7 @@
 
         :param address: ``ip:port`` of the host
         :param progress: :class:`Progress` of the key
-        :return: the outcome, or None if there is none yet
+        :return: the outcome, or None if the copy has shown none
         """
         progress.copies += 1
         try:
@@ -360,7 +360,7 @@
     def exchange(self, address, request, progress):
         """Send one copy of a service call and wait for its response.
 
-        :return: the outcome, or None if there is none yet
+        :return: the outcome, or None if the copy has shown none
         """
         reply = self.connections_to(address).call(
             request.method,
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -60,7 +60,7 @@
 
 
 class SubmitJob(mailbox.Ask):
-    """Asks for a job to be placed; the reply is ``Dispatch`` or ``Refuse``.
+    """Request to place a job; the reply is ``Dispatch`` or ``Refuse``.
 
     :param job: the :class:`magnoliadyke.core.jobs.Job` to place
     """
@@ -74,7 +74,7 @@
 class JobFailed(mailbox.Ask):
     """Reports a failed attempt; the reply is ``Dispatch`` or ``Refuse``.
 
-    ``Dispatch`` asks for one more attempt.
+    ``Dispatch`` means one more attempt, on the endpoint that it names.
 
     :param failed: :class:`magnoliadyke.core.jobs.Failed`
     """
@@ -86,7 +86,7 @@
 
 
 class RequestMigrationTarget(mailbox.Ask):
-    """Asks for another engine for a running stream; the reply is its name.
+    """Request for another engine for a running stream; the reply is its name.
 
     The reply is ``''`` when no other engine accepts requests.
     """
@@ -108,7 +108,7 @@
 
 
 class CancelJob(typing.NamedTuple):
-    """Asks the scheduler to drop a job that is queued or running."""
+    """Request to drop a job that is queued or running."""
 
     job_id: str
 
@@ -143,7 +143,7 @@
 
 
 class TakeSnapshot(mailbox.Ask):
-    """Asks for a :class:`magnoliadyke.core.snapshot.Snapshot` to display."""
+    """Request for a :class:`magnoliadyke.core.snapshot.Snapshot`."""
 
 
 class CrashReported(typing.NamedTuple):
@@ -255,7 +255,7 @@
 class Dispatcher(mailbox.Task):
     """Owns the scheduler, polls endpoints and places jobs on them.
 
-    Runs ask it with :class:`SubmitJob` and :class:`JobFailed`; the node
+    Runs send it :class:`SubmitJob` and :class:`JobFailed`; the node
     posts it the :class:`PeerDigest` and :class:`PeerPromptsPlaced` messages
     of its peers. It publishes two topics each second: ``digest`` (the node's
     own scheduler digest, for gossip) and ``demand`` (:class:`Demands`, for
@@ -398,7 +398,7 @@
                 return self.apply_fleet_update(message, now_s)
 
     def move_stream(self, message, now_s):
-        """Reply with a target engine for a stream, and record the move."""
+        """Reply with a target engine for a stream; record the migration."""
         core = self.scheduler
         name = migrationtarget.choose_target(
             core.runs, core.pools, message.job_id, now_s
--- a/magnoliadyke/endpoint.py
+++ b/magnoliadyke/endpoint.py
@@ -40,8 +40,9 @@
     :param prefill_s: timeout for each read of a prefill response
     :param service_s: timeout of a call of a plain service
     :param control_s: timeout for each read of polls, cancels and exports
-    :param answer_bytes: longest response body
-    :param idle_connections: most idle connections kept for an address
+    :param answer_bytes: maximum size of a response body
+    :param idle_connections: maximum number of idle connections kept for an
+        address
     """
 
     connect_s: float = 1.0
@@ -432,7 +433,7 @@
 
     @abc.abstractmethod
     def complete(self, work, headers, fresh):
-        """Start an answer; return a :class:`StreamReply`.
+        """Start a completion; return a :class:`StreamReply`.
 
         :param work: request body as a dict
         :param headers: pairs of name and value
@@ -457,7 +458,7 @@
 
     @abc.abstractmethod
     def export(self, attempt):
-        """Stop an answer so that another engine can continue it.
+        """Stop a completion so that another engine can continue it.
 
         :param attempt: id with which the answer was started
         :return: handle of its KV cache as a dict, None if it does not run
@@ -568,7 +569,7 @@
         )
 
     def complete(self, work, headers, fresh):
-        """Start an answer; return a :class:`StreamReply`."""
+        """Start a completion; return a :class:`StreamReply`."""
         return self.connections.stream(
             'POST',
             '/v1/completions',
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -47,7 +47,7 @@
     :param incarnation: incarnation of this node
     :param table: :class:`records.RecordTable` of this node
     :param peers: :class:`magnoliadyke.peer.PeerClients`
-    :param directory: :class:`magnoliadyke.homedirectory.Directory`
+    :param directory: :class:`magnoliadyke.homedirectory.HomeDirectory`
     :ivar adopted: :class:`Adopted` by home
     :ivar incoming_lines: lines of hand-overs that are incomplete, by host and
         incarnation
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -22,7 +22,7 @@
 
 SECRET_BYTES = 16
 DIGEST_DIGITS = 24
-#: How long a run without followers is kept for its caller to resume.
+#: How long a run without subscribers is kept for its caller to resume.
 LINGER_S = 5.0
 #: Prefix of record names of foreign keys.
 FOREIGN = 'foreign:'
@@ -454,7 +454,7 @@
                 self.records.settle(record, run.outcome)
 
     def on_follower_left(self, run, has_key):
-        """Abandon a run whose last follower has left.
+        """Abandon a run whose last subscriber has left.
 
         With a key the caller can resume, so the run is kept for
         ``LINGER_S``. A request that may not be repeated runs to its end, so
@@ -474,7 +474,7 @@
     # Requests at other homes.
 
     def relay(self, request, key, home, offset=0, resume_only=False):
-        """Send a request to its home, and follow it there.
+        """Relay a request to its home, and receive its output from there.
 
         :param key: key to send if the request has none; a foreign key is
             sent as the caller made it
@@ -511,11 +511,11 @@
         return Following(run, sent_key)
 
     def on_relay_end(self, run):
-        """Drop a relay that ended."""
+        """Remove a relay that has ended."""
         self.relays.discard(run)
 
     def recorded_outcome(self, lost_relay):
-        """Return the recorded end of a request that a relay followed.
+        """Return the recorded outcome of a request that a relay had sent.
 
         Its home may have stopped and sent the outcome to this node, its
         successor.
@@ -567,7 +567,7 @@
     def find_answer(self, request, offset):
         """Find the answer that a caller wants to resume.
 
-        :param request: :class:`forms.ModelRequest` with a key and empty
+        :param request: :class:`caller_codec.ModelRequest` with a key and empty
             ``work``
         :param offset: output tokens that the caller has already
         :return: :class:`Following`, :class:`KeptAnswer` or :class:`Settled`
@@ -610,7 +610,7 @@
         self.claiming.start()
 
     def stop(self):
-        """Stop that task and close the connections to other nodes."""
+        """Stop the claim task and close the connections to other nodes."""
         self.claiming.stop()
         self.home_directory.close()
 
@@ -676,7 +676,7 @@
 
 
 def abandon_unfollowed(run):
-    """Abandon a run that still has no follower."""
+    """Abandon a run that still has no subscriber."""
     if not run.subscribers:
         run.abandon()
 
--- a/magnoliadyke/relay.py
+++ b/magnoliadyke/relay.py
@@ -1,4 +1,4 @@
-"""Relay a request to another node, its home, and follow it there."""
+"""Relay a request to its home, another node, and read its output."""
 
 from urllib import parse
 
@@ -15,7 +15,7 @@
 
 MAX_HOPS = 3
 RETRY_PAUSE_S = 0.2
-#: How long a home that gossip calls alive is tried without progress. A
+#: How long a home that gossip reports alive is retried without progress. A
 #: repeatable request can soon run on this node instead; one that may not be
 #: repeated can be answered by its home only.
 PROGRESS_TIMEOUT_S = 4.0
@@ -158,7 +158,7 @@
 
 
 class ModelRelay(Relay):
-    """A completion at its home; passes events on and resumes by offset.
+    """Relay of a completion; passes on its events and resumes by offset.
 
     :param offset: output tokens that the caller has already
     :param resume_only: whether this node does not have the request itself,
@@ -184,7 +184,7 @@
         self.connection = None
 
     def deliver_recorded(self, outcome):
-        """Append the rest of a recorded answer; return the outcome."""
+        """Append the missing rest of a recorded answer; return the outcome."""
         if not isinstance(outcome, records.Answer):
             return outcome
         if outcome.kind != 'model':
@@ -213,7 +213,7 @@
         return None
 
     def open_stream(self, home):
-        """Open a stream at the home, for a resume from the offset on.
+        """Start the completion at the home, or resume it at the offset.
 
         :return: :class:`magnoliadyke.endpoint.StreamReply`
         """
@@ -262,13 +262,13 @@
 
 
 class ServiceRelay(Relay):
-    """A service call at its home."""
+    """Relay of a call of a plain service."""
 
     def ask(self, home):
         """Make the call; the home responds when the call has ended.
 
-        A response without an outcome or a request key is not the home's but
-        that of the HTTP server in between, and is not passed on.
+        A response without an outcome or a request key was not made by the
+        home's routes but by its HTTP server, and is not passed on.
         """
         request = self.request
         path = f'/v1/services/{request.service}{request.path}'
--- a/magnoliadyke/render.py
+++ b/magnoliadyke/render.py
@@ -125,7 +125,7 @@
             )
             return (
                 f'revision {body.get("staged_revision")} is staged and not '
-                f'in force; no word from {missing}; {remedy}'
+                f'in force; no acknowledgement from {missing}; {remedy}'
             )
     return f'{state}: {json.dumps(dict(body))}'
 
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -1,4 +1,4 @@
-"""Run requests on endpoints and pass their output to their followers."""
+"""Run requests on endpoints and pass their output to subscribers."""
 
 import math
 import typing
@@ -39,7 +39,7 @@
 MAX_RESUMES_UNREPEATABLE = 12
 #: Ticks of 0.25 s between reports of progress to the scheduler.
 PROGRESS_TICKS = 4
-#: Ticks of 0.25 s between retries of a failed move of a stream.
+#: Ticks of 0.25 s between retries of a failed migration of a stream.
 MIGRATION_RETRY_TICKS = 4
 RESUME_PAUSE_S = 0.1
 COMPRESSION_LEVEL = 1
@@ -60,12 +60,13 @@
 
 
 class Run:
-    """Base of requests in flight, whose output followers send to callers.
+    """Base of requests in flight; subscribers send the output to callers.
 
     :param key: idempotency key
     :param on_end: called once with the run, when its outcome is set
     :ivar pieces: output so far, a list of bytes that is only appended to
-    :ivar followers: :class:`magnoliadyke.followers.Waiter` of each caller
+    :ivar subscribers: :class:`magnoliadyke.responsestream.OutcomeWaiter` of
+        each caller
     :ivar outcome: :class:`records.Answer` or a tagged outcome; None while
         the request is in flight
     """
@@ -107,14 +108,14 @@
             self.end(outcome)
 
     def run(self):
-        """Carry the request out; return the answer or a tagged outcome."""
+        """Execute the request; return the answer or a tagged outcome."""
         raise NotImplementedError
 
     def clean_up(self):
         """Release resources of a run that was abandoned or has failed."""
 
     def append(self, block, framed=None):
-        """Append output and pass it to the followers; runs in the hub.
+        """Append output and pass it to the subscribers; runs in the hub.
 
         :param block: output bytes
         :param framed: the same bytes framed as an HTTP chunk, or None
@@ -129,7 +130,7 @@
         """Hook that is called before the first output is appended."""
 
     def end(self, outcome):
-        """Set the outcome and notify the followers; only the first counts."""
+        """Set the outcome and notify subscribers; only the first counts."""
         if self.outcome is not None:
             return
         self.outcome = outcome
@@ -174,7 +175,8 @@
         """Make attempts until one has an outcome or the scheduler refuses.
 
         A request that may not be repeated gets no further attempt once a
-        byte of it may have reached an endpoint; the scheduler is not asked.
+        byte of it may have reached an endpoint; the scheduler is only
+        notified of the failure.
         """
         action = self.ask(dispatch.SubmitJob(self.job))
         while True:
@@ -202,7 +204,7 @@
         return outcome
 
     def ask(self, message):
-        """Send a message to the dispatcher; wait for its reply forever.
+        """Send a message to the dispatcher; wait for the reply, without limit.
 
         :return: ``Dispatch`` or ``Refuse`` of ``core.scheduler``
         """
@@ -279,9 +281,9 @@
         self.assembly = attempts.Assembly()
 
     def continue_from(self, other):
-        """Take over the output and followers of another run.
+        """Take over the output and the subscribers of another run.
 
-        :param other: run with ``assembly``, ``pieces`` and ``followers``,
+        :param other: run with ``assembly``, ``pieces`` and ``subscribers``,
             whose answer this run continues
         """
         self.assembly = attempts.Assembly(other.assembly.offset)
@@ -289,7 +291,7 @@
         self.subscribers = other.subscribers
 
     def attempt(self, action):
-        """Prefill on another engine if the scheduler says so, then decode."""
+        """Prefill on a separate engine if the scheduler chose one; decode."""
         self.attempt_number += 1
         self.stream_started = False
         self.attempt_id = attempts.attempt_id(self.digest, self.attempt_number)
@@ -326,7 +328,7 @@
         return {'address': self.engine.info.address, 'kv_id': kv_id}
 
     def decode(self, name, work):
-        """Start or continue the answer on an engine and read it to its end.
+        """Start or continue the answer on a decode engine; read it to its end.
 
         :param name: name of the decode engine
         :param work: request body
@@ -409,7 +411,7 @@
         """Resume reading the running attempt, on new connections.
 
         This starts nothing on the engine, so it is no second attempt. A
-        stream that has been moved is continued on its new engine.
+        stream that has been migrated is continued on its new engine.
 
         :param name: name of the engine
         :return: the answer, or ``jobs.Failed`` after too many resumes
@@ -453,9 +455,9 @@
         return self.record_failure(name, 'decode', True)
 
     def start_migration(self, again=False):
-        """Start to move the stream to another engine, if it has tokens.
+        """Start to migrate the stream to another engine, if it has tokens.
 
-        :param again: whether to retry a move that has failed
+        :param again: whether to retry a migration that has failed
         """
         if (
             again
@@ -469,8 +471,8 @@
     def continue_at(self, migration):
         """Continue the answer on another engine, from the exported KV cache.
 
-        An engine that refuses has not run it: the cache stays where it was
-        computed, and another engine is tried.
+        An engine that refuses has not started the stream: the cache stays on
+        the engine that computed it, and another target is tried.
 
         :param migration: completed
             :class:`magnoliadyke.streammigration.StreamMigration`
@@ -623,7 +625,7 @@
 class Streams(mailbox.Task):
     """Checks the streams of all runs of a node at each tick.
 
-    A single ticker closes silent connections, moves streams away from
+    A single ticker closes silent connections, migrates streams away from
     engines that change their role and reports progress, so that no stream
     needs a timer of its own.
 
@@ -659,7 +661,7 @@
                 gevent.spawn(cancel, engine, attempt)
 
     def tick(self):
-        """Close silent connections, move streams and report progress."""
+        """Close silent connections, migrate streams and report progress."""
         self.ticks += 1
         now_s = self.clock.now_s()
         for pump in list(self.pumps):
@@ -671,12 +673,12 @@
             self.report_progress()
 
     def migrate_streams(self, now_s):
-        """Move the streams of engines that are about to change their role."""
+        """Migrate streams away from engines that are about to change roles."""
         changing = self.dispatcher.changing
         for pump in list(self.pumps) if changing else ():
             run = pump.target_run
             if run.job is None:
-                continue  # a relay; the home moves the stream
+                continue  # a relay: its home migrates the stream
             since_s = changing.get(run.engine.name, math.inf)
             if now_s - since_s >= streammigration.MIGRATE_AFTER_S:
                 run.start_migration(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -58,7 +58,7 @@
     (
         tablemessages.Pending(13, ('entry-3',), 'override it'),
         cli.EXIT_NOT_IN_FORCE,
-        'no word from entry-3; override it',
+        'no acknowledgement from entry-3; override it',
     ),
     (
         tablemessages.Conflict({WEIGHT: (5, 3)}, 14, ('bolat',)),
