--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -336,7 +336,7 @@
 
         :param address: ``ip:port`` of the host
         :param progress: :class:`Progress` of the key
-        :return: the outcome, or None if the copy has shown none
+        :return: the outcome, or None while it is unknown
         """
         progress.copies += 1
         try:
@@ -360,7 +360,7 @@
     def exchange(self, address, request, progress):
         """Send one copy of a service call and wait for its response.
 
-        :return: the outcome, or None if the copy has shown none
+        :return: the outcome, or None while it is unknown
         """
         reply = self.connections_to(address).call(
             request.method,
@@ -381,9 +381,9 @@
         return outcomes.Answered(progress.key, text, str(reply.status))
 
     def stream(self, address, request, progress):
-        """Read an event stream, from the offset where the last one broke off.
+        """Read an event stream, from the offset at which the last one failed.
 
-        :return: the outcome, or None if the stream broke off
+        :return: the outcome, or None if the stream ended early
         """
         connections = self.connections_to(address)
         reply = self.open_stream(connections, request, progress)
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -54,7 +54,7 @@
 class PeerRead(typing.NamedTuple):
     """A peer's reply to a fetch of the table.
 
-    :param text: the serialized document, None if the peer has none newer
+    :param text: the serialized document, None if the peer's is not newer
     """
 
     text: str | None
@@ -76,8 +76,8 @@
     :param keyvalue: a :class:`magnoliadyke.keyvalue.KeyValue`
     :param gossip: the :class:`magnoliadyke.gossip.Gossip` of this node
     :param peers: a :class:`magnoliadyke.peer.PeerClients`
-    :ivar own_revisions: staged revisions of edits that this node runs
-    :ivar overrides: staged revision to the operator who overrides for it
+    :ivar own_revisions: staged revisions of edits that this node processes
+    :ivar overrides: operator who overrides missing hosts, by staged revision
     :ivar background_work: names of the work running in the background
     :ivar behind_since_s: when a peer first reported a newer table, None if
         none does
@@ -490,8 +490,8 @@
     def can_stage(self):
         """Whether an edit can be staged on the held table.
 
-        The store's revision of the key must be known for the
-        compare-and-swap, and no member may report a newer table.
+        The compare-and-swap needs the store's revision of the key, and no
+        member may report a newer table.
         """
         held = self.documents.last
         if held.document is None or held.store_revision is None:
--- a/magnoliadyke/duties.py
+++ b/magnoliadyke/duties.py
@@ -56,7 +56,7 @@
 
 
 class ReleaseDuties(mailbox.Ask):
-    """Request to release all leases; it is answered when that is done.
+    """Request to release all leases; the reply follows when none is held.
 
     :param end_s: monotonic time at which to stop waiting for changes in
         progress
@@ -205,8 +205,8 @@
     def drop_leases(self):
         """Drop the authority of all leases, after this process was paused.
 
-        Other nodes may hold the leases by now, so commands that were about to
-        be sent must not be.
+        Other nodes may hold the leases by now, so this node must not send the
+        commands that it was about to send.
         """
         for duty in self.pools.values():
             duty.lease.drop()
@@ -220,7 +220,7 @@
             duty.tick(now_s, self.is_candidate(name))
 
     def release_leases(self, now_s):
-        """Release the leases; answer the request once none is held.
+        """Release the leases; reply to the request once none is held.
 
         Shortly before the end of the wait, leases are dropped even if a change
         is in progress.
@@ -255,7 +255,7 @@
     def is_host_out_of_use(self):
         """Whether the operators' table takes this host out of use.
 
-        This is also assumed while the node has no table.
+        While the node has no table, the host counts as out of use.
         """
         if self.view is None:
             return True
@@ -290,7 +290,7 @@
         """Read the holder of a lease and its fencing token from the store.
 
         :returns: host, '' if there is none, and fencing token; if the store
-            has no answer, the last known holder and 0
+            does not answer, the holder that was read last and 0
         """
         match self.lease_store.get(duty.key):
             case keyvalues.Found(value=text):
--- a/magnoliadyke/edits.py
+++ b/magnoliadyke/edits.py
@@ -15,12 +15,13 @@
 
 #: Time limit for writing the staged edit to the store.
 STAGE_TIMEOUT_S = 5.0
-#: Time limit for its acceptance; then the reply is that it is pending.
+#: Time limit for the acceptance of a staged edit; after it, the reply is
+#: ``Pending``.
 ACCEPT_TIMEOUT_S = 9.0
 #: An edit that missing hosts block for this long is reported as pending
 #: before the time limit.
 BLOCKED_REPORT_S = 2.0
-#: Time limit for all live nodes to confirm that it is in force.
+#: Time limit for all live nodes to confirm that an edit is in force.
 IN_FORCE_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.01
 #: While it waits, an edit probes all members; the interval doubles each time.
@@ -96,7 +97,8 @@
     :param request: the :class:`magnoliadyke.tablemessages.EditCells`
     :param configuration: the
         :class:`magnoliadyke.configuration.Configuration`
-    :ivar maybe_applied: whether a write without a reply may have staged it
+    :ivar maybe_applied: whether a write without a reply may have staged the
+        edit
     :ivar blocked_since_s: since when missing hosts block the acceptance,
         None if they do not
     """
@@ -170,10 +172,10 @@
                 return self.write_staged(held, document, revision)
 
     def overridden_revision(self, document):
-        """Return the revision up to which an override accepts.
+        """Return the revision up to which an override accepts edits.
 
-        That of the edit with the id of the override, or the newest staged
-        one if there is no such edit.
+        It is that of the edit with the id of the override, or the newest
+        staged revision if there is no such edit.
         """
         earlier = table.edit_revision(document, self.request.edit_id or '')
         if earlier is not None:
@@ -238,7 +240,7 @@
         return self.await_in_force(revision)
 
     def is_blocked_too_long(self):
-        """Whether missing hosts have blocked it for BLOCKED_REPORT_S."""
+        """Whether hosts have blocked the edit for ``BLOCKED_REPORT_S``."""
         now_s = self.clock.now_s()
         acceptance = self.configuration.standing.acceptance
         if not isinstance(acceptance, freshness.Blocked):
--- a/magnoliadyke/endpoint.py
+++ b/magnoliadyke/endpoint.py
@@ -325,7 +325,7 @@
         self.idle.append(connection)
 
     def mark_suspect(self):
-        """Suspect all connections to this address after one went silent.
+        """Mark the connections to this address as suspect: one went silent.
 
         A firewall or proxy in between that dropped one connection may have
         dropped others. Idle ones are closed, so the next request opens a new
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -33,7 +33,7 @@
 ]
 
 TICK_INTERVAL_S = 0.1
-#: Largest number of other members to which prompt notices are sent.
+#: Maximum number of other members to which prompt notices are sent.
 MAX_PROMPT_RECEIVERS = 16
 RECEIVE_BYTES = 65_507
 #: A quorum counts as lasting if its evidence stays valid for this share of
@@ -140,7 +140,7 @@
 class Leave(mailbox.Ask):
     """Announce to all members that this node leaves.
 
-    It is answered when the datagrams have been sent.
+    The reply follows when the datagrams have been sent.
 
     :param successor: host that took over this node's records, or ''
     """
@@ -312,7 +312,7 @@
     def view(self):
         """Return the members, with those that leave marked as such.
 
-        A host that the host list shows as leaving takes no work.
+        A host that the host list shows as leaving gets no new requests.
         """
         view = self.membership.view()
         own = self.membership.own.host
@@ -507,9 +507,9 @@
     def host_with_newer_revision(self):
         """Return a live host that has reported a newer table, or None.
 
-        Members report their revisions in every datagram, so this is known
-        before there is evidence, which only answers to this node's own probes
-        provide. It is sufficient for fetching the table.
+        Members report their revisions in every datagram, so they are
+        available before there is evidence, which only answers to this
+        node's own probes provide. They suffice for fetching the table.
         """
         evidence = self.membership.freshness
         for member in self.members.last.alive():
--- a/magnoliadyke/keyvalue.py
+++ b/magnoliadyke/keyvalue.py
@@ -220,7 +220,7 @@
     closed early; a compare-and-swap that had already taken effect would then
     report a conflict with itself. The pool refuses the second connection.
 
-    :ivar attempts_left: number of connections that the request may still take
+    :ivar attempts_left: number of connections that the request may still use
     :ivar connected: whether the request got a connection, so that a part of
         it may have been sent
     """
@@ -240,7 +240,7 @@
         self.socket = None
 
     def get_socket(self):
-        """Return a socket, connected anew or idle, once per request.
+        """Return an idle or new socket; allowed once per request.
 
         :raises ConnectionError: on the second attempt of a request
         """
@@ -252,7 +252,7 @@
         return self.socket
 
     def abandon(self):
-        """Close the connection, also while a request is using it."""
+        """Close the connection, even while a request is using it."""
         self.close()
         if self.socket is not None:
             self.socket.close()
--- a/magnoliadyke/logs.py
+++ b/magnoliadyke/logs.py
@@ -16,8 +16,8 @@
 
 __all__ = ['Logger', 'format_fields', 'get', 'setup', 'setup_stream']
 
-#: Maximum length of a line in bytes: the most that a write to a pipe puts
-#: through in one piece (PIPE_BUF on Linux).
+#: Maximum length of a line in bytes: the largest write to a pipe that is
+#: atomic (PIPE_BUF on Linux).
 MAX_LINE_BYTES = 4096
 
 #: Minimum time between two lines of the same throttled event, in seconds.
--- a/magnoliadyke/node.py
+++ b/magnoliadyke/node.py
@@ -143,8 +143,8 @@
     def apply_permit(self, allowed, reason):
         """Start or stop accepting requests; log each change.
 
-        :param allowed: whether the table allows it
-        :param reason: why not, '' if allowed
+        :param allowed: whether this node may accept new requests
+        :param reason: reason code for the refusal, '' if allowed
         """
         if self.status.fresh != allowed:
             self.log.event('work_permit', allowed=allowed, reason=reason)
--- a/magnoliadyke/overview.py
+++ b/magnoliadyke/overview.py
@@ -20,7 +20,7 @@
 
 
 class StatusResource:
-    """The state of the deployment as this host has it.
+    """The state of the deployment, from the records of this host.
 
     :param node: the :class:`magnoliadyke.node.Node`
     """
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -352,7 +352,7 @@
                 reason=self.planner.reason,
             )
 
-    # Models.
+    # Loading of models.
 
     def load_models(self, now_s):
         """Load the pool's model on one engine that lacks it.
@@ -427,7 +427,7 @@
                 self.handle_change_failed(engine, change, reason)
 
     def handle_settled(self, engine, change, generation, corrected):
-        """Return an engine to use whose change is complete, and record it."""
+        """Return an engine to use after its change; record the change."""
         self.return_to_use(engine)
         LOG.event(
             'engine_settled',
@@ -446,7 +446,7 @@
                 )
 
     def handle_change_failed(self, engine, change, reason):
-        """Return an engine to use whose change failed."""
+        """Return an engine to use after its change has failed."""
         self.return_to_use(engine)
         LOG.warning_event(
             'engine_change_failed',
@@ -479,7 +479,7 @@
     def take_out_of_use(self, engine, change, now_s):
         """Start to drain the engine before a role change.
 
-        Model loads need no drain and go on at once.
+        A model load needs no drain and continues at once.
         """
         if change.kind != 'role':
             for action in engine.commands.record_engine_drained(now_s):
@@ -576,7 +576,7 @@
             )
         self.task.post(CommandAnswered(self.name, engine.name, verdict))
 
-    # Answers.
+    # Outcomes of calls to the store and to engines.
 
     def handle_lease_answer(self, answer, now_s):
         """Pass the outcome of a store call to the lease."""
@@ -662,7 +662,7 @@
             self.lease.release()
 
     def status(self, now_s):
-        """Return the pool's status as far as this node has a record of it."""
+        """Return the pool's status, from the records of this node."""
         value = self.lease.value
         return poolstatus.PoolStatus(
             self.name,
--- a/magnoliadyke/streammigration.py
+++ b/magnoliadyke/streammigration.py
@@ -1,10 +1,10 @@
 """Migration of a running stream to another engine, with its KV cache.
 
 An engine runs nothing while it changes its role, so streams that would not
-end in time are migrated before.  A target engine is chosen first; then the old
-engine stops the stream and keeps its KV cache, and the target fetches it and
-continues at the same offset.  This is not a second attempt, so requests that
-may not be repeated are migrated as well.
+end before the change are migrated.  A target engine is chosen first; then the
+old engine stops the stream and keeps its KV cache, and the target fetches it
+and continues at the same offset.  This is not a second attempt, so requests
+that may not be repeated are migrated as well.
 """
 
 import gevent
@@ -27,7 +27,7 @@
     """Migration of one stream.
 
     :param run: :class:`magnoliadyke.streams.ModelRun` of the stream
-    :ivar engine: control of the engine that the stream leaves
+    :ivar engine: client of the engine that the stream leaves
     :ivar target: name of the target engine, '' if there is none
     :ivar kv: handle of the exported KV cache, None before the export
     :ivar targets_requested: number of targets requested so far
--- a/magnoliadyke/tablemessages.py
+++ b/magnoliadyke/tablemessages.py
@@ -39,8 +39,8 @@
     """The edit is staged; hosts that may accept requests are missing.
 
     :param revision: revision of the edit
-    :param missing: hosts that must first acknowledge the edit or be known
-        to accept no requests
+    :param missing: hosts that must first acknowledge the edit or be
+        confirmed to accept no requests
     """
 
     revision: int
