--- a/magnoliadyke/claiming.py
+++ b/magnoliadyke/claiming.py
@@ -65,10 +65,10 @@
     :param owner: ``HOST.INCARNATION`` of this node
     :param store: :class:`magnoliadyke.keyvalue.KeyValue`
     :param prefix: start of every store key of the deployment
-    :ivar waiting: :class:`ClaimKey` messages to be answered, by digest
+    :ivar waiting: :class:`ClaimKey` messages without a reply, by digest
     :ivar queue: names of the buckets that need a store call, in order
     :ivar queued_s: monotonic time at which a bucket was queued, by name; kept
-        until its call is answered
+        until its call has an outcome
     """
 
     def __init__(self, owner, store, prefix, clock):
@@ -155,7 +155,7 @@
             gevent.spawn_later(pause_s, self.post, ResumeCalls())
 
     def carry_out(self, actions):
-        """Answer settled claims, and queue the buckets that need a call."""
+        """Reply to settled claims, and queue the buckets that need a call."""
         for action in actions:
             match action:
                 case claims.Read(bucket) | claims.Write(bucket):
@@ -192,12 +192,12 @@
             del self.queued_s[bucket]
 
     def answer(self, settled):
-        """Answer all messages that requested a claim."""
+        """Reply to all messages that requested a claim."""
         for message in self.waiting.pop(settled.claim.digest, ()):
             message.reply(settled)
 
     def fetch_owner(self, digest):
-        """Read from the store who owns a key; ``''`` if there is no record.
+        """Read the owner of a key from the store; ``''`` if it has no record.
 
         Unlike a claim, this writes nothing: a lookup of an answer does not
         take the key from a request that may still arrive.
--- a/magnoliadyke/homedirectory.py
+++ b/magnoliadyke/homedirectory.py
@@ -30,8 +30,8 @@
     :param home: home of this node
     :param host: name of this host
     :param members: Topic of :class:`magnoliadyke.core.membership.MembersView`
-    :ivar successors: home of the successor, by home; for lack of a record of
-        its incarnation only the host name
+    :ivar successors: home of the successor, by home; only its host name if
+        its incarnation is not recorded
     :ivar not_found_s: monotonic time of the last query that found no
         successor, by home
     """
--- a/magnoliadyke/mailbox.py
+++ b/magnoliadyke/mailbox.py
@@ -150,8 +150,8 @@
     def process_message(self, message):
         """Process one message; log an exception instead of raising it.
 
-        An exception would end the task, while its node went on to serve
-        requests without it. The log has the traceback.
+        An exception would end the task, while its node would continue to
+        serve requests without it. The log has the traceback.
         """
         try:
             if isinstance(message, Tick):
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -135,7 +135,7 @@
             self.role = reading.state.role
 
     def is_in_unintended_role(self):
-        """Whether the engine has another role than was last ordered.
+        """Whether the engine has another role than the last command requested.
 
         It will be commanded to switch back. If the planner counted it in its
         present role, it would switch another engine to replace it, and after
@@ -182,10 +182,10 @@
         self.short_since_s = None
         self.holds_lease = False
 
-    # Time.
+    # Timers.
 
     def tick(self, now_s, contending):
-        """Renew or claim the lease, drive the engines' commands, and plan.
+        """Renew or claim the lease, advance the engines' commands, and plan.
 
         :param contending: whether this node stands for election
         """
