--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -90,7 +90,7 @@
         return None
 
     def log_request(self):
-        """Do nothing: saves the server from formatting a line per request."""
+        """Write no access log: formatting a line per request costs time."""
 
     def handle_one_response(self):
         """Serve one request, which counts as active meanwhile."""
@@ -101,7 +101,7 @@
             self.owner.active -= 1
 
     def handle_error(self, t, v, tb):
-        """Close the connection without a response if no outcome is certain.
+        """Close the connection without a response if the outcome is unknown.
 
         That is so when the caller has disconnected, or when this node's stop
         has reached its deadline. A plain 500 from the WSGI server would look
@@ -123,32 +123,34 @@
     hosts), hands the records to a successor, lets running requests end until
     the deadline and only then closes the listener.
 
-    :param parts: :class:`magnoliadyke.requestdependencies.RequestDependencies`
+    :param dependencies:
+        :class:`magnoliadyke.requestdependencies.RequestDependencies`
     :param dispatcher: :class:`magnoliadyke.dispatch.Dispatcher`
     :param status: :class:`NodeStatus` shared with gossip
     :param metrics: :class:`magnoliadyke.metrics.Metrics`, or None
-    :ivar own: this host's row of the settings
-    :ivar key_ring: :class:`forms.KeyRing` of the table ``key_ring_view``
-    :ivar followers: :class:`magnoliadyke.followers.Follower` of each open
-        stream
+    :ivar host_settings: this host's row of the settings
+    :ivar key_ring: :class:`caller_codec.KeyRing` built from the table
+        ``key_ring_view``
+    :ivar subscribers: :class:`magnoliadyke.responsestream.ResponseStream` of
+        each open stream
     :ivar active: number of requests that are being served
     """
 
-    def __init__(self, parts, dispatcher, status, metrics=None):
-        self.settings = parts.settings
-        self.host = parts.host
-        self.clock = parts.clock
-        self.rng = parts.rng
-        self.table = parts.table
-        self.members = parts.members
+    def __init__(self, dependencies, dispatcher, status, metrics=None):
+        self.settings = dependencies.settings
+        self.host = dependencies.host
+        self.clock = dependencies.clock
+        self.rng = dependencies.rng
+        self.table = dependencies.table
+        self.members = dependencies.members
         self.status = status
-        self.own = parts.settings.host(parts.host)
-        self.streams = streams.Streams(dispatcher, parts.clock)
+        self.host_settings = dependencies.settings.host(dependencies.host)
+        self.streams = streams.Streams(dispatcher, dependencies.clock)
         self.homes = homes.Homes(
-            parts,
+            dependencies,
             self.streams,
             self.refusal_for,
-            reports.Reports(metrics, dispatcher, parts.clock),
+            reports.Reports(metrics, dispatcher, dependencies.clock),
         )
         self.key_ring = None
         self.key_ring_view = None
@@ -176,7 +178,9 @@
             },
         )
         self.server = pywsgi.WSGIServer(
-            listener(self.own.address, self.own.caller_port),
+            listener(
+                self.host_settings.address, self.host_settings.caller_port
+            ),
             self.app,
             log=None,
             error_log=sys.stderr,
@@ -194,7 +198,7 @@
         end_s = self.clock.now_s() + deadline_s
         self.begin_stop()
         self.wait_for_runs(end_s)
-        self.homes.handover.finish()
+        self.homes.handover.finish_transfer()
         self.server.stop_accepting()
         self.wait_for_answers(end_s)
         self.server.stop(timeout=0.1)
@@ -238,14 +242,14 @@
             self.update_status()
 
     def update_status(self):
-        """Update what gossip sends of this node's admission and capacity."""
+        """Update the admission and capacity that gossip sends to peers."""
         self.status.takes_work = self.accepts_work()
         running = len(self.homes.runs)
         self.status.spare = 1.0 / (1.0 + running / BUSY_REQUESTS)
 
-    def take_records(self, host, incarnation, lines, last):
-        """Take over records; see :meth:`homes.Homes.take_records`."""
-        return self.homes.take_records(host, incarnation, lines, last)
+    def receive_records(self, host, incarnation, lines, last):
+        """Take over records; see :meth:`homes.Homes.receive_records`."""
+        return self.homes.receive_records(host, incarnation, lines, last)
 
     # Admission.
 
@@ -266,7 +270,7 @@
         return '' if self.status.fresh else 'stale_table'
 
     def refer_to_other_hosts(self, reason):
-        """Return a ``NotRun`` that lists other hosts.
+        """Return a ``NotRun`` whose remedy lists other hosts.
 
         :param reason: reason code of the refusal
         """
@@ -333,9 +337,9 @@
 
     # Hosts.
 
-    def hosts_answer(self):
+    def build_hosts_response(self):
         """Return the response to ``GET /v1/hosts`` as a dict."""
-        listed = [
+        hosts = [
             {
                 'host': member.host,
                 'address': f'{member.address}:{member.caller_port}',
@@ -344,7 +348,7 @@
             for member in self.ordered_members()
         ]
         return {
-            'hosts': listed,
+            'hosts': hosts,
             'keep_s': self.settings.timing.hosts_keep_s,
             'ticket': self.homes.issuer.issue(self.clock.now_s()),
         }
@@ -353,7 +357,7 @@
         """Return members that accept requests, own failure domain first.
 
         Among members of the own domain, and among all others, the order is
-        random, weighted by spare capacity, so that callers that ask at the
+        random, weighted by spare capacity, so that callers that query at the
         same time don't all choose the same host.
         """
         view = self.members.last
@@ -362,7 +366,7 @@
         return sorted(
             candidates,
             key=lambda member: (
-                member.failure_domain != self.own.failure_domain,
+                member.failure_domain != self.host_settings.failure_domain,
                 -(self.rng.random() ** (1.0 / max(member.spare, 0.01))),
             ),
         )
--- a/magnoliadyke/client.py
+++ b/magnoliadyke/client.py
@@ -15,7 +15,7 @@
 from magnoliadyke import endpoint as endpoints
 from magnoliadyke import errors
 
-__all__ = ['Client', 'ClientSettings', 'HostSeen']
+__all__ = ['Client', 'ClientSettings', 'CallerHost']
 
 HOSTS_PATH = '/v1/hosts'
 #: Reasons of NotRun that concern one host only. A retry at another host
@@ -45,13 +45,13 @@
 class ClientSettings(typing.NamedTuple):
     """Time limits of the client, in seconds.
 
-    :param connect_s: for a connection
-    :param head_s: for the head of a response
-    :param silence_s: for data of a stream; nodes send at least a comment
-        each second, so the host is unreachable after this time
+    :param connect_s: to open a connection
+    :param head_s: to receive the head of a response
+    :param silence_s: between two reads of a stream; nodes send at least a
+        comment each second, so the host is unreachable after this time
     :param service_s: for one call of a plain service, after which it is
         sent again under the same key
-    :param deadline_s: for a request with all its retries
+    :param deadline_s: to complete a request, all retries included
     :param remember_s: how long an address from a list of hosts is preferred
         to the initial ones
     :param idle_s: how long an idle connection is kept
@@ -66,7 +66,7 @@
     idle_s: float = 5.0
 
 
-class HostSeen(typing.NamedTuple):
+class CallerHost(typing.NamedTuple):
     """A host in the answer of ``/v1/hosts``.
 
     :param host: name of the host
@@ -91,12 +91,12 @@
         self.address = address
         self.ticket = ticket
         self.until_s = until_s
-        self.number = 0
+        self.last_key_number = 0
 
     def new_key(self):
         """Return a new idempotency key."""
-        self.number += 1
-        return f'{self.ticket}/{self.number}'
+        self.last_key_number += 1
+        return f'{self.ticket}/{self.last_key_number}'
 
 
 class Request(typing.NamedTuple):
@@ -243,11 +243,11 @@
     def hosts(self):
         """Return the hosts to send requests to, best first.
 
-        :return: list of :class:`HostSeen`
+        :return: list of :class:`CallerHost`
         :raises HostUnreachable: if no host answers
         """
         document = self.query_any_host()
-        return [HostSeen(**each) for each in document['hosts']]
+        return [CallerHost(**each) for each in document['hosts']]
 
     # One request.
 
@@ -270,8 +270,8 @@
         :param deadline_s: time limit in seconds, None for that of the
             settings
         """
-        longest_s = deadline_s or self.settings.deadline_s
-        end_s = self.clock.now_s() + longest_s
+        timeout_s = deadline_s or self.settings.deadline_s
+        end_s = self.clock.now_s() + timeout_s
         self.budget.deposit(BUDGET_NAME, RETRY_SHARE)
         tries = 1
         while True:
@@ -297,7 +297,7 @@
     def leave_host(self, leave):
         """Drop the session if the next attempt is to use another host.
 
-        :param leave: whether it is
+        :param leave: whether the next attempt is to use another host
         """
         if leave:
             self.session = None
@@ -336,7 +336,7 @@
 
         :param address: ``ip:port`` of the host
         :param progress: :class:`Progress` of the key
-        :return: the outcome, or None if there is none yet
+        :return: the outcome, or None while it is unknown
         """
         progress.copies += 1
         try:
@@ -360,7 +360,7 @@
     def exchange(self, address, request, progress):
         """Send one copy of a service call and wait for its response.
 
-        :return: the outcome, or None if there is none yet
+        :return: the outcome, or None while it is unknown
         """
         reply = self.connections_to(address).call(
             request.method,
@@ -381,16 +381,16 @@
         return outcomes.Answered(progress.key, text, str(reply.status))
 
     def stream(self, address, request, progress):
-        """Read an event stream, from the offset where the last one broke off.
+        """Read an event stream, from the offset at which the last one failed.
 
-        :return: the outcome, or None if the stream broke off
+        :return: the outcome, or None if the stream ended early
         """
         connections = self.connections_to(address)
         reply = self.open_stream(connections, request, progress)
         progress.sent = True
         if reply.status != 200:
-            whole = reply.read_whole()
-            return caller_codec.outcome_from(whole) or NO_ANSWER
+            complete_reply = reply.read_whole()
+            return caller_codec.outcome_from(complete_reply) or NO_ANSWER
         connection = reply.connection
         label = id(connection)
         progress.assembly.start_attempt(label)
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -54,7 +54,7 @@
 class PeerRead(typing.NamedTuple):
     """A peer's reply to a fetch of the table.
 
-    :param text: the serialized document, None if the peer has none newer
+    :param text: the serialized document, None if the peer's is not newer
     """
 
     text: str | None
@@ -76,8 +76,8 @@
     :param keyvalue: a :class:`magnoliadyke.keyvalue.KeyValue`
     :param gossip: the :class:`magnoliadyke.gossip.Gossip` of this node
     :param peers: a :class:`magnoliadyke.peer.PeerClients`
-    :ivar own_revisions: staged revisions of edits that this node runs
-    :ivar overrides: staged revision to the operator who overrides for it
+    :ivar own_revisions: staged revisions of edits that this node processes
+    :ivar overrides: operator who overrides missing hosts, by staged revision
     :ivar background_work: names of the work running in the background
     :ivar behind_since_s: when a peer first reported a newer table, None if
         none does
@@ -319,9 +319,9 @@
         :param address: address of the peer's server
         """
         held = self.documents.last.document
-        known = held['revision'] if held is not None else 0
+        held_revision = held['revision'] if held is not None else 0
         try:
-            reply = self.peers.fetch_table(address, known)
+            reply = self.peers.fetch_table(address, held_revision)
         except errors.HostUnreachable as error:
             LOG.throttled_warning('fetch_failed', address, error=str(error))
             return
@@ -352,7 +352,7 @@
         delayed until the watch times out.
         """
         now_s = self.clock.now_s()
-        after = self.watch.after
+        after = self.watch.watched_after_revision
         seen = self.documents.last.store_revision
         if after is None or seen is None or seen <= after:
             self.watch_behind_since_s = None
@@ -368,7 +368,7 @@
         waited_s = self.clock.now_s() - self.started_s
         if held.document is not None or held.store_revision != 0:
             return
-        if self.standing.newest == 0 and waited_s >= JOIN_WAIT_S:
+        if self.standing.newest_revision == 0 and waited_s >= JOIN_WAIT_S:
             self.spawn_once('initialise', self.initialise)
 
     def initialise(self):
@@ -490,13 +490,15 @@
     def can_stage(self):
         """Whether an edit can be staged on the held table.
 
-        The store's revision of the key must be known for the
-        compare-and-swap, and no member may report a newer table.
+        The compare-and-swap needs the store's revision of the key, and no
+        member may report a newer table.
         """
         held = self.documents.last
         if held.document is None or held.store_revision is None:
             return False
-        return self.standing.newest <= table.staged_revision(held.document)
+        return self.standing.newest_revision <= table.staged_revision(
+            held.document
+        )
 
     def stage(self, document, edit):
         """Stage an edit under a revision that was never assigned before.
@@ -508,7 +510,7 @@
         :return: outcome of :func:`magnoliadyke.core.table.stage`
         """
         wall_ms = int(self.clock.wall_s() * 1000)
-        floor = max(self.standing.newest + 1, wall_ms)
+        floor = max(self.standing.newest_revision + 1, wall_ms)
         return table.stage(document, edit, self.configured_names, floor)
 
     def await_document(self, revision):
@@ -532,8 +534,8 @@
         """Return the live hosts that have not confirmed a revision yet."""
         return tuple(
             host
-            for host, known in sorted(self.in_force().items())
-            if known < revision
+            for host, host_revision in sorted(self.in_force().items())
+            if host_revision < revision
         )
 
     def show(self):
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -26,7 +26,7 @@
     'FirstToken',
     'JobFailed',
     'JobFinished',
-    'MoveStream',
+    'RequestMigrationTarget',
     'PeerDigest',
     'PeerPromptsPlaced',
     'PrefillDone',
@@ -42,7 +42,7 @@
 PUBLISH_INTERVAL_S = 1.0
 CACHE_WAIT_S = 10.0
 CACHE_RETRY_INTERVAL_S = 1.0
-CHANGES_KEPT = 20
+MAX_CHANGES_KEPT = 20
 #: Predicted prefill time from which a prompt is announced to other nodes, in
 #: seconds; an announcement of a shorter one would cost more than it saves.
 MIN_ANNOUNCED_PREFILL_S = 0.03
@@ -60,7 +60,7 @@
 
 
 class SubmitJob(mailbox.Ask):
-    """Asks for a job to be placed; the reply is ``Dispatch`` or ``Refuse``.
+    """Request to place a job; the reply is ``Dispatch`` or ``Refuse``.
 
     :param job: the :class:`magnoliadyke.core.jobs.Job` to place
     """
@@ -74,7 +74,7 @@
 class JobFailed(mailbox.Ask):
     """Reports a failed attempt; the reply is ``Dispatch`` or ``Refuse``.
 
-    ``Dispatch`` asks for one more attempt.
+    ``Dispatch`` means one more attempt, on the endpoint that it names.
 
     :param failed: :class:`magnoliadyke.core.jobs.Failed`
     """
@@ -85,8 +85,8 @@
         self.failed = failed
 
 
-class MoveStream(mailbox.Ask):
-    """Asks for another engine for a running stream; the reply is its name.
+class RequestMigrationTarget(mailbox.Ask):
+    """Request for another engine for a running stream; the reply is its name.
 
     The reply is ``''`` when no other engine accepts requests.
     """
@@ -108,7 +108,7 @@
 
 
 class CancelJob(typing.NamedTuple):
-    """Asks the scheduler to drop a job that is queued or running."""
+    """Request to drop a job that is queued or running."""
 
     job_id: str
 
@@ -143,7 +143,7 @@
 
 
 class TakeSnapshot(mailbox.Ask):
-    """Asks for a :class:`magnoliadyke.core.snapshot.Snapshot` to display."""
+    """Request for a :class:`magnoliadyke.core.snapshot.Snapshot`."""
 
 
 class CrashReported(typing.NamedTuple):
@@ -255,7 +255,7 @@
 class Dispatcher(mailbox.Task):
     """Owns the scheduler, polls endpoints and places jobs on them.
 
-    Runs ask it with :class:`SubmitJob` and :class:`JobFailed`; the node
+    Runs send it :class:`SubmitJob` and :class:`JobFailed`; the node
     posts it the :class:`PeerDigest` and :class:`PeerPromptsPlaced` messages
     of its peers. It publishes two topics each second: ``digest`` (the node's
     own scheduler digest, for gossip) and ``demand`` (:class:`Demands`, for
@@ -297,7 +297,7 @@
         self.pending = {}
         self.changing = {}
         self.changes = collections.defaultdict(
-            lambda: collections.deque(maxlen=CHANGES_KEPT)
+            lambda: collections.deque(maxlen=MAX_CHANGES_KEPT)
         )
         self.pollers = []
         self.published_s = 0.0
@@ -378,7 +378,7 @@
             case JobFailed(job_id=job_id, failed=failed):
                 self.pending[job_id] = message
                 return core.record_result(job_id, failed, now_s)
-            case MoveStream():
+            case RequestMigrationTarget():
                 return self.move_stream(message, now_s)
             case JobFinished(job_id, result):
                 return core.record_result(job_id, result, now_s)
@@ -398,7 +398,7 @@
                 return self.apply_fleet_update(message, now_s)
 
     def move_stream(self, message, now_s):
-        """Reply with a target engine for a stream, and record the move."""
+        """Reply with a target engine for a stream; record the migration."""
         core = self.scheduler
         name = migrationtarget.choose_target(
             core.runs, core.pools, message.job_id, now_s
--- a/magnoliadyke/endpoint.py
+++ b/magnoliadyke/endpoint.py
@@ -40,8 +40,9 @@
     :param prefill_s: timeout for each read of a prefill response
     :param service_s: timeout of a call of a plain service
     :param control_s: timeout for each read of polls, cancels and exports
-    :param answer_bytes: longest response body
-    :param idle_connections: most idle connections kept for an address
+    :param answer_bytes: maximum size of a response body
+    :param idle_connections: maximum number of idle connections kept for an
+        address
     """
 
     connect_s: float = 1.0
@@ -301,7 +302,7 @@
         """
         return Connection(self.address, self.settings.connect_s)
 
-    def take(self):
+    def reuse_or_open(self):
         """Return a connection idle for at most ``idle_s``, or a new one."""
         oldest_s = self.clock.now_s() - self.settings.idle_s
         while self.idle:
@@ -324,7 +325,7 @@
         self.idle.append(connection)
 
     def mark_suspect(self):
-        """Suspect all connections to this address after one went silent.
+        """Mark the connections to this address as suspect: one went silent.
 
         A firewall or proxy in between that dropped one connection may have
         dropped others. Idle ones are closed, so the next request opens a new
@@ -352,7 +353,7 @@
         :raises EndpointUnreachable: ``sent`` says whether a byte may have
             arrived
         """
-        connection = self.open() if fresh else self.take()
+        connection = self.open() if fresh else self.reuse_or_open()
         data = request_bytes(method, path, self.address, headers, body)
         try:
             connection.send(method, data)
@@ -375,7 +376,7 @@
         :raises EndpointUnreachable: ``sent`` says whether a byte may have
             arrived
         """
-        connection = self.open() if fresh else self.take()
+        connection = self.open() if fresh else self.reuse_or_open()
         data = request_bytes(method, path, self.address, headers, body)
         try:
             connection.send(method, data)
@@ -432,7 +433,7 @@
 
     @abc.abstractmethod
     def complete(self, work, headers, fresh):
-        """Start an answer; return a :class:`StreamReply`.
+        """Start a completion; return a :class:`StreamReply`.
 
         :param work: request body as a dict
         :param headers: pairs of name and value
@@ -457,7 +458,7 @@
 
     @abc.abstractmethod
     def export(self, attempt):
-        """Stop an answer so that another engine can continue it.
+        """Stop a completion so that another engine can continue it.
 
         :param attempt: id with which the answer was started
         :return: handle of its KV cache as a dict, None if it does not run
@@ -568,7 +569,7 @@
         )
 
     def complete(self, work, headers, fresh):
-        """Start an answer; return a :class:`StreamReply`."""
+        """Start a completion; return a :class:`StreamReply`."""
         return self.connections.stream(
             'POST',
             '/v1/completions',
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -22,7 +22,7 @@
 
 SECRET_BYTES = 16
 DIGEST_DIGITS = 24
-#: How long a run without followers is kept for its caller to resume.
+#: How long a run without subscribers is kept for its caller to resume.
 LINGER_S = 5.0
 #: Prefix of record names of foreign keys.
 FOREIGN = 'foreign:'
@@ -73,7 +73,8 @@
     record and is the only one to run it. Other nodes relay to it. A node
     that stops hands its records to a successor, which adopts that home.
 
-    :param parts: :class:`magnoliadyke.requestdependencies.RequestDependencies`
+    :param dependencies:
+        :class:`magnoliadyke.requestdependencies.RequestDependencies`
     :param runner: :class:`magnoliadyke.streams.Streams`
     :param refusal_for: called with the customer's name; returns ``NotRun``
         when this node accepts no new requests, or None
@@ -82,15 +83,15 @@
     :ivar runs: runs of this node that have not ended, by key
     """
 
-    def __init__(self, parts, runner, refusal_for, reports):
-        host, incarnation = parts.host, parts.incarnation
-        self.settings = parts.settings
+    def __init__(self, dependencies, runner, refusal_for, reports):
+        host, incarnation = dependencies.host, dependencies.incarnation
+        self.settings = dependencies.settings
         self.host = host
         self.incarnation = incarnation
         self.name = tickets.home_name(host, incarnation)
-        self.clock = parts.clock
-        self.rng = parts.rng
-        self.table = parts.table
+        self.clock = dependencies.clock
+        self.rng = dependencies.rng
+        self.table = dependencies.table
         self.streams = runner
         self.refusal_for = refusal_for
         self.reports = reports
@@ -100,16 +101,19 @@
             record_settings(self.settings.limits)
         )
         self.claiming = claiming.ClaimTask(
-            self.name, parts.store, self.settings.keyvalue.prefix, self.clock
+            self.name,
+            dependencies.store,
+            self.settings.keyvalue.prefix,
+            self.clock,
         )
         self.home_directory = homedirectory.HomeDirectory(
-            self.name, host, parts.members, self.clock, self.rng
+            self.name, host, dependencies.members, self.clock, self.rng
         )
         self.handover = handover.Handover(
             self.issuer,
             incarnation,
             self.records,
-            parts.peers,
+            dependencies.peers,
             self.home_directory,
             self.clock,
         )
@@ -134,28 +138,33 @@
         if key.home == self.name:
             if not self.issuer.accepts(key):
                 return Settled(BAD_TICKET)
-            return self.open(request, key.raw, key.issued_s)
+            return self.run_or_follow(request, key.raw, key.issued_s)
         adopted = self.handover.adopted.get(key.home)
         if adopted is not None:
             if not adopted.issuer.accepts(key):
                 return Settled(BAD_TICKET)
             issued_s = key.issued_s + adopted.shift_s
-            return self.open(request, key.raw, issued_s, adopted.floor_s)
+            return self.run_or_follow(
+                request, key.raw, issued_s, adopted.floor_s
+            )
         return self.route_elsewhere(request, key.raw, key.home)
 
     def route_own(self, request):
         """Run a request that has no key, and so can't be resent."""
         now_s = self.clock.now_s()
         key = f'{self.issuer.issue(now_s)}/0'
-        return self.open(request, key, now_s)
+        return self.run_or_follow(request, key, now_s)
 
     def route_foreign(self, request):
         """Claim a foreign key in the store, or route it to its owner."""
         digest = claims.claim_digest(request.customer, request.key)
         key = FOREIGN + digest
         if key in self.records.records:
-            return self.open(request, key, self.clock.now_s())
-        if self.handover.sealed is not None and self.handover.wait():
+            return self.run_or_follow(request, key, self.clock.now_s())
+        if (
+            self.handover.first_transfer_ended is not None
+            and self.handover.wait_for_transfer()
+        ):
             # A claim made now would name this home, which is stopping.
             return self.relay_to_successor(request, request.key)
         match self.claim(digest):
@@ -182,7 +191,7 @@
         )
         if not isinstance(found, records.New):
             return self.route_recorded(found, key)
-        if self.handover.sealed is not None:
+        if self.handover.first_transfer_ended is not None:
             return self.run_here(request, found.record)
         return self.admit(request, found.record)
 
@@ -208,7 +217,7 @@
         :param owner: home that the claim names
         """
         if key in self.records.records:
-            return self.open(request, key, self.clock.now_s())
+            return self.run_or_follow(request, key, self.clock.now_s())
         if owner != self.name and self.home_directory.reachable_member(owner):
             return self.relay(request, request.key, owner)
         return Settled(records.ANSWER_GONE)
@@ -220,23 +229,23 @@
         :param home: ``HOST.INCARNATION`` of the key's home
         """
         if key in self.records.records:
-            return self.open(request, key, self.clock.now_s())
+            return self.run_or_follow(request, key, self.clock.now_s())
         if self.home_directory.locate(home) is None:
-            return self.home_gone(request, key)
+            return self.handle_home_gone(request, key)
         return self.relay(request, key, home)
 
-    def home_gone(self, request, key):
+    def handle_home_gone(self, request, key):
         """Handle a request whose home ended without a successor.
 
         A repeatable request runs here; the outcome of any other is unknown.
         """
         if not request.repeatable:
             return Settled(HOME_GONE)
-        return self.open(request, key, self.clock.now_s())
+        return self.run_or_follow(request, key, self.clock.now_s())
 
     # Runs of this node.
 
-    def open(self, request, key, issued_s, floor_s=records.NO_FLOOR):
+    def run_or_follow(self, request, key, issued_s, floor_s=records.NO_FLOOR):
         """Look a key up in this node's records; run it when it is new.
 
         :param key: name of the record
@@ -281,7 +290,7 @@
 
     def admit(self, request, record):
         """Run a new request, unless this node accepts no new requests."""
-        if self.handover.sealed is not None:
+        if self.handover.first_transfer_ended is not None:
             return self.pass_on(request, record)
         refusal = self.refusal_for(request.customer)
         if refusal is not None:
@@ -319,7 +328,7 @@
         successor and run there.
         """
         self.records.forget(record)
-        successor = self.handover.wait()
+        successor = self.handover.wait_for_transfer()
         if not successor:
             self.records.insert(record)
             self.record_refusal(request, record, NO_SUCCESSOR)
@@ -445,7 +454,7 @@
                 self.records.settle(record, run.outcome)
 
     def on_follower_left(self, run, has_key):
-        """Abandon a run whose last follower has left.
+        """Abandon a run whose last subscriber has left.
 
         With a key the caller can resume, so the run is kept for
         ``LINGER_S``. A request that may not be repeated runs to its end, so
@@ -465,7 +474,7 @@
     # Requests at other homes.
 
     def relay(self, request, key, home, offset=0, resume_only=False):
-        """Send a request to its home, and follow it there.
+        """Relay a request to its home, and receive its output from there.
 
         :param key: key to send if the request has none; a foreign key is
             sent as the caller made it
@@ -502,11 +511,11 @@
         return Following(run, sent_key)
 
     def on_relay_end(self, run):
-        """Drop a relay that ended."""
+        """Remove a relay that has ended."""
         self.relays.discard(run)
 
     def recorded_outcome(self, lost_relay):
-        """Return the recorded end of a request that a relay followed.
+        """Return the recorded outcome of a request that a relay had sent.
 
         Its home may have stopped and sent the outcome to this node, its
         successor.
@@ -555,10 +564,10 @@
         run.main()
         return run.outcome
 
-    def find(self, request, offset):
+    def find_answer(self, request, offset):
         """Find the answer that a caller wants to resume.
 
-        :param request: :class:`forms.ModelRequest` with a key and empty
+        :param request: :class:`caller_codec.ModelRequest` with a key and empty
             ``work``
         :param offset: output tokens that the caller has already
         :return: :class:`Following`, :class:`KeptAnswer` or :class:`Settled`
@@ -601,11 +610,11 @@
         self.claiming.start()
 
     def stop(self):
-        """Stop that task and close the connections to other nodes."""
+        """Stop the claim task and close the connections to other nodes."""
         self.claiming.stop()
         self.home_directory.close()
 
-    def take_records(self, host, incarnation, lines, last):
+    def receive_records(self, host, incarnation, lines, last):
         """Take over records of a host that is stopping.
 
         :param lines: JSON lines, each as bytes
@@ -614,11 +623,11 @@
             since it is stopping or accepts no new requests
         """
         if (
-            self.handover.sealed is not None
+            self.handover.first_transfer_ended is not None
             or self.refusal_for('') is not None
         ):
             return None
-        return self.handover.take(host, incarnation, lines, last)
+        return self.handover.receive_batch(host, incarnation, lines, last)
 
     def hand_over(self):
         """Send all records to a successor; new keys run there from then on.
@@ -633,7 +642,7 @@
             and member.takes_work
         ]
         self.rng.shuffle(candidates)
-        self.handover.begin(candidates)
+        self.handover.start_transfer(candidates)
         return self.handover.successor
 
     def successor_of(self, home):
@@ -667,7 +676,7 @@
 
 
 def abandon_unfollowed(run):
-    """Abandon a run that still has no follower."""
+    """Abandon a run that still has no subscriber."""
     if not run.subscribers:
         run.abandon()
 
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -64,8 +64,8 @@
 class StateAnswered(typing.NamedTuple):
     """State and load of an engine.
 
-    :param reading: :class:`magnoliadyke.enginecontrol.Reading`, or None if
-        the engine could not be read
+    :param reading: :class:`magnoliadyke.enginecontrol.EngineReading`, or None
+        if the engine could not be read
     """
 
     pool: str
@@ -76,8 +76,8 @@
 class CommandAnswered(typing.NamedTuple):
     """An engine's answer to a command.
 
-    :param verdict: :class:`magnoliadyke.enginecontrol.Verdict`, or None if
-        the outcome of the command is unknown
+    :param verdict: :class:`magnoliadyke.enginecontrol.CommandReply`, or None
+        if the outcome of the command is unknown
     """
 
     pool: str
@@ -103,7 +103,7 @@
 
     :param settings: its :class:`magnoliadyke.settings.EndpointSettings`
     :param control: an :class:`magnoliadyke.enginecontrol.EngineControl`
-    :ivar reading: last :class:`magnoliadyke.enginecontrol.Reading`, None
+    :ivar reading: last :class:`magnoliadyke.enginecontrol.EngineReading`, None
         before the first one and after a failed one
     :ivar read_s: monotonic time of the last successful reading, or None
     :ivar draining_since_s: monotonic time at which the drain started, None
@@ -135,7 +135,7 @@
             self.role = reading.state.role
 
     def is_in_unintended_role(self):
-        """Whether the engine has another role than was last ordered.
+        """Whether the engine has another role than the last command requested.
 
         It will be commanded to switch back. If the planner counted it in its
         present role, it would switch another engine to replace it, and after
@@ -182,10 +182,10 @@
         self.short_since_s = None
         self.holds_lease = False
 
-    # Time.
+    # Timers.
 
     def tick(self, now_s, contending):
-        """Renew or claim the lease, drive the engines' commands, and plan.
+        """Renew or claim the lease, advance the engines' commands, and plan.
 
         :param contending: whether this node stands for election
         """
@@ -352,7 +352,7 @@
                 reason=self.planner.reason,
             )
 
-    # Models.
+    # Loading of models.
 
     def load_models(self, now_s):
         """Load the pool's model on one engine that lacks it.
@@ -427,7 +427,7 @@
                 self.handle_change_failed(engine, change, reason)
 
     def handle_settled(self, engine, change, generation, corrected):
-        """Return an engine to use whose change is complete, and record it."""
+        """Return an engine to use after its change; record the change."""
         self.return_to_use(engine)
         LOG.event(
             'engine_settled',
@@ -446,7 +446,7 @@
                 )
 
     def handle_change_failed(self, engine, change, reason):
-        """Return an engine to use whose change failed."""
+        """Return an engine to use after its change has failed."""
         self.return_to_use(engine)
         LOG.warning_event(
             'engine_change_failed',
@@ -479,7 +479,7 @@
     def take_out_of_use(self, engine, change, now_s):
         """Start to drain the engine before a role change.
 
-        Model loads need no drain and go on at once.
+        A model load needs no drain and continues at once.
         """
         if change.kind != 'role':
             for action in engine.commands.record_engine_drained(now_s):
@@ -576,7 +576,7 @@
             )
         self.task.post(CommandAnswered(self.name, engine.name, verdict))
 
-    # Answers.
+    # Outcomes of calls to the store and to engines.
 
     def handle_lease_answer(self, answer, now_s):
         """Pass the outcome of a store call to the lease."""
@@ -630,7 +630,7 @@
         """Pass the engine's verdict on a command to its commands."""
         engine = self.engines[answer.engine]
         match answer.verdict:
-            case enginecontrol.Verdict(code, highest):
+            case enginecontrol.CommandReply(code, highest):
                 actions = engine.commands.record_command_answer(
                     now_s, code, highest
                 )
@@ -662,7 +662,7 @@
             self.lease.release()
 
     def status(self, now_s):
-        """Return the pool's status as far as this node has a record of it."""
+        """Return the pool's status, from the records of this node."""
         value = self.lease.value
         return poolstatus.PoolStatus(
             self.name,
