--- a/magnoliadyke/lab/platformcaller.py
+++ b/magnoliadyke/lab/platformcaller.py
@@ -279,16 +279,16 @@
     unrepeatable = request.kind in platformcheck.UNREPEATABLE_KINDS
     method = 'POST' if unrepeatable else 'GET'
     lines = [
-        f'{method} /{one.kind}/{rng.randrange(20)} HTTP/1.1',
+        f'{method} /{request.kind}/{rng.randrange(20)} HTTP/1.1',
         f'Host: {platformrecords.SITE}',
-        f'X-Request-Id: {one.id}',
+        f'X-Request-Id: {request.id}',
     ]
     wait_ms = round(request.wait_s * 1000)
     if wait_ms != platformfleet.ROUTE_TIMEOUT_MS:
         lines.append(f'X-Deadline-Ms: {wait_ms}')
     body = b''
     if unrepeatable:
-        body = f'order {one.id}'.encode()
+        body = f'order {request.id}'.encode()
         lines.append(f'Content-Length: {len(body)}')
     if request.kind in platformcheck.STREAM_KINDS:
         lines += _prompt(rng)
--- a/magnoliadyke/lab/platformcheck.py
+++ b/magnoliadyke/lab/platformcheck.py
@@ -20,7 +20,7 @@
     'Stop',
     'CallerRequest',
     'check',
-    'late',
+    'late_requests',
 ]
 
 #: Statuses that say that a request has not run and will not.
@@ -194,10 +194,12 @@
 
 
 def _check_answers(evidence: Evidence) -> Iterable[Violation]:
-    expected = stream(evidence.events)
+    expected = expected_stream(evidence.events)
     for request in evidence.requests:
         if request.status in UNEXPECTED_STATUSES:
-            yield _violation(request, 'proper requests pass', f'{one.status}')
+            yield _violation(
+                request, 'proper requests pass', f'{request.status}'
+            )
         if request.status != 200:
             continue
         if not request.sealed:
@@ -205,7 +207,7 @@
                 request, 'own answers are no success', 'no signature'
             )
         if request.kind in SINGLE_BODY_KINDS:
-            own = f'answer to {one.id}'.encode()
+            own = f'answer to {request.id}'.encode()
             if request.complete and request.body != own:
                 yield _violation(
                     request, 'answers are whole', repr(request.body[:80])
@@ -228,10 +230,12 @@
         if request.kind not in UNREPEATABLE_KINDS:
             continue
         if runs[request.id] > 1:
-            yield _violation(request, 'at most once', f'{runs[one.id]} runs')
+            yield _violation(
+                request, 'at most once', f'{runs[request.id]} runs'
+            )
         if request.status in NOT_RUN and runs[request.id]:
             yield _violation(
-                request, '"not run" is true', f'{one.status}, but ran'
+                request, '"not run" is true', f'{request.status}, but ran'
             )
     for unsent_id in runs.keys() - sent_ids:
         text = 'ran, and nobody asked'
@@ -266,7 +270,9 @@
         if stops and not runs[request.id]:
             # It crossed the close of its connection.
             continue
-        yield _violation(request, 'each request is answered', f'{one.status}')
+        yield _violation(
+            request, 'each request is answered', f'{request.status}'
+        )
 
 
 def _overlapping_disturbances(
@@ -312,7 +318,7 @@
             ):
                 continue
             after_s = request.sent_s - stop.at_s
-            text = f'{one.status}, sent {after_s:.2f} s after the word'
+            text = f'{request.status}, sent {after_s:.2f} s after the word'
             yield _violation(
                 request, 'stopping hosts end what they take', text
             )
@@ -451,5 +457,5 @@
 
 
 def _violation(request: CallerRequest, promise: str, text: str) -> Violation:
-    at = f'{one.kind} at {one.host}'
+    at = f'{request.kind} at {request.host}'
     return Violation(promise, request.sent_s, (request.id,), f'{at}: {text}')
--- a/magnoliadyke/lab/platformday.py
+++ b/magnoliadyke/lab/platformday.py
@@ -502,11 +502,11 @@
         for request in evidence.requests
     )
     print(
-        f'{len(seen.tries)} requests, {whole} answered whole, '
-        f'{refused} not run, {len(found)} promises broken'
+        f'{len(evidence.requests)} requests, {complete_count} answered whole, '
+        f'{refused} not run, {len(violations)} promises broken'
     )
     late = platformcheck.late_requests(evidence)
-    print(f'{len(seen.stops)} stops, {len(late)} requests late in them')
+    print(f'{len(evidence.stops)} stops, {len(late)} requests late in them')
     begun_s = min(
         (request.sent_s for request in evidence.requests), default=0.0
     )
--- a/magnoliadyke/lab/platformfleet.py
+++ b/magnoliadyke/lab/platformfleet.py
@@ -149,7 +149,7 @@
     def add_endpoint(self, service: str, stage: str) -> str:
         """Start an endpoint and list it; returns its id."""
         self.endpoint_count += 1
-        name = f'{service}-{stage or "plain"}-{self.starts}'
+        name = f'{service}-{stage or "plain"}-{self.endpoint_count}'
         self._start_endpoint(name, service, stage)
         return name
 
@@ -240,7 +240,9 @@
             if self.is_ready(host):
                 return
             gevent.sleep(0.05)
-        raise cluster.NotReady(f'{host} is not ready after {READY_S} s')
+        raise cluster.NotReady(
+            f'{host} is not ready after {READY_TIMEOUT_S} s'
+        )
 
     def is_ready(self, host: str) -> bool:
         """Whether a node says that it takes requests."""
