--- a/magnoliadyke/lab/platformcaller.py
+++ b/magnoliadyke/lab/platformcaller.py
@@ -1,4 +1,4 @@
-"""Callers of the platform that keep connections and try again."""
+"""Callers of the platform that reuse connections and pause after refusals."""
 
 import json
 import random
@@ -16,37 +16,42 @@
 
 KINDS = ('safe', 'unsafe', 'once', 'chat')
 KIND_WEIGHTS = (4, 3, 2, 3)
-#: Of callers with long work.
+#: Kinds of requests, and their weights, of callers with long work.
 LASTING_KINDS = ('safe', 'unsafe', 'slow', 'long')
 LASTING_WEIGHTS = (2, 1, 2, 4)
 LONG_KINDS = ('slow', 'long')
-#: The time that they give to all else, in milliseconds.
+#: Deadline that callers with long work set for their other requests.
 SHORT_DEADLINE_MS = 1000
-#: Their pause between two requests, in seconds, at most.
+#: Longest pause of callers with long work between two requests, in addition
+#: to that of all callers, in seconds.
 MAX_LASTING_PAUSE_S = 3.0
-#: Connections that are kept to a host that is told to stop; each is used once,
-#: all through its grace time.
+#: Connections that are held open to a host that is told to stop.  Each is
+#: used once; the requests are spread over the grace period of the stop.
 HELD_CONNECTIONS = 12
-#: They keep an answer of the directory for so many times its time to live,
-#: and longer while it does not answer.
+#: Callers with long work use an answer of the directory for its time to live
+#: multiplied by this factor, and longer while the directory does not answer.
 TTL_FACTOR = 3
-#: Pause between two requests of a caller, in seconds, at most.
+#: Longest pause between two requests of a caller, in seconds.
 MAX_PAUSE_S = 0.1
-#: How long a caller waits for an answer, in seconds: more than a route's
-#: time, so that the host ends each request first.
+#: Time without a byte from the host after which a caller closes the
+#: connection, in seconds: longer than the timeout of any route, so that the
+#: host ends each request first.
 ANSWER_TIMEOUT_S = 6.0
 CONNECT_TIMEOUT_S = 1.0
-#: Longest pause that a caller makes when told to come back later.
+#: Longest additional pause of a caller after a refusal, in seconds.
 MAX_RETRY_PAUSE_S = 1.0
 SHARED_PROMPTS = 4
 
 
 class Callers:
-    """Callers at work.
-
-    :param lasting: callers with long work that go by old answers of the
-        directory, beside the others
-    :ivar tries: all their requests, in the order of their sending
+    """Callers that send requests to the hosts of a fleet.
+
+    :param count: number of callers that choose among all hosts
+    :param lasting: number of additional callers with long work, which use
+        outdated answers of the directory
+    :ivar requests: requests of all callers, in the order of their sending
+    :ivar held_count: connections that were opened by
+        :meth:`hold_connections`
     """
 
     def __init__(
@@ -72,12 +77,16 @@
         ]
 
     def start(self) -> None:
-        """Begin to call."""
+        """Start all callers."""
         for greenlet in self.greenlets:
             greenlet.start()
 
     def hold_connections(self, host: str) -> None:
-        """Use connections to a host until its process is gone."""
+        """Open connections to a host that is about to be stopped.
+
+        Each sends one long request during the grace period of the stop, if
+        the host has not closed it by then.
+        """
         for number in range(HELD_CONNECTIONS):
             connection = self._connect(host)
             if connection is not None:
@@ -107,7 +116,7 @@
         connection.close()
 
     def stop(self) -> None:
-        """Let each end its request, then no more."""
+        """Wait until each caller has ended its present request, and end."""
         self.stopped = True
         gevent.joinall(self.greenlets, raise_error=True)
 
@@ -185,22 +194,22 @@
         try:
             return _Connection(host, self.fleet.callers_address(host))
         except OSError:
-            # Nobody listens there just now; callers go to another host.
+            # The host does not listen at present; the caller tries another.
             return None
 
 
 class _Directory:
-    """What one caller knows of the hosts."""
+    """Hosts of the last answer of the directory that one caller received."""
 
     def __init__(self, fleet: platformfleet.Fleet, rng: random.Random) -> None:
         self.fleet = fleet
         self.rng = rng
         self.cached_hosts = fleet.hosts()
-        self.until_s = 0.0
+        self.refresh_at_s = 0.0
 
     def pick(self) -> str:
-        """The host for the next connection."""
-        if time.monotonic() >= self.until_s:
+        """Choose the host of the next connection; refresh the list if due."""
+        if time.monotonic() >= self.refresh_at_s:
             self._refresh(self.rng.choice(self.cached_hosts))
         return self.rng.choice(self.cached_hosts)
 
@@ -230,7 +239,7 @@
                 if '%s:%d' % self.fleet.callers_address(each) in addresses
             ]
             self.cached_hosts = cached_hosts or self.cached_hosts
-            self.until_s = time.monotonic() + TTL_FACTOR * answer['ttl_s']
+            self.refresh_at_s = time.monotonic() + TTL_FACTOR * answer['ttl_s']
 
 
 class _Connection:
@@ -243,7 +252,7 @@
         self.reader = http.AnswerReader(self.sock)
 
     def is_open(self) -> bool:
-        """Whether the host has not closed it."""
+        """Whether the host has neither closed it nor sent anything."""
         return http.is_quiet(self.sock)
 
     def close(self) -> None:
@@ -253,8 +262,9 @@
     def exchange(
         self, request: platformcheck.CallerRequest, rng: random.Random
     ) -> bool:
-        """Send a request and read its answer.
+        """Send a request, and record its answer in it.
 
+        :param rng: source of the target and the prompt
         :returns: whether the connection can be used again
         """
         try:
@@ -267,7 +277,7 @@
             request.complete = True
             return head.reusable
         except (OSError, http.BrokenMessage, http.PeerClosed):
-            # What the caller got says the rest.
+            # The request records how much of the answer was received.
             return False
         finally:
             request.ended_s = time.monotonic()
@@ -296,7 +306,10 @@
 
 
 def _prompt(rng: random.Random) -> list[str]:
-    """Headers of a prompt: short ones, and long ones that share a part."""
+    """Headers of a prompt.
+
+    Six of ten prompts begin with one of a few long parts, which they share.
+    """
     parts = [(rng.getrandbits(30) + 100, rng.choice((40, 900)))]
     if rng.random() < 0.6:
         parts.insert(0, (rng.randrange(SHARED_PROMPTS) + 1, 4000))
--- a/magnoliadyke/lab/platformcheck.py
+++ b/magnoliadyke/lab/platformcheck.py
@@ -92,7 +92,7 @@
     """A time in which something may fail.
 
     :param what: a host, 'endpoints', or 'store'
-    :param stopping: the host was told to stop; it may not lose requests
+    :param stopping: the host was informed to stop; it may not lose requests
     """
 
     what: str
@@ -109,7 +109,7 @@
 
 
 class Stop(NamedTuple):
-    """A host that was told to stop.
+    """A host that was informed to stop.
 
     :param at_s: when
     :param gone_s: when its process had ended
@@ -144,9 +144,9 @@
     :param calm_s: from here on nothing was disturbed any more
     :param events: of each stream
     :param ended: exit status of nodes that ended by themselves
-    :param unstopped: hosts that did not stop in time when told to
+    :param unstopped: hosts that did not stop in time when informed to
     :param unready: hosts that did not become ready after a start
-    :param stops: hosts that were told to stop
+    :param stops: hosts that were informed to stop
     """
 
     requests: list[CallerRequest]
@@ -207,8 +207,8 @@
                 request, 'own answers are no success', 'no signature'
             )
         if request.kind in SINGLE_BODY_KINDS:
-            own = f'answer to {request.id}'.encode()
-            if request.complete and request.body != own:
+            expected_body = f'answer to {request.id}'.encode()
+            if request.complete and request.body != expected_body:
                 yield _violation(
                     request, 'answers are whole', repr(request.body[:80])
                 )
@@ -376,7 +376,7 @@
 def _check_announcement(
     evidence: Evidence,
     host: str,
-    told: CallerRequest,
+    informed: CallerRequest,
     announcing: platformendpoint.Arrival,
     pairs: list[tuple[CallerRequest, platformendpoint.Arrival]],
 ) -> Iterable[Violation]:
@@ -384,18 +384,18 @@
 
     :param pairs: all that the host sent it
     """
-    if announcing.leaving_announced and announcing.ended and told.complete:
+    if announcing.leaving_announced and announcing.ended and informed.complete:
         late = [
             request.id
             for request, arrival in pairs
-            if request.sent_s > told.ended_s + LEAVING_DEADLINE_S
+            if request.sent_s > informed.ended_s + LEAVING_DEADLINE_S
             and not _was_disturbed(
                 evidence, host, announcing.at_s, arrival.at_s
             )
         ]
         if late:
             yield _violation(
-                told, 'hosts keep a leave they heard of', f'{late}'
+                informed, 'hosts keep a leave they heard of', f'{late}'
             )
     if announcing.backoff_s:
         until_s = announcing.at_s + announcing.backoff_s
@@ -407,7 +407,9 @@
         if len(within) <= MAX_REQUESTS_IN_BACKOFF:
             return
         if not _was_disturbed(evidence, host, announcing.at_s, until_s):
-            yield _violation(told, 'hosts back off when asked to', f'{within}')
+            yield _violation(
+                informed, 'hosts back off when asked to', f'{within}'
+            )
 
 
 def _was_disturbed(
--- a/magnoliadyke/lab/platformcloud.py
+++ b/magnoliadyke/lab/platformcloud.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's own interface, over HTTP on loopback."""
+"""Stand-in for the platform's own API, over HTTP on loopback."""
 
 import json
 import time
@@ -13,15 +13,20 @@
 
 __all__ = ['Call', 'PlatformCloudStandIn']
 
-#: Longest wait of a call that is not answered, in seconds.
+#: In the mode 'silent' the connection is closed after this time, in seconds.
 SILENT_S = 30.0
 JSON_HEADERS = [(b'Content-Type', b'application/json')]
 
 
 class Call(NamedTuple):
-    """A call that was carried out.
-
-    :param subject: what the holder's turn is judged by
+    """A request that was executed.
+
+    :param at_s: monotonic seconds of the execution
+    :param holder: host that sent the request, as its header says
+    :param fencing: fencing token of the request, 0 if it had none
+    :param subject: what the lease of the holder covers: 'usage', or the
+        service and failure domain that are scaled.  Fencing tokens of one
+        subject may not fall.
     """
 
     at_s: float
@@ -33,13 +38,15 @@
 
 
 class PlatformCloudStandIn(httpstandin.HttpStandIn):
-    """Takes usage reports and orders of endpoints; faults are attributes.
-
-    :ivar mode: 'up', 'busy' (503), 'limited' (429), 'reset' or 'silent'
-    :ivar lose_answers: calls are carried out and not answered
-    :ivar delay_s: each call takes this much longer
-    :ivar scarce: domains in which none of the reclaimable kind is to be had
-    :ivar calls: those that were carried out
+    """Accepts usage reports and scale orders, with faults to be switched on.
+
+    :ivar mode: how requests are served: 'up', 'busy' (503), 'limited' (429),
+        'reset' (the connection is closed) or 'silent' (no answer)
+    :ivar lose_answers: requests are executed, and the connection is closed in
+        place of an answer
+    :ivar delay_s: added to the time of each request, in seconds
+    :ivar scarce: failure domains without capacity for reclaimable endpoints
+    :ivar calls: requests that were executed, in order
     """
 
     def __init__(self, address: str = '127.0.0.1:0') -> None:
@@ -51,7 +58,7 @@
         self.calls: list[Call] = []
 
     def reports(self) -> dict[int, list[dict[str, int]]]:
-        """The different counts that were reported, by window."""
+        """The distinct counts that were reported, by id of their window."""
         found: dict[int, list[dict[str, int]]] = {}
         for call in self.calls:
             if call.path == '/usage':
@@ -61,7 +68,11 @@
         return found
 
     def breaches(self) -> list[str]:
-        """What holders did that one holder at a time would not have done."""
+        """Violations of the rule of one holder at a time, as texts.
+
+        These are a window that was reported with different counts, a fencing
+        token lower than an earlier one, and a token used by two holders.
+        """
         found = [
             f'window {window} reported with {len(counts)} counts'
             for window, counts in self.reports().items()
@@ -71,9 +82,9 @@
         for call in self.calls:
             fencing, holder = latest.get(call.subject, (0, call.holder))
             if call.fencing < fencing:
-                found.append(f'{call.subject}: fencing fell')
+                found.append(f'{call.subject}: fencing token decreased')
             if call.fencing == fencing and call.holder != holder:
-                found.append(f'{call.subject}: two holders with one token')
+                found.append(f'{call.subject}: two holders used one token')
             latest[call.subject] = (call.fencing, call.holder)
         return found
 
--- a/magnoliadyke/lab/platformendpoint.py
+++ b/magnoliadyke/lab/platformendpoint.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's endpoints, over HTTP on loopback."""
+"""Stand-ins for the platform's endpoints, over HTTP on loopback."""
 
 import dataclasses
 import json
@@ -16,7 +16,7 @@
 __all__ = ['Arrival', 'EndpointStandIn']
 
 SEAL = b'x-server-seal'
-#: Closing with this option set resets the connection.
+#: Value of SO_LINGER with which close() resets the connection.
 LINGER_RESET = (1).to_bytes(4, 'little') + bytes(4)
 
 
@@ -24,13 +24,15 @@
 class Arrival:
     """One request that reached an endpoint.
 
-    :ivar run: it began to work on it
-    :ivar ended: it gave its answer to the end
-    :ivar left: the connection was closed while it worked
-    :ivar broke: it broke the request off, or failed it
-    :ivar until_s: when it worked no longer on it
-    :ivar said_leaving: the answer told that the endpoint leaves
-    :ivar backoff_s: to back off by the answer, 0 if it does not ask
+    :ivar at_s: monotonic seconds of its arrival
+    :ivar run: the endpoint began to execute it
+    :ivar ended: the endpoint sent the complete answer
+    :ivar cancelled: the host closed the connection during the execution
+    :ivar aborted: the endpoint broke off or failed the request
+    :ivar until_s: monotonic seconds at which the execution ended, infinite
+        before
+    :ivar leaving_announced: the answer announced that the endpoint leaves
+    :ivar backoff_s: backoff that the answer asked for, in seconds, 0 for none
     """
 
     at_s: float
@@ -48,34 +50,46 @@
 
     @property
     def id(self) -> bytes:
-        """The request's id."""
+        """The request's id, empty if it has none."""
         return self.headers.get(b'x-request-id', b'')
 
 
 class EndpointStandIn(httpstandin.HttpStandIn):
-    """One run of an endpoint's process.
+    """One process of an endpoint.
 
     :param stage: 'prefill' or 'decode' for an engine, '' for a plain one
-    :ivar mode: what it does with the next requests: 'ok', 'error' (500),
-        'shed' (503, not run), 'reset' (after it has begun to run), 'silent',
-        'cut' (in the middle of the answer), 'extra' (a second answer
-        follows), 'unframed' (no length; ends with the connection), 'foreign'
-        (answers with another request's id)
-    :ivar work_s: how long it works on a request
-    :ivar takes_s: how long it works on targets with a prefix, where that is
-        not the usual time
-    :ivar pause_s: between two events of a stream
-    :ivar events: of a stream
-    :ivar refuses_resumed: streams that go on are turned away
-    :ivar fails_resumed: streams that go on end in 500
-    :ivar crashes_on: body of a request that ends it when it begins it
-    :ivar started_ms: when it began, 0 if it doesn't say
-    :ivar refuses_after: runs after which everything is turned away
-    :ivar change_s: time in which it carries an order for a stage out, None
-        if it only notes orders
-    :ivar changed: called when its entry is another one
-    :ivar says_leaving: its answers tell that it leaves
-    :ivar backoff_s: to back off where it turns a request away, in seconds
+    :param domain: failure domain
+    :ivar mode: how requests are served: 'ok', 'error' (500), 'shed' (503, not
+        executed), 'reset' (the connection is reset after the execution),
+        'silent' (no answer for 60 s), 'cut' (the connection is reset or
+        closed in the middle of the answer), 'stall' (a stream pauses for 60 s
+        after ``cut_after`` events), 'extra' (a second answer follows),
+        'unframed' (no Content-Length; the answer ends with the connection),
+        'foreign' (the answer has the id of another request)
+    :ivar work_s: execution time of a request, in seconds
+    :ivar work_s_by_prefix: execution time that is added for targets with a
+        prefix, in seconds; in a stream it is spread over the events, in place
+        of ``pause_s``
+    :ivar pause_s: pause between two events of a stream, in seconds
+    :ivar events: number of events of a stream
+    :ivar cut_after: number of events before a stream is cut or stalls
+    :ivar refuses_resumed: resumed streams are refused with 503
+    :ivar fails_resumed: resumed streams end with 500
+    :ivar crash_on_body: body of a request that makes the endpoint crash
+    :ivar started_ms: start time in the endpoint's entry and reports, in
+        milliseconds since the epoch; 0 if they have none
+    :ivar max_runs: number of executions after which requests are refused
+        with 503, None for no limit
+    :ivar change_s: time until an ordered change of stage takes effect, in
+        seconds; None if orders are only recorded
+    :ivar on_change: called after the endpoint's entry has changed
+    :ivar announces_leaving: answers announce that the endpoint leaves
+    :ivar backoff_s: backoff asked for in refusals with 503, in seconds, None
+        to ask for none
+    :ivar arrivals: requests that reached the endpoint, in order
+    :ivar orders: orders for a stage, in order
+    :ivar handles: handles of KV caches that are held
+    :ivar released_handles: handles that were released, in order
     """
 
     def __init__(
@@ -116,7 +130,7 @@
         self.next_handle = 0
 
     def crash(self) -> None:
-        """End at once, with all that runs there."""
+        """End without notice, with all requests that are executed."""
         for arrival in self.runs:
             if arrival.until_s == math.inf:
                 arrival.aborted = True
@@ -124,7 +138,7 @@
         self.cut()
 
     def entry(self) -> dict:
-        """What it writes into the store."""
+        """The endpoint's entry in the store."""
         entry = {
             'service': self.service,
             'address': self.address,
@@ -143,7 +157,7 @@
 
     @property
     def runs(self) -> list[Arrival]:
-        """Requests that it began to run."""
+        """Requests whose execution has begun."""
         return [each for each in self.arrivals if each.run]
 
     # Connections.
@@ -255,7 +269,7 @@
         caller.answer(status, headers, body)
 
     def _leaving_header(self, arrival: Arrival) -> http.Headers:
-        """What each of its answers tells of itself."""
+        """Header that announces that the endpoint leaves, if it is to."""
         arrival.leaving_announced = self.announces_leaving
         return [(b'Server-Leaving', b'1')] if self.announces_leaving else []
 
--- a/magnoliadyke/lab/platformrecords.py
+++ b/magnoliadyke/lab/platformrecords.py
@@ -1,4 +1,4 @@
-"""What the operator and the platform write for a small deployment."""
+"""Configuration and node settings of a small deployment on the platform."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -28,7 +28,11 @@
 def route(
     name: str, prefix: str, kind: str, service: str | None, **fields: Any
 ) -> dict[str, Any]:
-    """A route as the operator writes it."""
+    """A route as the operator configures it.
+
+    :param kind: 'safe', 'unsafe' or 'streaming'
+    :param fields: replace or add to the defaults
+    """
     values = {
         'name': name,
         'hostname': SITE,
@@ -47,7 +51,10 @@
 
 
 def usual_routes(**fields: Any) -> list[dict[str, Any]]:
-    """One route of each kind; ``fields`` go into all of them."""
+    """Routes: safe, unsafe, a stream without retry, and a resumable stream.
+
+    :param fields: of all of the routes
+    """
     return [
         route('safe', '/safe/', 'safe', 'plain', **fields),
         route('unsafe', '/unsafe/', 'unsafe', 'plain', **fields),
@@ -66,10 +73,12 @@
     workspaces: dict[str, Sequence[str]] | None = None,
     **limits: Any,
 ) -> dict[str, Any]:
-    """A configuration as the operator writes it.
+    """A configuration as the operator writes it into the store.
 
-    :param workspaces: keys by name; None where routes need no key
-    :param limits: towards callers, where they are not the usual ones
+    :param workspaces: API keys by name of the workspace; None if requests
+        need no key
+    :param limits: on callers' connections, where they differ from the
+        defaults
     """
     tenants = {}
     if workspaces is not None:
@@ -106,9 +115,10 @@
 def node_settings(
     name: str, ip: str, store: str, **fields: Any
 ) -> dict[str, Any]:
-    """Settings of a node, as the platform fills them in.
+    """Settings of a node as the platform provides them.
 
     :param store: address of the store
+    :param fields: replace or add to the defaults
     """
     values = {
         'name': name,
--- a/magnoliadyke/lab/platformstore.py
+++ b/magnoliadyke/lab/platformstore.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's metadata store, over HTTP on loopback."""
+"""Stand-in for the platform's metadata store, over HTTP on loopback."""
 
 import base64
 import json
@@ -16,17 +16,23 @@
 
 __all__ = ['Entry', 'PlatformStoreStandIn']
 
-#: Longest wait of one watch, in seconds.
+#: Longest time that one watch is held open, in seconds.
 MAX_WATCH_S = 30.0
-#: How often ended leases are looked for, in seconds.
+#: How often expired leases are removed, in seconds.
 LEASE_CHECK_INTERVAL_S = 0.05
-#: Keys of the operator and the endpoints, which callers may not write.
+#: Prefixes of the keys of the operator and the endpoints, which clients of
+#: the store may not write.
 PROTECTED_PREFIXES = ('op/', 'servers/')
 PAGE_SIZE = 500
 
 
 class Entry(NamedTuple):
-    """An item as it was written."""
+    """An item of the store.
+
+    :param revision: of the store when the item was last written
+    :param created: revision of the store when the item was created
+    :param lease: id of the lease that the item depends on, 0 for none
+    """
 
     key: str
     value: bytes
@@ -36,7 +42,10 @@
 
 
 class Snapshot(NamedTuple):
-    """What the store held at one moment."""
+    """State of the store, from which it can be restored.
+
+    :param leases: time to live of each lease, in seconds
+    """
 
     items: dict[str, Entry]
     history: list[tuple[int, str, Entry | None]]
@@ -47,13 +56,22 @@
 
 
 class PlatformStoreStandIn(httpstandin.HttpStandIn):
-    """Items, history, leases and watches; faults are attributes.
-
-    :ivar era: rises each time that the store is restored from a copy
-    :ivar mode: 'up', 'busy' (503), 'reset' or 'silent'
-    :ivar lose_answers: transactions are done and not answered
-    :ivar delay_s: each answer takes this much longer
-    :ivar calls: paths called, in order
+    """Key-value store with leases and watches, and faults to be switched on.
+
+    :ivar items: present items by key
+    :ivar history: revision, key and item of each write since the last
+        compaction; a removal has None for the item
+    :ivar era: grows by one each time the store is restored from a snapshot
+    :ivar compacted: revision up to which the history was discarded
+    :ivar leases: time to live and expiry of each lease, in seconds, by id
+    :ivar changed: set on the next write, and replaced
+    :ivar mode: how requests are served: 'up', 'busy' (503), 'reset' (the
+        connection is closed) or 'silent' (the answer comes only after
+        :data:`MAX_WATCH_S`)
+    :ivar lose_answers: transactions are committed, and the connection is
+        closed in place of an answer
+    :ivar delay_s: added to the time of each request, in seconds
+    :ivar calls: paths of the requests that were served, in order
     """
 
     def __init__(self, address: str = '127.0.0.1:0') -> None:
@@ -75,20 +93,28 @@
     # Life cycle.
 
     def start(self) -> str:
-        """Listen; returns the address."""
+        """Start to listen.
+
+        :returns: the address
+        """
         self.greenlet = gevent.spawn(self._expire_leases)
         return super().start()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and reset all connections."""
         self.greenlet.kill()
         super().stop()
         self.cut()
 
-    # The operator's side.
+    # Direct access, without HTTP.
 
     def put(self, key: str, value: bytes | dict, lease: int = 0) -> int:
-        """Write an item as the operator or an endpoint does."""
+        """Write an item as the operator or an endpoint does.
+
+        :param value: a dictionary is written as JSON
+        :param lease: id of the lease that the item depends on, 0 for none
+        :returns: the revision of the store after the write
+        """
         if isinstance(value, dict):
             value = json.dumps(value).encode()
         self.revision += 1
@@ -101,7 +127,7 @@
         return self.revision
 
     def remove(self, key: str) -> None:
-        """Remove an item."""
+        """Remove an item, if it is there."""
         if self.items.pop(key, None) is None:
             return
         self.revision += 1
@@ -109,13 +135,13 @@
         self._notify_watches()
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the history; watches from older revisions get a 410."""
         self.compacted = self.revision
         self.history.clear()
         self._notify_watches()
 
     def snapshot(self) -> Snapshot:
-        """Copy all that the store holds."""
+        """Copy the state of the store."""
         return Snapshot(
             dict(self.items),
             list(self.history),
@@ -126,9 +152,10 @@
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Come back from a copy: revisions and leases are given out again.
+        """Go back to a snapshot, begin a new era and reset all connections.
 
-        Leases of the copy run from now.
+        Revisions and ids of leases that were assigned since the snapshot are
+        assigned again.  The leases of the snapshot are renewed.
         """
         now_s = time.monotonic()
         self.items = dict(snapshot.items)
@@ -162,7 +189,7 @@
             if entry.lease == lease:
                 self.remove(entry.key)
 
-    # Calls.
+    # Requests.
 
     def _serve_one(
         self, caller: callers.Caller, reader: http.RequestReader
@@ -216,7 +243,7 @@
             case '/api/kv-lease-end', _:
                 self._remove_lease(int(path.rsplit('/', 1)[1]))
                 return 200, {}
-        return 404, {'error': f'no call {method.decode()} {path}'}
+        return 404, {'error': f'no operation {method.decode()} {path}'}
 
     def _read(self, query: dict[str, str]) -> tuple[int, dict[str, Any]]:
         entry = self.items.get(query.get('key', ''))
@@ -262,7 +289,7 @@
         puts = body.get('set_keys') or []
         for put in puts:
             if put['key'].startswith(PROTECTED_PREFIXES):
-                return 403, {'error': 'not yours to write'}
+                return 403, {'error': 'clients may not write this key'}
             if put.get('lease') and put['lease'] not in self.leases:
                 return 404, {'error': 'no such lease'}
         expected = body.get('precondition') or []
