--- a/magnoliadyke/lab/faults.py
+++ b/magnoliadyke/lab/faults.py
@@ -157,23 +157,23 @@
         engine={'speeds': {'role_change_s': ROLE_CHANGE_S}},
         service={'work_s': SERVICE_WORK_S},
     )
-    with cluster.Cluster(document, options) as made:
+    with cluster.Cluster(document, options) as deployment:
         begun_s = time.monotonic()
-        made.start()
+        deployment.start()
         told = []
         load = evidences.WatchedLoad(
-            evidences.watched_clients(made, weights, CLIENTS, told),
-            calls_of(plan, made.settings),
+            evidences.watched_clients(deployment, weights, CLIENTS, told),
+            calls_of(plan, deployment.settings),
             visits=VISITS,
         )
-        watcher = observer.Observer(made)
+        watcher = observer.Observer(deployment)
         editors = observer.Editors(
-            made, list(weights)[-1], random.Random(plan.seed)
+            deployment, list(weights)[-1], random.Random(plan.seed)
         )
-        faults = injector.Injector(made, editors, load)
+        faults = injector.Injector(deployment, editors, load)
         # Before a host holds the lease on the planner's duty, there are no
         # commands to engines that a fault could affect.
-        made.wait_for('keyvalue', faults.holder)
+        deployment.wait_for('keyvalue', faults.holder)
         watcher.start()
         load.start()
         editors.start()
@@ -185,12 +185,14 @@
         gevent.joinall(tasks, timeout=FINISH_TIMEOUT_S)
         editors.stop()
         watcher.stop()
-        made.unrule()
-        store_calls = evidences.store_calls_s(made, begun_s)
-        statuses = made.stop()
-        seen = evidences.collect(made, load, told, watcher, editors, faults)
+        deployment.unrule()
+        store_calls = evidences.store_calls_s(deployment, begun_s)
+        statuses = deployment.stop()
+        seen = evidences.collect(
+            deployment, load, told, watcher, editors, faults
+        )
         figures = evidences.figures(
-            made, load, watcher, editors, faults, seen, store_calls
+            deployment, load, watcher, editors, faults, seen, store_calls
         )
     verdict = checker.check(seen)
     return {
--- a/magnoliadyke/lab/platformday.py
+++ b/magnoliadyke/lab/platformday.py
@@ -327,13 +327,13 @@
     def crash(self, fault: Fault) -> None:
         """Crash an endpoint with its requests, and start another one."""
         name = self._pick_endpoint(fault)
-        gone = self.fleet.endpoints[name]
+        endpoint = self.fleet.endpoints[name]
         with self._record_disturbance('endpoints'):
             self.fleet.crash_endpoint(name)
             gevent.sleep(ENTRY_EXPIRY_S)
             self.fleet.remove_entry(name)
             gevent.sleep(fault.for_s)
-            self.fleet.add_endpoint(gone.service, gone.stage)
+            self.fleet.add_endpoint(endpoint.service, endpoint.stage)
 
     def restart(self, fault: Fault) -> None:
         """Restart an endpoint under its name, without its state."""
--- a/magnoliadyke/lab/platformfleet.py
+++ b/magnoliadyke/lab/platformfleet.py
@@ -168,21 +168,21 @@
 
     def restart_endpoint(self, name: str) -> None:
         """Crash an endpoint, and start it again under the same name."""
-        gone = self.endpoints[name]
+        endpoint = self.endpoints[name]
         self.crash_endpoint(name)
-        self._start_endpoint(name, gone.service, gone.stage)
+        self._start_endpoint(name, endpoint.service, endpoint.stage)
 
     def _start_endpoint(self, name: str, service: str, stage: str) -> None:
-        made = platformendpoint.EndpointStandIn(
+        endpoint = platformendpoint.EndpointStandIn(
             name, service, stage, address=f'127.{self.run}.2.1:0'
         )
-        made.start()
-        made.pause_s = EVENT_INTERVAL_S
-        made.events = STREAM_EVENTS
-        made.work_s_by_prefix = dict.fromkeys(LONG_PREFIXES, LONG_WORK_S)
-        made.started_ms = round(time.time() * 1000)
-        self.endpoints[name] = made
-        self.store.put(f'servers/{name}', made.entry())
+        endpoint.start()
+        endpoint.pause_s = EVENT_INTERVAL_S
+        endpoint.events = STREAM_EVENTS
+        endpoint.work_s_by_prefix = dict.fromkeys(LONG_PREFIXES, LONG_WORK_S)
+        endpoint.started_ms = round(time.time() * 1000)
+        self.endpoints[name] = endpoint
+        self.store.put(f'servers/{name}', endpoint.entry())
 
     def crash_endpoint(self, name: str) -> None:
         """End an endpoint without notice; its entry stays in the store."""
