--- a/magnoliadyke/lab/platformcheck.py
+++ b/magnoliadyke/lab/platformcheck.py
@@ -14,11 +14,11 @@
 
 __all__ = [
     'MIN_SUCCESS_SHARE',
+    'CallerRequest',
     'Disturbance',
     'Evidence',
     'Leaving',
     'Stop',
-    'CallerRequest',
     'check',
     'late_requests',
 ]
--- a/magnoliadyke/lab/platformendpoint.py
+++ b/magnoliadyke/lab/platformendpoint.py
@@ -25,12 +25,12 @@
     """One request that reached an endpoint.
 
     :ivar at_s: monotonic seconds of its arrival
-    :ivar run: the endpoint began to execute it
+    :ivar run: the endpoint began to execute it; not set for prefills
     :ivar ended: the endpoint sent the complete answer
     :ivar cancelled: the host closed the connection during the execution
     :ivar aborted: the endpoint broke off or failed the request
     :ivar until_s: monotonic seconds at which the execution ended, infinite
-        before
+        until then
     :ivar leaving_announced: the answer announced that the endpoint leaves
     :ivar backoff_s: backoff that the answer asked for, in seconds, 0 for none
     """
@@ -157,7 +157,7 @@
 
     @property
     def runs(self) -> list[Arrival]:
-        """Requests whose execution has begun."""
+        """Requests whose execution has begun, without prefills."""
         return [each for each in self.arrivals if each.run]
 
     # Connections.
@@ -205,8 +205,8 @@
         if self.max_runs is not None:
             if len(self.runs) >= self.max_runs:
                 return 503
-        reads = headers.get(b'x-stage') == b'prefill'
-        if self.stage and reads != (self.stage == 'prefill'):
+        is_prefill = headers.get(b'x-stage') == b'prefill'
+        if self.stage and is_prefill != (self.stage == 'prefill'):
             return 421
         return None
 
@@ -269,7 +269,7 @@
         caller.answer(status, headers, body)
 
     def _leaving_header(self, arrival: Arrival) -> http.Headers:
-        """Header that announces that the endpoint leaves, if it is to."""
+        """Header that announces that the endpoint leaves, if it does."""
         arrival.leaving_announced = self.announces_leaving
         return [(b'Server-Leaving', b'1')] if self.announces_leaving else []
 
