--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -357,7 +357,7 @@
     client.send(b'GET')
     gevent.sleep(0.05)
     client.sock.setsockopt(
-        socket.SOL_SOCKET, socket.SO_LINGER, platformendpoint.RESET
+        socket.SOL_SOCKET, socket.SO_LINGER, platformendpoint.LINGER_RESET
     )
     client.close()
     gevent.sleep(0.05)
