--- a/magnoliadyke/lab/arguments.py
+++ b/magnoliadyke/lab/arguments.py
@@ -4,10 +4,10 @@
 
 from magnoliadyke import errors
 
-__all__ = ['read_json', 'read_text', 'whole_number']
+__all__ = ['read_json', 'read_text', 'parse_whole_number']
 
 
-def whole_number(arguments, option):
+def parse_whole_number(arguments, option):
     """The whole number that an option has.
 
     :param arguments: the command's arguments
--- a/magnoliadyke/lab/checker.py
+++ b/magnoliadyke/lab/checker.py
@@ -19,8 +19,8 @@
     'Fault',
     'Limits',
     'Run',
-    'Sample',
-    'Told',
+    'HostSample',
+    'ReportedOutcome',
     'Verdict',
     'Violation',
     'check',
@@ -32,10 +32,10 @@
 REJECTED = 'rejected'
 PAUSE = 'pause_host'
 #: A decode with an offset goes on with a run that was moved.
-FIRST_ROLES = ('prefill', 'both')
+FIRST_STAGE_KINDS = ('prefill', 'both')
 
 
-class Told(typing.NamedTuple):
+class ReportedOutcome(typing.NamedTuple):
     """What a caller was told of one key."""
 
     at_s: float
@@ -54,13 +54,13 @@
     """
 
     name: str
-    content: str
+    content_digest: str
     repeatable: bool
     sent_s: float
     ended_s: float | None
     outcome: str
     reason: str = ''
-    whole: bool = False
+    is_correct: bool = False
     poisoned: bool = False
 
 
@@ -73,7 +73,7 @@
     at_s: float
     endpoint: str
     key: str
-    content: str
+    content_digest: str
     kind: str
     offset: int = 0
 
@@ -89,13 +89,13 @@
     id: str
     target: str
     generation: int
-    fencing: int
+    fencing_token: int
     sender: str
-    taken: bool
+    accepted: bool
     checks_fencing: bool
 
 
-class Sample(typing.NamedTuple):
+class HostSample(typing.NamedTuple):
     """What a host showed of itself.
 
     :param at_s: when it was asked; what it showed is no older
@@ -104,7 +104,7 @@
     at_s: float
     host: str
     revision: int
-    takes_work: bool
+    accepts_requests: bool
 
 
 class Edit(typing.NamedTuple):
@@ -140,10 +140,10 @@
     """All that a run left behind; times are wall clock seconds."""
 
     calls: abc.Sequence[Call] = ()
-    told: abc.Sequence[Told] = ()
+    reported_outcomes: abc.Sequence[ReportedOutcome] = ()
     runs: abc.Sequence[Run] = ()
     commands: abc.Sequence[Command] = ()
-    samples: abc.Sequence[Sample] = ()
+    samples: abc.Sequence[HostSample] = ()
     edits: abc.Sequence[Edit] = ()
     departures: abc.Sequence[Departure] = ()
     faults: abc.Sequence[Fault] = ()
@@ -157,8 +157,8 @@
     :param settle_s: how long a fault may be felt after its end
     """
 
-    config_s: float = 6.0
-    leaving_s: float = 3.0
+    config_propagation_s: float = 6.0
+    leaving_grace_s: float = 3.0
     settle_s: float = 10.0
 
 
@@ -178,7 +178,7 @@
     """
 
     violations: list[Violation]
-    windows: list[Violation]
+    unpreventable: list[Violation]
 
 
 def check(evidence, limits=None):
@@ -192,14 +192,14 @@
     for promise, judge in PROMISES.items():
         for at_s, what in judge(evidence, limits):
             found.append(Violation(promise, at_s, what))
-    is_window = {v: in_window(v, evidence) for v in found}
+    is_window = {v: is_unpreventable(v, evidence) for v in found}
     return Verdict(
         [v for v in found if not is_window[v]],
         [v for v in found if is_window[v]],
     )
 
 
-def lost(evidence, limits):
+def find_lost_calls(evidence, limits):
     """Callers that wait for ever, or give up what could be repeated."""
     for call in evidence.calls:
         if not call.outcome:
@@ -213,14 +213,16 @@
                 call.ended_s,
                 f'{call.name} ended {call.outcome}: {call.reason}',
             )
-        elif call.outcome == UNKNOWN and not felt(call, evidence, limits):
+        elif call.outcome == UNKNOWN and not may_be_affected(
+            call, evidence, limits
+        ):
             yield (
                 call.ended_s,
                 f'{call.name} is unknown ({call.reason}), and nothing failed',
             )
 
 
-def felt(call, evidence, limits):
+def may_be_affected(call, evidence, limits):
     """Whether a failure may have touched a call."""
     return any(
         fault.at_s <= call.ended_s
@@ -230,57 +232,57 @@
     )
 
 
-def doubled(evidence, _limits):
+def find_duplicate_executions(evidence, _limits):
     """Calls that may not be repeated and ran twice."""
-    once = {c.content: c for c in evidence.calls if not c.repeatable}
+    once = {c.content_digest: c for c in evidence.calls if not c.repeatable}
     begun = collections.defaultdict(list)
     for run in evidence.runs:
-        if run.content in once and not run.offset:
-            begun[run.content, stage_of(run)].append(run)
+        if run.content_digest in once and not run.offset:
+            begun[run.content_digest, execution_stage(run)].append(run)
     for (content, _), runs in begun.items():
         if len(runs) > 1:
             where = ', '.join(run.endpoint for run in runs)
             yield runs[1].at_s, f'{once[content].name} ran on {where}'
 
 
-def stage_of(run):
+def execution_stage(run):
     """Prompt and output of one run may be on two engines."""
-    return 'first' if run.kind in FIRST_ROLES else run.kind
+    return 'first' if run.kind in FIRST_STAGE_KINDS else run.kind
 
 
-def truncated_or_crossed(evidence, _limits):
+def find_wrong_answers(evidence, _limits):
     """Answers that are cut short, or of another call."""
     for call in evidence.calls:
-        if call.outcome == ANSWERED and not call.whole:
+        if call.outcome == ANSWERED and not call.is_correct:
             yield (
                 call.ended_s,
                 f'{call.name} got a wrong answer: {call.reason}',
             )
 
 
-def not_run_but_ran(evidence, _limits):
+def find_false_not_run(evidence, _limits):
     """Callers that were told "not run" of something that ran."""
     ran = {run.key: run for run in evidence.runs if run.key}
-    for told in evidence.told:
+    for told in evidence.reported_outcomes:
         if told.outcome == NOT_RUN and told.key in ran:
             run = ran[told.key]
             yield told.at_s, f'{told.key} ran on {run.endpoint}'
 
 
-def effective(evidence):
+def accepted_commands(evidence):
     """Commands that an engine took, without repeats of the same."""
     seen = set()
     for command in sorted(evidence.commands, key=lambda each: each.at_s):
-        if command.taken and (command.engine, command.id) not in seen:
+        if command.accepted and (command.engine, command.id) not in seen:
             seen.add((command.engine, command.id))
             yield command
 
 
-def conflicting_commands(evidence, _limits):
+def find_conflicting_commands(evidence, _limits):
     """Two commands that each claim the same place in an engine's order."""
     places = {}
-    for command in effective(evidence):
-        place = (command.engine, command.fencing, command.generation)
+    for command in accepted_commands(evidence):
+        place = (command.engine, command.fencing_token, command.generation)
         before = places.setdefault(place, command)
         if before.target != command.target:
             yield (
@@ -290,12 +292,12 @@
             )
 
 
-def stale_command_effective(evidence, _limits):
+def find_stale_commands(evidence, _limits):
     """Commands taken after one of a later holder."""
     highest = {}
-    for command in effective(evidence):
+    for command in accepted_commands(evidence):
         before = highest.get(command.engine)
-        if before is not None and command.fencing < before.fencing:
+        if before is not None and command.fencing_token < before.fencing_token:
             yield (
                 command.at_s,
                 f'{command.engine} took {command.id} of {command.sender} '
@@ -305,7 +307,7 @@
             highest[command.engine] = command
 
 
-def in_window(violation, evidence):
+def is_unpreventable(violation, evidence):
     """Whether a stale command is the one kind that cannot be prevented.
 
     A process stopped between its last check and the system call that sends
@@ -313,7 +315,7 @@
     """
     if violation.promise != 'stale_command_effective':
         return False
-    for command in effective(evidence):
+    for command in accepted_commands(evidence):
         if command.at_s == violation.at_s and not command.checks_fencing:
             return any(
                 fault.kind == PAUSE
@@ -324,14 +326,14 @@
     return False
 
 
-def work_to_left_endpoint(evidence, limits):
+def find_work_after_departure(evidence, limits):
     """New work at an endpoint that left a while ago."""
     for departure in evidence.departures:
-        late_s = departure.at_s + limits.leaving_s
+        deadline_s = departure.at_s + limits.leaving_grace_s
         for run in evidence.runs:
             if run.endpoint != departure.endpoint or run.offset:
                 continue
-            if late_s < run.at_s < departure.back_s:
+            if deadline_s < run.at_s < departure.back_s:
                 after_s = run.at_s - departure.at_s
                 yield (
                     run.at_s,
@@ -340,14 +342,14 @@
                 )
 
 
-def cut_by_planned_change(evidence, limits):
+def find_planned_change_failures(evidence, limits):
     """Calls that suffered although only planned changes went on."""
     planned = [fault for fault in evidence.faults if fault.planned]
     for call in evidence.calls:
         hurt = call.outcome == UNKNOWN or (
-            call.outcome == ANSWERED and not call.whole
+            call.outcome == ANSWERED and not call.is_correct
         )
-        if not hurt or felt(call, evidence, limits):
+        if not hurt or may_be_affected(call, evidence, limits):
             continue
         for fault in planned:
             if fault.at_s <= call.ended_s and call.sent_s <= fault.until_s:
@@ -359,11 +361,11 @@
                 break
 
 
-def config_reverted(evidence, _limits):
+def find_reverted_config(evidence, _limits):
     """Hosts that take work with an older table than they had."""
     highest = {}
     for sample in sorted(evidence.samples, key=lambda each: each.at_s):
-        if not sample.takes_work:
+        if not sample.accepts_requests:
             continue
         before = highest.get(sample.host, 0)
         if sample.revision < before:
@@ -374,14 +376,20 @@
         highest[sample.host] = max(before, sample.revision)
 
 
-def config_late(evidence, limits):
+def find_late_config(evidence, limits):
     """Hosts that take work without an edit accepted long ago."""
     for edit in evidence.edits:
-        late_s = edit.accepted_s + limits.config_s
+        deadline_s = edit.accepted_s + limits.config_propagation_s
         hosts = set()
         for sample in evidence.samples:
-            behind = sample.revision < edit.revision and sample.takes_work
-            if behind and sample.at_s > late_s and sample.host not in hosts:
+            behind = (
+                sample.revision < edit.revision and sample.accepts_requests
+            )
+            if (
+                behind
+                and sample.at_s > deadline_s
+                and sample.host not in hosts
+            ):
                 hosts.add(sample.host)
                 yield (
                     sample.at_s,
@@ -392,14 +400,14 @@
 
 #: What each promise is called, and who judges it.
 PROMISES = {
-    'lost': lost,
-    'doubled': doubled,
-    'truncated_or_crossed': truncated_or_crossed,
-    'not_run_but_ran': not_run_but_ran,
-    'conflicting_commands': conflicting_commands,
-    'stale_command_effective': stale_command_effective,
-    'work_to_left_endpoint': work_to_left_endpoint,
-    'cut_by_planned_change': cut_by_planned_change,
-    'config_reverted': config_reverted,
-    'config_late': config_late,
+    'lost': find_lost_calls,
+    'doubled': find_duplicate_executions,
+    'truncated_or_crossed': find_wrong_answers,
+    'not_run_but_ran': find_false_not_run,
+    'conflicting_commands': find_conflicting_commands,
+    'stale_command_effective': find_stale_commands,
+    'work_to_left_endpoint': find_work_after_departure,
+    'cut_by_planned_change': find_planned_change_failures,
+    'config_reverted': find_reverted_config,
+    'config_late': find_late_config,
 }
--- a/magnoliadyke/lab/cluster.py
+++ b/magnoliadyke/lab/cluster.py
@@ -34,9 +34,9 @@
 
 CALL_TIMEOUT_S = 5.0
 READY_TIMEOUT_S = 30.0
-NODE_STOP_S = 40.0
-STAND_IN_STOP_S = 5.0
-POLL_S = 0.05
+NODE_STOP_TIMEOUT_S = 40.0
+STAND_IN_STOP_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.05
 PROXY_NAME = 'proxy'
 PR_SET_PDEATHSIG = 1
 CLAIM_PORT = 7999
@@ -80,7 +80,7 @@
         )
         self.directory.mkdir(parents=True, exist_ok=True)
         super().__init__(
-            layout.derive(document, self.options),
+            layout.derive_settings(document, self.options),
             self.options,
             self.directory,
         )
@@ -161,28 +161,29 @@
     def restart(self, name):
         """Start a process that has ended again, as it was."""
         process = self.processes[name]
-        process.popen.wait(timeout=STAND_IN_STOP_S)
+        process.popen.wait(timeout=STAND_IN_STOP_TIMEOUT_S)
         self.launch(name, process.command, process.environment)
 
     # Readiness.
 
     def wait_healthy(self, name):
         """Wait until a stand-in answers."""
-        self.wait_for(name, lambda: self.healthy(name))
+        self.wait_for(name, lambda: self.is_healthy(name))
 
-    def healthy(self, name):
+    def is_healthy(self, name):
         """Whether a stand-in answers."""
         return call_json(self.address(name), 'GET', '/health')[0] == 200
 
     def wait_ready(self):
         """Wait until each running node takes work and lists the others."""
-        running = [name for name in self.hosts if self.alive(name)]
+        running = [name for name in self.hosts if self.is_alive(name)]
         for name in running:
             self.wait_for(
-                name, lambda name=name: self.lists(name, len(running))
+                name,
+                lambda name=name: self.has_listed_hosts(name, len(running)),
             )
 
-    def lists(self, name, count):
+    def has_listed_hosts(self, name, count):
         """Whether a node answers with at least ``count`` hosts."""
         address = self.caller_address(name)
         status, body = call_json(address, 'GET', '/v1/hosts')
@@ -195,7 +196,7 @@
         """
         end_s = time.monotonic() + timeout_s
         while True:
-            if not self.alive(name):
+            if not self.is_alive(name):
                 raise NotReady(f'{name} ended: {self.tail(name)}')
             try:
                 if ready():
@@ -204,23 +205,23 @@
                 pass
             if time.monotonic() > end_s:
                 raise NotReady(f'{name} is not ready: {self.tail(name)}')
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
 
-    def tail(self, name, characters=600):
+    def log_tail(self, name, characters=600):
         """The end of a process's log."""
         path = self.directory / f'{name}.log'
         return path.read_text(errors='replace')[-characters:]
 
     # Single processes.
 
-    def alive(self, name):
+    def is_alive(self, name):
         """Whether a process runs."""
         process = self.processes.get(name)
         return process is not None and process.popen.poll() is None
 
     def signal(self, name, number):
         """Send a signal to one process."""
-        if self.alive(name):
+        if self.is_alive(name):
             self.processes[name].popen.send_signal(number)
 
     def kill(self, name):
@@ -240,7 +241,7 @@
         """Ask a process to stop; does not wait."""
         self.signal(name, signal.SIGTERM)
 
-    def wait(self, name, timeout_s=NODE_STOP_S):
+    def wait(self, name, timeout_s=NODE_STOP_TIMEOUT_S):
         """Wait until a process has ended.
 
         :returns: its exit status, ``None`` if it still runs
@@ -250,7 +251,7 @@
         except subprocess.TimeoutExpired:
             return None
 
-    def usage(self, name):
+    def process_usage(self, name):
         """Processor seconds and resident bytes of a process."""
         pid = self.processes[name].popen.pid
         fields = pathlib.Path(f'/proc/{pid}/stat').read_text()
@@ -264,17 +265,17 @@
 
     # Faults and what happened.
 
-    def fault(self, name, **fault):
+    def set_fault(self, name, **fault):
         """Turn a fault of a stand-in on or off."""
         return call_json(self.address(name), 'POST', '/faults', fault)
 
-    def rule(self, **fault):
+    def add_rule(self, **fault):
         """Add a rule to the fault proxy; its id."""
         fault = {('from' if k == 'source' else k): v for k, v in fault.items()}
         address = self.control_address()
         return call_json(address, 'POST', '/rules', fault)[1]['rule']
 
-    def unrule(self, rule=None):
+    def remove_rule(self, rule=None):
         """End a rule of the fault proxy, or all."""
         path = '/rules' if rule is None else f'/rules/{rule}'
         address = self.control_address()
@@ -282,7 +283,7 @@
 
     def partition(self, name, others, for_s=None):
         """Drop all packets between a process and others, both ways."""
-        return self.rule(
+        return self.add_rule(
             source=name, to=others, kind='drop', both=True, for_s=for_s
         )
 
@@ -307,15 +308,15 @@
 
         :returns: exit status of each node that still ran
         """
-        running = [name for name in self.hosts if self.alive(name)]
+        running = [name for name in self.hosts if self.is_alive(name)]
         for name in running:
             self.terminate(name)
         statuses = {name: self.wait(name) for name in running}
-        rest = [name for name in self.processes if self.alive(name)]
+        rest = [name for name in self.processes if self.is_alive(name)]
         for name in rest:
             self.terminate(name)
         for name in rest:
-            self.wait(name, STAND_IN_STOP_S)
+            self.wait(name, STAND_IN_STOP_TIMEOUT_S)
         self.kill_all()
         return statuses
 
--- a/magnoliadyke/lab/demo.py
+++ b/magnoliadyke/lab/demo.py
@@ -45,18 +45,18 @@
 CLIENTS = {'lease': 16, 'portal': 8}
 LOAD = 0.5
 SERVICE_CALLS_S = 8.0
-VISITS = 20
+MAX_RETRIES = 20
 VICTIM = 'entry-3'
 EDITED_CELL = 'customers/portal/weight'
 EDITED_VALUE = 3
 ROLE_CHANGE_S = 3.0
-FINISH_S = 25.0
-POLL_S = 0.02
+FINISH_TIMEOUT_S = 25.0
+POLL_INTERVAL_S = 0.02
 #: Non-repeatable calls pause so long before the kill and after it: the
 #: outcome of one that is under way on a killed host is honestly unknown,
 #: and this run is to end with every caller answered.
-QUIET_BEFORE_S = 1.5
-QUIET_AFTER_S = 0.2
+KILL_GUARD_BEFORE_S = 1.5
+KILL_GUARD_AFTER_S = 0.2
 
 
 class Plan(typing.NamedTuple):
@@ -68,11 +68,11 @@
     duration_s: float
     kill_s: float
     edit_s: float
-    longest_answer: int
+    max_answer_tokens: int
 
 
-LONG = Plan(36.0, 12.0, 22.0, 300)
-SHORT = Plan(9.0, 3.0, 5.5, 100)
+FULL_PLAN = Plan(36.0, 12.0, 22.0, 300)
+SHORT_PLAN = Plan(9.0, 3.0, 5.5, 100)
 
 
 class Summary(typing.NamedTuple):
@@ -102,7 +102,7 @@
     killed: str
     seconds: float
 
-    def good(self):
+    def succeeded(self):
         """Whether every caller got its whole answer, once."""
         return (
             self.answered == self.requests
@@ -120,44 +120,46 @@
     :param say: called with each line of progress
     """
 
-    def __init__(self, deployment, plan, seed, say):
+    def __init__(self, deployment, plan, seed, report_progress):
         self.cluster = deployment
         self.plan = plan
-        self.say = say
+        self.report_progress = report_progress
         self.load = loads.Load(
             loads.make_clients(deployment, CLIENTS),
             make_calls(deployment.settings, plan, seed),
-            visits=VISITS,
+            max_retries=MAX_RETRIES,
         )
         self.in_force_s = None
         self.statuses = {}
 
     def run(self):
         """Run it; the :class:`Summary`."""
-        begun_s = time.monotonic()
-        self.say('starting 13 stand-ins and 8 nodes in 4 failure domains')
+        started_s = time.monotonic()
+        self.report_progress(
+            'starting 13 stand-ins and 8 nodes in 4 failure domains'
+        )
         self.cluster.start()
-        ready_s = time.monotonic() - begun_s
-        self.say(f'all 8 nodes take work after {ready_s:.1f} s')
+        ready_s = time.monotonic() - started_s
+        self.report_progress(f'all 8 nodes take work after {ready_s:.1f} s')
         self.load.start()
         events = [
             gevent.spawn_later(self.plan.kill_s, self.kill),
             gevent.spawn_later(self.plan.edit_s, self.edit),
         ]
-        watcher = gevent.spawn(self.report_forever)
-        self.load.join(self.plan.duration_s + FINISH_S)
+        watcher = gevent.spawn(self.report_counts_forever)
+        self.load.join(self.plan.duration_s + FINISH_TIMEOUT_S)
         gevent.joinall(events)
         watcher.kill()
-        self.say('load is over; stopping all processes gracefully')
+        self.report_progress('load is over; stopping all processes gracefully')
         self.statuses = self.cluster.stop()
-        self.say_unanswered()
-        return self.summary(time.monotonic() - begun_s)
+        self.report_unanswered()
+        return self.summary(time.monotonic() - started_s)
 
-    def say_unanswered(self):
+    def report_unanswered(self):
         """Name each request without a whole answer."""
         for record in self.load.records:
-            if not record.whole():
-                self.say(
+            if not record.is_correct():
+                self.report_progress(
                     f'{record.job.kind} request of {record.job.customer} '
                     f'at {record.job.arrived_s:.1f} s: {record.outcome}'
                 )
@@ -165,7 +167,7 @@
     def kill(self):
         """Kill one node outright."""
         self.cluster.kill(VICTIM)
-        self.say(f'killed {VICTIM} with SIGKILL, under load')
+        self.report_progress(f'killed {VICTIM} with SIGKILL, under load')
 
     def edit(self):
         """Edit one cell and wait until every live node has it in force."""
@@ -174,17 +176,17 @@
         client = porcelain.admin_client(
             '', addresses, token=cluster.ADMIN_TOKEN
         )
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         porcelain.table_set(
             client, {EDITED_CELL: EDITED_VALUE}, operator='demo'
         )
         waits = [gevent.spawn(self.wait_in_force, name) for name in live]
-        gevent.joinall(waits, timeout=FINISH_S)
+        gevent.joinall(waits, timeout=FINISH_TIMEOUT_S)
         if not all(wait.successful() for wait in waits):
-            self.say(f'{EDITED_CELL} is not in force everywhere')
+            self.report_progress(f'{EDITED_CELL} is not in force everywhere')
             return
-        self.in_force_s = time.monotonic() - begun_s
-        self.say(
+        self.in_force_s = time.monotonic() - started_s
+        self.report_progress(
             f'{EDITED_CELL} = {EDITED_VALUE} is in force on '
             f'{len(live)} nodes after {self.in_force_s:.2f} s'
         )
@@ -203,9 +205,9 @@
                 cells = body['sheets'][sheet]['rows'][row]
                 if cells.get(column) == EDITED_VALUE:
                     return
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
 
-    def report_forever(self):
+    def report_counts_forever(self):
         """Say how far the load is, now and then."""
         pause_s = max(2.0, self.plan.duration_s / 8)
         while True:
@@ -213,13 +215,17 @@
             records = self.load.records
             sent = sum(r.call.at_s <= self.load.now_s() for r in records)
             done = sum(record.outcome is not None for record in records)
-            self.say(f'{sent} requests sent, {done} ended')
+            self.report_progress(f'{sent} requests sent, {done} ended')
 
     def summary(self, seconds):
         """Judge all answers and count."""
         records = self.load.records
         kinds = [type(record.outcome) for record in records]
-        told = [type(each) for record in records for each in record.told]
+        told = [
+            type(each)
+            for record in records
+            for each in record.retried_outcomes
+        ]
         answered = [r for r in records if r.finished_s is not None]
         return Summary(
             requests=len(records),
@@ -230,7 +236,7 @@
             unfinished=kinds.count(type(None)),
             told_not_run=told.count(outcomes.NotRun),
             told_unknown=told.count(outcomes.Unknown),
-            wrong=sum(not record.whole() for record in answered),
+            wrong=sum(not record.is_correct() for record in answered),
             doubled=len(runs.doubled(self.cluster, records)),
             goodput_tokens_s=self.goodput(answered),
             role_changes=runs.role_changes(self.cluster),
@@ -271,7 +277,7 @@
     requests = [
         request._replace(
             repeatable=True,
-            output_tokens=min(request.output_tokens, plan.longest_answer),
+            output_tokens=min(request.output_tokens, plan.max_answer_tokens),
         )
         for request in traces.generate(dala, shape, seed)
     ]
@@ -280,13 +286,13 @@
         'portal', pool, plan.duration_s, SERVICE_CALLS_S
     )
     calls = workload.from_trace(requests) + services
-    return [call for call in calls if not in_quiet(call, plan)]
+    return [call for call in calls if not is_near_kill(call, plan)]
 
 
-def in_quiet(call, plan):
+def is_near_kill(call, plan):
     """Whether a call must not be under way while a node is killed."""
-    early_s = plan.kill_s - QUIET_BEFORE_S
-    late_s = plan.kill_s + QUIET_AFTER_S
+    early_s = plan.kill_s - KILL_GUARD_BEFORE_S
+    late_s = plan.kill_s + KILL_GUARD_AFTER_S
     return not call.job.repeatable and early_s <= call.at_s <= late_s
 
 
@@ -315,7 +321,7 @@
         f'stopped badly       {summary.stopped_badly}',
         f'took                {summary.seconds:g} s',
     ]
-    if summary.good():
+    if summary.succeeded():
         lines.append('every caller got its whole answer, once')
     else:
         lines.append('FAILED: see the lines above')
@@ -331,35 +337,37 @@
     args = docopt.docopt(__doc__, ['lab', 'demo', *argv])
     path = pathlib.Path(args['SETTINGS'] or EXAMPLE)
     document = arguments.read_json(path)
-    seed = arguments.whole_number(args, '--seed')
-    plan = SHORT if args['--short'] else LONG
-    say = quiet if args['--json'] else progress()
+    seed = arguments.parse_whole_number(args, '--seed')
+    plan = SHORT_PLAN if args['--short'] else FULL_PLAN
+    report_progress = (
+        discard_progress if args['--json'] else progress_printer()
+    )
     with tempfile.TemporaryDirectory() as scratch:
         options = cluster.Options(
             directory=args['--keep'] or scratch,
             engine={'speeds': {'role_change_s': ROLE_CHANGE_S}},
         )
         with cluster.Cluster(document, options) as deployment:
-            demo = Demo(deployment, plan, seed, say)
+            demo = Demo(deployment, plan, seed, report_progress)
             summary = demo.run()
     if args['--json']:
-        good = {'good': summary.good()}
+        good = {'good': summary.succeeded()}
         print(json.dumps({**summary._asdict(), **good}, indent=1))
     else:
         print(render(summary))
-    return 0 if summary.good() else 1
+    return 0 if summary.succeeded() else 1
 
 
-def quiet(_line):
+def discard_progress(_line):
     """Say nothing."""
 
 
-def progress():
+def progress_printer():
     """A function that prints lines with the seconds since now."""
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
 
-    def say(line):
-        seconds = time.monotonic() - begun_s
+    def report_progress(line):
+        seconds = time.monotonic() - started_s
         print(f'[{seconds:5.1f} s] {line}', file=sys.stderr, flush=True)
 
-    return say
+    return report_progress
--- a/magnoliadyke/lab/evidence.py
+++ b/magnoliadyke/lab/evidence.py
@@ -14,21 +14,21 @@
 from magnoliadyke.lab import workload
 
 __all__ = [
-    'WatchedLoad',
+    'RecordingLoad',
     'collect',
     'figures',
     'quantile',
-    'watched_clients',
+    'recording_clients',
 ]
 
 #: Faults during which no edit can be accepted.
-STORE_AWAY = frozenset({'store_down', 'store_slow'})
+STORE_FAULTS = frozenset({'store_down', 'store_slow'})
 #: How long after its end a fault may slow an edit.
-FELT_S = 5.0
+FAULT_EFFECT_S = 5.0
 #: Every such client makes foreign keys.
-FOREIGN_EVERY = 4
+FOREIGN_KEY_EVERY = 4
 #: Characters of an answer that are shown when it is wrong.
-EXCERPT = 120
+MAX_EXCERPT_CHARS = 120
 OUTCOMES = {
     outcomes.Answered: checker.ANSWERED,
     outcomes.NotRun: checker.NOT_RUN,
@@ -37,7 +37,7 @@
 }
 
 
-class WatchedClient(caller.Client):
+class RecordingClient(caller.Client):
     """The caller library, with a note of what each key was told.
 
     :param told: list that takes a :class:`checker.Told` for each key
@@ -69,15 +69,17 @@
         if key:
             reason = getattr(outcome, 'reason', '')
             name = OUTCOMES[type(outcome)]
-            self.told.append(checker.Told(time.time(), key, name, reason))
+            self.told.append(
+                checker.ReportedOutcome(time.time(), key, name, reason)
+            )
         return outcome
 
 
-class WatchedLoad(loads.Load):
+class RecordingLoad(loads.Load):
     """A load that notes when each call ended, whatever its outcome."""
 
-    def __init__(self, clients, calls, visits=0):
-        super().__init__(clients, calls, visits)
+    def __init__(self, clients, calls, max_retries=0):
+        super().__init__(clients, calls, max_retries)
         self.ended_s = {}
 
     def send(self, record):
@@ -91,16 +93,16 @@
     return f'lab-{uuid.uuid4().hex}'
 
 
-def watched_clients(deployment, customers, count, told):
+def recording_clients(deployment, customers, count, told):
     """Clients of each customer, each with a session of its own."""
     hosts = [deployment.caller_address(name) for name in deployment.hosts]
     return {
         customer: [
-            WatchedClient(
+            RecordingClient(
                 hosts,
                 cluster.caller_key(customer),
                 told,
-                number % FOREIGN_EVERY == 0,
+                number % FOREIGN_KEY_EVERY == 0,
             )
             for number in range(count)
         ]
@@ -111,10 +113,10 @@
 def collect(deployment, load, told, watcher, editors, faults):
     """The :class:`checker.Evidence` of a run."""
     return checker.Evidence(
-        [call_of(record, load) for record in load.records],
+        [to_call(record, load) for record in load.records],
         list(told),
-        [run_of(name, row) for name, row in rows(deployment, 'run')],
-        [command_of(name, row) for name, row in rows(deployment, 'command')],
+        [to_run(name, row) for name, row in rows(deployment, 'run')],
+        [to_command(name, row) for name, row in rows(deployment, 'command')],
         watcher.samples,
         editors.accepted(),
         faults.departures,
@@ -130,34 +132,34 @@
                 yield name, row
 
 
-def call_of(record, load):
+def to_call(record, load):
     """A call as the checker wants it."""
     outcome = OUTCOMES.get(type(record.outcome), '')
     ended_s = load.ended_s.get(record)
     return checker.Call(
         f'{record.job.customer} {record.job.kind} call {record.job.id}',
-        record.content(),
+        record.content_digest(),
         record.job.repeatable,
         load.start_wall_s + record.call.at_s,
         None if ended_s is None else load.start_wall_s + ended_s,
         outcome,
         reason_of(record),
-        record.whole(),
+        record.is_correct(),
     )
 
 
 def reason_of(record):
     """The word for an outcome; what an answer begins with."""
     outcome = record.outcome
-    if outcome is None and record.told:
-        last = record.told[-1].reason
+    if outcome is None and record.retried_outcomes:
+        last = record.retried_outcomes[-1].reason
         return f'told {len(record.told)} times, last {last}'
     if isinstance(outcome, outcomes.Answered):
         return f'{outcome.finish_reason}: {outcome.text[:EXCERPT]}'
     return getattr(outcome, 'reason', '')
 
 
-def run_of(name, row):
+def to_run(name, row):
     """A run from a ledger's row."""
     return checker.Run(
         row['at_s'],
@@ -169,7 +171,7 @@
     )
 
 
-def command_of(name, row):
+def to_command(name, row):
     """A command from a ledger's row."""
     return checker.Command(
         row['at_s'],
@@ -200,20 +202,21 @@
         'role_changes': runs.role_changes(deployment),
         'commands': len(seen.commands),
         'edits': dict(collections.Counter(e.state for e in editors.edits)),
-        'in_force_s': in_force(editors.edits, faults.faults),
+        'in_force_s': in_force_times(editors.edits, faults.faults),
         'dead_listed_s': [
             listed_for_s(watcher, at_s, host) for at_s, host in faults.kills
         ],
         'last_work_s': [
-            last_work_s(seen, departure) for departure in seen.departures
+            last_run_after_notice_s(seen, departure)
+            for departure in seen.departures
         ],
-        'takeover_s': takeovers(deployment, faults),
+        'takeover_s': takeover_times(deployment, faults),
         'store_calls': store_calls,
         'poisoned': [str(outcome) for outcome in faults.poisoned],
     }
 
 
-def in_force(edits, faults):
+def in_force_times(edits, faults):
     """How long edits took until in force, by what went on meanwhile."""
     took = {'quiet': [], 'fault': [], 'store_away': []}
     for edit in edits:
@@ -223,10 +226,10 @@
             fault.kind
             for fault in faults
             if fault.at_s <= edit.at_s + edit.took_s
-            and edit.at_s <= fault.until_s + FELT_S
+            and edit.at_s <= fault.until_s + FAULT_EFFECT_S
         }
         what = 'fault' if met else 'quiet'
-        if met & STORE_AWAY:
+        if met & STORE_FAULTS:
             what = 'store_away'
         took[what].append(round(edit.took_s, 3))
     return took
@@ -248,7 +251,7 @@
     return round(longest_s, 2)
 
 
-def last_work_s(seen, departure):
+def last_run_after_notice_s(seen, departure):
     """How long after its notice an endpoint was still given work."""
     late = [
         run.at_s - departure.at_s
@@ -260,7 +263,7 @@
     return round(max(late, default=0.0), 2)
 
 
-def takeovers(deployment, faults):
+def takeover_times(deployment, faults):
     """How long each duty of a killed host had no holder."""
     writes = collections.defaultdict(list)
     for row in deployment.ledger('keyvalue'):
@@ -280,7 +283,7 @@
     return gaps
 
 
-def store_calls_s(deployment, begun_s):
+def store_call_rates(deployment, begun_s):
     """Calls a second that the store has had since the start, by kind."""
     address = deployment.address('keyvalue')
     try:
--- a/magnoliadyke/lab/faults.py
+++ b/magnoliadyke/lab/faults.py
@@ -49,7 +49,7 @@
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
 CLIENTS = 8
-VISITS = 20
+MAX_RETRIES = 20
 SERVICE_CALLS_S = 20.0
 #: Long enough for calls to be under way when a fault comes.
 SERVICE_WORK_S = 0.15
@@ -153,10 +153,10 @@
         begun_s = time.monotonic()
         made.start()
         told = []
-        load = evidences.WatchedLoad(
-            evidences.watched_clients(made, weights, CLIENTS, told),
+        load = evidences.RecordingLoad(
+            evidences.recording_clients(made, weights, CLIENTS, told),
             calls_of(plan, made.settings),
-            visits=VISITS,
+            max_retries=MAX_RETRIES,
         )
         watcher = observer.Observer(made)
         editors = observer.Editors(
@@ -176,8 +176,8 @@
         gevent.joinall(tasks, timeout=FINISH_S)
         editors.stop()
         watcher.stop()
-        made.unrule()
-        store_calls = evidences.store_calls_s(made, begun_s)
+        made.remove_rule()
+        store_calls = evidences.store_call_rates(made, begun_s)
         statuses = made.stop()
         seen = evidences.collect(made, load, told, watcher, editors, faults)
         figures = evidences.figures(
@@ -190,7 +190,7 @@
         **figures,
         'unclean_stops': {n: s for n, s in statuses.items() if s},
         'violations': [v._asdict() for v in verdict.violations],
-        'windows': [v._asdict() for v in verdict.windows],
+        'windows': [v._asdict() for v in verdict.unpreventable],
     }
 
 
--- a/magnoliadyke/lab/injector.py
+++ b/magnoliadyke/lab/injector.py
@@ -95,7 +95,7 @@
         """Wait until a new process takes work."""
         count = len(self.deployment.hosts) - 1
         self.deployment.wait_for(
-            host, lambda: self.deployment.lists(host, count)
+            host, lambda: self.deployment.has_listed_hosts(host, count)
         )
 
     # Links.
@@ -132,24 +132,24 @@
                 source, target = (
                     (one, other) if way != 'from' else (other, one)
                 )
-                rule = self.deployment.rule(
+                rule = self.deployment.add_rule(
                     source=source, to=target, kind='drop', both=way == 'both'
                 )
                 rules.append(rule)
         gevent.sleep(fault.for_s)
         for rule in rules:
-            self.deployment.unrule(rule)
+            self.deployment.remove_rule(rule)
 
     def links_silent(self, fault):
         """Have a host's open connections say nothing for good."""
-        self.deployment.rule(source=fault.target, to='*', kind='silence')
+        self.deployment.add_rule(source=fault.target, to='*', kind='silence')
 
     # The store.
 
     def store_down(self, fault):
         """Have the store give no answers."""
         mode = fault.detail.get('mode', 'refuse')
-        self.deployment.fault(
+        self.deployment.set_fault(
             'keyvalue', kind='outage', for_s=fault.for_s, mode=mode
         )
         gevent.sleep(fault.for_s)
@@ -157,7 +157,7 @@
     def store_slow(self, fault):
         """Have the store answer late."""
         delay_s = fault.detail.get('delay_s', STORE_DELAY_S)
-        self.deployment.fault(
+        self.deployment.set_fault(
             'keyvalue', kind='slow', for_s=fault.for_s, delay_s=delay_s
         )
         gevent.sleep(fault.for_s)
@@ -165,12 +165,12 @@
     def store_reply_lost(self, fault):
         """Have the next writes take effect without an answer."""
         count = fault.detail.get('count', REPLIES)
-        self.deployment.fault('keyvalue', kind='lose_reply', count=count)
+        self.deployment.set_fault('keyvalue', kind='lose_reply', count=count)
 
     def store_restored(self, fault):
         """Put an older copy in the store's place."""
         age_s = fault.detail.get('age_s', RESTORED_S)
-        self.deployment.fault('keyvalue', kind='restore_old', age_s=age_s)
+        self.deployment.set_fault('keyvalue', kind='restore_old', age_s=age_s)
 
     # Engines.
 
@@ -182,21 +182,21 @@
 
     def crash_in_change(self, fault):
         """Have an engine die half-way through its next change."""
-        self.deployment.fault(fault.target, kind='crash_in_change')
+        self.deployment.set_fault(fault.target, kind='crash_in_change')
         self.revive(fault)
 
     def change_fails(self, fault):
         """Have an engine's next change end in the old role."""
-        self.deployment.fault(fault.target, kind='fail_change')
+        self.deployment.set_fault(fault.target, kind='fail_change')
         gevent.sleep(fault.for_s)
 
     def command_reply_lost(self, fault):
         """Have an engine's next command go unanswered."""
-        self.deployment.fault(fault.target, kind='lose_reply', count=1)
+        self.deployment.set_fault(fault.target, kind='lose_reply', count=1)
 
     def engine_silent(self, fault):
         """Have an engine's open streams say nothing for good."""
-        self.deployment.fault(fault.target, kind='silent')
+        self.deployment.set_fault(fault.target, kind='silent')
 
     def revive(self, fault):
         """Start engines again that die within the fault's time."""
@@ -204,7 +204,7 @@
         names = [fault.target] if fault.target else self.engines()
         while time.monotonic() < end_s:
             for name in names:
-                if not self.deployment.alive(name):
+                if not self.deployment.is_alive(name):
                     gevent.sleep(1.0)
                     self.deployment.restart(name)
             gevent.sleep(0.2)
@@ -236,7 +236,7 @@
         """Have two operators change the same cells at once."""
         end_s = time.monotonic() + fault.for_s
         while time.monotonic() < end_s:
-            self.editors.clash()
+            self.editors.edit_concurrently()
 
     # Endpoints.
 
@@ -245,14 +245,14 @@
         at_s = time.time()
         index = len(self.departures)
         self.departures.append(checker.Departure(fault.target, at_s, NEVER_S))
-        self.deployment.fault(fault.target, kind='leaving')
+        self.deployment.set_fault(fault.target, kind='leaving')
         gevent.sleep(min(LEAVING_S, fault.for_s))
-        self.deployment.fault(fault.target, kind='left')
+        self.deployment.set_fault(fault.target, kind='left')
         gevent.sleep(max(0.0, fault.for_s - LEAVING_S))
         self.departures[index] = checker.Departure(
             fault.target, at_s, time.time()
         )
-        self.deployment.fault(fault.target, kind='back')
+        self.deployment.set_fault(fault.target, kind='back')
 
     def drain_endpoint(self, fault):
         """Have an operator drain an endpoint, and take it in again."""
--- a/magnoliadyke/lab/layout.py
+++ b/magnoliadyke/lab/layout.py
@@ -11,7 +11,7 @@
     'Options',
     'PLATFORM',
     'caller_key',
-    'derive',
+    'derive_settings',
 ]
 
 ADMIN_TOKEN = 'lab-admin-token'
@@ -129,7 +129,7 @@
         raise KeyError(endpoint)
 
 
-def derive(document, options):
+def derive_settings(document, options):
     """Settings for one run: own addresses, secrets that the lab knows.
 
     :param document: settings of the deployment
@@ -139,10 +139,10 @@
     settings = copy.deepcopy(json.loads(text))
     if options.hosts:
         settings['hosts'] = settings['hosts'][: options.hosts]
-    settings['admin_token'] = hashed(ADMIN_TOKEN)
+    settings['admin_token'] = hash_secret(ADMIN_TOKEN)
     customers = settings['initial_table']['customers']
     for name, row in customers.items():
-        row['keys'] = [hashed(caller_key(name))]
+        row['keys'] = [hash_secret(caller_key(name))]
     return settings
 
 
@@ -151,7 +151,7 @@
     return f'lab-key-{customer}'
 
 
-def hashed(secret):
+def hash_secret(secret):
     """A secret as settings and table keep it."""
     return 'sha256:' + hashlib.sha256(secret.encode()).hexdigest()
 
--- a/magnoliadyke/lab/live.py
+++ b/magnoliadyke/lab/live.py
@@ -48,24 +48,28 @@
 from magnoliadyke.lab import trial
 from magnoliadyke.lab import workload
 
-__all__ = ['POLICIES', 'Run', 'main', 'read_faults']
+__all__ = ['POLICIES', 'RunPlan', 'main', 'read_faults']
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
 #: Policies that the nodes have, and their word for each in the table.
 POLICIES = {'fixed': 'fixed', 'ours': 'auto'}
 NODE_LOSS = 'node_loss'
-LONGEST_S = 300.0
+MAX_TRACE_S = 300.0
 DEFAULT_LOAD = 0.7
 #: Options of lab policy that make no sense here.
-NOT_HERE = {'--processes': '1', '--write-trace': None, '--plot': None}
-RUN_OUT_S = 60.0
+UNSUPPORTED_OPTIONS = {
+    '--processes': '1',
+    '--write-trace': None,
+    '--plot': None,
+}
+COMPLETION_TIMEOUT_S = 60.0
 CLIENTS_PER_HOST = 3
-LEAVING_S = 3.0
-RESTART_S = trial.fakes.RESTART_S
-LAG_S = trial.FAULT_LAG_S
+LEAVING_NOTICE_S = 3.0
+RESTART_DELAY_S = trial.fakes.RESTART_S
+REPORT_LAG_S = trial.FAULT_LAG_S
 
 
-class Run(typing.NamedTuple):
+class RunPlan(typing.NamedTuple):
     """What one run needs to know.
 
     :param deployment: :class:`traces.Deployment`
@@ -93,27 +97,31 @@
     row = pools.setdefault(plan.deployment.pool, {})
     row['planning'] = POLICIES[name]
     options = cluster.Options(directory=plan.directory, hosts=plan.hosts)
-    with cluster.Cluster(plan.document, options) as made:
-        made.start()
+    with cluster.Cluster(plan.document, options) as running:
+        running.start()
         counts = dict.fromkeys(
-            plan.deployment.weights, CLIENTS_PER_HOST * len(made.hosts)
+            plan.deployment.weights, CLIENTS_PER_HOST * len(running.hosts)
         )
         load = loads.Load(
-            loads.make_clients(made, counts),
+            loads.make_clients(running, counts),
             workload.from_trace(plan.requests),
         )
         load.start()
         tasks = [
-            gevent.spawn_later(fault.at_s, inject, made, fault)
+            gevent.spawn_later(fault.at_s, inject, running, fault)
             for fault in plan.faults
         ]
         length_s = plan.requests[-1].at_s
-        load.join(length_s + RUN_OUT_S)
+        load.join(length_s + COMPLETION_TIMEOUT_S)
         gevent.killall(tasks)
-        note_dispatches(made, load)
-        changes = runs.role_changes(made)
-        usage = {n: made.usage(n) for n in made.hosts if made.alive(n)}
-        made.stop()
+        record_dispatch_times(running, load)
+        changes = runs.role_changes(running)
+        usage = {
+            n: running.process_usage(n)
+            for n in running.hosts
+            if running.is_alive(n)
+        }
+        running.stop()
     figures = measures.figures(
         load.records,
         load.backlog,
@@ -123,7 +131,7 @@
         plan.deployment.price_tokens,
     )
     figures['wrong'] = sum(
-        record.finished_s is not None and not record.whole()
+        record.finished_s is not None and not record.is_correct()
         for record in load.records
     )
     figures['node_cpu_s'] = round(
@@ -132,56 +140,58 @@
     return figures
 
 
-def note_dispatches(made, load):
+def record_dispatch_times(running, load):
     """Note from the ledgers when each request reached an engine."""
-    first_s = runs.first_run_s(made)
+    first_s = runs.first_run_s(running)
     for record in load.records:
-        at_s = first_s.get(record.content())
+        at_s = first_s.get(record.content_digest())
         if at_s is not None:
             record.dispatched_s = at_s - load.start_wall_s
 
 
-def inject(made, fault):
+def inject(running, fault):
     """Cause a fault, and end it after its time."""
-    names = [fault.target] if fault.target else engines(made)
-    names = [name for name in names if made.alive(name)]
+    names = [fault.target] if fault.target else engine_names(running)
+    names = [name for name in names if running.is_alive(name)]
     match fault.kind:
         case 'crash':
-            made.kill(fault.target)
-            gevent.sleep(fault.for_s or RESTART_S)
-            made.restart(fault.target)
+            running.kill(fault.target)
+            gevent.sleep(fault.for_s or RESTART_DELAY_S)
+            running.restart(fault.target)
         case 'withdrawn':
-            withdraw(made, fault)
+            withdraw(running, fault)
         case 'report_lag':
             for name in names:
-                made.fault(name, kind='lag', lag_s=LAG_S, for_s=fault.for_s)
+                running.set_fault(
+                    name, kind='lag', lag_s=REPORT_LAG_S, for_s=fault.for_s
+                )
         case 'no_authority':
-            made.fault('keyvalue', kind='outage', for_s=fault.for_s)
+            running.set_fault('keyvalue', kind='outage', for_s=fault.for_s)
         case 'change_fails':
             for name in names:
-                made.fault(name, kind='fail_change', for_s=fault.for_s)
+                running.set_fault(name, kind='fail_change', for_s=fault.for_s)
         case 'node_loss':
-            made.kill(fault.target)
+            running.kill(fault.target)
             if fault.for_s is not None:
                 gevent.sleep(fault.for_s)
-                made.restart(fault.target)
+                running.restart(fault.target)
 
 
-def withdraw(made, fault):
+def withdraw(running, fault):
     """Have an engine leave, and come back after the fault's time."""
-    made.fault(fault.target, kind='leaving')
-    gevent.sleep(LEAVING_S)
-    made.fault(fault.target, kind='left')
+    running.set_fault(fault.target, kind='leaving')
+    gevent.sleep(LEAVING_NOTICE_S)
+    running.set_fault(fault.target, kind='left')
     if fault.for_s is not None:
-        gevent.sleep(max(0.0, fault.for_s - LEAVING_S))
-        made.fault(fault.target, kind='back')
+        gevent.sleep(max(0.0, fault.for_s - LEAVING_NOTICE_S))
+        running.set_fault(fault.target, kind='back')
 
 
-def engines(made):
+def engine_names(running):
     """Names of the model engines."""
     return [
         endpoint['name']
-        for pool in made.settings['pools']
+        for pool in running.settings['pools']
         if pool['kind'] == 'model'
         for endpoint in pool['endpoints']
     ]
@@ -228,13 +238,13 @@
         requests = traces.read(file, options.trace, deployment)
         if options.load is not None:
             requests = traces.scale(requests, options.load, deployment.engines)
-        return [each for each in requests if each.at_s <= LONGEST_S]
+        return [each for each in requests if each.at_s <= MAX_TRACE_S]
     shape = traces.Shape(
         options.shape,
         load=options.load or DEFAULT_LOAD,
         period_s=options.period_s,
         amplitude=options.amplitude,
-        duration_s=min(options.duration_s, LONGEST_S),
+        duration_s=min(options.duration_s, MAX_TRACE_S),
     )
     return traces.generate(deployment, shape, seed)
 
@@ -256,10 +266,10 @@
     :returns: exit status
     """
     args = docopt.docopt(__doc__, ['lab', 'live', *argv])
-    options = policy.options_from({**args, **NOT_HERE})
+    options = policy.options_from({**args, **UNSUPPORTED_OPTIONS})
     check_policies(options.policies)
     result = run_all(
-        options, args['--keep'], arguments.whole_number(args, '--hosts')
+        options, args['--keep'], arguments.parse_whole_number(args, '--hosts')
     )
     if options.as_json:
         json.dump(result, sys.stdout, indent=2)
@@ -290,7 +300,7 @@
             with tempfile.TemporaryDirectory() as scratch:
                 # Ledgers are appended to: each run needs its own.
                 directory = f'{keep or scratch}/{seed}-{name}'
-                plan = Run(
+                plan = RunPlan(
                     deployment, document, requests, faults, directory, hosts
                 )
                 figures[name] = run(plan, name)
--- a/magnoliadyke/lab/load.py
+++ b/magnoliadyke/lab/load.py
@@ -14,7 +14,7 @@
 
 __all__ = ['Load', 'make_clients']
 
-LOOK_INTERVAL_S = 0.5
+BACKLOG_SAMPLE_INTERVAL_S = 0.5
 
 
 def make_clients(deployment, counts, settings=caller.DEFAULTS):
@@ -45,8 +45,8 @@
         is told to, and after ``Unknown`` if the call may be repeated
     """
 
-    def __init__(self, clients, calls, visits=0):
-        self.visits = visits
+    def __init__(self, clients, calls, max_retries=0):
+        self.max_retries = max_retries
         calls = sorted(calls, key=lambda call: call.at_s)
         self.records = [workload.Record(call) for call in calls]
         self.clients = {
@@ -54,7 +54,7 @@
         }
         self.backlog = measures.Backlog()
         self.sender = None
-        self.watcher = None
+        self.sampler = None
         self.start_s = 0.0
         self.start_wall_s = 0.0
 
@@ -67,7 +67,7 @@
         self.start_s = time.monotonic()
         self.start_wall_s = time.time()
         self.sender = gevent.spawn(self.send_all)
-        self.watcher = gevent.spawn(self.look_forever)
+        self.sampler = gevent.spawn(self.sample_backlog_forever)
 
     def send_all(self):
         """Send each call at its time, each in a greenlet of its own."""
@@ -83,14 +83,14 @@
         :returns: whether all have ended
         """
         self.sender.join(timeout_s)
-        self.watcher.kill()
+        self.sampler.kill()
         return self.sender.ready()
 
     def send(self, record):
         """Send one call and note what became of it."""
         record.job = record.job._replace(arrived_s=self.now_s())
-        outcome = self.visit(record)
-        while len(record.told) < self.visits:
+        outcome = self.send_once(record)
+        while len(record.retried_outcomes) < self.max_retries:
             match outcome:
                 case outcomes.NotRun(_, _, retry_after_s):
                     pause_s = retry_after_s
@@ -98,16 +98,16 @@
                     pause_s = 0.0
                 case _:
                     break
-            record.told.append(outcome)
+            record.retried_outcomes.append(outcome)
             gevent.sleep(pause_s)
-            outcome = self.visit(record)
+            outcome = self.send_once(record)
         record.outcome = outcome
         if isinstance(outcome, outcomes.Answered):
             record.key = outcome.key
             record.text = outcome.text
             record.finished_s = self.now_s()
 
-    def visit(self, record):
+    def send_once(self, record):
         """Send a call once; the caller library may repeat it within."""
         client = next(self.clients[record.job.customer])
         match record.call:
@@ -144,22 +144,22 @@
             repeatable=record.job.repeatable,
         )
 
-    def look_forever(self):
+    def sample_backlog_forever(self):
         """Note who waits for a first token, for the figure of fairness."""
         while True:
-            gevent.sleep(LOOK_INTERVAL_S)
+            gevent.sleep(BACKLOG_SAMPLE_INTERVAL_S)
             now_s = self.now_s()
             waiting = collections.Counter(
                 record.job.customer
                 for record in self.records
-                if waits(record, now_s)
+                if is_waiting(record, now_s)
             )
             for name in self.clients:
                 waiting.setdefault(name, 0)
             self.backlog.look(waiting, now_s)
 
 
-def waits(record, now_s):
+def is_waiting(record, now_s):
     """Whether a completion was asked for and has no token yet."""
     return (
         record.job.kind == 'model'
--- a/magnoliadyke/lab/nodecost.py
+++ b/magnoliadyke/lab/nodecost.py
@@ -94,7 +94,7 @@
 
 def reading(running):
     """Sums over all nodes now."""
-    usage = [running.usage(name) for name in running.hosts]
+    usage = [running.process_usage(name) for name in running.hosts]
     return {
         'at_s': time.monotonic(),
         'cpu_s': sum(each['cpu_s'] for each in usage),
--- a/magnoliadyke/lab/observer.py
+++ b/magnoliadyke/lab/observer.py
@@ -10,19 +10,19 @@
 from magnoliadyke.lab import checker
 from magnoliadyke.lab import cluster
 
-__all__ = ['EditSeen', 'Editors', 'Listing', 'Observer']
+__all__ = ['EditOutcome', 'Editors', 'HostListing', 'Observer']
 
-INTERVAL_S = 0.3
-TIMEOUT_S = 1.0
+SAMPLE_INTERVAL_S = 0.3
+SAMPLE_TIMEOUT_S = 1.0
 EDIT_INTERVAL_S = 2.0
 #: Every so many edits, one moves the split of the pool's roles.
 SPLIT_EVERY = 3
 EDIT_TIMEOUT_S = 20.0
 EDIT_WAIT_S = 8.0
-TRIES = 4
+MAX_TRIES = 4
 
 
-class Listing(typing.NamedTuple):
+class HostListing(typing.NamedTuple):
     """The hosts that a host named to its callers."""
 
     at_s: float
@@ -30,7 +30,7 @@
     hosts: frozenset[str]
 
 
-class EditSeen(typing.NamedTuple):
+class EditOutcome(typing.NamedTuple):
     """What became of an edit.
 
     :param state: 'in_force', 'accepted', 'pending', 'conflict', 'unknown'
@@ -60,7 +60,7 @@
     def start(self):
         """Begin to ask."""
         self.tasks = [
-            gevent.spawn(self.ask_forever, host)
+            gevent.spawn(self.sample_forever, host)
             for host in self.deployment.hosts
         ]
 
@@ -68,34 +68,36 @@
         """Ask no more."""
         gevent.killall(self.tasks)
 
-    def ask_forever(self, host):
+    def sample_forever(self, host):
         """Ask one host; one that does not answer shows nothing."""
         while True:
             try:
-                self.ask(host)
+                self.sample(host)
             except (OSError, http.client.HTTPException, ValueError):
                 pass
-            gevent.sleep(INTERVAL_S)
+            gevent.sleep(SAMPLE_INTERVAL_S)
 
-    def ask(self, host):
+    def sample(self, host):
         """Ask one host once."""
         at_s = time.time()
         status, body = self.deployment.admin(
-            host, 'GET', '/admin/table?sheet=hosts', timeout_s=TIMEOUT_S
+            host, 'GET', '/admin/table?sheet=hosts', timeout_s=SAMPLE_TIMEOUT_S
         )
         if status != 200:
             return
         address = self.deployment.caller_address(host)
         _, listed = cluster.call_json(
-            address, 'GET', '/v1/hosts', timeout_s=TIMEOUT_S
+            address, 'GET', '/v1/hosts', timeout_s=SAMPLE_TIMEOUT_S
         )
         hosts = frozenset(row['host'] for row in listed['hosts'])
         # The list is younger than the table; who stopped in between counts
         # as one that took no work, which only excuses.
-        takes_work = host in hosts
+        accepts_requests = host in hosts
         revision = body['in_force'][host]
-        self.samples.append(checker.Sample(at_s, host, revision, takes_work))
-        self.listings.append(Listing(at_s, host, hosts))
+        self.samples.append(
+            checker.HostSample(at_s, host, revision, accepts_requests)
+        )
+        self.listings.append(HostListing(at_s, host, hosts))
 
 
 class Editors:
@@ -111,7 +113,7 @@
         self.rng = rng
         self.numbers = itertools.count(1)
         self.edits = []
-        self.splits = itertools.cycle(splits_of(deployment.settings))
+        self.splits = itertools.cycle(role_split_cells(deployment.settings))
         self.task = None
 
     def start(self):
@@ -133,7 +135,7 @@
             else:
                 self.edit(next(self.splits))
 
-    def clash(self):
+    def edit_concurrently(self):
         """Two operators change the same cell at once."""
         cell = f'customers/{self.customer}/concurrency'
         values = [900 + next(self.numbers) for _ in range(2)]
@@ -158,8 +160,8 @@
         """
         hosts = list(self.deployment.hosts)
         self.rng.shuffle(hosts)
-        seen = EditSeen(time.time(), 'unknown', 0, 0.0)
-        for host in hosts[:TRIES]:
+        seen = EditOutcome(time.time(), 'unknown', 0, 0.0)
+        for host in hosts[:MAX_TRIES]:
             at_s = time.time()
             try:
                 status, answer = self.deployment.admin(
@@ -168,7 +170,7 @@
             except (OSError, http.client.HTTPException, ValueError):
                 continue
             if status in (200, 202, 409):
-                seen = edit_seen(at_s, status, answer)
+                seen = parse_edit_outcome(at_s, status, answer)
                 break
         self.edits.append(seen)
         return seen
@@ -184,7 +186,7 @@
         ]
 
 
-def splits_of(settings):
+def role_split_cells(settings):
     """Cells that have the planner change roles, this way and back.
 
     One engine is left over, so that an operator can drain it.
@@ -200,12 +202,12 @@
     ]
 
 
-def edit_seen(at_s, status, answer):
+def parse_edit_outcome(at_s, status, answer):
     """What an answer says."""
     took_s = time.time() - at_s
     if status == 409:
-        return EditSeen(at_s, 'conflict', 0, took_s)
-    return EditSeen(
+        return EditOutcome(at_s, 'conflict', 0, took_s)
+    return EditOutcome(
         at_s,
         answer['state'],
         answer.get('revision', 0),
--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -45,7 +45,7 @@
 ENGINES = 10
 
 
-class Sample(typing.NamedTuple):
+class HostSample(typing.NamedTuple):
     """What one stream saw.
 
     :param first_s: seconds from the request to the first token
@@ -95,7 +95,7 @@
             last_s = now_s
         connection.close()
         if first_s is not None:
-            self.samples.append(Sample(first_s, gaps_s))
+            self.samples.append(HostSample(first_s, gaps_s))
 
 
 class Bench:
@@ -118,7 +118,7 @@
 
     def cpu_s(self):
         """Return the node's processor seconds so far."""
-        return self.cluster.usage(self.host)['cpu_s']
+        return self.cluster.process_usage(self.host)['cpu_s']
 
     def idle_share(self, seconds):
         """Return the share of a core that the idle node takes."""
--- a/magnoliadyke/lab/platformday.py
+++ b/magnoliadyke/lab/platformday.py
@@ -509,7 +509,7 @@
     """
     options = docopt.docopt(__doc__, ['lab', 'platform-day', *argv])
     plan = read_plan(options['FILE'])
-    seed = arguments.whole_number(options, '--seed')
+    seed = arguments.parse_whole_number(options, '--seed')
     with contextlib.ExitStack() as stack:
         directory = options['--keep'] or stack.enter_context(
             tempfile.TemporaryDirectory(prefix='magnoliadyke-')
--- a/magnoliadyke/lab/proxy.py
+++ b/magnoliadyke/lab/proxy.py
@@ -177,7 +177,9 @@
         if forward:
             link.asked = True
             return False
-        return link.asked and self.rules.take_reply(link.source, link.target)
+        return link.asked and self.rules.consume_lost_reply(
+            link.source, link.target
+        )
 
     def dropped(self, source, target):
         """Whether packets of this direction are dropped now."""
@@ -196,8 +198,8 @@
     def apply(self, rule):
         """Do to the open connections what a new rule asks for."""
         for link in list(self.links):
-            forward = rule.holds(link.source, link.target)
-            back = rule.holds(link.target, link.source)
+            forward = rule.applies_to(link.source, link.target)
+            back = rule.applies_to(link.target, link.source)
             if rule.kind == 'cut' and (forward or back):
                 link.close(reset=True)
             if rule.kind == 'silence':
--- a/magnoliadyke/lab/rules.py
+++ b/magnoliadyke/lab/rules.py
@@ -31,20 +31,20 @@
     target: str
     kind: str
     both: bool
-    begun_s: float
+    started_s: float
     until_s: float
     delay_s: float
     share: float
     count: int
 
-    def holds(self, source, target):
+    def applies_to(self, source, target):
         """Whether it is about packets from ``source`` to ``target``."""
-        if match(self, source, target):
+        if matches_names(self, source, target):
             return True
-        return self.both and match(self, target, source)
+        return self.both and matches_names(self, target, source)
 
 
-def match(rule, source, target):
+def matches_names(rule, source, target):
     """Whether the names fit the rule's patterns."""
     return fnmatch.fnmatchcase(source, rule.source) and fnmatch.fnmatchcase(
         target, rule.target
@@ -101,11 +101,11 @@
         for rule in list(self.rules.values()):
             if rule.until_s <= now_s:
                 del self.rules[rule.id]
-            elif rule.kind == kind and rule.holds(source, target):
+            elif rule.kind == kind and rule.applies_to(source, target):
                 return rule
         return None
 
-    def take_reply(self, source, target):
+    def consume_lost_reply(self, source, target):
         """Use up one reply to lose; whether there was one."""
         rule = self.find('lose_reply', source, target)
         if rule is None:
--- a/magnoliadyke/lab/runs.py
+++ b/magnoliadyke/lab/runs.py
@@ -43,7 +43,7 @@
     return [
         record
         for record in records
-        if not record.job.repeatable and counts[record.content()] > 1
+        if not record.job.repeatable and counts[record.content_digest()] > 1
     ]
 
 
--- a/magnoliadyke/lab/schedules.py
+++ b/magnoliadyke/lab/schedules.py
@@ -19,7 +19,7 @@
 ENGINE = 'engine'
 ENDPOINT = 'endpoint'
 DOMAIN = 'failure domain'
-NOTHING = ''
+NO_TARGET = ''
 
 
 class Kind(typing.NamedTuple):
@@ -67,14 +67,14 @@
         HOST, (0, 0), 'its open connections say nothing for good'
     ),
     'store_down': Kind(
-        NOTHING, (4, 10), 'no answers; {"mode": "refuse" | "hang"}'
+        NO_TARGET, (4, 10), 'no answers; {"mode": "refuse" | "hang"}'
     ),
-    'store_slow': Kind(NOTHING, (4, 8), '{"delay_s": N} for each call'),
+    'store_slow': Kind(NO_TARGET, (4, 8), '{"delay_s": N} for each call'),
     'store_reply_lost': Kind(
-        NOTHING, (0, 0), 'writes take effect unanswered; {"count": N}'
+        NO_TARGET, (0, 0), 'writes take effect unanswered; {"count": N}'
     ),
     'store_restored': Kind(
-        NOTHING, (0, 0), 'the store goes back by {"age_s": N}'
+        NO_TARGET, (0, 0), 'the store goes back by {"age_s": N}'
     ),
     'engine_crash': Kind(
         ENGINE, (2, 4), 'the process dies; a new one after for_s'
@@ -92,10 +92,10 @@
         ENGINE, (0, 0), 'its open streams say nothing for good'
     ),
     'crashing_request': Kind(
-        NOTHING, (6, 6), 'a caller sends, and resends, what kills engines'
+        NO_TARGET, (6, 6), 'a caller sends, and resends, what kills engines'
     ),
     'clashing_edits': Kind(
-        NOTHING, (2, 2), 'two operators change the same cells at once'
+        NO_TARGET, (2, 2), 'two operators change the same cells at once'
     ),
     'endpoint_leaves': Kind(
         ENDPOINT, (6, 8), 'it says so, leaves, and comes back', True
@@ -107,17 +107,17 @@
         HOST, (4, 8), 'SIGTERM; a new process once it has ended', True
     ),
     'replace_hosts': Kind(
-        NOTHING, (60, 60), 'each host in turn is stopped and replaced', True
+        NO_TARGET, (60, 60), 'each host in turn is stopped and replaced', True
     ),
 }
 #: Too long for a run of ordinary length.
-NOT_DRAWN = frozenset({'replace_hosts'})
+EXCLUDED_KINDS = frozenset({'replace_hosts'})
 #: Of the hosts that are killed or paused, those that plan a pool.
-HOLDER_SHARE = 0.5
-FIRST_S = 3.0
-LAST_S = 9.0
+LEASE_HOLDER_SHARE = 0.5
+MIN_FIRST_FAULT_S = 3.0
+MAX_FIRST_FAULT_S = 9.0
 #: Of two faults, the second comes while the first is felt.
-SECOND_S = (0.0, 5.0)
+SECOND_FAULT_DELAY_S = (0.0, 5.0)
 
 
 class Fault(typing.NamedTuple):
@@ -141,14 +141,14 @@
     endpoints: tuple[str, ...]
     domains: tuple[str, ...]
 
-    def of(self, what):
+    def names_of(self, what):
         """Names of one sort."""
         return {
             HOST: self.hosts,
             ENGINE: self.engines,
             ENDPOINT: self.endpoints,
             DOMAIN: self.domains,
-            NOTHING: ('',),
+            NO_TARGET: ('',),
         }[what]
 
 
@@ -160,12 +160,12 @@
 
     :param rng: source of randomness
     """
-    names = sorted(KINDS.keys() - NOT_DRAWN)
-    at_s = rng.uniform(FIRST_S, LAST_S)
+    names = sorted(KINDS.keys() - EXCLUDED_KINDS)
+    at_s = rng.uniform(MIN_FIRST_FAULT_S, MAX_FIRST_FAULT_S)
     kind = names[number % len(names)]
     faults = [draw_one(targets, rng, at_s, kind)]
     while len(faults) < count:
-        later_s = at_s + rng.uniform(*SECOND_S)
+        later_s = at_s + rng.uniform(*SECOND_FAULT_DELAY_S)
         kind = rng.choice(names)
         faults.append(draw_one(targets, rng, later_s, kind))
     return faults
@@ -178,10 +178,10 @@
     if kind in ('cut_store', 'cut_peers', 'cut_endpoints'):
         detail['way'] = rng.choice(('both', 'both', 'to', 'from'))
     if kind in ('kill_host', 'pause_host'):
-        detail['holder'] = rng.random() < HOLDER_SHARE
+        detail['holder'] = rng.random() < LEASE_HOLDER_SHARE
     if kind == 'store_down':
         detail['mode'] = rng.choice(('refuse', 'hang'))
-    target = rng.choice(targets.of(KINDS[kind].target))
+    target = rng.choice(targets.names_of(KINDS[kind].target))
     return Fault(round(at_s, 1), kind, target, for_s, detail)
 
 
@@ -214,7 +214,7 @@
     if kind not in KINDS:
         raise ValueError(f'kind {kind!r} is none of ' + ', '.join(KINDS))
     fault = draw_one(targets, rng, float(row['at_s']), kind)
-    names = targets.of(KINDS[kind].target)
+    names = targets.names_of(KINDS[kind].target)
     target = row.get('target', fault.target)
     if target not in names:
         raise ValueError(f'target {target!r} is none of ' + ', '.join(names))
--- a/magnoliadyke/lab/soak.py
+++ b/magnoliadyke/lab/soak.py
@@ -28,47 +28,51 @@
 __all__ = ['draw', 'main']
 
 #: Mean time between two faults, in seconds: a few are on at any time.
-GAP_S = 0.9
+MEAN_FAULT_INTERVAL_S = 0.9
 #: How long a fault lasts, in seconds.
-LEAST_S = 0.3
-MOST_S = 3.0
+MIN_FAULT_S = 0.3
+MAX_FAULT_S = 3.0
 CALLERS_PER_HOST = 2
 LASTING_PER_HOST = 4
 #: Mean time between two stops that come beside those faults, in seconds.
-STOP_GAP_S = 5.0
+MEAN_STOP_INTERVAL_S = 5.0
 #: Mean time between two endpoints that say something in answers only, in
 #: seconds, and the kinds of that.
-WORD_GAP_S = 5.0
-SAID_IN_ANSWERS = frozenset(('leave_unlisted', 'shed'))
+MEAN_NOTICE_INTERVAL_S = 5.0
+RESPONSE_ONLY_KINDS = frozenset(('leave_unlisted', 'shed'))
 
 
 def draw(seed: int, seconds: float, hosts: int) -> platformday.Plan:
     """Draw the faults of a run."""
     rng = random.Random(seed)
-    kinds = sorted(platformday.KINDS.keys() - SAID_IN_ANSWERS)
+    kinds = sorted(platformday.KINDS.keys() - RESPONSE_ONLY_KINDS)
     faults = []
-    at_s = rng.expovariate(1 / GAP_S)
+    at_s = rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)
     while at_s < seconds:
         faults.append(
             platformday.Fault(
                 round(at_s, 3),
                 rng.choice(kinds),
-                round(rng.uniform(LEAST_S, MOST_S), 3),
+                round(rng.uniform(MIN_FAULT_S, MAX_FAULT_S), 3),
                 rng.randrange(1000),
             )
         )
-        at_s += rng.expovariate(1 / GAP_S)
-    at_s = rng.expovariate(1 / STOP_GAP_S)
+        at_s += rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)
+    at_s = rng.expovariate(1 / MEAN_STOP_INTERVAL_S)
     while at_s < seconds:
         pick = rng.randrange(1000)
-        faults.append(platformday.Fault(round(at_s, 3), 'stop', LEAST_S, pick))
-        at_s += rng.expovariate(1 / STOP_GAP_S)
-    at_s = rng.expovariate(1 / WORD_GAP_S)
+        faults.append(
+            platformday.Fault(round(at_s, 3), 'stop', MIN_FAULT_S, pick)
+        )
+        at_s += rng.expovariate(1 / MEAN_STOP_INTERVAL_S)
+    at_s = rng.expovariate(1 / MEAN_NOTICE_INTERVAL_S)
     while at_s < seconds:
-        kind = rng.choice(sorted(SAID_IN_ANSWERS))
+        kind = rng.choice(sorted(RESPONSE_ONLY_KINDS))
         pick = rng.randrange(1000)
-        faults.append(platformday.Fault(round(at_s, 3), kind, MOST_S, pick))
-        at_s += rng.expovariate(1 / WORD_GAP_S)
+        faults.append(
+            platformday.Fault(round(at_s, 3), kind, MAX_FAULT_S, pick)
+        )
+        at_s += rng.expovariate(1 / MEAN_NOTICE_INTERVAL_S)
     return platformday.Plan(
         seconds,
         tuple(faults),
@@ -84,8 +88,8 @@
     :returns: the exit status
     """
     options = docopt.docopt(__doc__, ['lab', 'soak', *argv])
-    seed = arguments.whole_number(options, '--seed')
-    hosts = arguments.whole_number(options, '--hosts')
+    seed = arguments.parse_whole_number(options, '--seed')
+    hosts = arguments.parse_whole_number(options, '--hosts')
     try:
         seconds = 60 * float(options['--minutes'])
     except ValueError:
--- a/magnoliadyke/lab/worker.py
+++ b/magnoliadyke/lab/worker.py
@@ -39,10 +39,10 @@
             function, task = read(sys.stdin.buffer)
         except EOFError:
             return 0
-        write(answers, outcome_of(function, task))
+        write(answers, run_task(function, task))
 
 
-def outcome_of(function, task):
+def run_task(function, task):
     """Return a task's result, or the exception that it raised."""
     try:
         return function(task)
--- a/magnoliadyke/lab/workers.py
+++ b/magnoliadyke/lab/workers.py
@@ -38,7 +38,7 @@
         numbers.put(number)
     results = {}
     greenlets = [
-        gevent.spawn(serve_one, function, tasks, numbers, results)
+        gevent.spawn(run_worker, function, tasks, numbers, results)
         for _ in range(count)
     ]
     gevent.joinall(greenlets, raise_error=True)
@@ -48,7 +48,7 @@
     return [results[number] for number in range(len(tasks))]
 
 
-def serve_one(function, tasks, numbers, results):
+def run_worker(function, tasks, numbers, results):
     """Keep one worker process busy until no task is left."""
     process = subprocess.Popen(
         program.command('lab', 'worker'),
--- a/magnoliadyke/lab/workload.py
+++ b/magnoliadyke/lab/workload.py
@@ -67,9 +67,9 @@
         self.call = call
         self.key = ''
         self.text = ''
-        self.told = []
+        self.retried_outcomes = []
 
-    def content(self):
+    def content_digest(self):
         """What marks this call in the ledgers."""
         match self.call:
             case ModelCall(prompt=text):
@@ -77,20 +77,20 @@
             case ServiceCall(method=method, path=path, body=body):
                 return standin.content_digest(method, path, body)
 
-    def whole(self):
+    def is_correct(self):
         """Whether the answer is complete and belongs to this call."""
         if not isinstance(self.outcome, outcomes.Answered):
             return False
         match self.call:
             case ModelCall(prompt=text):
-                mark = engine.digest(text)
+                short_digest = engine.digest(text)
                 count = self.job.output_tokens
-                return self.text == engine.answer_text(mark, 0, count)
+                return self.text == engine.answer_text(short_digest, 0, count)
             case ServiceCall(path=path, body=body):
-                return echoes(self.text, path, body)
+                return is_echo(self.text, path, body)
 
 
-def echoes(text, path, body):
+def is_echo(text, path, body):
     """Whether a service's answer echoes the call."""
     try:
         answer = json.loads(text)
@@ -105,14 +105,14 @@
     Its first ``prefix_tokens`` words are those of all requests with the same
     ``prefix_id``; the rest is its own.
     """
-    shared = mark(request.prefix_id)
-    own = mark(f'{number}/{request.prompt_tokens}')
+    shared = short_digest(request.prefix_id)
+    own = short_digest(f'{number}/{request.prompt_tokens}')
     words = [f'{shared}{i}' for i in range(request.prefix_tokens)]
     words += [f'{own}{i}' for i in range(len(words), request.prompt_tokens)]
     return ' '.join(words)
 
 
-def mark(text):
+def short_digest(text):
     """A short word that stands for a text."""
     return hashlib.sha256(text.encode()).hexdigest()[:4] + '.'
 
--- a/tests/test_lab_arguments.py
+++ b/tests/test_lab_arguments.py
@@ -10,9 +10,11 @@
 
 class ArgumentsTest(unittest.TestCase):
     def test_a_word_is_no_number(self):
-        self.assertEqual(3, arguments.whole_number({'--seed': '3'}, '--seed'))
+        self.assertEqual(
+            3, arguments.parse_whole_number({'--seed': '3'}, '--seed')
+        )
         with self.assertRaisesRegex(errors.UsageError, '--seed is .x.'):
-            arguments.whole_number({'--seed': 'x'}, '--seed')
+            arguments.parse_whole_number({'--seed': 'x'}, '--seed')
 
     def test_files_that_cannot_be_read_are_named(self):
         with tempfile.TemporaryDirectory() as directory:
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -11,18 +11,20 @@
 )
 PAUSE = checker.Fault('pause_host', 'h1', 15.0, 22.0, False)
 LEAVING = checker.Fault('endpoint_leaves', 'e1', 8.0, 14.0, True)
-TOLD = checker.Told(11.0, 'k1', 'not_run', 'shed')
+TOLD = checker.ReportedOutcome(11.0, 'k1', 'not_run', 'shed')
 CLEAN = checker.Evidence(
     calls=[CALL],
     runs=[RUN],
     commands=[
         COMMAND,
         COMMAND._replace(at_s=21.0),
-        COMMAND._replace(at_s=25.0, id='e1-6-2', fencing=6, generation=2),
+        COMMAND._replace(
+            at_s=25.0, id='e1-6-2', fencing_token=6, generation=2
+        ),
     ],
     samples=[
-        checker.Sample(1.0, 'h1', 3, True),
-        checker.Sample(8.0, 'h1', 4, True),
+        checker.HostSample(1.0, 'h1', 3, True),
+        checker.HostSample(8.0, 'h1', 4, True),
     ],
     edits=[checker.Edit('edit 1', 4, 2.0)],
     departures=[checker.Departure('e1', 8.0, 14.0)],
@@ -85,36 +87,38 @@
 
 
 def test_truncated_or_crossed():
-    wrong = [CALL._replace(whole=False, sent_s=50.0, ended_s=51.0)]
+    wrong = [CALL._replace(is_correct=False, sent_s=50.0, ended_s=51.0)]
     assert promises(calls=wrong) == {'truncated_or_crossed'}
 
 
 def test_not_run_but_ran():
-    assert promises(told=[TOLD]) == {'not_run_but_ran'}
-    assert promises(told=[TOLD._replace(key='k2')]) == set()
-    assert promises(told=[TOLD._replace(outcome='unknown')]) == set()
+    assert promises(reported_outcomes=[TOLD]) == {'not_run_but_ran'}
+    assert promises(reported_outcomes=[TOLD._replace(key='k2')]) == set()
+    assert (
+        promises(reported_outcomes=[TOLD._replace(outcome='unknown')]) == set()
+    )
 
 
 def test_conflicting_commands():
     other = COMMAND._replace(at_s=20.5, id='x', target='decode')
     assert promises(commands=[COMMAND, other]) == {'conflicting_commands'}
-    refused = other._replace(taken=False)
+    refused = other._replace(accepted=False)
     assert promises(commands=[COMMAND, refused]) == set()
 
 
 def test_stale_command_effective():
-    later = COMMAND._replace(at_s=19.0, id='l', sender='h2', fencing=6)
+    later = COMMAND._replace(at_s=19.0, id='l', sender='h2', fencing_token=6)
     commands = [later, COMMAND]
     assert promises(commands=commands) == {'stale_command_effective'}
 
 
 def test_stop_at_the_worst_spot_is_counted_apart():
     """The one window that no sender can close, and only that one."""
-    later = COMMAND._replace(at_s=19.0, id='l', sender='h2', fencing=6)
+    later = COMMAND._replace(at_s=19.0, id='l', sender='h2', fencing_token=6)
     evidence = CLEAN._replace(commands=[later, COMMAND], faults=[PAUSE])
     verdict = checker.check(evidence)
     assert not verdict.violations
-    assert len(verdict.windows) == 1
+    assert len(verdict.unpreventable) == 1
     for commands, faults in (
         ([later, COMMAND._replace(checks_fencing=True)], [PAUSE]),
         ([later, COMMAND], [PAUSE._replace(target='h3')]),
@@ -142,15 +146,15 @@
 def test_config_reverted():
     samples = [
         *CLEAN.samples,
-        checker.Sample(9.0, 'h1', 3, False),
+        checker.HostSample(9.0, 'h1', 3, False),
     ]
     assert promises(samples=samples, edits=[]) == set()
-    samples.append(checker.Sample(9.5, 'h1', 3, True))
+    samples.append(checker.HostSample(9.5, 'h1', 3, True))
     assert promises(samples=samples, edits=[]) == {'config_reverted'}
 
 
 def test_config_late():
-    late = [checker.Sample(8.1, 'h2', 3, True)]
+    late = [checker.HostSample(8.1, 'h2', 3, True)]
     assert promises(samples=late) == {'config_late'}
-    idle = [late[0]._replace(takes_work=False)]
+    idle = [late[0]._replace(accepts_requests=False)]
     assert promises(samples=idle) == set()
--- a/tests/test_lab_demo.py
+++ b/tests/test_lab_demo.py
@@ -26,7 +26,7 @@
 
 class SummaryTest(unittest.TestCase):
     def test_all_answered_whole_and_once_is_good(self):
-        self.assertTrue(GOOD.good())
+        self.assertTrue(GOOD.succeeded())
         self.assertIn('every caller got its whole answer', demo.render(GOOD))
 
     def test_anything_less_is_not(self):
@@ -39,5 +39,5 @@
         ]
         for fields in worse:
             summary = GOOD._replace(**fields)
-            self.assertFalse(summary.good(), fields)
+            self.assertFalse(summary.succeeded(), fields)
             self.assertIn('FAILED', demo.render(summary))
--- a/tests/test_lab_injector.py
+++ b/tests/test_lab_injector.py
@@ -18,7 +18,7 @@
     def post(self, path, body):
         if body.get('undo'):
             self.undone_s.append(time.time())
-        return observer.EditSeen(time.time(), 'accepted', 1, 0.0)
+        return observer.EditOutcome(time.time(), 'accepted', 1, 0.0)
 
 
 def test_a_drain_ends_when_another_operator_takes_the_endpoint_in():
--- a/tests/test_lab_layout.py
+++ b/tests/test_lab_layout.py
@@ -15,11 +15,11 @@
         self.options = layout.Options(67, hosts=3)
 
     def make(self):
-        settings = layout.derive(self.document, self.options)
+        settings = layout.derive_settings(self.document, self.options)
         return layout.Layout(settings, self.options, pathlib.Path('.'))
 
     def test_clusters_side_by_side_share_no_address(self):
-        derived = layout.derive(self.document, self.options)
+        derived = layout.derive_settings(self.document, self.options)
         self.assertNotIn('"127.0.', json.dumps(derived))
         self.assertEqual('127.67.4.1:7300', derived['keyvalue']['address'])
         self.assertEqual(3, len(derived['hosts']))
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -20,11 +20,11 @@
         return self.told.pop(0)
 
 
-def run(told, repeatable, visits):
+def run(told, repeatable, max_retries):
     """The record of one call to which a client was told these."""
     job = jobs.Job('1', 'portal', 'portal', repeatable=repeatable)
     call = workload.ServiceCall(0.0, job, 'portal', 'POST', '/notices', '')
-    made = load.Load({'portal': [FakeClient(told)]}, [call], visits)
+    made = load.Load({'portal': [FakeClient(told)]}, [call], max_retries)
     made.start()
     made.join(10.0)
     return made.records[0]
@@ -32,17 +32,17 @@
 
 class LoadTest(unittest.TestCase):
     def test_a_caller_comes_back_after_not_run(self):
-        record = run([NOT_RUN, ANSWERED], repeatable=False, visits=3)
+        record = run([NOT_RUN, ANSWERED], repeatable=False, max_retries=3)
         self.assertEqual(ANSWERED, record.outcome)
-        self.assertEqual([NOT_RUN], record.told)
+        self.assertEqual([NOT_RUN], record.retried_outcomes)
         self.assertIsNotNone(record.finished_s)
 
     def test_after_unknown_only_what_may_be_repeated_comes_back(self):
-        again = run([UNKNOWN, ANSWERED], repeatable=True, visits=3)
+        again = run([UNKNOWN, ANSWERED], repeatable=True, max_retries=3)
         self.assertEqual(ANSWERED, again.outcome)
-        once = run([UNKNOWN, ANSWERED], repeatable=False, visits=3)
+        once = run([UNKNOWN, ANSWERED], repeatable=False, max_retries=3)
         self.assertEqual(UNKNOWN, once.outcome)
 
     def test_a_trace_is_sent_once(self):
-        record = run([NOT_RUN, ANSWERED], repeatable=True, visits=0)
+        record = run([NOT_RUN, ANSWERED], repeatable=True, max_retries=0)
         self.assertEqual(NOT_RUN, record.outcome)
--- a/tests/test_lab_rules.py
+++ b/tests/test_lab_rules.py
@@ -23,7 +23,7 @@
 
     def test_replies_are_lost_by_count(self):
         self.rules.add({'kind': 'lose_reply', 'count': 2})
-        taken = [self.rules.take_reply('a', 'b') for _ in range(3)]
+        taken = [self.rules.consume_lost_reply('a', 'b') for _ in range(3)]
         self.assertEqual([True, True, False], taken)
 
     def test_an_unknown_kind_is_refused(self):
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -30,7 +30,7 @@
         self.key = key
         self.job = jobs.Job(key, 'portal', 'portal', repeatable=repeatable)
 
-    def content(self):
+    def content_digest(self):
         return self.key
 
 
--- a/tests/test_lab_schedules.py
+++ b/tests/test_lab_schedules.py
@@ -19,9 +19,9 @@
         assert drawn == again
         for fault in drawn:
             kind = schedules.KINDS[fault.kind]
-            assert fault.target in TARGETS.of(kind.target)
+            assert fault.target in TARGETS.names_of(kind.target)
             kinds.add(fault.kind)
-    assert kinds == schedules.KINDS.keys() - schedules.NOT_DRAWN
+    assert kinds == schedules.KINDS.keys() - schedules.EXCLUDED_KINDS
 
 
 def test_every_kind_can_be_injected():
--- a/tests/test_lab_worker.py
+++ b/tests/test_lab_worker.py
@@ -15,4 +15,4 @@
 
 
 def test_an_error_is_a_result():
-    assert isinstance(worker.outcome_of(math.factorial, -1), ValueError)
+    assert isinstance(worker.run_task(math.factorial, -1), ValueError)
--- a/tests/test_lab_workload.py
+++ b/tests/test_lab_workload.py
@@ -40,7 +40,7 @@
         for text, whole in texts.items():
             record.outcome = outcomes.Answered('key', text)
             record.text = text
-            self.assertEqual(whole, record.whole(), text)
+            self.assertEqual(whole, record.is_correct(), text)
 
     def test_service_calls_take_the_routes_in_turn(self):
         calls = workload.service_calls('portal', POOL, 2.0, 2.0)
@@ -52,6 +52,6 @@
         record = workload.Record(calls[1])
         record.outcome = outcomes.Answered('key', '')
         record.text = json.dumps({'path': '/notices', 'body': calls[1].body})
-        self.assertTrue(record.whole())
+        self.assertTrue(record.is_correct())
         record.text = json.dumps({'path': '/notices', 'body': 'other'})
-        self.assertFalse(record.whole())
+        self.assertFalse(record.is_correct())
--- a/tests/test_role_change_faults.py
+++ b/tests/test_role_change_faults.py
@@ -149,7 +149,7 @@
     # command. The holder reads it back and commands again, and no second
     # engine is taken in its stead.
     running = start(checks_fencing)
-    running.fault(ENGINE, kind='crash_in_change')
+    running.set_fault(ENGINE, kind='crash_in_change')
     edit(running, min_prefill=2)
     wait_for_crash(running)
     running.restart(ENGINE)
@@ -175,7 +175,7 @@
     # to a command is lost, and whoever sent it sends another. The holder
     # reads the engine back instead.
     running = start(checks_fencing)
-    running.fault(ENGINE, kind='lose_reply', count=1)
+    running.set_fault(ENGINE, kind='lose_reply', count=1)
     edit(running, min_prefill=2)
     wait_for(running, lambda: changes(running) == ['prefill'])
     assert len(taken(running, 'prefill')) == 1
