--- a/magnoliadyke/lab/cluster.py
+++ b/magnoliadyke/lab/cluster.py
@@ -197,14 +197,14 @@
         end_s = time.monotonic() + timeout_s
         while True:
             if not self.is_alive(name):
-                raise NotReady(f'{name} ended: {self.tail(name)}')
+                raise NotReady(f'{name} ended: {self.log_tail(name)}')
             try:
                 if ready():
                     return
             except (OSError, http.client.HTTPException, ValueError):
                 pass
             if time.monotonic() > end_s:
-                raise NotReady(f'{name} is not ready: {self.tail(name)}')
+                raise NotReady(f'{name} is not ready: {self.log_tail(name)}')
             gevent.sleep(POLL_INTERVAL_S)
 
     def log_tail(self, name, characters=600):
--- a/magnoliadyke/lab/evidence.py
+++ b/magnoliadyke/lab/evidence.py
@@ -40,7 +40,8 @@
 class RecordingClient(caller.Client):
     """The caller library, with a note of what each key was told.
 
-    :param told: list that takes a :class:`checker.Told` for each key
+    :param told: list that takes a :class:`checker.ReportedOutcome` for each
+        key
     :param foreign: whether it makes keys of its own, without a ticket
     """
 
@@ -153,9 +154,9 @@
     outcome = record.outcome
     if outcome is None and record.retried_outcomes:
         last = record.retried_outcomes[-1].reason
-        return f'told {len(record.told)} times, last {last}'
+        return f'told {len(record.retried_outcomes)} times, last {last}'
     if isinstance(outcome, outcomes.Answered):
-        return f'{outcome.finish_reason}: {outcome.text[:EXCERPT]}'
+        return f'{outcome.finish_reason}: {outcome.text[:MAX_EXCERPT_CHARS]}'
     return getattr(outcome, 'reason', '')
 
 
--- a/magnoliadyke/lab/live.py
+++ b/magnoliadyke/lab/live.py
@@ -90,7 +90,7 @@
 def run(plan, name):
     """Run a trace under a policy; the figures.
 
-    :param plan: :class:`Run`
+    :param plan: :class:`RunPlan`
     :param name: policy of :data:`POLICIES`
     """
     pools = plan.document['initial_table'].setdefault('pools', {})
--- a/magnoliadyke/lab/workload.py
+++ b/magnoliadyke/lab/workload.py
@@ -60,7 +60,7 @@
     :ivar told: outcomes after which the caller came back
     """
 
-    __slots__ = ('call', 'key', 'text', 'told')
+    __slots__ = ('call', 'key', 'text', 'retried_outcomes')
 
     def __init__(self, call):
         super().__init__(call.job)
