--- a/magnoliadyke/lab/checker.py
+++ b/magnoliadyke/lab/checker.py
@@ -1,8 +1,8 @@
-"""Judges a run from outside: ledgers and callers against the promises.
+"""Checks the recorded evidence of a run against the system's promises.
 
-A pure function over what the stand-ins wrote down, what the callers were
-told and what the hosts showed of themselves.  It knows nothing of how the
-nodes work.
+A pure function over the ledgers of the stand-ins, the outcomes that callers
+received and the samples taken from the hosts.  It does not depend on how the
+nodes are implemented.
 """
 
 import collections
@@ -31,12 +31,13 @@
 UNKNOWN = 'unknown'
 REJECTED = 'rejected'
 PAUSE = 'pause_host'
-#: A decode with an offset goes on with a run that was moved.
+#: Kinds of run that start a request.  A decode with an offset resumes a run
+#: that was migrated from another engine.
 FIRST_STAGE_KINDS = ('prefill', 'both')
 
 
 class ReportedOutcome(typing.NamedTuple):
-    """What a caller was told of one key."""
+    """The outcome that a caller received for one idempotency key."""
 
     at_s: float
     key: str
@@ -45,12 +46,13 @@
 
 
 class Call(typing.NamedTuple):
-    """One call, through all visits of its caller.
+    """One call, including all retries of its caller.
 
-    :param content: what marks it in the ledgers
+    :param content_digest: identifies the call in the ledgers
+    :param outcome: the last one, '' if there was none
     :param ended_s: wall time of the last outcome, None if there was none
-    :param whole: the answer is complete and this call's own
-    :param poisoned: it kills engines, and may be rejected for that
+    :param is_correct: the answer is complete and belongs to this call
+    :param poisoned: the request crashes engines, and may be rejected for it
     """
 
     name: str
@@ -65,8 +67,11 @@
 
 
 class Run(typing.NamedTuple):
-    """An endpoint began to run something.
+    """The start of a request's execution on an endpoint.
 
+    :param content_digest: identifies the call that was executed
+    :param offset: tokens that another engine generated before the request
+        was migrated to this one
     :param kind: 'prefill', 'decode' or 'both'; 'service' for a service
     """
 
@@ -79,9 +84,11 @@
 
 
 class Command(typing.NamedTuple):
-    """A command reached an engine.
+    """A command that reached an engine.
 
-    :param taken: it was not refused
+    :param target: the role or model that it requests
+    :param accepted: the engine did not refuse it
+    :param checks_fencing: the engine compares fencing tokens
     """
 
     at_s: float
@@ -96,9 +103,11 @@
 
 
 class HostSample(typing.NamedTuple):
-    """What a host showed of itself.
+    """The state that a host reported about itself.
 
-    :param at_s: when it was asked; what it showed is no older
+    :param at_s: when the request was sent; the reported state is no older
+    :param revision: of the table that is in force on the host
+    :param accepts_requests: the host lists itself to callers
     """
 
     at_s: float
@@ -108,7 +117,11 @@
 
 
 class Edit(typing.NamedTuple):
-    """An edit that an operator was told is accepted."""
+    """An edit of the table that was reported to its operator as accepted.
+
+    :param revision: of the table from this edit on
+    :param accepted_s: when the operator received the response
+    """
 
     name: str
     revision: int
@@ -116,7 +129,11 @@
 
 
 class Departure(typing.NamedTuple):
-    """An endpoint that leaves, by its own word or the operators' table."""
+    """A period in which an endpoint is leaving or drained.
+
+    :param at_s: when the endpoint announced it or the drain was accepted
+    :param back_s: when the endpoint may be used again
+    """
 
     endpoint: str
     at_s: float
@@ -126,6 +143,7 @@
 class Fault(typing.NamedTuple):
     """A fault that was injected.
 
+    :param until_s: when it ended, infinite while it lasts
     :param planned: an operator's planned change, not a failure
     """
 
@@ -137,7 +155,7 @@
 
 
 class Evidence(typing.NamedTuple):
-    """All that a run left behind; times are wall clock seconds."""
+    """Everything recorded in a run; times are wall clock seconds."""
 
     calls: abc.Sequence[Call] = ()
     reported_outcomes: abc.Sequence[ReportedOutcome] = ()
@@ -150,11 +168,13 @@
 
 
 class Limits(typing.NamedTuple):
-    """What counts as too late.
+    """Time limits of the promises, in seconds.
 
-    :param config_s: from acceptance until in force everywhere
-    :param leaving_s: from the notice until nothing new is sent
-    :param settle_s: how long a fault may be felt after its end
+    :param config_propagation_s: from the acceptance of an edit until it is
+        in force on all hosts
+    :param leaving_grace_s: from the notice that an endpoint leaves until it
+        gets no new requests
+    :param settle_s: how long after its end a fault may still affect calls
     """
 
     config_propagation_s: float = 6.0
@@ -163,7 +183,12 @@
 
 
 class Violation(typing.NamedTuple):
-    """A promise that was broken."""
+    """A broken promise.
+
+    :param promise: key of :data:`PROMISES`
+    :param at_s: wall time of the event that broke it
+    :param what: description for people
+    """
 
     promise: str
     at_s: float
@@ -171,10 +196,11 @@
 
 
 class Verdict(typing.NamedTuple):
-    """What the checker found.
+    """The checker's findings.
 
-    :param windows: commands of a process that was stopped between its last
-        check and the sending, taken by an engine that ignores numbers
+    :param unpreventable: stale commands of a process that was paused between
+        its last check of the lease and the send, accepted by an engine that
+        ignores fencing tokens
     """
 
     violations: list[Violation]
@@ -182,28 +208,36 @@
 
 
 def check(evidence, limits=None):
-    """Judge a run.
+    """Check a run against all promises.
 
     :param evidence: :class:`Evidence`
+    :param limits: :class:`Limits`, the defaults if None
     :returns: :class:`Verdict`
     """
     limits = limits or Limits()
     found = []
-    for promise, judge in PROMISES.items():
-        for at_s, what in judge(evidence, limits):
+    for promise, find in PROMISES.items():
+        for at_s, what in find(evidence, limits):
             found.append(Violation(promise, at_s, what))
-    is_window = {v: is_unpreventable(v, evidence) for v in found}
+    unpreventable = {v: is_unpreventable(v, evidence) for v in found}
     return Verdict(
-        [v for v in found if not is_window[v]],
-        [v for v in found if is_window[v]],
+        [v for v in found if not unpreventable[v]],
+        [v for v in found if unpreventable[v]],
     )
 
 
 def find_lost_calls(evidence, limits):
-    """Callers that wait for ever, or give up what could be repeated."""
+    """Calls without an outcome, or that failed although a retry was allowed.
+
+    A call that may not be repeated may end as unknown only if a failure may
+    have affected it.
+    """
     for call in evidence.calls:
         if not call.outcome:
-            yield call.sent_s, f'{call.name} has no outcome; {call.reason}'
+            yield (
+                call.sent_s,
+                f'{call.name} received no outcome; {call.reason}',
+            )
         elif call.outcome == ANSWERED:
             continue
         elif call.poisoned and call.outcome == REJECTED:
@@ -218,12 +252,12 @@
         ):
             yield (
                 call.ended_s,
-                f'{call.name} is unknown ({call.reason}), and nothing failed',
+                f'{call.name} ended unknown ({call.reason}) without a failure',
             )
 
 
 def may_be_affected(call, evidence, limits):
-    """Whether a failure may have touched a call."""
+    """Whether an unplanned fault was in effect during a call."""
     return any(
         fault.at_s <= call.ended_s
         and call.sent_s <= fault.until_s + limits.settle_s
@@ -233,44 +267,47 @@
 
 
 def find_duplicate_executions(evidence, _limits):
-    """Calls that may not be repeated and ran twice."""
+    """Non-repeatable calls that were executed more than once."""
     once = {c.content_digest: c for c in evidence.calls if not c.repeatable}
-    begun = collections.defaultdict(list)
+    executions = collections.defaultdict(list)
     for run in evidence.runs:
         if run.content_digest in once and not run.offset:
-            begun[run.content_digest, execution_stage(run)].append(run)
-    for (content, _), runs in begun.items():
+            executions[run.content_digest, execution_stage(run)].append(run)
+    for (content, _), runs in executions.items():
         if len(runs) > 1:
             where = ', '.join(run.endpoint for run in runs)
-            yield runs[1].at_s, f'{once[content].name} ran on {where}'
+            yield runs[1].at_s, f'{once[content].name} was run on {where}'
 
 
 def execution_stage(run):
-    """Prompt and output of one run may be on two engines."""
+    """The stage of a run: one request may run once in each stage.
+
+    Its prefill and its decode may be on two engines.
+    """
     return 'first' if run.kind in FIRST_STAGE_KINDS else run.kind
 
 
 def find_wrong_answers(evidence, _limits):
-    """Answers that are cut short, or of another call."""
+    """Answers that are truncated or belong to another call."""
     for call in evidence.calls:
         if call.outcome == ANSWERED and not call.is_correct:
             yield (
                 call.ended_s,
-                f'{call.name} got a wrong answer: {call.reason}',
+                f'{call.name} received a wrong answer: {call.reason}',
             )
 
 
 def find_false_not_run(evidence, _limits):
-    """Callers that were told "not run" of something that ran."""
+    """Keys that were reported as not run although an endpoint ran them."""
     ran = {run.key: run for run in evidence.runs if run.key}
-    for told in evidence.reported_outcomes:
-        if told.outcome == NOT_RUN and told.key in ran:
-            run = ran[told.key]
-            yield told.at_s, f'{told.key} ran on {run.endpoint}'
+    for reported in evidence.reported_outcomes:
+        if reported.outcome == NOT_RUN and reported.key in ran:
+            run = ran[reported.key]
+            yield reported.at_s, f'{reported.key} ran on {run.endpoint}'
 
 
 def accepted_commands(evidence):
-    """Commands that an engine took, without repeats of the same."""
+    """Commands that engines accepted, each once, in order of time."""
     seen = set()
     for command in sorted(evidence.commands, key=lambda each: each.at_s):
         if command.accepted and (command.engine, command.id) not in seen:
@@ -279,7 +316,10 @@
 
 
 def find_conflicting_commands(evidence, _limits):
-    """Two commands that each claim the same place in an engine's order."""
+    """Different commands to an engine with the same token and generation.
+
+    Fencing token and generation determine the order of an engine's commands.
+    """
     places = {}
     for command in accepted_commands(evidence):
         place = (command.engine, command.fencing_token, command.generation)
@@ -287,20 +327,20 @@
         if before.target != command.target:
             yield (
                 command.at_s,
-                f'{command.engine} was told {before.target} and '
+                f'{command.engine} accepted {before.target} and '
                 f'{command.target} with generation {command.generation}',
             )
 
 
 def find_stale_commands(evidence, _limits):
-    """Commands taken after one of a later holder."""
+    """Commands accepted after one of a later lease holder."""
     highest = {}
     for command in accepted_commands(evidence):
         before = highest.get(command.engine)
         if before is not None and command.fencing_token < before.fencing_token:
             yield (
                 command.at_s,
-                f'{command.engine} took {command.id} of {command.sender} '
+                f'{command.engine} accepted {command.id} of {command.sender} '
                 f'after {before.id} of {before.sender}',
             )
         else:
@@ -308,10 +348,11 @@
 
 
 def is_unpreventable(violation, evidence):
-    """Whether a stale command is the one kind that cannot be prevented.
+    """Whether a violation is the one kind that no sender can prevent.
 
-    A process stopped between its last check and the system call that sends
-    goes on to send when it runs again; an engine that ignores numbers obeys.
+    A process that is paused between its last check of the lease and the
+    system call that sends the command sends it when it resumes.  An engine
+    that ignores fencing tokens accepts such a command.
     """
     if violation.promise != 'stale_command_effective':
         return False
@@ -327,7 +368,7 @@
 
 
 def find_work_after_departure(evidence, limits):
-    """New work at an endpoint that left a while ago."""
+    """Requests sent to an endpoint after the grace period of its departure."""
     for departure in evidence.departures:
         deadline_s = departure.at_s + limits.leaving_grace_s
         for run in evidence.runs:
@@ -337,19 +378,19 @@
                 after_s = run.at_s - departure.at_s
                 yield (
                     run.at_s,
-                    f'{run.endpoint} was given {run.key} {after_s:.1f} s '
-                    'after it began to leave',
+                    f'{run.endpoint} received {run.key} {after_s:.1f} s '
+                    'after its departure began',
                 )
 
 
 def find_planned_change_failures(evidence, limits):
-    """Calls that suffered although only planned changes went on."""
+    """Calls that failed while only planned changes were in effect."""
     planned = [fault for fault in evidence.faults if fault.planned]
     for call in evidence.calls:
-        hurt = call.outcome == UNKNOWN or (
+        failed = call.outcome == UNKNOWN or (
             call.outcome == ANSWERED and not call.is_correct
         )
-        if not hurt or may_be_affected(call, evidence, limits):
+        if not failed or may_be_affected(call, evidence, limits):
             continue
         for fault in planned:
             if fault.at_s <= call.ended_s and call.sent_s <= fault.until_s:
@@ -362,7 +403,7 @@
 
 
 def find_reverted_config(evidence, _limits):
-    """Hosts that take work with an older table than they had."""
+    """Hosts that accept requests with an older table than before."""
     highest = {}
     for sample in sorted(evidence.samples, key=lambda each: each.at_s):
         if not sample.accepts_requests:
@@ -371,13 +412,14 @@
         if sample.revision < before:
             yield (
                 sample.at_s,
-                f'{sample.host} went from {before} to {sample.revision}',
+                f'{sample.host} went back from revision {before} to '
+                f'{sample.revision}',
             )
         highest[sample.host] = max(before, sample.revision)
 
 
 def find_late_config(evidence, limits):
-    """Hosts that take work without an edit accepted long ago."""
+    """Hosts that accept requests without an edit past its deadline."""
     for edit in evidence.edits:
         deadline_s = edit.accepted_s + limits.config_propagation_s
         hosts = set()
@@ -393,12 +435,12 @@
                 hosts.add(sample.host)
                 yield (
                     sample.at_s,
-                    f'{sample.host} has {sample.revision}, not {edit.name} '
-                    f'({edit.revision})',
+                    f'{sample.host} is at revision {sample.revision}, without '
+                    f'{edit.name} (revision {edit.revision})',
                 )
 
 
-#: What each promise is called, and who judges it.
+#: Names of the promises, as in results, and what finds their violations.
 PROMISES = {
     'lost': find_lost_calls,
     'doubled': find_duplicate_executions,
