--- a/magnoliadyke/lab/cluster.py
+++ b/magnoliadyke/lab/cluster.py
@@ -1,4 +1,4 @@
-"""Starts a deployment's real processes on loopback and ends them again."""
+"""Starts the processes of a deployment on loopback and stops them."""
 
 import ctypes
 import http.client
@@ -42,18 +42,18 @@
 CLAIM_PORT = 7999
 FREE_RUNS = range(100, 200)
 
-#: For those who only know the cluster.
+#: For modules that import only this one.
 ADMIN_TOKEN = layout.ADMIN_TOKEN
 Options = layout.Options
 caller_key = layout.caller_key
 
 
 class NotReady(Exception):
-    """A process did not answer in time, or ended too early."""
+    """A process did not get ready in time, or exited before."""
 
 
 class Process(typing.NamedTuple):
-    """A process and how to start it again."""
+    """A process, with the command and environment to restart it."""
 
     name: str
     command: list[str]
@@ -64,9 +64,9 @@
 class Cluster(layout.Layout):
     """The processes of one deployment: stand-ins and nodes.
 
-    Names are those of the settings for hosts and endpoints, and
-    ``keyvalue``, ``weight_store``, ``host_list`` and ``proxy``.  Use it as a
-    context manager: whatever happens inside, all processes end.
+    Processes have the names of their hosts and endpoints in the settings, or
+    ``keyvalue``, ``weight_store``, ``host_list`` and ``proxy``.  As a context
+    manager it kills all processes on exit, also after an exception.
 
     :param document: settings of the deployment, as read from JSON
     :param options: :class:`Options`
@@ -97,13 +97,16 @@
     # Starting.
 
     def start(self):
-        """Start all and wait until each node lists all hosts."""
+        """Start all processes and wait until each node lists all hosts."""
         self.start_stand_ins()
         self.start_nodes()
         self.wait_ready()
 
     def start_stand_ins(self):
-        """Start the platform's stand-ins and wait until they answer."""
+        """Start all stand-ins, and the fault proxy if the nodes use it.
+
+        Waits until all of them but the proxy answer.
+        """
         if self.options.proxied:
             control = self.control_address()
             spec = {'control': control, 'names': self.names}
@@ -116,12 +119,17 @@
             self.wait_healthy(name)
 
     def start_stand_in(self, name):
-        """Start one stand-in by name."""
+        """Start the stand-in of a name."""
         kind, spec = self.stand_in_spec(name)
         self.start_program(name, kind, self.address(name), spec)
 
     def start_program(self, name, verb, address, spec):
-        """Start a program of the lab."""
+        """Start a program of the lab.
+
+        :param verb: of ``magnoliadyke lab``
+        :param address: where it listens
+        :param spec: its settings, passed as JSON
+        """
         command = program.command('lab', verb, address, json.dumps(spec))
         self.launch(name, command, {})
 
@@ -145,7 +153,10 @@
         self.launch(name, command, {links.VARIABLE: json.dumps(spec)})
 
     def launch(self, name, command, extra):
-        """Start a process; its output goes to its log."""
+        """Start a process with its output appended to its log file.
+
+        :param extra: environment variables besides those of this process
+        """
         environment = {**os.environ, **extra}
         with open(self.directory / f'{name}.log', 'ab') as log:
             popen = subprocess.Popen(
@@ -159,7 +170,7 @@
         self.processes[name] = Process(name, command, extra, popen)
 
     def restart(self, name):
-        """Start a process that has ended again, as it was."""
+        """Start a process again that has exited, with the same command."""
         process = self.processes[name]
         process.popen.wait(timeout=STAND_IN_STOP_TIMEOUT_S)
         self.launch(name, process.command, process.environment)
@@ -167,15 +178,15 @@
     # Readiness.
 
     def wait_healthy(self, name):
-        """Wait until a stand-in answers."""
+        """Wait until a stand-in answers its health check."""
         self.wait_for(name, lambda: self.is_healthy(name))
 
     def is_healthy(self, name):
-        """Whether a stand-in answers."""
+        """Whether a stand-in answers its health check."""
         return call_json(self.address(name), 'GET', '/health')[0] == 200
 
     def wait_ready(self):
-        """Wait until each running node takes work and lists the others."""
+        """Wait until each running node lists all running hosts to callers."""
         running = [name for name in self.hosts if self.is_alive(name)]
         for name in running:
             self.wait_for(
@@ -184,67 +195,71 @@
             )
 
     def has_listed_hosts(self, name, count):
-        """Whether a node answers with at least ``count`` hosts."""
+        """Whether a node lists at least ``count`` hosts to callers."""
         address = self.caller_address(name)
         status, body = call_json(address, 'GET', '/v1/hosts')
         return status == 200 and len(body['hosts']) >= count
 
     def wait_for(self, name, ready, timeout_s=READY_TIMEOUT_S):
-        """Wait until ``ready`` is true.
+        """Wait until ``ready`` returns true.
 
-        :raises NotReady: after ``timeout_s``, or if the process ended
+        :param name: process that must keep running meanwhile
+        :raises NotReady: after ``timeout_s``, or if the process exited
         """
         end_s = time.monotonic() + timeout_s
         while True:
             if not self.is_alive(name):
-                raise NotReady(f'{name} ended: {self.log_tail(name)}')
+                raise NotReady(f'{name} exited: {self.log_tail(name)}')
             try:
                 if ready():
                     return
             except (OSError, http.client.HTTPException, ValueError):
                 pass
             if time.monotonic() > end_s:
-                raise NotReady(f'{name} is not ready: {self.log_tail(name)}')
+                raise NotReady(
+                    f'{name} is not ready after {timeout_s:g} s: '
+                    f'{self.log_tail(name)}'
+                )
             gevent.sleep(POLL_INTERVAL_S)
 
     def log_tail(self, name, characters=600):
-        """The end of a process's log."""
+        """The last characters of a process's log."""
         path = self.directory / f'{name}.log'
         return path.read_text(errors='replace')[-characters:]
 
     # Single processes.
 
     def is_alive(self, name):
-        """Whether a process runs."""
+        """Whether a process is running."""
         process = self.processes.get(name)
         return process is not None and process.popen.poll() is None
 
     def signal(self, name, number):
-        """Send a signal to one process."""
+        """Send a signal to a process if it is running."""
         if self.is_alive(name):
             self.processes[name].popen.send_signal(number)
 
     def kill(self, name):
-        """End a process with SIGKILL."""
+        """Kill a process with SIGKILL and wait for its exit."""
         self.signal(name, signal.SIGKILL)
         self.processes[name].popen.wait()
 
     def pause(self, name):
-        """Stop a process with SIGSTOP."""
+        """Pause a process with SIGSTOP."""
         self.signal(name, signal.SIGSTOP)
 
     def resume(self, name):
-        """Let a paused process go on."""
+        """Resume a paused process with SIGCONT."""
         self.signal(name, signal.SIGCONT)
 
     def terminate(self, name):
-        """Ask a process to stop; does not wait."""
+        """Send SIGTERM to a process, without waiting for its exit."""
         self.signal(name, signal.SIGTERM)
 
     def wait(self, name, timeout_s=NODE_STOP_TIMEOUT_S):
-        """Wait until a process has ended.
+        """Wait until a process has exited.
 
-        :returns: its exit status, ``None`` if it still runs
+        :returns: its exit status, ``None`` if it is still running
         """
         try:
             return self.processes[name].popen.wait(timeout_s)
@@ -252,7 +267,7 @@
             return None
 
     def process_usage(self, name):
-        """Processor seconds and resident bytes of a process."""
+        """CPU seconds and resident bytes of a process."""
         pid = self.processes[name].popen.pid
         fields = pathlib.Path(f'/proc/{pid}/stat').read_text()
         user, system = fields.rpartition(')')[2].split()[11:13]
@@ -263,32 +278,42 @@
             'resident_bytes': int(pages) * os.sysconf('SC_PAGE_SIZE'),
         }
 
-    # Faults and what happened.
+    # Faults, ledgers and admin calls.
 
     def set_fault(self, name, **fault):
-        """Turn a fault of a stand-in on or off."""
+        """Turn a fault of a stand-in on or off.
+
+        :param fault: ``kind`` and its arguments, as ``POST /faults`` has them
+        """
         return call_json(self.address(name), 'POST', '/faults', fault)
 
     def add_rule(self, **fault):
-        """Add a rule to the fault proxy; its id."""
+        """Add a rule to the fault proxy.
+
+        :param fault: fields of the rule; ``source`` stands for ``from``
+        :returns: id of the rule
+        """
         fault = {('from' if k == 'source' else k): v for k, v in fault.items()}
         address = self.control_address()
         return call_json(address, 'POST', '/rules', fault)[1]['rule']
 
     def remove_rule(self, rule=None):
-        """End a rule of the fault proxy, or all."""
+        """Remove a rule of the fault proxy, all rules if ``rule`` is None."""
         path = '/rules' if rule is None else f'/rules/{rule}'
         address = self.control_address()
         call_json(address, 'DELETE', path)
 
     def partition(self, name, others, for_s=None):
-        """Drop all packets between a process and others, both ways."""
+        """Drop all packets between a process and others in both directions."""
         return self.add_rule(
             source=name, to=others, kind='drop', both=True, for_s=for_s
         )
 
     def ledger(self, name):
-        """Rows of a stand-in's ledger, over all its processes."""
+        """Rows of a stand-in's ledger, including those before a restart.
+
+        A row that is not yet written to its end is left out.
+        """
         path = self.directory / f'{name}.ledger'
         if not path.exists():
             return []
@@ -296,7 +321,10 @@
         return [json.loads(line) for line in lines if line.endswith('}')]
 
     def admin(self, host, method, path, body=None, timeout_s=CALL_TIMEOUT_S):
-        """Call a node's admin listener."""
+        """Call a node's admin listener.
+
+        :returns: status and decoded body
+        """
         headers = {'Authorization': f'Bearer {ADMIN_TOKEN}'}
         address = self.admin_address(host)
         return call_json(address, method, path, body, headers, timeout_s)
@@ -304,9 +332,10 @@
     # Ending.
 
     def stop(self):
-        """Stop gracefully: nodes first, then the stand-ins.
+        """Stop all processes gracefully, the nodes before the stand-ins.
 
-        :returns: exit status of each node that still ran
+        :returns: exit status of each node that was still running, None if
+            it had to be killed
         """
         running = [name for name in self.hosts if self.is_alive(name)]
         for name in running:
@@ -321,7 +350,7 @@
         return statuses
 
     def kill_all(self):
-        """End whatever still runs."""
+        """Kill all processes that are still running and release the run."""
         for name in self.processes:
             self.signal(name, signal.SIGKILL)
         for process in self.processes.values():
@@ -330,13 +359,15 @@
 
 
 def claim_run(run):
-    """Claim the addresses of a run for this process.
+    """Reserve the addresses of a run for this process.
 
-    Without a claim, a cluster whose stand-ins fail to start would find those
-    of another cluster in their place and take them for its own.
+    Without this, a cluster whose stand-ins fail to start would reach those of
+    another cluster at the same addresses and use them as its own.
 
-    :param run: the run wanted, any free one when 0
-    :returns: a socket that holds the claim until it is closed, and the run
+    :param run: number of the run, any free one when 0
+    :returns: a socket that holds the reservation until it is closed, and the
+        number of the run
+    :raises NotReady: if another process holds the reservation
     """
     runs = [run] if run else random.sample(FREE_RUNS, len(FREE_RUNS))
     for number in runs:
@@ -346,14 +377,14 @@
             return lock, number
         except OSError:
             lock.close()
-    raise NotReady(f'the addresses of run {run or "any"} are in use')
+    raise NotReady(f'the addresses of run {run or "100 to 199"} are in use')
 
 
 def die_with_parent():
-    """Have the kernel end this process when its parent dies.
+    """Have the kernel kill this process when its parent dies.
 
-    A lab that is killed outright can't clean up; without this its processes
-    would stay and hold their addresses.
+    A lab that is killed with SIGKILL can't clean up.  Without this, its
+    processes would keep running and hold their addresses.
     """
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
@@ -361,10 +392,10 @@
 def call_json(
     address, method, path, body=None, headers=None, timeout_s=CALL_TIMEOUT_S
 ):
-    """Call an HTTP service once.
+    """Send one HTTP request, with a JSON body if there is one.
 
-    :returns: status and decoded body
-    :raises OSError: if it can't be reached
+    :returns: status and decoded body, None for an empty one
+    :raises OSError: if the service can't be reached
     """
     host, port = standin.split_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=timeout_s)
--- a/magnoliadyke/lab/demo.py
+++ b/magnoliadyke/lab/demo.py
@@ -1,20 +1,21 @@
-"""The Dala deployment, small and whole, with every answer checked.
+"""The Dala deployment on this machine, with every answer checked.
 
 Usage:
   magnoliadyke lab demo [--short] [--json] [--keep=DIR] [--seed=N] [SETTINGS]
 
 Options:
-  --short     Under 30 seconds, for CI.
+  --short     A run of less than 30 seconds, for CI.
   --json      Print the summary as JSON.
   --keep=DIR  Keep settings, logs and ledgers in this directory.
-  --seed=N    Which load is drawn [default: 1].
+  --seed=N    Seed of the generated load [default: 1].
 
 SETTINGS is examples/dala.json unless another file is named.
 
 Eight nodes in four failure domains, five engines and four plain services
-run as processes of their own.  While the token mix shifts, one node is
-killed and one cell of the table is edited.  Exit status 0 only if every
-caller got its whole answer, and nothing that may not be repeated ran twice.
+run as separate processes.  While the token mix shifts, one node is killed
+and one cell of the table is edited.  The exit status is 0 only if every
+caller received its complete answer, no non-repeatable request ran twice, the
+edit came into force, and all nodes stopped gracefully.
 """
 
 import http.client
@@ -52,17 +53,20 @@
 ROLE_CHANGE_S = 3.0
 FINISH_TIMEOUT_S = 25.0
 POLL_INTERVAL_S = 0.02
-#: Non-repeatable calls pause so long before the kill and after it: the
-#: outcome of one that is under way on a killed host is honestly unknown,
-#: and this run is to end with every caller answered.
+#: No non-repeatable calls are sent from this long before the kill until this
+#: long after it.  The outcome of one in flight on the killed host would be
+#: unknown, and in this run every caller is to receive an answer.
 KILL_GUARD_BEFORE_S = 1.5
 KILL_GUARD_AFTER_S = 0.2
 
 
 class Plan(typing.NamedTuple):
-    """When things happen, in seconds from the start of the load.
+    """Times of the events, in seconds from the start of the load.
 
-    :param longest_answer: in tokens
+    :param duration_s: length of the load
+    :param kill_s: when the node is killed
+    :param edit_s: when the cell is edited
+    :param max_answer_tokens: longest answer that is requested
     """
 
     duration_s: float
@@ -76,13 +80,20 @@
 
 
 class Summary(typing.NamedTuple):
-    """What came of the run.
-
-    :param told_not_run: how often a caller was told so and came back
-    :param told_unknown: as before; only calls that may be repeated come back
-    :param wrong: answers that were cut, crossed or not of the caller
+    """Results of the run; the names of the fields are its JSON keys.
+
+    :param answered: requests by their last outcome, as are the next three
+    :param unfinished: requests without an outcome at the end of the run
+    :param told_not_run: outcomes "not run" after which callers retried
+    :param told_unknown: outcomes "unknown" after which callers retried; they
+        retry only repeatable calls
+    :param wrong: answers that were truncated or belong to another request
     :param doubled: non-repeatable requests that ran more than once
+    :param edit_in_force_s: from the edit until it was in force on all live
+        nodes, None if it was not
     :param stopped_badly: nodes that did not stop gracefully at the end
+    :param killed: host whose node was killed
+    :param seconds: duration of the run with start and stop
     """
 
     requests: int
@@ -103,7 +114,7 @@
     seconds: float
 
     def succeeded(self):
-        """Whether every caller got its whole answer, once."""
+        """Whether the run met all conditions for exit status 0."""
         return (
             self.answered == self.requests
             and not self.wrong
@@ -114,10 +125,12 @@
 
 
 class Demo:
-    """One run.
+    """One run of the demo.
 
+    :param deployment: the :class:`cluster.Cluster`
     :param plan: :class:`Plan`
-    :param say: called with each line of progress
+    :param seed: of the generated load
+    :param report_progress: called with each line of progress
     """
 
     def __init__(self, deployment, plan, seed, report_progress):
@@ -133,14 +146,19 @@
         self.statuses = {}
 
     def run(self):
-        """Run it; the :class:`Summary`."""
+        """Carry out the run.
+
+        :returns: the :class:`Summary`
+        """
         started_s = time.monotonic()
         self.report_progress(
             'starting 13 stand-ins and 8 nodes in 4 failure domains'
         )
         self.cluster.start()
         ready_s = time.monotonic() - started_s
-        self.report_progress(f'all 8 nodes take work after {ready_s:.1f} s')
+        self.report_progress(
+            f'all 8 nodes accept requests after {ready_s:.1f} s'
+        )
         self.load.start()
         events = [
             gevent.spawn_later(self.plan.kill_s, self.kill),
@@ -150,13 +168,15 @@
         self.load.join(self.plan.duration_s + FINISH_TIMEOUT_S)
         gevent.joinall(events)
         watcher.kill()
-        self.report_progress('load is over; stopping all processes gracefully')
+        self.report_progress(
+            'load completed; stopping all processes gracefully'
+        )
         self.statuses = self.cluster.stop()
         self.report_unanswered()
         return self.summary(time.monotonic() - started_s)
 
     def report_unanswered(self):
-        """Name each request without a whole answer."""
+        """Report each request without a complete answer of its own."""
         for record in self.load.records:
             if not record.is_correct():
                 self.report_progress(
@@ -165,12 +185,12 @@
                 )
 
     def kill(self):
-        """Kill one node outright."""
+        """Kill one node with SIGKILL."""
         self.cluster.kill(VICTIM)
-        self.report_progress(f'killed {VICTIM} with SIGKILL, under load')
+        self.report_progress(f'killed node {VICTIM} with SIGKILL under load')
 
     def edit(self):
-        """Edit one cell and wait until every live node has it in force."""
+        """Edit one cell and wait until it is in force on every live node."""
         live = [name for name in self.cluster.hosts if name != VICTIM]
         addresses = self.cluster.admin_address(live[-1])
         client = porcelain.admin_client(
@@ -183,7 +203,10 @@
         waits = [gevent.spawn(self.wait_in_force, name) for name in live]
         gevent.joinall(waits, timeout=FINISH_TIMEOUT_S)
         if not all(wait.successful() for wait in waits):
-            self.report_progress(f'{EDITED_CELL} is not in force everywhere')
+            self.report_progress(
+                f'{EDITED_CELL} is not in force on all live nodes within '
+                f'{FINISH_TIMEOUT_S:g} s'
+            )
             return
         self.in_force_s = time.monotonic() - started_s
         self.report_progress(
@@ -208,17 +231,21 @@
             gevent.sleep(POLL_INTERVAL_S)
 
     def report_counts_forever(self):
-        """Say how far the load is, now and then."""
+        """Report the number of sent and completed requests at intervals."""
         pause_s = max(2.0, self.plan.duration_s / 8)
         while True:
             gevent.sleep(pause_s)
             records = self.load.records
             sent = sum(r.call.at_s <= self.load.now_s() for r in records)
             done = sum(record.outcome is not None for record in records)
-            self.report_progress(f'{sent} requests sent, {done} ended')
+            self.report_progress(f'{sent} requests sent, {done} completed')
 
     def summary(self, seconds):
-        """Judge all answers and count."""
+        """Check all answers and count outcomes.
+
+        :param seconds: duration of the run
+        :returns: :class:`Summary`
+        """
         records = self.load.records
         kinds = [type(record.outcome) for record in records]
         told = [
@@ -247,7 +274,10 @@
         )
 
     def goodput(self, answered):
-        """Tokens a second of answers in time, by customer."""
+        """Tokens per second of answers within their objectives, by customer.
+
+        :param answered: records that have a complete answer
+        """
         length_s = self.plan.duration_s
         return {
             name: round(
@@ -266,7 +296,7 @@
 
 
 def make_calls(settings, plan, seed):
-    """The calls of the run: a mix that shifts half-way, and a service's."""
+    """Model calls whose token mix shifts half-way, and service calls."""
     dala = traces.DEPLOYMENTS['dala']
     shape = traces.Shape(
         'step',
@@ -290,14 +320,14 @@
 
 
 def is_near_kill(call, plan):
-    """Whether a call must not be under way while a node is killed."""
+    """Whether a call is left out since the kill could interrupt it."""
     early_s = plan.kill_s - KILL_GUARD_BEFORE_S
     late_s = plan.kill_s + KILL_GUARD_AFTER_S
     return not call.job.repeatable and early_s <= call.at_s <= late_s
 
 
 def render(summary):
-    """The summary as lines for people."""
+    """Render the summary as text."""
     in_force = summary.edit_in_force_s
     edit = 'never' if in_force is None else f'after {in_force:.2f} s'
     lines = [
@@ -306,11 +336,11 @@
         f'not run             {summary.not_run}',
         f'unknown             {summary.unknown}',
         f'rejected            {summary.rejected}',
-        f'without an end      {summary.unfinished}',
-        f'told "not run"      {summary.told_not_run}, and came back',
-        f'told "unknown"      {summary.told_unknown}, and came back',
-        f'cut or crossed      {summary.wrong}',
-        f'ran twice           {summary.doubled}',
+        f'unfinished          {summary.unfinished}',
+        f'not run, retried    {summary.told_not_run}',
+        f'unknown, retried    {summary.told_unknown}',
+        f'wrong answers       {summary.wrong}',
+        f'run more than once  {summary.doubled}',
     ]
     for name, tokens_s in summary.goodput_tokens_s.items():
         lines.append(f'goodput of {name:8} {tokens_s:g} tokens/s')
@@ -318,11 +348,11 @@
         f'role changes        {summary.role_changes}',
         f'edit in force       {edit}',
         f'node killed         {summary.killed}',
-        f'stopped badly       {summary.stopped_badly}',
-        f'took                {summary.seconds:g} s',
+        f'unclean stops       {summary.stopped_badly}',
+        f'duration            {summary.seconds:g} s',
     ]
     if summary.succeeded():
-        lines.append('every caller got its whole answer, once')
+        lines.append('every caller received its complete answer once')
     else:
         lines.append('FAILED: see the lines above')
     return '\n'.join(lines)
@@ -331,7 +361,7 @@
 def main(argv):
     """Run the demo.
 
-    :param argv: words of the command line after ``lab demo``
+    :param argv: command-line arguments after ``lab demo``
     :returns: exit status
     """
     args = docopt.docopt(__doc__, ['lab', 'demo', *argv])
@@ -359,11 +389,14 @@
 
 
 def discard_progress(_line):
-    """Say nothing."""
+    """Drop a line of progress."""
 
 
 def progress_printer():
-    """A function that prints lines with the seconds since now."""
+    """Return a function that prints lines to standard error.
+
+    Each line begins with the seconds since this call.
+    """
     started_s = time.monotonic()
 
     def report_progress(line):
--- a/tests/test_lab_cluster.py
+++ b/tests/test_lab_cluster.py
@@ -31,5 +31,5 @@
     def test_a_process_that_ends_too_early_is_named(self):
         with cluster.Cluster(self.document, self.options) as made:
             made.launch('entry-1', ['/bin/sh', '-c', 'echo broken'], {})
-            with self.assertRaisesRegex(cluster.NotReady, 'entry-1 ended'):
+            with self.assertRaisesRegex(cluster.NotReady, 'entry-1 exited'):
                 made.wait_for('entry-1', lambda: False)
--- a/tests/test_lab_demo.py
+++ b/tests/test_lab_demo.py
@@ -27,7 +27,9 @@
 class SummaryTest(unittest.TestCase):
     def test_all_answered_whole_and_once_is_good(self):
         self.assertTrue(GOOD.succeeded())
-        self.assertIn('every caller got its whole answer', demo.render(GOOD))
+        self.assertIn(
+            'every caller received its complete answer', demo.render(GOOD)
+        )
 
     def test_anything_less_is_not(self):
         worse = [
