--- a/magnoliadyke/lab/checker.py
+++ b/magnoliadyke/lab/checker.py
@@ -137,7 +137,7 @@
 
     endpoint: str
     at_s: float
-    back_s: float
+    returned_s: float
 
 
 class Fault(typing.NamedTuple):
@@ -374,7 +374,7 @@
         for run in evidence.runs:
             if run.endpoint != departure.endpoint or run.offset:
                 continue
-            if deadline_s < run.at_s < departure.back_s:
+            if deadline_s < run.at_s < departure.returned_s:
                 after_s = run.at_s - departure.at_s
                 yield (
                     run.at_s,
--- a/magnoliadyke/lab/demo.py
+++ b/magnoliadyke/lab/demo.py
@@ -47,7 +47,7 @@
 LOAD = 0.5
 SERVICE_CALLS_S = 8.0
 MAX_RETRIES = 20
-VICTIM = 'entry-3'
+KILLED_HOST = 'entry-3'
 EDITED_CELL = 'customers/portal/weight'
 EDITED_VALUE = 3
 ROLE_CHANGE_S = 3.0
@@ -186,12 +186,12 @@
 
     def kill(self):
         """Kill one node with SIGKILL."""
-        self.cluster.kill(VICTIM)
+        self.cluster.kill(KILLED_HOST)
         self.report_progress(f'killed node {VICTIM} with SIGKILL under load')
 
     def edit(self):
         """Edit one cell and wait until it is in force on every live node."""
-        live = [name for name in self.cluster.hosts if name != VICTIM]
+        live = [name for name in self.cluster.hosts if name != KILLED_HOST]
         addresses = self.cluster.admin_address(live[-1])
         client = porcelain.admin_client(
             '', addresses, token=cluster.ADMIN_TOKEN
@@ -269,7 +269,7 @@
             role_changes=runs.role_changes(self.cluster),
             edit_in_force_s=self.in_force_s,
             stopped_badly=sum(each != 0 for each in self.statuses.values()),
-            killed=VICTIM,
+            killed=KILLED_HOST,
             seconds=round(seconds, 1),
         )
 
--- a/magnoliadyke/lab/evidence.py
+++ b/magnoliadyke/lab/evidence.py
@@ -259,7 +259,7 @@
         for run in seen.runs
         if run.endpoint == departure.endpoint
         and not run.offset
-        and departure.at_s <= run.at_s < departure.back_s
+        and departure.at_s <= run.at_s < departure.returned_s
     ]
     return round(max(late, default=0.0), 2)
 
--- a/tests/test_lab_injector.py
+++ b/tests/test_lab_injector.py
@@ -34,4 +34,4 @@
     gevent.joinall([gevent.spawn(lab.inject, drain) for drain in drains])
     assert len(lab.departures) == 2
     for departure in lab.departures:
-        assert departure.at_s <= departure.back_s <= editors.undone_s[0]
+        assert departure.at_s <= departure.returned_s <= editors.undone_s[0]
