--- a/magnoliadyke/lab/checker.py
+++ b/magnoliadyke/lab/checker.py
@@ -132,7 +132,7 @@
     """A period in which an endpoint is leaving or drained.
 
     :param at_s: when the endpoint announced it or the drain was accepted
-    :param back_s: when the endpoint may be used again
+    :param returned_s: when the endpoint may be used again
     """
 
     endpoint: str
--- a/magnoliadyke/lab/demo.py
+++ b/magnoliadyke/lab/demo.py
@@ -187,7 +187,9 @@
     def kill(self):
         """Kill one node with SIGKILL."""
         self.cluster.kill(KILLED_HOST)
-        self.report_progress(f'killed node {VICTIM} with SIGKILL under load')
+        self.report_progress(
+            f'killed node {KILLED_HOST} with SIGKILL under load'
+        )
 
     def edit(self):
         """Edit one cell and wait until it is in force on every live node."""
