--- a/magnoliadyke/lab/live.py
+++ b/magnoliadyke/lab/live.py
@@ -1,30 +1,31 @@
-"""A trace against real node and stand-in processes, in real time.
+"""Runs a trace against real node and stand-in processes in real time.
 
 Usage:
   magnoliadyke lab live [options]
 
 Options:
   --deployment=NAME   dala or zarqa [default: dala].
-  --trace=FILE        Requests as CSV, in place of a generated trace; those
-                      after 300 s are left out.
+  --trace=FILE        CSV file of requests, in place of a generated trace;
+                      requests after 300 s are left out.
   --shape=NAME        steady, swing, step, slow-day, flood-large, flood-small,
                       flash or burst-then-quiet [default: swing].
-  --load=F            Mean demand as a share of the pool [default: 0.7].
-                      It stretches a trace file too.
-  --period=SECONDS    Period of the swing [default: 60].
-  --amplitude=F       How far the prefill share moves [default: 0.4].
+  --load=F            Mean demand as a share of the pool's capacity
+                      [default: 0.7].  A trace file is stretched to it too.
+  --period=SECONDS    Period of the shape [default: 60].
+  --amplitude=F       Amplitude of the prefill share [default: 0.4].
   --duration=SECONDS  Length of the trace, 300 at most [default: 60].
-  --policy=NAMES      fixed and ours, with a comma between [default: ours].
-  --seed=N            Which trace is drawn [default: 1].
-  --seeds=A-B         Several traces, one after the other.
-  --faults=FILE       JSON lines at_s, kind, target, for_s.  Kinds are those
-                      of lab policy, and node_loss (kill -9; the node comes
-                      back after for_s).
-  --hosts=N           How many of the hosts to start; all when 0 [default: 0].
+  --policy=NAMES      fixed, ours, or both separated by a comma
+                      [default: ours].
+  --seed=N            Seed of the generated trace [default: 1].
+  --seeds=A-B         Run the traces of several seeds in sequence.
+  --faults=FILE       JSON lines with at_s, kind, target, for_s.  Kinds are
+                      those of lab policy, and node_loss (kill -9; the node
+                      is restarted after for_s).
+  --hosts=N           Number of hosts to start; 0 for all [default: 0].
   --keep=DIR          Keep settings, logs and ledgers in this directory.
   --json              Print JSON.
 
-The figures are those of `magnoliadyke lab policy`, taken at the callers.
+The figures are those of `magnoliadyke lab policy`, measured at the callers.
 """
 
 import io
@@ -51,12 +52,12 @@
 __all__ = ['POLICIES', 'RunPlan', 'main', 'read_faults']
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
-#: Policies that the nodes have, and their word for each in the table.
+#: Policies that the nodes implement, and the value of each in the table.
 POLICIES = {'fixed': 'fixed', 'ours': 'auto'}
 NODE_LOSS = 'node_loss'
 MAX_TRACE_S = 300.0
 DEFAULT_LOAD = 0.7
-#: Options of lab policy that make no sense here.
+#: Options of lab policy that this command does not have.
 UNSUPPORTED_OPTIONS = {
     '--processes': '1',
     '--write-trace': None,
@@ -70,13 +71,14 @@
 
 
 class RunPlan(typing.NamedTuple):
-    """What one run needs to know.
+    """Parameters of one run.
 
     :param deployment: :class:`traces.Deployment`
     :param document: settings of the deployment
     :param requests: the trace
-    :param faults: :class:`trial.Fault`
-    :param hosts: how many hosts to start; all when 0
+    :param faults: list of :class:`trial.Fault`
+    :param directory: where settings, logs and ledgers go
+    :param hosts: number of hosts to start; 0 for all
     """
 
     deployment: traces.Deployment
@@ -88,10 +90,11 @@
 
 
 def run(plan, name):
-    """Run a trace under a policy; the figures.
+    """Run a trace under a policy.
 
     :param plan: :class:`RunPlan`
     :param name: policy of :data:`POLICIES`
+    :returns: the figures of the run, as in its JSON result
     """
     pools = plan.document['initial_table'].setdefault('pools', {})
     row = pools.setdefault(plan.deployment.pool, {})
@@ -141,7 +144,7 @@
 
 
 def record_dispatch_times(running, load):
-    """Note from the ledgers when each request reached an engine."""
+    """Set in each record when an engine started it, from the ledgers."""
     first_s = runs.first_run_s(running)
     for record in load.records:
         at_s = first_s.get(record.content_digest())
@@ -150,7 +153,7 @@
 
 
 def inject(running, fault):
-    """Cause a fault, and end it after its time."""
+    """Cause a fault and end it after its duration."""
     names = [fault.target] if fault.target else engine_names(running)
     names = [name for name in names if running.is_alive(name)]
     match fault.kind:
@@ -178,7 +181,10 @@
 
 
 def withdraw(running, fault):
-    """Have an engine leave, and come back after the fault's time."""
+    """Have an engine leave, and return it after the fault's duration.
+
+    It announces :data:`LEAVING_NOTICE_S` before that it is leaving.
+    """
     running.set_fault(fault.target, kind='leaving')
     gevent.sleep(LEAVING_NOTICE_S)
     running.set_fault(fault.target, kind='left')
@@ -198,10 +204,13 @@
 
 
 def read_faults(file, path, deployment, hosts):
-    """Read faults from JSON lines; as ``lab policy``, and node losses.
+    """Read faults from JSON lines: those of ``lab policy`` and node losses.
 
+    :param path: of the file, for messages
+    :param deployment: :class:`traces.Deployment`
     :param hosts: names of the hosts
-    :raises TraceError: with every bad line and its remedy
+    :returns: list of :class:`trial.Fault`, the node losses first
+    :raises TraceError: with every invalid line and its remedy
     """
     faults = []
     rest = []
@@ -223,7 +232,7 @@
 
 
 def node_loss(line):
-    """The fault in a line if it is the loss of a node."""
+    """The fault of a line if it is the loss of a node, else None."""
     try:
         fault = trial.Fault(**json.loads(line))
     except (ValueError, TypeError):
@@ -232,7 +241,7 @@
 
 
 def read_requests(options, deployment, seed):
-    """The trace to run: from a file, or drawn."""
+    """The trace to run, from a file or generated."""
     if options.trace:
         file = io.StringIO(arguments.read_text(options.trace))
         requests = traces.read(file, options.trace, deployment)
@@ -250,19 +259,22 @@
 
 
 def check_policies(names):
-    """Refuse policies that only ``lab policy`` has."""
+    """Reject policies that only ``lab policy`` has.
+
+    :raises UsageError: for a policy that nodes do not implement
+    """
     for name in names:
         if name not in POLICIES:
             raise errors.UsageError(
-                f'policy {name!r} does not run in nodes',
-                f'use one of {", ".join(POLICIES)}, or lab policy',
+                f'nodes do not implement policy {name!r}',
+                f'use one of {", ".join(POLICIES)}, or run it with lab policy',
             )
 
 
 def main(argv):
     """Run the experiment.
 
-    :param argv: words of the command line after ``lab live``
+    :param argv: command-line arguments after ``lab live``
     :returns: exit status
     """
     args = docopt.docopt(__doc__, ['lab', 'live', *argv])
@@ -282,11 +294,12 @@
 
 
 def run_all(options, keep, hosts=0):
-    """Run all seeds and policies, one after the other.
+    """Run all seeds and policies in sequence.
 
     :param options: :class:`policy.Options`
-    :param keep: directory to keep, or None
-    :param hosts: how many hosts to start; all when 0
+    :param keep: directory for the files of the runs, None for a temporary one
+    :param hosts: number of hosts to start; 0 for all
+    :returns: the JSON result
     """
     deployment = traces.DEPLOYMENTS[options.deployment]
     path = EXAMPLES / f'{options.deployment}.json'
@@ -298,7 +311,7 @@
         figures = {}
         for name in options.policies:
             with tempfile.TemporaryDirectory() as scratch:
-                # Ledgers are appended to: each run needs its own.
+                # Ledgers are opened for appending: each run needs its own.
                 directory = f'{keep or scratch}/{seed}-{name}'
                 plan = RunPlan(
                     deployment, document, requests, faults, directory, hosts
@@ -315,7 +328,7 @@
 
 
 def open_faults(path, deployment, document):
-    """Faults of the file, if one is named."""
+    """Faults of the file, none if no file is given."""
     if not path:
         return []
     hosts = [host['name'] for host in document['hosts']]
@@ -324,11 +337,11 @@
 
 
 def render(seed, name, figures):
-    """One run's figures as a line for people."""
+    """Render the figures of one run as a line of text."""
     return (
         f'seed {seed} {name}: '
         f'goodput {figures["goodput_tokens_s"]:.0f} tokens/s, '
-        f'met {figures["met_share"]:.3f}, '
+        f'objectives met {figures["met_share"]:.3f}, '
         f'{figures["role_changes"]} role changes, '
         f'{figures["not_run"]} not run, {figures["unknown"]} unknown, '
         f'fairness {figures["fairness"]:.2f}'
--- a/magnoliadyke/lab/load.py
+++ b/magnoliadyke/lab/load.py
@@ -1,4 +1,4 @@
-"""Sends the calls of a lab run through the caller library."""
+"""Sends the calls of a lab run with the caller library."""
 
 import collections
 import itertools
@@ -18,10 +18,11 @@
 
 
 def make_clients(deployment, counts, settings=caller.DEFAULTS):
-    """Clients of each customer, each with a session of its own.
+    """Create clients of each customer, each with its own session.
 
     :param deployment: the :class:`cluster.Cluster`
-    :param counts: how many clients, by customer
+    :param counts: number of clients by customer
+    :param settings: of the caller library
     :returns: lists of clients by customer
     """
     hosts = [deployment.caller_address(name) for name in deployment.hosts]
@@ -37,12 +38,13 @@
 
 
 class Load:
-    """Calls sent at their times, and what became of them.
+    """Sends calls at their scheduled times and records their outcomes.
 
-    :param clients: lists of clients by customer, used in turn
+    :param clients: lists of clients by customer, used round-robin
     :param calls: :class:`workload.ModelCall` and :class:`workload.ServiceCall`
-    :param visits: how often a caller comes back after ``NotRun``, when it
-        is told to, and after ``Unknown`` if the call may be repeated
+    :param max_retries: how often a call is sent again after ``NotRun``, when
+        its retry delay has passed, and after ``Unknown`` if it is repeatable
+    :ivar records: :class:`workload.Record` of each call, in order of time
     """
 
     def __init__(self, clients, calls, max_retries=0):
@@ -63,14 +65,14 @@
         return time.monotonic() - self.start_s
 
     def start(self):
-        """Begin to send."""
+        """Start to send calls."""
         self.start_s = time.monotonic()
         self.start_wall_s = time.time()
         self.sender = gevent.spawn(self.send_all)
         self.sampler = gevent.spawn(self.sample_backlog_forever)
 
     def send_all(self):
-        """Send each call at its time, each in a greenlet of its own."""
+        """Send each call at its time in its own greenlet; wait for all."""
         sent = []
         for record in self.records:
             gevent.sleep(max(0.0, record.call.at_s - self.now_s()))
@@ -78,16 +80,16 @@
         gevent.joinall(sent)
 
     def join(self, timeout_s):
-        """Wait for all calls.
+        """Wait until all calls have completed.
 
-        :returns: whether all have ended
+        :returns: whether they have within ``timeout_s``
         """
         self.sender.join(timeout_s)
         self.sampler.kill()
         return self.sender.ready()
 
     def send(self, record):
-        """Send one call and note what became of it."""
+        """Send one call, with retries, and record its last outcome."""
         record.job = record.job._replace(arrived_s=self.now_s())
         outcome = self.send_once(record)
         while len(record.retried_outcomes) < self.max_retries:
@@ -108,7 +110,10 @@
             record.finished_s = self.now_s()
 
     def send_once(self, record):
-        """Send a call once; the caller library may repeat it within."""
+        """Pass a call to the caller library once.
+
+        The library itself may send it more than once.
+        """
         client = next(self.clients[record.job.customer])
         match record.call:
             case workload.ModelCall():
@@ -117,7 +122,7 @@
                 return self.call_service(client, record)
 
     def complete(self, client, record):
-        """Ask for a completion."""
+        """Request a completion and record the time of its first token."""
         call, job = record.call, record.job
 
         def on_text(_text, _offset):
@@ -145,7 +150,11 @@
         )
 
     def sample_backlog_forever(self):
-        """Note who waits for a first token, for the figure of fairness."""
+        """Sample the backlog at intervals, for the fairness figure.
+
+        The backlog is the number of completions per customer that have no
+        token yet.
+        """
         while True:
             gevent.sleep(BACKLOG_SAMPLE_INTERVAL_S)
             now_s = self.now_s()
@@ -160,7 +169,7 @@
 
 
 def is_waiting(record, now_s):
-    """Whether a completion was asked for and has no token yet."""
+    """Whether a completion was due and has no token or outcome yet."""
     return (
         record.job.kind == 'model'
         and record.call.at_s <= now_s
--- a/magnoliadyke/lab/soak.py
+++ b/magnoliadyke/lab/soak.py
@@ -1,16 +1,17 @@
-"""Drawn faults against real nodes of the platform, and checked promises.
+"""Random faults against real nodes of the platform, with promises checked.
 
 Usage:
   magnoliadyke lab soak [--seed=N] [--minutes=M] [--hosts=N] [--keep=DIR]
 
 Options:
-  --seed=N     Which faults and requests are drawn [default: 1].
-  --minutes=M  How long faults come, in minutes [default: 1].
-  --hosts=N    Nodes, each a process of its own [default: 4].
+  --seed=N     Seed of the faults and requests [default: 1].
+  --minutes=M  Time in which faults begin, in minutes [default: 1].
+  --hosts=N    Number of nodes, each a separate process [default: 4].
   --keep=DIR   Keep settings and logs of the nodes in this directory.
 
-The same seed draws the same faults and requests.  Exit status 0 only if no
-promise was broken; each broken one is named with the request ids and times.
+The same seed draws the same faults and requests.  The exit status is 0 only
+if no promise was broken; each violation is printed with its time and the ids
+of its requests.
 """
 
 import contextlib
@@ -27,23 +28,27 @@
 
 __all__ = ['draw', 'main']
 
-#: Mean time between two faults, in seconds: a few are on at any time.
+#: Mean time between two faults: a few are in effect at any time.
 MEAN_FAULT_INTERVAL_S = 0.9
-#: How long a fault lasts, in seconds.
+#: Range from which the duration of a fault is drawn.
 MIN_FAULT_S = 0.3
 MAX_FAULT_S = 3.0
 CALLERS_PER_HOST = 2
 LASTING_PER_HOST = 4
-#: Mean time between two stops that come beside those faults, in seconds.
+#: Mean time between two graceful stops of nodes, besides those faults.
 MEAN_STOP_INTERVAL_S = 5.0
-#: Mean time between two endpoints that say something in answers only, in
-#: seconds, and the kinds of that.
+#: Mean time between two events of the kinds below: an endpoint that leaves or
+#: asks for backoff, and says so only in its responses to requests.
 MEAN_NOTICE_INTERVAL_S = 5.0
 RESPONSE_ONLY_KINDS = frozenset(('leave_unlisted', 'shed'))
 
 
 def draw(seed: int, seconds: float, hosts: int) -> platformday.Plan:
-    """Draw the faults of a run."""
+    """Draw the faults of a run.
+
+    :param seconds: time in which faults begin
+    :param hosts: number of nodes
+    """
     rng = random.Random(seed)
     kinds = sorted(platformday.KINDS.keys() - RESPONSE_ONLY_KINDS)
     faults = []
@@ -83,8 +88,9 @@
 
 
 def main(argv: list[str]) -> int:
-    """Play drawn faults.
+    """Run the soak.
 
+    :param argv: command-line arguments after ``lab soak``
     :returns: the exit status
     """
     options = docopt.docopt(__doc__, ['lab', 'soak', *argv])
@@ -94,7 +100,8 @@
         seconds = 60 * float(options['--minutes'])
     except ValueError:
         raise errors.UsageError(
-            f'--minutes is {options["--minutes"]!r}', 'give a number'
+            f'--minutes is {options["--minutes"]!r}',
+            'give a number of minutes',
         ) from None
     plan = draw(seed, seconds, hosts)
     with contextlib.ExitStack() as stack:
--- a/magnoliadyke/lab/workload.py
+++ b/magnoliadyke/lab/workload.py
@@ -1,4 +1,4 @@
-"""Requests of a lab run: built from a trace, and judged when they are done."""
+"""Calls of a lab run: built from a trace, with answers checked."""
 
 import hashlib
 import json
@@ -21,15 +21,16 @@
 
 URGENT = 'urgent'
 NORMAL = 'normal'
-#: An objective of the first token below this marks an urgent exchange.
+#: Completions with a shorter objective for the first token are urgent.
 URGENT_FIRST_TOKEN_S = 1.0
 
 
 class ModelCall(typing.NamedTuple):
-    """A completion to ask for.
+    """A completion to request.
 
-    :param at_s: when, in seconds from the start of the run
-    :param job: what the figures of the run need to know of it
+    :param at_s: when to send it, in seconds from the start of the run
+    :param job: its customer, lengths and objectives
+    :param priority: of the request, urgent or normal
     """
 
     at_s: float
@@ -41,7 +42,8 @@
 class ServiceCall(typing.NamedTuple):
     """A call of a plain service.
 
-    :param at_s: when, in seconds from the start of the run
+    :param at_s: when to send it, in seconds from the start of the run
+    :param job: its customer and whether it is repeatable
     :param service: name of the service's pool
     """
 
@@ -54,10 +56,12 @@
 
 
 class Record(fakes.Answer):
-    """What became of one call.
+    """The course of one call.
 
     :param call: :class:`ModelCall` or :class:`ServiceCall`
-    :ivar told: outcomes after which the caller came back
+    :ivar key: idempotency key of the answered attempt, '' before
+    :ivar text: of the answer
+    :ivar retried_outcomes: outcomes after which the call was sent again
     """
 
     __slots__ = ('call', 'key', 'text', 'retried_outcomes')
@@ -70,7 +74,7 @@
         self.retried_outcomes = []
 
     def content_digest(self):
-        """What marks this call in the ledgers."""
+        """Digest that identifies this call in the ledgers."""
         match self.call:
             case ModelCall(prompt=text):
                 return standin.content_digest(text)
@@ -91,7 +95,7 @@
 
 
 def is_echo(text, path, body):
-    """Whether a service's answer echoes the call."""
+    """Whether the text of a service's answer echoes the call."""
     try:
         answer = json.loads(text)
     except ValueError:
@@ -100,10 +104,13 @@
 
 
 def prompt(number, request):
-    """A prompt of the length that a trace asks for.
+    """Build a prompt with the number of tokens that the trace gives.
 
-    Its first ``prefix_tokens`` words are those of all requests with the same
-    ``prefix_id``; the rest is its own.
+    One word is one token.  Its first ``prefix_tokens`` words are shared with
+    all requests of the same ``prefix_id``; the others are its own.
+
+    :param number: of the request, so that its own words are unique
+    :param request: :class:`magnoliadyke.lab.traces.Request`
     """
     shared = short_digest(request.prefix_id)
     own = short_digest(f'{number}/{request.prompt_tokens}')
@@ -113,12 +120,12 @@
 
 
 def short_digest(text):
-    """A short word that stands for a text."""
+    """The first four hexadecimal digits of a text's SHA-256, and a dot."""
     return hashlib.sha256(text.encode()).hexdigest()[:4] + '.'
 
 
 def from_trace(requests):
-    """The completions of a trace.
+    """Build the calls of a trace.
 
     :param requests: :class:`magnoliadyke.lab.traces.Request` in order
     """
@@ -128,7 +135,7 @@
 
 
 def model_call(number, request):
-    """The completion of one row of a trace."""
+    """Build the call of one row of a trace."""
     job = jobs.Job(
         id=str(number),
         customer=request.customer,
@@ -147,11 +154,11 @@
 
 
 def service_calls(customer, pool, duration_s, per_s):
-    """Calls of a plain service, over its routes in turn.
+    """Build calls of a plain service that use its routes round-robin.
 
     :param customer: who calls
-    :param pool: the service's pool, as the settings have it
-    :param per_s: calls a second
+    :param pool: the service's pool, as in the settings
+    :param per_s: calls per second
     """
     routes = pool['routes']
     calls = []
