--- a/magnoliadyke/lab/evidence.py
+++ b/magnoliadyke/lab/evidence.py
@@ -1,4 +1,4 @@
-"""Gathers what a fault run left behind, for the checker and for figures."""
+"""Collects the evidence of a fault run, for the checker and for figures."""
 
 import collections
 import math
@@ -21,13 +21,13 @@
     'recording_clients',
 ]
 
-#: Faults during which no edit can be accepted.
+#: Faults of the store, during which edits are slow or can't be accepted.
 STORE_FAULTS = frozenset({'store_down', 'store_slow'})
-#: How long after its end a fault may slow an edit.
+#: How long after its end a fault may still slow down an edit.
 FAULT_EFFECT_S = 5.0
-#: Every such client makes foreign keys.
+#: One of this many clients makes foreign keys.
 FOREIGN_KEY_EVERY = 4
-#: Characters of an answer that are shown when it is wrong.
+#: Longest excerpt of a wrong answer in a violation.
 MAX_EXCERPT_CHARS = 120
 OUTCOMES = {
     outcomes.Answered: checker.ANSWERED,
@@ -38,71 +38,79 @@
 
 
 class RecordingClient(caller.Client):
-    """The caller library, with a note of what each key was told.
+    """A caller that records the outcome reported for each key.
 
-    :param told: list that takes a :class:`checker.ReportedOutcome` for each
-        key
-    :param foreign: whether it makes keys of its own, without a ticket
+    :param reported: list to which a :class:`checker.ReportedOutcome` is
+        appended for each key
+    :param foreign: whether it makes its own keys, without a ticket
     """
 
-    def __init__(self, hosts, credential, told, foreign):
+    def __init__(self, hosts, credential, reported, foreign):
         super().__init__(hosts, credential)
-        self.told = told
+        self.reported = reported
         self.foreign = foreign
         self.keys = {}
 
     def start_session(self, address):
-        """Begin a session; its keys may be foreign ones."""
-        begun = super().start_session(address)
-        if begun and self.foreign:
+        """Start a session, with foreign keys if the client makes them.
+
+        :returns: whether it was started
+        """
+        started = super().start_session(address)
+        if started and self.foreign:
             self.session.new_key = foreign_key
-        return begun
+        return started
 
     def try_host(self, address, request, progress):
-        """Remember the key of the request that is being sent."""
+        """Send a request to a host and record its key."""
         self.keys[id(request)] = progress.key
         return super().try_host(address, request, progress)
 
     def run_key(self, request, end_s):
-        """Note what the key was told in the end."""
+        """Send a request under one key and record the outcome of that key."""
         outcome = super().run_key(request, end_s)
         key = self.keys.pop(id(request), '')
         if key:
             reason = getattr(outcome, 'reason', '')
             name = OUTCOMES[type(outcome)]
-            self.told.append(
+            self.reported.append(
                 checker.ReportedOutcome(time.time(), key, name, reason)
             )
         return outcome
 
 
 class RecordingLoad(loads.Load):
-    """A load that notes when each call ended, whatever its outcome."""
+    """A load that records when each call ended, with any outcome."""
 
     def __init__(self, clients, calls, max_retries=0):
         super().__init__(clients, calls, max_retries)
         self.ended_s = {}
 
     def send(self, record):
-        """Send one call and note when it ended."""
+        """Send one call and record when it ended."""
         super().send(record)
         self.ended_s[record] = self.now_s()
 
 
 def foreign_key():
-    """A key as callers make it that know nothing of tickets."""
+    """A key such as callers without a ticket make."""
     return f'lab-{uuid.uuid4().hex}'
 
 
-def recording_clients(deployment, customers, count, told):
-    """Clients of each customer, each with a session of its own."""
+def recording_clients(deployment, customers, count, reported):
+    """Create clients of each customer, each with its own session.
+
+    :param count: number of clients of each customer
+    :param reported: list to which the clients append the outcomes of keys
+    :returns: lists of clients by customer
+    """
     hosts = [deployment.caller_address(name) for name in deployment.hosts]
     return {
         customer: [
             RecordingClient(
                 hosts,
                 cluster.caller_key(customer),
-                told,
+                reported,
                 number % FOREIGN_KEY_EVERY == 0,
             )
             for number in range(count)
@@ -111,22 +119,33 @@
     }
 
 
-def collect(deployment, load, told, watcher, editors, faults):
-    """The :class:`checker.Evidence` of a run."""
+def collect(deployment, load, reported, observer, editors, injector):
+    """Collect the evidence of a run.
+
+    :param load: :class:`RecordingLoad`
+    :param reported: list of :class:`checker.ReportedOutcome`
+    :param observer: :class:`magnoliadyke.lab.observer.Observer`
+    :param editors: :class:`magnoliadyke.lab.observer.Editors`
+    :param injector: :class:`magnoliadyke.lab.injector.Injector`
+    :returns: :class:`checker.Evidence`
+    """
     return checker.Evidence(
         [to_call(record, load) for record in load.records],
-        list(told),
+        list(reported),
         [to_run(name, row) for name, row in rows(deployment, 'run')],
         [to_command(name, row) for name, row in rows(deployment, 'command')],
-        watcher.samples,
+        observer.samples,
         editors.accepted(),
-        faults.departures,
-        faults.faults,
+        injector.departures,
+        injector.faults,
     )
 
 
 def rows(deployment, what):
-    """Rows of one kind from the ledgers of all endpoints."""
+    """Rows of one kind from the ledgers of all endpoints.
+
+    :returns: pairs of the endpoint's name and the row
+    """
     for name in deployment.endpoints:
         for row in deployment.ledger(name):
             if row['what'] == what:
@@ -134,7 +153,7 @@
 
 
 def to_call(record, load):
-    """A call as the checker wants it."""
+    """Convert the record of a call to a :class:`checker.Call`."""
     outcome = OUTCOMES.get(type(record.outcome), '')
     ended_s = load.ended_s.get(record)
     return checker.Call(
@@ -150,18 +169,18 @@
 
 
 def reason_of(record):
-    """The word for an outcome; what an answer begins with."""
+    """The reason of an outcome, or an excerpt of the answer."""
     outcome = record.outcome
     if outcome is None and record.retried_outcomes:
         last = record.retried_outcomes[-1].reason
-        return f'told {len(record.retried_outcomes)} times, last {last}'
+        return f'{len(record.retried_outcomes)} retries, last reason {last}'
     if isinstance(outcome, outcomes.Answered):
         return f'{outcome.finish_reason}: {outcome.text[:MAX_EXCERPT_CHARS]}'
     return getattr(outcome, 'reason', '')
 
 
 def to_run(name, row):
-    """A run from a ledger's row."""
+    """Convert a ledger's row to a :class:`checker.Run`."""
     return checker.Run(
         row['at_s'],
         name,
@@ -173,7 +192,7 @@
 
 
 def to_command(name, row):
-    """A command from a ledger's row."""
+    """Convert a ledger's row to a :class:`checker.Command`."""
     return checker.Command(
         row['at_s'],
         name,
@@ -187,10 +206,16 @@
     )
 
 
-def figures(deployment, load, watcher, editors, faults, seen, store_calls):
-    """What the run took and how it ended, for people and pages."""
-    by_outcome = collections.Counter(call.outcome for call in seen.calls)
-    once = [call for call in seen.calls if not call.repeatable]
+def figures(
+    deployment, load, observer, editors, injector, evidence, store_calls
+):
+    """Compute the figures of a run for its JSON result.
+
+    :param evidence: :class:`checker.Evidence` of the run
+    :param store_calls: of :func:`store_call_rates`
+    """
+    by_outcome = collections.Counter(call.outcome for call in evidence.calls)
+    once = [call for call in evidence.calls if not call.repeatable]
     unknown = sum(call.outcome == checker.UNKNOWN for call in once)
     services = sum(
         isinstance(record.call, workload.ServiceCall)
@@ -201,49 +226,54 @@
         'service_calls': services,
         'once': {'sent': len(once), 'unknown': unknown},
         'role_changes': runs.role_changes(deployment),
-        'commands': len(seen.commands),
+        'commands': len(evidence.commands),
         'edits': dict(collections.Counter(e.state for e in editors.edits)),
-        'in_force_s': in_force_times(editors.edits, faults.faults),
+        'in_force_s': in_force_times(editors.edits, injector.faults),
         'dead_listed_s': [
-            listed_for_s(watcher, at_s, host) for at_s, host in faults.kills
+            listed_for_s(observer, at_s, host) for at_s, host in injector.kills
         ],
         'last_work_s': [
-            last_run_after_notice_s(seen, departure)
-            for departure in seen.departures
+            last_run_after_notice_s(evidence, departure)
+            for departure in evidence.departures
         ],
-        'takeover_s': takeover_times(deployment, faults),
+        'takeover_s': takeover_times(deployment, injector),
         'store_calls': store_calls,
-        'poisoned': [str(outcome) for outcome in faults.poisoned],
+        'poisoned': [str(outcome) for outcome in injector.poisoned],
     }
 
 
 def in_force_times(edits, faults):
-    """How long edits took until in force, by what went on meanwhile."""
+    """Times that edits took until in force, by the faults meanwhile.
+
+    :returns: lists of seconds under 'store_away' for edits during faults of
+        the store, 'fault' for those during others, 'quiet' for the rest
+    """
     took = {'quiet': [], 'fault': [], 'store_away': []}
     for edit in edits:
         if edit.state != 'in_force':
             continue
-        met = {
+        overlapping = {
             fault.kind
             for fault in faults
             if fault.at_s <= edit.at_s + edit.took_s
             and edit.at_s <= fault.until_s + FAULT_EFFECT_S
         }
-        what = 'fault' if met else 'quiet'
-        if met & STORE_FAULTS:
+        what = 'fault' if overlapping else 'quiet'
+        if overlapping & STORE_FAULTS:
             what = 'store_away'
         took[what].append(round(edit.took_s, 3))
     return took
 
 
-def listed_for_s(watcher, killed_s, host):
-    """How long after its death a host was still named to callers.
+def listed_for_s(observer, killed_s, host):
+    """How long after it was killed a host was still listed to callers.
 
-    A host that comes back is named again; that is another life.
+    Counts for each other host up to its first list without the killed one: a
+    host that is started again is listed again.
     """
     longest_s = 0.0
-    for other in {listing.host for listing in watcher.listings} - {host}:
-        for listing in watcher.listings:
+    for other in {listing.host for listing in observer.listings} - {host}:
+        for listing in observer.listings:
             if listing.host != other or listing.at_s < killed_s:
                 continue
             if host not in listing.hosts:
@@ -252,11 +282,11 @@
     return round(longest_s, 2)
 
 
-def last_run_after_notice_s(seen, departure):
-    """How long after its notice an endpoint was still given work."""
+def last_run_after_notice_s(evidence, departure):
+    """How long after its notice a leaving endpoint got its last request."""
     late = [
         run.at_s - departure.at_s
-        for run in seen.runs
+        for run in evidence.runs
         if run.endpoint == departure.endpoint
         and not run.offset
         and departure.at_s <= run.at_s < departure.returned_s
@@ -264,14 +294,17 @@
     return round(max(late, default=0.0), 2)
 
 
-def takeover_times(deployment, faults):
-    """How long each duty of a killed host had no holder."""
+def takeover_times(deployment, injector):
+    """Times in which a duty of a killed host had no lease holder.
+
+    :returns: seconds from the kill until another host wrote the lease
+    """
     writes = collections.defaultdict(list)
     for row in deployment.ledger('keyvalue'):
         if row.get('sender') and '/lease' in row.get('key', ''):
             writes[row['key']].append((row['at_s'], row['sender']))
     gaps = []
-    for killed_s, host in faults.kills:
+    for killed_s, host in injector.kills:
         for each in writes.values():
             before = [sender for at_s, sender in each if at_s < killed_s]
             after = [
@@ -284,14 +317,18 @@
     return gaps
 
 
-def store_call_rates(deployment, begun_s):
-    """Calls a second that the store has had since the start, by kind."""
+def store_call_rates(deployment, started_s):
+    """Calls per second to the store since the start of the run, by kind.
+
+    :param started_s: monotonic time of the start
+    :returns: nothing if the store does not answer
+    """
     address = deployment.address('keyvalue')
     try:
         _, ledger = cluster.call_json(address, 'GET', '/ledger')
     except OSError:
         return {}
-    length_s = time.monotonic() - begun_s
+    length_s = time.monotonic() - started_s
     return {
         kind: round(count / length_s, 2)
         for kind, count in ledger['calls'].items()
@@ -299,7 +336,7 @@
 
 
 def quantile(values, share):
-    """The value that so large a share of the sorted values reaches."""
+    """The nearest-rank quantile of sorted values, None without any."""
     if not values:
         return None
     return values[min(len(values) - 1, math.ceil(share * len(values)) - 1)]
--- a/magnoliadyke/lab/observer.py
+++ b/magnoliadyke/lab/observer.py
@@ -1,4 +1,4 @@
-"""Watches the hosts of a run from outside, and edits their table."""
+"""Samples the hosts of a run over HTTP, and edits their table."""
 
 import http.client
 import itertools
@@ -15,7 +15,7 @@
 SAMPLE_INTERVAL_S = 0.3
 SAMPLE_TIMEOUT_S = 1.0
 EDIT_INTERVAL_S = 2.0
-#: Every so many edits, one moves the split of the pool's roles.
+#: One of this many edits changes the numbers of prefill and decode engines.
 SPLIT_EVERY = 3
 EDIT_TIMEOUT_S = 20.0
 EDIT_WAIT_S = 8.0
@@ -23,7 +23,11 @@
 
 
 class HostListing(typing.NamedTuple):
-    """The hosts that a host named to its callers."""
+    """The hosts that a host listed to its callers.
+
+    :param at_s: wall time at which the request was sent
+    :param host: the host that returned the list
+    """
 
     at_s: float
     host: str
@@ -31,11 +35,13 @@
 
 
 class EditOutcome(typing.NamedTuple):
-    """What became of an edit.
+    """The outcome of an edit.
 
+    :param at_s: wall time of the request to the host that answered it
     :param state: 'in_force', 'accepted', 'pending', 'conflict', 'unknown'
-    :param at_s: when the host was called that took it
-    :param took_s: from then to its answer
+    :param revision: of the table with the edit, 0 without one
+    :param took_s: from that request to its response
+    :param laggards: hosts on which the edit was not yet in force
     """
 
     at_s: float
@@ -46,9 +52,11 @@
 
 
 class Observer:
-    """Asks every host again and again for its table and its list.
+    """Polls every host for its table's revision and its list of hosts.
 
     :param deployment: the :class:`magnoliadyke.lab.cluster.Cluster`
+    :ivar samples: list of :class:`checker.HostSample`
+    :ivar listings: list of :class:`HostListing`
     """
 
     def __init__(self, deployment):
@@ -58,18 +66,18 @@
         self.tasks = []
 
     def start(self):
-        """Begin to ask."""
+        """Start to poll all hosts."""
         self.tasks = [
             gevent.spawn(self.sample_forever, host)
             for host in self.deployment.hosts
         ]
 
     def stop(self):
-        """Ask no more."""
+        """Stop polling."""
         gevent.killall(self.tasks)
 
     def sample_forever(self, host):
-        """Ask one host; one that does not answer shows nothing."""
+        """Poll one host at intervals; without an answer there is no sample."""
         while True:
             try:
                 self.sample(host)
@@ -78,7 +86,7 @@
             gevent.sleep(SAMPLE_INTERVAL_S)
 
     def sample(self, host):
-        """Ask one host once."""
+        """Take one sample of a host."""
         at_s = time.time()
         status, body = self.deployment.admin(
             host, 'GET', '/admin/table?sheet=hosts', timeout_s=SAMPLE_TIMEOUT_S
@@ -90,8 +98,9 @@
             address, 'GET', '/v1/hosts', timeout_s=SAMPLE_TIMEOUT_S
         )
         hosts = frozenset(row['host'] for row in listed['hosts'])
-        # The list is younger than the table; who stopped in between counts
-        # as one that took no work, which only excuses.
+        # The list is requested after the table.  A host that stopped in
+        # between counts as not accepting requests: that can hide a violation
+        # but not make one up.
         accepts_requests = host in hosts
         revision = body['in_force'][host]
         self.samples.append(
@@ -101,10 +110,12 @@
 
 
 class Editors:
-    """Operators who change cells all the time.
+    """Operators who edit cells of the table throughout the run.
 
-    :param customer: whose row they change
-    :param rng: source of randomness
+    :param deployment: the :class:`magnoliadyke.lab.cluster.Cluster`
+    :param customer: whose row they edit
+    :param rng: random number generator
+    :ivar edits: :class:`EditOutcome` of each edit
     """
 
     def __init__(self, deployment, customer, rng):
@@ -117,15 +128,15 @@
         self.task = None
 
     def start(self):
-        """Begin to edit."""
+        """Start to edit."""
         self.task = gevent.spawn(self.edit_forever)
 
     def stop(self):
-        """Edit no more."""
+        """Stop editing."""
         self.task.kill()
 
     def edit_forever(self):
-        """Make one edit after the other."""
+        """Make edits one by one, at random intervals."""
         while True:
             gevent.sleep(EDIT_INTERVAL_S * (0.5 + self.rng.random()))
             number = next(self.numbers)
@@ -136,13 +147,19 @@
                 self.edit(next(self.splits))
 
     def edit_concurrently(self):
-        """Two operators change the same cell at once."""
+        """Edit the same cell from two operators at once."""
         cell = f'customers/{self.customer}/concurrency'
         values = [900 + next(self.numbers) for _ in range(2)]
         gevent.joinall([gevent.spawn(self.edit, {cell: v}) for v in values])
 
     def edit(self, cells):
-        """Make one edit; a lost answer is settled with the same id."""
+        """Make one edit.
+
+        All attempts carry the same id, so that an edit whose response was
+        lost is not applied twice.
+
+        :param cells: new value by the path of each cell
+        """
         number = next(self.numbers)
         body = {
             'cells': cells,
@@ -153,10 +170,13 @@
         self.post('/admin/table', body)
 
     def post(self, path, body):
-        """Send an edit to one host after the other until one answers.
+        """Send an edit to hosts in random order until one answers.
+
+        Its duration counts from the request to that host, since a host that
+        is paused or cut off from the store can't accept an edit.
 
-        Its time counts from the call to that host: one that is stopped, or
-        cut off from the store, cannot take an edit.
+        :returns: :class:`EditOutcome`, with state 'unknown' if none of
+            :data:`MAX_TRIES` hosts answered
         """
         hosts = list(self.deployment.hosts)
         self.rng.shuffle(hosts)
@@ -176,7 +196,7 @@
         return seen
 
     def accepted(self):
-        """The edits that operators were told are accepted."""
+        """The edits that were reported to operators as accepted."""
         return [
             checker.Edit(
                 f'edit {number}', edit.revision, edit.at_s + edit.took_s
@@ -187,9 +207,10 @@
 
 
 def role_split_cells(settings):
-    """Cells that have the planner change roles, this way and back.
+    """Two edits that have the planner change roles back and forth.
 
-    One engine is left over, so that an operator can drain it.
+    Their minimums of prefill and decode engines leave out one engine, so that
+    an operator can drain it.
     """
     pool = next(p for p in settings['pools'] if p['kind'] == 'model')
     bound = len(pool['endpoints']) - 1
@@ -203,7 +224,13 @@
 
 
 def parse_edit_outcome(at_s, status, answer):
-    """What an answer says."""
+    """Parse the response to an edit.
+
+    :param at_s: wall time at which the edit was sent
+    :param status: of the response: 200, 202 or 409
+    :param answer: its decoded body
+    :returns: :class:`EditOutcome`
+    """
     took_s = time.time() - at_s
     if status == 409:
         return EditOutcome(at_s, 'conflict', 0, took_s)
