--- a/magnoliadyke/lab/arguments.py
+++ b/magnoliadyke/lab/arguments.py
@@ -1,17 +1,18 @@
-"""Arguments of lab programs, with errors that name the remedy."""
+"""Parses arguments and files of lab programs; errors name the remedy."""
 
 import json
 
 from magnoliadyke import errors
 
-__all__ = ['read_json', 'read_text', 'parse_whole_number']
+__all__ = ['parse_whole_number', 'read_json', 'read_text']
 
 
 def parse_whole_number(arguments, option):
-    """The whole number that an option has.
+    """Parse the value of an option as a whole number.
 
-    :param arguments: the command's arguments
-    :raises UsageError: if it has another value
+    :param arguments: the command's arguments, as docopt returns them
+    :param option: its name, such as ``--seed``
+    :raises UsageError: if the value is not a whole number
     """
     try:
         return int(arguments[option])
@@ -22,7 +23,7 @@
 
 
 def read_text(path):
-    """The text of a file.
+    """Read a UTF-8 text file.
 
     :raises UsageError: if it can't be read
     """
@@ -31,18 +32,18 @@
             return file.read()
     except (OSError, UnicodeDecodeError) as error:
         raise errors.UsageError(
-            f'{path}: {error}', 'name a text file that can be read'
+            f'{path}: {error}', 'name a readable UTF-8 text file'
         ) from error
 
 
 def read_json(path):
-    """The value in a JSON file.
+    """Read a JSON file.
 
-    :raises UsageError: if it can't be read or is no JSON
+    :raises UsageError: if it can't be read or is not valid JSON
     """
     try:
         return json.loads(read_text(path))
     except ValueError as error:
         raise errors.UsageError(
-            f'{path}: {error}', 'correct the file'
+            f'{path}: {error}', 'correct the JSON in the file'
         ) from error
--- a/magnoliadyke/lab/evidence.py
+++ b/magnoliadyke/lab/evidence.py
@@ -268,8 +268,8 @@
 def listed_for_s(observer, killed_s, host):
     """How long after it was killed a host was still listed to callers.
 
-    Counts for each other host up to its first list without the killed one: a
-    host that is started again is listed again.
+    The longest time of all other hosts, each up to its first list without the
+    killed host: after that, a list may hold its restarted node.
     """
     longest_s = 0.0
     for other in {listing.host for listing in observer.listings} - {host}:
--- a/magnoliadyke/lab/layout.py
+++ b/magnoliadyke/lab/layout.py
@@ -1,4 +1,4 @@
-"""What stands where in a lab run: addresses, names, settings."""
+"""Addresses, names and settings of the processes of a lab run."""
 
 import copy
 import hashlib
@@ -21,17 +21,18 @@
 
 
 class Options(typing.NamedTuple):
-    """How a cluster is started.
-
-    :param run: second number of its 127.x addresses, 1 to 254; clusters
-        that run side by side have different ones; any free one when 0
-    :param directory: where logs, ledgers and the settings file go; a new
-        temporary one when empty
-    :param proxied: whether the nodes' links go through the fault proxy
-    :param engine: settings of the engine stand-ins, beside their role
+    """Options of a cluster.
+
+    :param run: second number of its addresses 127.x.y.z, 1 to 254, different
+        for clusters that run at the same time; 0 for any free one
+    :param directory: for logs, ledgers and the settings file; a new temporary
+        one when empty
+    :param proxied: whether traffic of the nodes passes the fault proxy
+    :param engine: settings of the engine stand-ins, besides their role
     :param service: settings of the service stand-ins
     :param keyvalue: settings of the key-value stand-in
-    :param hosts: how many of the deployment's hosts to start; all when 0
+    :param host_list: settings of the stand-in of the host list
+    :param hosts: number of the deployment's hosts to start; 0 for all
     """
 
     run: int = 0
@@ -47,9 +48,9 @@
 class Layout:
     """Names and addresses of a deployment's processes.
 
-    :param settings: the settings, derived for this run
+    :param settings: result of :func:`derive_settings`
     :param options: :class:`Options`
-    :param directory: where ledgers go
+    :param directory: path for the ledgers
     """
 
     def __init__(self, settings, options, directory):
@@ -65,7 +66,7 @@
         self.names = self.names_by_address()
 
     def names_by_address(self):
-        """Process name of each ``ip:port``."""
+        """Map ``ip:port`` to the name of the process that listens there."""
         names = {e['address']: e['name'] for e in self.endpoints.values()}
         for name in PLATFORM:
             names[self.settings[name]['address']] = name
@@ -75,12 +76,12 @@
         return names
 
     def caller_address(self, host):
-        """``ip:port`` for callers of a host."""
+        """``ip:port`` of a host's listener for callers."""
         row = self.hosts[host]
         return f'{row["address"]}:{row["caller_port"]}'
 
     def admin_address(self, host):
-        """``ip:port`` for operators of a host."""
+        """``ip:port`` of a host's admin listener."""
         row = self.hosts[host]
         return f'{row["admin_address"]}:{row["admin_port"]}'
 
@@ -99,7 +100,7 @@
         return f'127.{self.options.run}.250.1:{PROXY_CONTROL_PORT}'
 
     def stand_in_spec(self, name):
-        """Program and settings of a stand-in."""
+        """Lab verb that runs a stand-in, and the settings of the stand-in."""
         ledger = str(self.directory / f'{name}.ledger')
         if name == 'keyvalue':
             return name, {'ledger': ledger, **self.options.keyvalue}
@@ -121,7 +122,10 @@
         return 'engine', {**spec, **self.options.engine}
 
     def pool_of(self, endpoint):
-        """The pool of an endpoint."""
+        """Settings of the pool of an endpoint.
+
+        :raises KeyError: for an unknown endpoint
+        """
         for pool in self.settings['pools']:
             for row in pool['endpoints']:
                 if row['name'] == endpoint:
@@ -130,7 +134,7 @@
 
 
 def derive_settings(document, options):
-    """Settings for one run: own addresses, secrets that the lab knows.
+    """Derive a run's settings, with its own addresses and the lab's secrets.
 
     :param document: settings of the deployment
     :param options: :class:`Options`
@@ -147,17 +151,17 @@
 
 
 def caller_key(customer):
-    """Key with which the lab calls as a customer."""
+    """API key of a customer in lab runs."""
     return f'lab-key-{customer}'
 
 
 def hash_secret(secret):
-    """A secret as settings and table keep it."""
+    """Digest of a secret, as settings and table hold it."""
     return 'sha256:' + hashlib.sha256(secret.encode()).hexdigest()
 
 
 def host_row(host):
-    """A host's row in the platform's list."""
+    """A host's row in the platform's host list."""
     return {
         'host': host['name'],
         'state': 'live',
--- a/magnoliadyke/lab/rules.py
+++ b/magnoliadyke/lab/rules.py
@@ -1,4 +1,4 @@
-"""Rules of the fault proxy: what happens to packets from A to B."""
+"""Rules of the fault proxy, each a fault on the traffic between processes."""
 
 import fnmatch
 import itertools
@@ -11,19 +11,21 @@
 
 
 class Rule(typing.NamedTuple):
-    """One fault, for packets from ``source`` to ``target``.
+    """A fault on the traffic from ``source`` to ``target``.
 
-    ``cut`` ends connections and refuses new ones; ``drop`` holds TCP bytes
-    back and drops datagrams; ``delay`` holds each piece for ``delay_s``;
+    ``cut`` closes connections and refuses new ones; ``drop`` holds TCP bytes
+    back and drops datagrams; ``delay`` holds each chunk for ``delay_s``;
     ``loss`` drops ``share`` of the datagrams; ``silence`` makes the
-    connections that are open when it comes say nothing for good;
-    ``lose_reply`` ends the next ``count`` connections of ``source`` to
-    ``target`` when their answer comes.
-
-    :param source: name or pattern, such as ``entry-*``
-    :param target: name or pattern
-    :param both: whether it holds for packets the other way too
-    :param until_s: monotonic seconds at which it ends
+    connections that are open when it starts half-open: they stay open and
+    carry no more bytes; ``lose_reply`` closes the next ``count`` connections
+    from ``source`` to ``target`` when the response arrives.
+
+    :param source: name of a process or a pattern, such as ``entry-*``
+    :param target: as ``source``
+    :param kind: one of :data:`KINDS`
+    :param both: whether it applies to the opposite direction too
+    :param started_s: monotonic time
+    :param until_s: monotonic time, infinite without a limit
     """
 
     id: int
@@ -38,21 +40,21 @@
     count: int
 
     def applies_to(self, source, target):
-        """Whether it is about packets from ``source`` to ``target``."""
+        """Whether it applies to traffic from ``source`` to ``target``."""
         if matches_names(self, source, target):
             return True
         return self.both and matches_names(self, target, source)
 
 
 def matches_names(rule, source, target):
-    """Whether the names fit the rule's patterns."""
+    """Whether the names match the rule's patterns."""
     return fnmatch.fnmatchcase(source, rule.source) and fnmatch.fnmatchcase(
         target, rule.target
     )
 
 
 class Rules:
-    """The rules that are on."""
+    """The rules in effect."""
 
     def __init__(self):
         self.rules = {}
@@ -63,7 +65,8 @@
 
         :param fault: ``from``, ``to``, ``kind``, and as needed ``both``,
             ``for_s``, ``delay_s``, ``share``, ``count``
-        :returns: the rule
+        :returns: the :class:`Rule`
+        :raises ValueError: for an unknown kind
         """
         kind = fault.get('kind', '')
         if kind not in KINDS:
@@ -86,15 +89,18 @@
         return rule
 
     def remove(self, rule_id):
-        """End a rule."""
+        """Remove a rule by its id; an unknown id is ignored."""
         self.rules.pop(rule_id, None)
 
     def clear(self):
-        """End all rules."""
+        """Remove all rules."""
         self.rules.clear()
 
     def find(self, kind, source, target):
-        """The first rule of a kind that holds for these packets."""
+        """The first rule of a kind that applies to this direction, or None.
+
+        Expired rules are removed.
+        """
         if not self.rules:
             return None
         now_s = time.monotonic()
@@ -106,7 +112,10 @@
         return None
 
     def consume_lost_reply(self, source, target):
-        """Use up one reply to lose; whether there was one."""
+        """Count down a ``lose_reply`` rule, and remove it at its last.
+
+        :returns: whether one applied
+        """
         rule = self.find('lose_reply', source, target)
         if rule is None:
             return False
--- a/magnoliadyke/lab/schedules.py
+++ b/magnoliadyke/lab/schedules.py
@@ -4,8 +4,8 @@
 
     {"at_s": 4.0, "kind": "pause_host", "target": "entry-2", "for_s": 8.0}
 
-``at_s`` counts from the start of the load, ``target`` may be left out (one
-is drawn), and ``with`` holds what a kind wants to know beyond that.
+``at_s`` counts from the start of the load.  If ``target`` is left out, one
+is drawn.  ``with`` holds further arguments of the kind.
 """
 
 import json
@@ -25,13 +25,14 @@
 class Kind(typing.NamedTuple):
     """A kind of fault.
 
-    :param target: what it strikes
-    :param for_s: range from which its length is drawn
+    :param target: sort of its target, as :meth:`Targets.names_of` takes it
+    :param duration_range_s: range from which its duration is drawn
+    :param effect: description for people, with its arguments
     :param planned: an operator's planned change, not a failure
     """
 
     target: str
-    for_s: tuple[float, float]
+    duration_range_s: tuple[float, float]
     effect: str
     planned: bool = False
 
@@ -40,90 +41,114 @@
     'kill_host': Kind(
         HOST,
         (3, 10),
-        'kill -9; a new process after for_s; {"holder": true} for the host '
-        'that plans a pool',
+        'kill -9; restarted after for_s; {"holder": true} strikes the host '
+        'that holds the lease to plan a pool',
     ),
     'pause_host': Kind(
-        HOST, (4, 14), 'SIGSTOP, then SIGCONT; {"holder": true} as before'
+        HOST,
+        (4, 14),
+        'SIGSTOP, then SIGCONT; {"holder": true} as for kill_host',
     ),
     'cut_store': Kind(
         HOST,
         (4, 9),
-        'nothing passes between host and store; '
-        '{"way": "to" | "from"} for one way',
+        'all traffic between host and store is dropped; '
+        '{"way": "to" | "from"} for one direction',
     ),
     'cut_peers': Kind(
         HOST,
         (4, 9),
-        'nothing passes between host and other hosts; {"way": ...}',
+        'all traffic between host and other hosts is dropped; {"way": ...}',
     ),
     'cut_endpoints': Kind(
-        HOST, (3, 7), 'nothing passes between host and endpoints; {"way": ...}'
+        HOST,
+        (3, 7),
+        'all traffic between host and endpoints is dropped; {"way": ...}',
     ),
     'cut_domain': Kind(
-        DOMAIN, (4, 9), 'its hosts reach neither the store nor other hosts'
+        DOMAIN,
+        (4, 9),
+        'its hosts reach neither the store nor hosts of other domains',
     ),
     'links_silent': Kind(
-        HOST, (0, 0), 'its open connections say nothing for good'
+        HOST, (0, 0), 'its open connections become half-open for good'
     ),
     'store_down': Kind(
-        NO_TARGET, (4, 10), 'no answers; {"mode": "refuse" | "hang"}'
+        NO_TARGET, (4, 10), 'the store is down; {"mode": "refuse" | "hang"}'
+    ),
+    'store_slow': Kind(
+        NO_TARGET, (4, 8), 'each call is delayed by {"delay_s": N}'
     ),
-    'store_slow': Kind(NO_TARGET, (4, 8), '{"delay_s": N} for each call'),
     'store_reply_lost': Kind(
-        NO_TARGET, (0, 0), 'writes take effect unanswered; {"count": N}'
+        NO_TARGET,
+        (0, 0),
+        'the next {"count": N} writes are applied but not answered',
     ),
     'store_restored': Kind(
-        NO_TARGET, (0, 0), 'the store goes back by {"age_s": N}'
+        NO_TARGET, (0, 0), 'the store is restored from a copy {"age_s": N} old'
     ),
     'engine_crash': Kind(
-        ENGINE, (2, 4), 'the process dies; a new one after for_s'
+        ENGINE, (2, 4), 'the process is killed, and restarted after for_s'
     ),
     'crash_in_change': Kind(
-        ENGINE, (8, 8), 'it dies half-way through its next role change'
+        ENGINE,
+        (8, 8),
+        'its process exits half-way through its next role change',
     ),
     'change_fails': Kind(
-        ENGINE, (8, 8), 'its next role change ends in the old role'
+        ENGINE, (8, 8), 'its next role change fails and leaves the old role'
     ),
     'command_reply_lost': Kind(
-        ENGINE, (0, 0), 'its next command takes effect unanswered'
+        ENGINE, (0, 0), 'its next command is executed but not answered'
     ),
     'engine_silent': Kind(
-        ENGINE, (0, 0), 'its open streams say nothing for good'
+        ENGINE, (0, 0), 'its open streams carry no more bytes'
     ),
     'crashing_request': Kind(
-        NO_TARGET, (6, 6), 'a caller sends, and resends, what kills engines'
+        NO_TARGET,
+        (6, 6),
+        'a caller sends, and retries, a request that crashes engines',
     ),
     'clashing_edits': Kind(
-        NO_TARGET, (2, 2), 'two operators change the same cells at once'
+        NO_TARGET, (2, 2), 'two operators edit the same cells at once'
     ),
     'endpoint_leaves': Kind(
-        ENDPOINT, (6, 8), 'it says so, leaves, and comes back', True
+        ENDPOINT,
+        (6, 8),
+        'it announces that it is leaving, leaves, and returns',
+        True,
     ),
     'drain_endpoint': Kind(
-        ENDPOINT, (6, 8), 'an operator drains it, and undoes it', True
+        ENDPOINT, (6, 8), 'an operator drains it, and undoes the drain', True
     ),
     'stop_host': Kind(
-        HOST, (4, 8), 'SIGTERM; a new process once it has ended', True
+        HOST, (4, 8), 'SIGTERM; restarted once it has exited', True
     ),
     'replace_hosts': Kind(
-        NO_TARGET, (60, 60), 'each host in turn is stopped and replaced', True
+        NO_TARGET,
+        (60, 60),
+        'each node in turn is stopped gracefully and restarted',
+        True,
     ),
 }
-#: Too long for a run of ordinary length.
+#: Kinds that last too long for a run of the default length.
 EXCLUDED_KINDS = frozenset({'replace_hosts'})
-#: Of the hosts that are killed or paused, those that plan a pool.
+#: Share of kills and pauses that strike the host that plans a pool.
 LEASE_HOLDER_SHARE = 0.5
 MIN_FIRST_FAULT_S = 3.0
 MAX_FIRST_FAULT_S = 9.0
-#: Of two faults, the second comes while the first is felt.
+#: Range after the first fault in which others start, so that the effects of
+#: both overlap.
 SECOND_FAULT_DELAY_S = (0.0, 5.0)
 
 
 class Fault(typing.NamedTuple):
-    """One line of a schedule.
+    """One fault of a schedule.
 
-    :param detail: what the line has under ``with``
+    :param at_s: seconds from the start of the load
+    :param kind: key of :data:`KINDS`
+    :param for_s: its duration
+    :param detail: further arguments, the line's ``with``
     """
 
     at_s: float
@@ -134,7 +159,7 @@
 
 
 class Targets(typing.NamedTuple):
-    """Names that faults may strike, by what a kind wants."""
+    """Names of the possible targets, by their sort."""
 
     hosts: tuple[str, ...]
     engines: tuple[str, ...]
@@ -142,7 +167,10 @@
     domains: tuple[str, ...]
 
     def names_of(self, what):
-        """Names of one sort."""
+        """Names of one sort.
+
+        :param what: :attr:`Kind.target`
+        """
         return {
             HOST: self.hosts,
             ENGINE: self.engines,
@@ -152,17 +180,18 @@
         }[what]
 
 
-def draw(targets, rng, count, number):
-    """A schedule of ``count`` faults.
+def draw(targets, rng, count, run_number):
+    """Draw a schedule of ``count`` faults.
 
-    The kind of the first goes round with the number of the run, so that as
-    many runs as there are kinds have each kind once at least.
+    The kind of the first fault is chosen by the number of the run, so that as
+    many consecutive runs as there are kinds cover each kind.
 
-    :param rng: source of randomness
+    :param targets: :class:`Targets`
+    :param rng: random number generator
     """
     names = sorted(KINDS.keys() - EXCLUDED_KINDS)
     at_s = rng.uniform(MIN_FIRST_FAULT_S, MAX_FIRST_FAULT_S)
-    kind = names[number % len(names)]
+    kind = names[run_number % len(names)]
     faults = [draw_one(targets, rng, at_s, kind)]
     while len(faults) < count:
         later_s = at_s + rng.uniform(*SECOND_FAULT_DELAY_S)
@@ -172,8 +201,8 @@
 
 
 def draw_one(targets, rng, at_s, kind):
-    """One fault of a kind."""
-    for_s = round(rng.uniform(*KINDS[kind].for_s), 1)
+    """Draw target, duration and arguments of a fault of a kind."""
+    for_s = round(rng.uniform(*KINDS[kind].duration_range_s), 1)
     detail = {}
     if kind in ('cut_store', 'cut_peers', 'cut_endpoints'):
         detail['way'] = rng.choice(('both', 'both', 'to', 'from'))
@@ -186,11 +215,14 @@
 
 
 def read(lines, path, targets, rng):
-    """Read a schedule.
+    """Read a schedule file.
 
     :param lines: of the file
     :param path: of the file, for messages
-    :raises UsageError: that names the line and the remedy
+    :param targets: :class:`Targets`
+    :param rng: random number generator for what a line leaves out
+    :returns: list of :class:`Fault` in order of time
+    :raises UsageError: for an invalid line, with its number and the remedy
     """
     faults = []
     for number, line in enumerate(lines, 1):
@@ -208,7 +240,7 @@
 
 
 def read_line(line, targets, rng):
-    """One fault of a schedule file."""
+    """Parse one line of a schedule file."""
     row = json.loads(line)
     kind = row['kind']
     if kind not in KINDS:
--- a/magnoliadyke/lab/worker.py
+++ b/magnoliadyke/lab/worker.py
@@ -1,4 +1,4 @@
-"""A worker process: reads pickled tasks, writes pickled results."""
+"""A worker process that reads pickled tasks and writes pickled results."""
 
 import os
 import pickle
@@ -25,25 +25,28 @@
 
 
 def main(argv):
-    """Work until the parent closes the pipe.
+    """Run tasks until the parent closes the pipe.
 
-    Whatever a task prints goes to the error output: in the pipe it would
-    be taken for a result.
+    Standard output of tasks is redirected to standard error: in the pipe it
+    would be read as a result.
 
-    :return: exit status
+    :returns: exit status
     """
-    answers = os.fdopen(os.dup(STANDARD_OUTPUT), 'wb')
+    results = os.fdopen(os.dup(STANDARD_OUTPUT), 'wb')
     os.dup2(STANDARD_ERROR, STANDARD_OUTPUT)
     while True:
         try:
             function, task = read(sys.stdin.buffer)
         except EOFError:
             return 0
-        write(answers, run_task(function, task))
+        write(results, run_task(function, task))
 
 
 def run_task(function, task):
-    """Return a task's result, or the exception that it raised."""
+    """Run a task.
+
+    :returns: its result, or the exception that it raised
+    """
     try:
         return function(task)
     except Exception as error:
--- a/magnoliadyke/lab/workers.py
+++ b/magnoliadyke/lab/workers.py
@@ -1,4 +1,4 @@
-"""Map a function over tasks in a few processes of this program."""
+"""Maps a function over tasks in several processes of this program."""
 
 import pickle
 import subprocess
@@ -13,22 +13,23 @@
 
 
 class WorkerDied(Exception):
-    """A worker process ended before its task had."""
+    """A worker process exited before it returned the result of its task."""
 
 
 def map_tasks(function, tasks, processes):
-    """Apply a function to each task, in other processes.
+    """Apply a function to each task in worker processes.
 
     The standard library's pools hang once gevent has patched threads, and a
-    child forked from a process that has started threads may wait for ever
-    for a lock that one of them held. So workers are new processes of this
-    program, which get tasks and give results over pipes.
+    child forked from a process that has started threads may block for ever
+    on a lock that one of them held.  So workers are new processes of this
+    program that receive tasks and return results over pipes.
 
     :param function: importable by its name
-    :param processes: most processes
+    :param processes: maximum number of processes; with one, or one task,
+        tasks run in this process
     :returns: the results in the order of the tasks
-    :raises Exception: the first that a task raised
-    :raises WorkerDied: if a process ended in the middle of a task
+    :raises Exception: that of the first task in order which raised one
+    :raises WorkerDied: if a process exited during a task
     """
     count = min(processes, len(tasks))
     if count <= 1:
@@ -49,7 +50,7 @@
 
 
 def run_worker(function, tasks, numbers, results):
-    """Keep one worker process busy until no task is left."""
+    """Start a worker process and send it tasks until none is left."""
     process = subprocess.Popen(
         program.command('lab', 'worker'),
         stdin=subprocess.PIPE,
@@ -67,10 +68,10 @@
 
 
 def read_result(process, task):
-    """Return what a worker makes of its task."""
+    """Read the result of a task from a worker."""
     try:
         return worker.read(process.stdout)
     except (EOFError, pickle.UnpicklingError) as error:
         raise WorkerDied(
-            f'the worker of task {task!r} ended; see its error output above'
+            f'the worker of task {task!r} exited; see its error output above'
         ) from error
