--- a/magnoliadyke/lab/checker.py
+++ b/magnoliadyke/lab/checker.py
@@ -227,10 +227,11 @@
 
 
 def find_lost_calls(evidence, limits):
-    """Calls without an outcome, or that failed although a retry was allowed.
+    """Calls without an outcome, or with a failure that is not allowed.
 
-    A call that may not be repeated may end as unknown only if a failure may
-    have affected it.
+    Only a poisoned call may end rejected.  A repeatable call must be answered
+    in the end.  A non-repeatable one may end as not run, and as unknown if a
+    failure may have affected it.
     """
     for call in evidence.calls:
         if not call.outcome:
@@ -257,7 +258,10 @@
 
 
 def may_be_affected(call, evidence, limits):
-    """Whether an unplanned fault was in effect during a call."""
+    """Whether an unplanned fault may have affected a call.
+
+    It may from its start until ``settle_s`` after its end.
+    """
     return any(
         fault.at_s <= call.ended_s
         and call.sent_s <= fault.until_s + limits.settle_s
@@ -350,9 +354,10 @@
 def is_unpreventable(violation, evidence):
     """Whether a violation is the one kind that no sender can prevent.
 
-    A process that is paused between its last check of the lease and the
-    system call that sends the command sends it when it resumes.  An engine
-    that ignores fencing tokens accepts such a command.
+    That is a stale command of a process that was paused after its last check
+    of the lease, just before the system call that sends the command.  The
+    process sends it when it resumes, and an engine that ignores fencing tokens
+    accepts it.
     """
     if violation.promise != 'stale_command_effective':
         return False
--- a/magnoliadyke/lab/cluster.py
+++ b/magnoliadyke/lab/cluster.py
@@ -140,16 +140,16 @@
 
     def start_node(self, name):
         """Start the node of a host."""
-        words = ['node', str(self.settings_file), '--host', name]
+        arguments = ['node', str(self.settings_file), '--host', name]
         if not self.options.proxied:
-            self.launch(name, program.command(*words), {})
+            self.launch(name, program.command(*arguments), {})
             return
         spec = {
             'name': name,
             'proxy': self.proxy_address(),
             'targets': [a for a, n in self.names.items() if n != name],
         }
-        command = [sys.executable, '-m', links.__name__, *words]
+        command = [sys.executable, '-m', links.__name__, *arguments]
         self.launch(name, command, {links.VARIABLE: json.dumps(spec)})
 
     def launch(self, name, command, extra):
--- a/magnoliadyke/lab/demo.py
+++ b/magnoliadyke/lab/demo.py
@@ -250,7 +250,7 @@
         """
         records = self.load.records
         kinds = [type(record.outcome) for record in records]
-        told = [
+        retried = [
             type(each)
             for record in records
             for each in record.retried_outcomes
@@ -263,8 +263,8 @@
             unknown=kinds.count(outcomes.Unknown),
             rejected=kinds.count(outcomes.Rejected),
             unfinished=kinds.count(type(None)),
-            told_not_run=told.count(outcomes.NotRun),
-            told_unknown=told.count(outcomes.Unknown),
+            told_not_run=retried.count(outcomes.NotRun),
+            told_unknown=retried.count(outcomes.Unknown),
             wrong=sum(not record.is_correct() for record in answered),
             doubled=len(runs.doubled(self.cluster, records)),
             goodput_tokens_s=self.goodput(answered),
