--- a/magnoliadyke/lab/demo.py
+++ b/magnoliadyke/lab/demo.py
@@ -168,9 +168,7 @@
         self.load.join(self.plan.duration_s + FINISH_TIMEOUT_S)
         gevent.joinall(events)
         watcher.kill()
-        self.report_progress(
-            'load completed; stopping all processes gracefully'
-        )
+        self.report_progress('load ended; stopping all processes gracefully')
         self.statuses = self.cluster.stop()
         self.report_unanswered()
         return self.summary(time.monotonic() - started_s)
