--- a/magnoliadyke/lab/baselines.py
+++ b/magnoliadyke/lab/baselines.py
@@ -33,7 +33,7 @@
     'Schedule',
     'fluid_demand',
     'hindsight_plan',
-    'likely_splits',
+    'rank_splits',
 ]
 
 CELL_S = 2.0
@@ -41,8 +41,8 @@
 HYSTERESIS_BAND = 0.75
 HYSTERESIS_HOLD_S = 10.0
 HYSTERESIS_DWELL_S = 30.0
-DEMAND_MEMORY_S = 10.0
-TOKEN_S = 0.04
+DEMAND_TIME_CONSTANT_S = 10.0
+DECODE_TOKEN_INTERVAL_S = 0.04
 
 
 def _change_towards(state, prefills):
@@ -52,14 +52,14 @@
         return None
     prefilling = [each for each in ready if each.role == roles.PREFILL]
     decoding = [each for each in ready if each.role == roles.DECODE]
-    most = len(ready) - state.min_decode
-    wanted = max(state.min_prefill, min(most, prefills))
-    if wanted > len(prefilling) and decoding:
-        least = min(decoding, key=lambda engine: engine.load)
-        return roles.RoleChange(least.name, roles.PREFILL)
-    if wanted < len(prefilling):
-        least = min(prefilling, key=lambda engine: engine.load)
-        return roles.RoleChange(least.name, roles.DECODE)
+    max_prefills = len(ready) - state.min_decode
+    target_prefills = max(state.min_prefill, min(max_prefills, prefills))
+    if target_prefills > len(prefilling) and decoding:
+        least_loaded = min(decoding, key=lambda engine: engine.load)
+        return roles.RoleChange(least_loaded.name, roles.PREFILL)
+    if target_prefills < len(prefilling):
+        least_loaded = min(prefilling, key=lambda engine: engine.load)
+        return roles.RoleChange(least_loaded.name, roles.DECODE)
     return None
 
 
@@ -74,19 +74,19 @@
         return None
 
 
-class _Follower:
+class _DemandFollower:
     """Follows the share of prefill in a smoothed demand."""
 
     def __init__(self):
-        self.prefill = forecast.Series(DEMAND_MEMORY_S)
-        self.decode = forecast.Series(DEMAND_MEMORY_S)
+        self.prefill = forecast.Series(DEMAND_TIME_CONSTANT_S)
+        self.decode = forecast.Series(DEMAND_TIME_CONSTANT_S)
 
     def observe(self, demand, now_s):
         """Take a demand into the smoothed one."""
         self.prefill.add(demand.prefill_s_per_s, now_s)
         self.decode.add(demand.decode_s_per_s, now_s)
 
-    def wanted(self, state):
+    def target_prefills(self, state):
         """Engines that should prefill, as a fraction."""
         prefill = self.prefill.mean()
         decode = self.decode.mean()
@@ -96,40 +96,43 @@
         return ready * prefill / (prefill + decode)
 
 
-class Greedy(_Follower):
+class Greedy(_DemandFollower):
     """Changes to the nearest split as soon as the demand does."""
 
     def plan(self, state, now_s):
         """Change towards the nearest split at once."""
-        wanted = self.wanted(state)
-        if wanted is None:
+        target_prefills = self.target_prefills(state)
+        if target_prefills is None:
             return None
-        return _change_towards(state, round(wanted))
+        return _change_towards(state, round(target_prefills))
 
 
-class Hysteresis(_Follower):
+class Hysteresis(_DemandFollower):
     """Changes when the demand has asked for it clearly and for a while."""
 
     def __init__(self):
         super().__init__()
-        self.asked_since_s = None
+        self.outside_band_since_s = None
         self.changed_at_s = float('-inf')
 
     def plan(self, state, now_s):
         """Change once the demand has been outside the band for long."""
-        wanted = self.wanted(state)
+        target_prefills = self.target_prefills(state)
         ready = [each for each in state.engines if each.state in roles.READY]
         prefills = sum(each.role == roles.PREFILL for each in ready)
-        if wanted is None or abs(wanted - prefills) < HYSTERESIS_BAND:
-            self.asked_since_s = None
+        if (
+            target_prefills is None
+            or abs(target_prefills - prefills) < HYSTERESIS_BAND
+        ):
+            self.outside_band_since_s = None
             return None
-        if self.asked_since_s is None:
-            self.asked_since_s = now_s
-        if now_s - self.asked_since_s < HYSTERESIS_HOLD_S:
+        if self.outside_band_since_s is None:
+            self.outside_band_since_s = now_s
+        if now_s - self.outside_band_since_s < HYSTERESIS_HOLD_S:
             return None
         if now_s - self.changed_at_s < HYSTERESIS_DWELL_S:
             return None
-        change = _change_towards(state, round(wanted))
+        change = _change_towards(state, round(target_prefills))
         if change is not None:
             self.changed_at_s = now_s
         return change
@@ -153,10 +156,10 @@
 
     def plan(self, state, now_s):
         """Change towards the split that is due."""
-        due = [each for each in self.changes if each.at_s <= now_s]
-        if not due:
+        started = [each for each in self.changes if each.at_s <= now_s]
+        if not started:
             return None
-        return _change_towards(state, due[-1].prefills)
+        return _change_towards(state, started[-1].prefills)
 
 
 def fluid_demand(requests, cells):
@@ -172,7 +175,9 @@
         work_s = request.prompt_tokens * traces.PREFILL_TOKEN_S
         prefill[first] += work_s / CELL_S
         work_s = request.output_tokens * traces.DECODE_TOKEN_S
-        spread = 1 + int(request.output_tokens * TOKEN_S / CELL_S)
+        spread = 1 + int(
+            request.output_tokens * DECODE_TOKEN_INTERVAL_S / CELL_S
+        )
         for cell in range(first, min(first + spread, cells)):
             decode[cell] += work_s / spread / CELL_S
     return list(zip(_smooth(prefill), _smooth(decode), strict=True))
@@ -200,8 +205,8 @@
     """
     cells = max(1, int(length_s / CELL_S))
     demand = fluid_demand(requests, cells)
-    values = [_cell_values(settings, engines, each) for each in demand]
-    away = max(1, round(settings.role_change_downtime_s / CELL_S))
+    values = [_served_tokens(settings, engines, each) for each in demand]
+    downtime_cells = max(1, round(settings.role_change_downtime_s / CELL_S))
     splits = range(1, engines)
     # best[cell][split]: tokens from the cell on, and what to do in it.
     best = [{split: (0.0, 0) for split in splits} for _ in range(cells + 1)]
@@ -213,7 +218,7 @@
                 after = split + step
                 if after not in splits:
                     continue
-                end = min(cell + away, cells)
+                end = min(cell + downtime_cells, cells)
                 left = min(split, after)
                 rest = engines - max(split, after)
                 total = sum(values[c][left, rest] for c in range(cell, end))
@@ -222,22 +227,22 @@
             best[cell][split] = max(options)
     if first is None:
         first = max(splits, key=lambda split: best[0][split][0])
-    changes = _follow(best, first, cells, away)
+    changes = _extract_changes(best, first, cells, downtime_cells)
     return first, changes, best[0][first][0] / (cells * CELL_S)
 
 
-def likely_splits(requests, length_s, engines, settings):
+def rank_splits(requests, length_s, engines, settings):
     """Fixed numbers of prefill engines, by the relaxed model, best first."""
     cells = max(1, int(length_s / CELL_S))
     demand = fluid_demand(requests, cells)
-    values = [_cell_values(settings, engines, each) for each in demand]
+    values = [_served_tokens(settings, engines, each) for each in demand]
     return sorted(
         range(1, engines),
         key=lambda split: -sum(v[split, engines - split] for v in values),
     )
 
 
-def _cell_values(settings, engines, demand):
+def _served_tokens(settings, engines, demand):
     """Tokens of a cell for each split, one engine away or none."""
     values = {}
     for prefills in range(engines):
@@ -249,7 +254,7 @@
     return values
 
 
-def _follow(best, split, cells, away):
+def _extract_changes(best, split, cells, downtime_cells):
     changes = []
     cell = 0
     while cell < cells:
@@ -259,5 +264,5 @@
             continue
         split += step
         changes.append(Change(cell * CELL_S, split))
-        cell += away
+        cell += downtime_cells
     return changes
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -40,17 +40,17 @@
 CUSTOMERS = 270
 #: Keys that a node must remember: its share of the requests of the peak for
 #: as long as a ticket may bring new keys.
-KEPT_KEYS = int(7700 / NODES * records.DEFAULTS.accept_s)
+REMEMBERED_KEYS = int(7700 / NODES * records.DEFAULTS.accept_s)
 
 MEMBER_SIZES = (8, 32, 128, 420)
 ENDPOINT_SIZES = (5, 50, 500, 1800)
 RECORD_SIZES = (1000, 4000, 16000, 64000)
 CUSTOMER_SIZES = (2, 30, 90, 270)
-ROUNDS = 200
+PERIODS = 200
 DEPLOYMENT = 'capacity'
 
 
-class Sized:
+class TracedMemory:
     """Bytes that a block of code keeps alive."""
 
     def __enter__(self):
@@ -65,18 +65,18 @@
         tracemalloc.stop()
 
 
-def cost_s(call, rounds):
+def mean_cpu_s(call, rounds):
     """Return processor seconds of one call, as the mean of many."""
-    begin = time.process_time()
+    start_s = time.process_time()
     for number in range(rounds):
         call(number)
-    return (time.process_time() - begin) / rounds
+    return (time.process_time() - start_s) / rounds
 
 
 # Membership.
 
 
-def member(number):
+def make_member(number):
     """A member as a deployment of this size would have it."""
     return membership.Member(
         host=f'host-{number}',
@@ -93,10 +93,10 @@
     """Measure one node's membership: state, bytes and time a second."""
     state, sent, busy = [], [], []
     for size in MEMBER_SIZES:
-        with Sized() as sized:
-            own = membership_of(size)
-        state.append((size, sized.bytes))
-        sent_bytes, seconds = run_protocol(own, size)
+        with TracedMemory() as memory:
+            local = build_membership(size)
+        state.append((size, memory.bytes))
+        sent_bytes, seconds = run_periods(local, size)
         sent.append((size, sent_bytes))
         busy.append((size, 100 * seconds))
     carried = 'one probe a period, bounded updates in each datagram'
@@ -115,63 +115,64 @@
     ]  # fmt: skip
 
 
-def membership_of(size):
+def build_membership(size):
     """Build the membership of a node that knows ``size`` nodes."""
-    own = membership.Membership(
-        member(0),
+    local = membership.Membership(
+        make_member(0),
         membership.MembershipSettings(),
         random.Random(1),
-        [member(number) for number in range(1, size)],
+        [make_member(number) for number in range(1, size)],
     )
     for number in range(1, size):
-        own.receive(ack(own, number, 0), 0.0)
-    return own
+        local.receive(make_ack(local, number, 0), 0.0)
+    return local
 
 
-def ack(own, number, sequence):
+def make_ack(local, number, sequence):
     """An answer from one member, with as many updates as may ride."""
-    sightings = own.freshness.relayed_sightings(0.0, 7, own.rng)
+    sightings = local.freshness.relayed_sightings(0.0, 7, local.rng)
     updates = tuple(
-        member((number + step) % 7 + 1) for step in range(own.settings.updates)
+        make_member((number + step) % 7 + 1)
+        for step in range(local.settings.updates)
     )
     return membership.Ack(
-        sequence, member(number), 'host-0', updates, tuple(sightings), b''
+        sequence, make_member(number), 'host-0', updates, tuple(sightings), b''
     )
 
 
-def run_protocol(own, size):
+def run_periods(local, size):
     """Run the protocol for some periods against answering peers.
 
     :return: bytes sent a second, processor seconds a second
     """
-    period_s = own.settings.period_s
+    period_s = local.settings.period_s
     sent = 0
-    begin = time.process_time()
-    for step in range(1, ROUNDS + 1):
+    start_s = time.process_time()
+    for step in range(1, PERIODS + 1):
         now_s = step * period_s
-        sent += answered_period(own, size, step, now_s)
-    seconds = time.process_time() - begin
-    return sent / (ROUNDS * period_s), seconds / (ROUNDS * period_s)
+        sent += run_period(local, size, step, now_s)
+    seconds = time.process_time() - start_s
+    return sent / (PERIODS * period_s), seconds / (PERIODS * period_s)
 
 
-def answered_period(own, size, step, now_s):
+def run_period(local, size, step, now_s):
     """One period: own probes answered, one probe from a peer; bytes sent."""
     sent = 0
-    for action in own.tick(now_s):
+    for action in local.tick(now_s):
         if not isinstance(action, membership.SendDatagram):
             continue
         sent += len(gossip_codec.encode(DEPLOYMENT, action.message))
         target = int(action.message.target.rpartition('-')[2])
-        own.receive(ack(own, target, action.message.sequence), now_s)
+        local.receive(make_ack(local, target, action.message.sequence), now_s)
     probe = membership.Ping(
         step,
-        member(step % (size - 1) + 1),
+        make_member(step % (size - 1) + 1),
         'host-0',
         (),
-        tuple(own.freshness.relayed_sightings(now_s, 7, own.rng)),
+        tuple(local.freshness.relayed_sightings(now_s, 7, local.rng)),
         b'x' * 300,
     )
-    for action in own.receive(probe, now_s):
+    for action in local.receive(probe, now_s):
         if isinstance(action, membership.SendDatagram):
             sent += len(gossip_codec.encode(DEPLOYMENT, action.message))
     return sent
@@ -185,7 +186,7 @@
 # Scheduler and planner.
 
 
-def infos(count):
+def engine_infos(count):
     """Model endpoints, half of them prefill."""
     return [
         jobs.EndpointInfo(
@@ -203,17 +204,17 @@
 
 def probe_scheduler():
     """Measure placing a request, and the state of all endpoints."""
-    routed, state = [], []
+    placed, state = [], []
     for size in ENDPOINT_SIZES:
-        with Sized() as sized:
-            owner = scheduler.Scheduler(infos(size), random.Random(1))
-        state.append((size, sized.bytes))
-        owner.set_table(customers_view(2), 0.0)
-        seconds = cost_s(lambda n, s=owner: place_one(s, n), 2000)
-        routed.append((size, 1e6 * seconds))
+        with TracedMemory() as memory:
+            placer = scheduler.Scheduler(engine_infos(size), random.Random(1))
+        state.append((size, memory.bytes))
+        placer.set_table(table_view(2), 0.0)
+        seconds = mean_cpu_s(lambda n, s=placer: place_request(s, n), 2000)
+        placed.append((size, 1e6 * seconds))
     return [
         slopes.Series(
-            'node', 'a request placed and ended', 'us', 'endpoints', routed,
+            'node', 'a request placed and ended', 'us', 'endpoints', placed,
             ENDPOINTS, 'a node routes over a subset of each pool',
         ),
         slopes.Series(
@@ -223,7 +224,7 @@
     ]  # fmt: skip
 
 
-def place_one(owner, number):
+def place_request(placer, number):
     """Submit a job and let it end."""
     now_s = number * 0.01
     job = jobs.Job(
@@ -236,10 +237,10 @@
         prefix_blocks=(f'block-{number % 50}',),
         arrived_s=now_s,
     )
-    owner.submit(job, now_s)
-    owner.record_prefill_done(job.id, now_s)
-    owner.record_first_token(job.id, now_s)
-    owner.record_result(job.id, jobs.Finished(500, 50, 0), now_s)
+    placer.submit(job, now_s)
+    placer.record_prefill_done(job.id, now_s)
+    placer.record_first_token(job.id, now_s)
+    placer.record_result(job.id, jobs.Finished(500, 50, 0), now_s)
 
 
 def probe_planner():
@@ -249,7 +250,7 @@
         planner = roles.Planner()
         engines = tuple(
             roles.EngineView(info.name, info.role, 'in', 1.0, 0.0)
-            for info in infos(size)
+            for info in engine_infos(size)
         )
         state = roles.PoolState(engines)
         demand = scheduler.Demand(size * 0.3, size * 0.4, 0, 0.0, 0.0, 0)
@@ -258,7 +259,7 @@
             p.observe(d, float(number))
             p.plan(s, float(number))
 
-        planned.append((size, 1000 * cost_s(one_round, 20)))
+        planned.append((size, 1000 * mean_cpu_s(one_round, 20)))
     return [
         slopes.Series(
             'duty holder', 'one planning round', 'ms', 'engines', planned,
@@ -274,40 +275,40 @@
     """Measure the memory of a remembered key and the time to enter it."""
     state, entered = [], []
     for size in RECORD_SIZES:
-        begin = time.process_time()
-        with Sized() as sized:
-            kept = records.RecordTable()
+        start_s = time.process_time()
+        with TracedMemory() as memory:
+            record_table = records.RecordTable()
             for number in range(size):
-                enter(kept, number)
-        seconds = time.process_time() - begin
-        state.append((size, sized.bytes))
+                record_key(record_table, number)
+        seconds = time.process_time() - start_s
+        state.append((size, memory.bytes))
         entered.append((size, 1e6 * seconds / size))
     return [
         slopes.Series(
             'node', 'remembered keys, answers shed', 'bytes', 'keys', state,
-            KEPT_KEYS, 'a key is kept until its ticket expires',
+            REMEMBERED_KEYS, 'a key is kept until its ticket expires',
         ),
         slopes.Series(
             'node', 'a key entered and ended', 'us, traced', 'keys', entered,
-            KEPT_KEYS, 'one mapping, one heap of expiry times',
+            REMEMBERED_KEYS, 'one mapping, one heap of expiry times',
         ),
     ]  # fmt: skip
 
 
-def enter(kept, number):
+def record_key(record_table, number):
     """Open one key and end it with an outcome and no answer."""
     key = f'host-1.1700000000000.{number // 100}-0123456789abcdef/{number}'
     digest = f'{number:032x}'
-    opened = kept.open(key, 'customer-1', digest, 0.0, 0.0)
-    kept.settle(opened.record, records.HOME_STOPPED)
+    opened = record_table.open(key, 'customer-1', digest, 0.0, 0.0)
+    record_table.settle(opened.record, records.HOME_STOPPED)
 
 
-def customers_view(count):
+def table_view(count):
     """A view of a table with so many customers."""
-    return table.view(document_of(count))
+    return table.view(table_document(count))
 
 
-def document_of(count):
+def table_document(count):
     """A document with all columns set for so many customers."""
     cells = {}
     for number in range(count):
@@ -325,13 +326,13 @@
     """Measure the table's size in the store and the time to read it."""
     size, read = [], []
     for count in CUSTOMER_SIZES:
-        text = table.dump(document_of(count))
+        text = table.dump(table_document(count))
         size.append((count, len(text.encode())))
 
-        def one(_number, t=text):
+        def read_table(_number, t=text):
             table.view(table.parse(t))
 
-        read.append((count, 1000 * cost_s(one, 20)))
+        read.append((count, 1000 * mean_cpu_s(read_table, 20)))
     return [
         slopes.Series(
             'store', 'the table', 'bytes', 'customers', size, CUSTOMERS,
@@ -355,7 +356,7 @@
 PROBES = (*CORE_PROBES, 'nodes')
 
 
-def chosen(text):
+def parse_probes(text):
     """Names of probes from the command line."""
     names = {'core': tuple(CORE_PROBES), 'all': PROBES}.get(text)
     names = names or tuple(text.split(','))
@@ -373,7 +374,7 @@
     """
     options = docopt.docopt(__doc__, argv)
     rows = []
-    for name in chosen(options['--only']):
+    for name in parse_probes(options['--only']):
         if name == 'nodes':
             sizes = [int(word) for word in options['--nodes'].split(',')]
             series = nodecost.probe(sizes, float(options['--seconds']), NODES)
@@ -383,7 +384,7 @@
     if options['--json']:
         print(json.dumps(rows, indent=1))
     else:
-        print('\n'.join(slopes.table_of(rows)))
+        print('\n'.join(slopes.format_table(rows)))
     return 0
 
 
--- a/magnoliadyke/lab/demo.py
+++ b/magnoliadyke/lab/demo.py
@@ -231,7 +231,7 @@
             told_not_run=told.count(outcomes.NotRun),
             told_unknown=told.count(outcomes.Unknown),
             wrong=sum(not record.whole() for record in answered),
-            doubled=len(runs.doubled(self.cluster, records)),
+            doubled=len(runs.find_duplicate_executions(self.cluster, records)),
             goodput_tokens_s=self.goodput(answered),
             role_changes=runs.role_changes(self.cluster),
             edit_in_force_s=self.in_force_s,
@@ -246,7 +246,7 @@
         return {
             name: round(
                 sum(
-                    measures.tokens(record.job)
+                    measures.job_tokens(record.job)
                     for record in answered
                     if record.job.kind == 'model'
                     and record.job.customer == name
--- a/magnoliadyke/lab/gossipcost.py
+++ b/magnoliadyke/lab/gossipcost.py
@@ -13,16 +13,16 @@
 
 __all__ = ['probe']
 
-SECONDS = 20.0
+SIMULATED_S = 20.0
 STEP_S = 0.1
-HOSTS_A_SUBNET = 250
+HOSTS_PER_SUBNET = 250
 #: A node is probed about as often as it probes, twice a second; each probe
 #: of its own is answered: with what is passed on, five datagrams a second.
-STEPS_A_DATAGRAM = 2
-SIGHTINGS = 7
+STEPS_PER_DATAGRAM = 2
+SIGHTINGS_PER_DATAGRAM = 7
 
 
-class QuietGossip(gossip.Gossip):
+class SocketlessGossip(gossip.Gossip):
     """The task without its socket."""
 
     def send_data(self, address, data):
@@ -53,25 +53,29 @@
 
 def cost_percent(size):
     """Processor time of the task, as a share of the clock's time."""
-    hosts = [host_of(number) for number in range(size)]
+    hosts = [host_settings(number) for number in range(size)]
     document = nodecost.deployment(1)
     domains = document['failure_domains']
     for number, host in enumerate(hosts):
         host['failure_domain'] = domains[number % len(domains)]
     document['hosts'] = hosts
-    paused = clock.ManualClock()
+    manual_clock = clock.ManualClock()
     parsed = settings.parse(document)
-    task = QuietGossip(parsed, hosts[0]['name'], paused, random.Random(1), 1)
+    task = SocketlessGossip(
+        parsed, hosts[0]['name'], manual_clock, random.Random(1), 1
+    )
     for number in range(1, size):
-        task.receive(word_of(task, hosts[number], number), paused.now_s())
+        task.receive(
+            encode_ack(task, hosts[number], number), manual_clock.now_s()
+        )
     begin_s = time.process_time()
-    run(task, hosts, paused)
-    return 100 * (time.process_time() - begin_s) / SECONDS
+    run_steps(task, hosts, manual_clock)
+    return 100 * (time.process_time() - begin_s) / SIMULATED_S
 
 
-def host_of(number):
+def host_settings(number):
     """Settings of one host, as read from JSON."""
-    subnet, last = divmod(number, HOSTS_A_SUBNET)
+    subnet, last = divmod(number, HOSTS_PER_SUBNET)
     address = f'127.0.{10 + subnet}.{last + 1}'
     return {
         'name': f'host-{number}',
@@ -84,20 +88,20 @@
     }
 
 
-def run(task, hosts, paused):
+def run_steps(task, hosts, manual_clock):
     """Let the clock go; peers answer and tell new figures of themselves."""
     rng = random.Random(2)
-    for step in range(int(SECONDS / STEP_S)):
-        paused.monotonic_s += STEP_S
-        now_s = paused.now_s()
+    for step in range(int(SIMULATED_S / STEP_S)):
+        manual_clock.monotonic_s += STEP_S
+        now_s = manual_clock.now_s()
         task.tick()
-        if step % STEPS_A_DATAGRAM == 0:
+        if step % STEPS_PER_DATAGRAM == 0:
             number = rng.randrange(1, len(hosts))
-            task.receive(word_of(task, hosts[number], step), now_s)
+            task.receive(encode_ack(task, hosts[number], step), now_s)
             task.publish(now_s)
 
 
-def word_of(task, host, sequence):
+def encode_ack(task, host, sequence):
     """A datagram in which a host tells of itself and of some others."""
     now_s = task.clock.now_s()
     source = membership.Member(
@@ -110,9 +114,11 @@
         spare=(sequence % 100) / 100,
         takes_work=True,
     )
-    known = task.membership.freshness
+    freshness_view = task.membership.freshness
     sightings = tuple(
-        known.relayed_sightings(now_s, SIGHTINGS, random.Random(sequence))
+        freshness_view.relayed_sightings(
+            now_s, SIGHTINGS_PER_DATAGRAM, random.Random(sequence)
+        )
     )
     message = membership.Ack(
         sequence, source, task.membership.own.host, (), sightings, b''
--- a/magnoliadyke/lab/live.py
+++ b/magnoliadyke/lab/live.py
@@ -134,7 +134,7 @@
 
 def note_dispatches(made, load):
     """Note from the ledgers when each request reached an engine."""
-    first_s = runs.first_run_s(made)
+    first_s = runs.first_run_times_s(made)
     for record in load.records:
         at_s = first_s.get(record.content())
         if at_s is not None:
--- a/magnoliadyke/lab/load.py
+++ b/magnoliadyke/lab/load.py
@@ -156,7 +156,7 @@
             )
             for name in self.clients:
                 waiting.setdefault(name, 0)
-            self.backlog.look(waiting, now_s)
+            self.backlog.record_sample(waiting, now_s)
 
 
 def waits(record, now_s):
--- a/magnoliadyke/lab/measures.py
+++ b/magnoliadyke/lab/measures.py
@@ -20,7 +20,7 @@
     return ranked[rank]
 
 
-def tokens(job):
+def job_tokens(job):
     """Tokens that a request is worth when it met its objectives."""
     return job.prompt_tokens + job.output_tokens
 
@@ -30,9 +30,9 @@
 
     def __init__(self):
         self.waiting = collections.Counter()
-        self.lowest = {}
+        self.min_waiting = {}
 
-    def look(self, waiting, now_s):
+    def record_sample(self, waiting, now_s):
         """Note how many jobs of each customer wait now.
 
         :param waiting: count by customer, at about even times
@@ -40,12 +40,16 @@
         window = int(now_s / WINDOW_S)
         for customer, count in waiting.items():
             key = window, customer
-            self.lowest[key] = min(self.lowest.get(key, count), count)
+            self.min_waiting[key] = min(
+                self.min_waiting.get(key, count), count
+            )
 
-    def backlogged(self, window, customers):
+    def backlogged_customers(self, window, customers):
         """Customers that had at least one job waiting all the time."""
         return [
-            name for name in customers if self.lowest.get((window, name), 0)
+            name
+            for name in customers
+            if self.min_waiting.get((window, name), 0)
         ]
 
 
@@ -63,11 +67,13 @@
         if answer.dispatched_s is not None:
             window = int(answer.dispatched_s / WINDOW_S)
             job = answer.job
-            cost_s = traces.demand_of(job.prompt_tokens, job.output_tokens)
+            cost_s = traces.request_demand_s(
+                job.prompt_tokens, job.output_tokens
+            )
             served[window][job.customer] += cost_s
     lowest = 1.0
     for window, costs in served.items():
-        for customer in backlog.backlogged(window, weights):
+        for customer in backlog.backlogged_customers(window, weights):
             entitled = costs.total() * weights[customer]
             entitled /= sum(weights.values())
             lowest = min(lowest, costs[customer] / entitled)
@@ -85,10 +91,10 @@
     """
     answers = list(answers)
     met = [answer for answer in answers if answer.met()]
-    met_tokens = sum(tokens(answer.job) for answer in met)
+    met_tokens = sum(job_tokens(answer.job) for answer in met)
     goodput = met_tokens / length_s
     customers = {
-        name: _customer([a for a in answers if a.job.customer == name])
+        name: _customer_figures([a for a in answers if a.job.customer == name])
         for name in weights
     }
     return {
@@ -97,27 +103,29 @@
         'met_share': len(met) / max(1, len(answers)),
         'role_changes': role_changes,
         'objective': goodput - price_tokens * role_changes / length_s,
-        'not_run': _count(answers, outcomes.NotRun),
-        'unknown': _count(answers, outcomes.Unknown),
+        'not_run': _count_outcomes(answers, outcomes.NotRun),
+        'unknown': _count_outcomes(answers, outcomes.Unknown),
         'customers': customers,
         'fairness': fairness(answers, backlog, weights),
     }
 
 
-def _count(answers, kind):
+def _count_outcomes(answers, kind):
     return sum(isinstance(answer.outcome, kind) for answer in answers)
 
 
-def _customer(answers):
-    begun = [a for a in answers if a.first_token_s is not None]
-    first = [a.first_token_s - a.job.arrived_s for a in begun]
-    between = [a.per_token_s() for a in begun if a.finished_s is not None]
+def _customer_figures(answers):
+    started = [a for a in answers if a.first_token_s is not None]
+    first_token_times_s = [a.first_token_s - a.job.arrived_s for a in started]
+    token_intervals_s = [
+        a.per_token_s() for a in started if a.finished_s is not None
+    ]
     met = sum(answer.met() for answer in answers)
     return {
         'requests': len(answers),
         'met_share': met / len(answers) if answers else None,
-        'first_token_p50_s': percentile(first, 0.5),
-        'first_token_p99_s': percentile(first, 0.99),
-        'between_tokens_p50_s': percentile(between, 0.5),
-        'between_tokens_p99_s': percentile(between, 0.99),
+        'first_token_p50_s': percentile(first_token_times_s, 0.5),
+        'first_token_p99_s': percentile(first_token_times_s, 0.99),
+        'between_tokens_p50_s': percentile(token_intervals_s, 0.5),
+        'between_tokens_p99_s': percentile(token_intervals_s, 0.99),
     }
--- a/magnoliadyke/lab/nodecost.py
+++ b/magnoliadyke/lab/nodecost.py
@@ -19,23 +19,23 @@
 )
 SETTLE_S = 5.0
 CALL_TIMEOUT_S = 10.0
-METRIC = 'magnoliadyke_peer_bytes'
+PEER_BYTES_METRIC = 'magnoliadyke_peer_bytes'
 
 
 def deployment(hosts):
     """Settings of a deployment with so many hosts, as read from JSON."""
     document = json.loads(EXAMPLE.read_text())
-    model = document['hosts'][0]
+    template = document['hosts'][0]
     domains = document['failure_domains']
     document['hosts'] = [
-        host_of(model, number, domains) for number in range(hosts)
+        host_settings(template, number, domains) for number in range(hosts)
     ]
     return document
 
 
-def host_of(model, number, domains):
+def host_settings(template, number, domains):
     """One host, on an address of its own."""
-    host = copy.deepcopy(model)
+    host = copy.deepcopy(template)
     address = f'127.0.1.{number + 1}'
     host['name'] = f'entry-{number + 1}'
     host['address'] = host['admin_address'] = address
@@ -51,11 +51,11 @@
     :param target: number of nodes to work the cost out for
     :return: list of :class:`magnoliadyke.lab.slopes.Series`
     """
-    taken = {}
+    points_by_name = {}
     for size in sizes:
         with tempfile.TemporaryDirectory() as directory:
-            for name, value in watch(size, seconds, directory).items():
-                taken.setdefault(name, []).append((size, value))
+            for name, value in measure_idle(size, seconds, directory).items():
+                points_by_name.setdefault(name, []).append((size, value))
     units = {
         'processor': ('% of a core', 'one probe a period, one watch'),
         'resident': ('MB', 'gevent, libraries and the code itself'),
@@ -64,24 +64,30 @@
     }
     return [
         slopes.Series(
-            'node', f'idle: {name}', unit, 'nodes', taken[name], target, how
+            'node',
+            f'idle: {name}',
+            unit,
+            'nodes',
+            points_by_name[name],
+            target,
+            mechanism,
         )
-        for name, (unit, how) in units.items()
+        for name, (unit, mechanism) in units.items()
     ]
 
 
-def watch(size, seconds, directory):
+def measure_idle(size, seconds, directory):
     """Start one deployment; figures per node, and of the store as a whole."""
     options = cluster.Options(directory=directory)
     with cluster.Cluster(deployment(size), options) as running:
         running.start()
         gevent.sleep(SETTLE_S)
-        before = reading(running)
+        before = read_counters(running)
         gevent.sleep(seconds)
-        after = reading(running)
-    passed_s = after['at_s'] - before['at_s']
+        after = read_counters(running)
+    elapsed_s = after['at_s'] - before['at_s']
     rate = {
-        name: (after[name] - before[name]) / passed_s
+        name: (after[name] - before[name]) / elapsed_s
         for name in ('cpu_s', 'sent_bytes', 'store_calls')
     }
     return {
@@ -92,7 +98,7 @@
     }
 
 
-def reading(running):
+def read_counters(running):
     """Sums over all nodes now."""
     usage = [running.usage(name) for name in running.hosts]
     return {
@@ -106,13 +112,13 @@
 
 def sent_bytes(running, name):
     """Bytes that a node has sent to its peers, by its own metrics."""
-    for line in metrics_of(running, name).splitlines():
-        if line.startswith(METRIC) and 'direction="sent"' in line:
+    for line in fetch_metrics(running, name).splitlines():
+        if line.startswith(PEER_BYTES_METRIC) and 'direction="sent"' in line:
             return float(line.rpartition(' ')[2])
     raise LookupError(f'{name} does not report {METRIC}')
 
 
-def metrics_of(running, name):
+def fetch_metrics(running, name):
     """The metrics page of a node."""
     address = running.admin_address(name)
     headers = {'Authorization': f'Bearer {cluster.ADMIN_TOKEN}'}
--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -27,21 +27,21 @@
   --run=N          second number of the 127.x addresses [default: 201]
 """
 EXAMPLE = pathlib.Path(__file__).parents[2] / 'examples' / 'dala.json'
-PACE_S = 0.05
-SPEEDS = {
+TOKEN_INTERVAL_S = 0.05
+ENGINE_SPEEDS = {
     'prefill_s_per_token': 1e-6,
-    'decode_base_s': PACE_S,
+    'decode_base_s': TOKEN_INTERVAL_S,
     'decode_s_per_stream': 0.0,
     'max_batch': 1024,
     'kv_capacity_tokens': 100_000_000,
 }
-EVENT = b'data: {"offset"'
+EVENT_PREFIX = b'data: {"offset"'
 HEAD_END = b'\r\n\r\n'
 CUSTOMER = 'lease'
 MODEL = 'lease-model'
 SERVICE = 'portal'
 WARM_UP_S = 1.5
-CONCURRENT = 8
+CONCURRENT_REQUESTS = 8
 ENGINES = 10
 
 
@@ -52,7 +52,7 @@
     :param gaps_s: seconds between reads with tokens
     """
 
-    first_s: float
+    time_to_first_token_s: float
     gaps_s: list
 
 
@@ -71,31 +71,31 @@
         self.tokens = 0
         self.samples = []
 
-    def stream(self, address, data, end_s):
+    def read_stream(self, address, data, end_s):
         """Send one request and count its tokens until ``end_s``."""
         host, _, port = address.rpartition(':')
         start_s = time.monotonic()
         connection = socket.create_connection((host, int(port)))
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection.sendall(data)
-        first_s, last_s, gaps_s = None, None, []
+        time_to_first_token_s, last_s, gaps_s = None, None, []
         while time.monotonic() < end_s:
             received = connection.recv(65536)
             if not received:
                 break
-            tokens = received.count(EVENT)
+            tokens = received.count(EVENT_PREFIX)
             if not tokens:
                 continue
             now_s = time.monotonic()
             self.tokens += tokens
-            if first_s is None:
-                first_s = now_s - start_s
+            if time_to_first_token_s is None:
+                time_to_first_token_s = now_s - start_s
             else:
                 gaps_s.append(now_s - last_s)
             last_s = now_s
         connection.close()
-        if first_s is not None:
-            self.samples.append(Sample(first_s, gaps_s))
+        if time_to_first_token_s is not None:
+            self.samples.append(Sample(time_to_first_token_s, gaps_s))
 
 
 class Bench:
@@ -120,13 +120,13 @@
         """Return the node's processor seconds so far."""
         return self.cluster.usage(self.host)['cpu_s']
 
-    def idle_share(self, seconds):
+    def idle_cpu_share(self, seconds):
         """Return the share of a core that the idle node takes."""
         before_s = self.cpu_s()
         gevent.sleep(seconds)
         return (self.cpu_s() - before_s) / seconds
 
-    def work(self, tokens):
+    def completion_body(self, tokens):
         """Return a completion request's body as a dict."""
         self.number += 1
         return {
@@ -139,41 +139,43 @@
 
     def direct_request(self, tokens):
         """Return address and bytes of a request to an engine."""
-        body = json.dumps(self.work(tokens)).encode()
+        body = json.dumps(self.completion_body(tokens)).encode()
         engine = self.engines[self.number % len(self.engines)]
         return engine, request_bytes('/v1/completions', body, {})
 
     def node_request(self, tokens, key=''):
         """Return address and bytes of a request to the node."""
-        body = json.dumps(self.work(tokens)).encode()
+        body = json.dumps(self.completion_body(tokens)).encode()
         headers = {'Authorization': f'Bearer {cluster.caller_key(CUSTOMER)}'}
         if key:
             headers['Idempotency-Key'] = key
         return self.node, request_bytes('/v1/completions', body, headers)
 
-    def streams(self, make, count, seconds):
+    def read_streams(self, make_request, count, seconds):
         """Keep ``count`` streams open for a time; return the reader."""
         reader = Reader()
         end_s = time.monotonic() + seconds
-        jobs = []
+        greenlets = []
         for number in range(count):
-            address, data = make(tokens_for(seconds))
-            jobs.append(gevent.spawn(reader.stream, address, data, end_s))
+            address, data = make_request(tokens_lasting(seconds))
+            greenlets.append(
+                gevent.spawn(reader.read_stream, address, data, end_s)
+            )
             if number % 20 == 19:
                 gevent.sleep(0.01)
-        gevent.joinall(jobs)
+        gevent.joinall(greenlets)
         return reader
 
     def stream_cost(self, count, seconds):
         """Measure ``count`` streams through the node and directly."""
-        direct = self.streams(self.direct_request, count, seconds)
+        direct = self.read_streams(self.direct_request, count, seconds)
         gevent.sleep(0.5)
         reader = Reader()
         end_s = time.monotonic() + WARM_UP_S + seconds
         for _ in range(count):
-            tokens = tokens_for(WARM_UP_S + seconds)
+            tokens = tokens_lasting(WARM_UP_S + seconds)
             address, data = self.node_request(tokens)
-            gevent.spawn(reader.stream, address, data, end_s)
+            gevent.spawn(reader.read_stream, address, data, end_s)
         gevent.sleep(WARM_UP_S)
         cpu_s, tokens, start_s = self.cpu_s(), reader.tokens, time.monotonic()
         gevent.sleep(end_s - 0.1 - time.monotonic())
@@ -189,13 +191,13 @@
             'direct': summary(direct.samples),
         }
 
-    def claim_cost(self, make, count, concurrent):
+    def store_cost(self, make_request, count, concurrent):
         """Measure short requests and the store's calls meanwhile.
 
         :param concurrent: how many are under way at a time
         """
         before = self.store_calls()
-        figures = self.request_cost(make, count, concurrent)
+        figures = self.request_cost(make_request, count, concurrent)
         after = self.store_calls()
         made = {
             kind: after.get(kind, 0) - before.get(kind, 0)
@@ -224,16 +226,18 @@
             self.ticket = answer['ticket']
         return self.node_request(tokens, f'{self.ticket}/{self.number}')
 
-    def request_cost(self, make, count, concurrent=CONCURRENT):
+    def request_cost(
+        self, make_request, count, concurrent=CONCURRENT_REQUESTS
+    ):
         """Measure short requests, a few at a time."""
-        waits_s = []
+        durations_s = []
 
         def send_some(number):
             for _ in range(number):
-                address, data = make(1)
+                address, data = make_request(1)
                 start_s = time.monotonic()
-                read_all(address, data)
-                waits_s.append(time.monotonic() - start_s)
+                send_and_read(address, data)
+                durations_s.append(time.monotonic() - start_s)
 
         cpu_s, start_s = self.cpu_s(), time.monotonic()
         each = count // concurrent
@@ -243,30 +247,34 @@
         )
         elapsed_s = time.monotonic() - start_s
         return {
-            'requests': len(waits_s),
-            'requests_per_s': round(len(waits_s) / elapsed_s, 1),
+            'requests': len(durations_s),
+            'requests_per_s': round(len(durations_s) / elapsed_s, 1),
             'node_cpu_us': round(
-                1e6 * (self.cpu_s() - cpu_s) / len(waits_s), 1
+                1e6 * (self.cpu_s() - cpu_s) / len(durations_s), 1
             ),
-            'ms_p50': milliseconds(waits_s, 0.5),
-            'ms_p99': milliseconds(waits_s, 0.99),
+            'ms_p50': milliseconds(durations_s, 0.5),
+            'ms_p99': milliseconds(durations_s, 0.99),
         }
 
     def measure(self, seconds, streams, requests):
         """Return all figures; the short requests come first."""
         return {
-            'idle_core_share': round(self.idle_share(3.0), 4),
+            'idle_core_share': round(self.idle_cpu_share(3.0), 4),
             'completion_direct': self.request_cost(
                 self.direct_request, requests
             ),
             'completion': self.request_cost(self.node_request, requests),
             'service': self.request_cost(self.service_request, requests),
-            'ticket_keys': self.claim_cost(
-                self.ticket_request, requests, CONCURRENT
+            'ticket_keys': self.store_cost(
+                self.ticket_request, requests, CONCURRENT_REQUESTS
             ),
             'foreign_keys': [
-                self.claim_cost(self.foreign_request, requests, concurrent)
-                for concurrent in (1, CONCURRENT, 8 * CONCURRENT)
+                self.store_cost(self.foreign_request, requests, concurrent)
+                for concurrent in (
+                    1,
+                    CONCURRENT_REQUESTS,
+                    8 * CONCURRENT_REQUESTS,
+                )
             ],
             'streams': [self.stream_cost(count, seconds) for count in streams],
         }
@@ -278,12 +286,12 @@
         return self.node, request_bytes(path, b'{}', headers)
 
 
-def tokens_for(seconds):
+def tokens_lasting(seconds):
     """Return how many tokens keep a stream going for a time."""
-    return int((seconds + 1.0) / PACE_S)
+    return int((seconds + 1.0) / TOKEN_INTERVAL_S)
 
 
-def read_all(address, data):
+def send_and_read(address, data):
     """Send a request and read until the connection ends."""
     host, _, port = address.rpartition(':')
     connection = socket.create_connection((host, int(port)))
@@ -315,18 +323,20 @@
 
 def summary(samples):
     """Return first-token times and gaps of streams as a dict."""
-    firsts_s = [sample.first_s for sample in samples]
+    times_to_first_token_s = [
+        sample.time_to_first_token_s for sample in samples
+    ]
     gaps_s = [gap_s for sample in samples for gap_s in sample.gaps_s[20:]]
     return {
         'streams': len(samples),
-        'first_token_ms_p50': milliseconds(firsts_s, 0.5),
-        'first_token_ms_p99': milliseconds(firsts_s, 0.99),
+        'first_token_ms_p50': milliseconds(times_to_first_token_s, 0.5),
+        'first_token_ms_p99': milliseconds(times_to_first_token_s, 0.99),
         'gap_ms_p50': milliseconds(gaps_s, 0.5),
         'gap_ms_p99': milliseconds(gaps_s, 0.99),
     }
 
 
-def prepare(document):
+def remove_limits(document):
     """Return settings in which nothing but the path limits the streams.
 
     :param document: settings of the sample deployment, as read from JSON
@@ -359,12 +369,12 @@
     :param requests: number of short requests
     :param run: second number of the loopback addresses
     """
-    document = prepare(json.loads(EXAMPLE.read_text()))
+    document = remove_limits(json.loads(EXAMPLE.read_text()))
     with tempfile.TemporaryDirectory() as directory:
         options = cluster.Options(
             run=run,
             directory=directory,
-            engine={'speeds': SPEEDS, 'queue_limit': 10_000},
+            engine={'speeds': ENGINE_SPEEDS, 'queue_limit': 10_000},
             hosts=1,
         )
         with cluster.Cluster(document, options) as running:
--- a/magnoliadyke/lab/plots.py
+++ b/magnoliadyke/lab/plots.py
@@ -19,8 +19,8 @@
         raise errors.UsageError(
             'drawing needs matplotlib', 'install magnoliadyke[plots]'
         ) from None
-    sheet = figure.Figure(figsize=(10, 7), layout='constrained')
-    demand, roles, goodput = sheet.subplots(3, 1, sharex=True)
+    chart = figure.Figure(figsize=(10, 7), layout='constrained')
+    demand, roles, goodput = chart.subplots(3, 1, sharex=True)
     for name, trial in trials.items():
         times = [each[0] for each in trial.splits]
         prefills = [each[1] for each in trial.splits]
@@ -38,7 +38,7 @@
     goodput.set_xlabel('time (s)')
     for axes in (demand, roles, goodput):
         axes.legend(loc='upper right', fontsize='small')
-    sheet.savefig(path)
+    chart.savefig(path)
 
 
 def _goodput(trial):
@@ -46,6 +46,6 @@
     sums = [0.0] * (int(trial.length_s / BIN_S) + 1)
     for answer in trial.pool.answers.values():
         if answer.met():
-            place = int(answer.job.arrived_s / BIN_S)
-            sums[place] += measures.tokens(answer.job) / BIN_S
-    return [place * BIN_S for place in range(len(sums))], sums
+            bin_index = int(answer.job.arrived_s / BIN_S)
+            sums[bin_index] += measures.job_tokens(answer.job) / BIN_S
+    return [bin_index * BIN_S for bin_index in range(len(sums))], sums
--- a/magnoliadyke/lab/policy.py
+++ b/magnoliadyke/lab/policy.py
@@ -53,14 +53,14 @@
 __all__ = ['Options', 'POLICIES', 'main', 'options_from', 'run']
 
 POLICIES = ('fixed', 'greedy', 'hysteresis', 'ours', 'hindsight')
-MOST_PROCESSES = 6
+MAX_PROCESSES = 6
 #: Usable shares with which the hindsight plan is tried.
-HINDSIGHT_SHARES = (0.94, 1.0)
+HINDSIGHT_UTILIZATIONS = (0.94, 1.0)
 #: Fixed splits that are tried: those that the relaxed model ranks best.
 FIXED_SPLITS = 2
-HINDSIGHT_OUTAGE_S = 7.0
-WORTHWHILE = 1.05
-SUMMED_UP = (
+HINDSIGHT_DOWNTIME_S = 7.0
+MIN_CEILING_RATIO = 1.05
+SUMMARY_KEYS = (
     'goodput_tokens_s',
     'goodput_requests_s',
     'met_share',
@@ -117,12 +117,12 @@
         # Drawing needs an optional library: import it only when asked.
         from magnoliadyke.lab import plots
 
-        plots.draw(timelines(options), options.plot)
+        plots.draw(run_trials(options), options.plot)
     if options.as_json:
         json.dump(result, sys.stdout, indent=2)
         print()
     else:
-        _print(result)
+        _print_result(result)
     return 0
 
 
@@ -140,14 +140,14 @@
         deployment=arguments['--deployment'],
         trace=arguments['--trace'] or '',
         shape=shape,
-        period_s=_positive(arguments, '--period'),
-        amplitude=_positive(arguments, '--amplitude'),
-        duration_s=_positive(arguments, '--duration'),
-        load=None if load is None else _load(load),
+        period_s=_parse_positive(arguments, '--period'),
+        amplitude=_parse_positive(arguments, '--amplitude'),
+        duration_s=_parse_positive(arguments, '--duration'),
+        load=None if load is None else _parse_load(load),
         policies=policies,
-        seeds=_seeds(arguments),
+        seeds=_parse_seeds(arguments),
         faults=arguments['--faults'] or '',
-        processes=int(_positive(arguments, '--processes')),
+        processes=int(_parse_positive(arguments, '--processes')),
         write_trace=arguments['--write-trace'] or '',
         as_json=arguments['--json'],
         plot=arguments['--plot'] or '',
@@ -166,7 +166,7 @@
         )
 
 
-def _positive(arguments, option):
+def _parse_positive(arguments, option):
     try:
         value = float(arguments[option])
     except ValueError:
@@ -178,8 +178,8 @@
     return value
 
 
-def _load(text):
-    load = _positive({'--load': text}, '--load')
+def _parse_load(text):
+    load = _parse_positive({'--load': text}, '--load')
     if load > 10:
         raise errors.UsageError(
             f'--load is {text}', 'give a share of the pool, such as 0.85'
@@ -187,7 +187,7 @@
     return load
 
 
-def _seeds(arguments):
+def _parse_seeds(arguments):
     text = arguments['--seeds'] or arguments['--seed']
     first, _, last = text.partition('-')
     try:
@@ -207,17 +207,17 @@
     :returns: a JSON-able mapping: `runs` by seed and policy, `summary`
         with [min, median, max] over the seeds
     """
-    _requests(options, options.seeds[0])
+    _load_requests(options, options.seeds[0])
     if options.write_trace:
         with open(options.write_trace, 'w', newline='') as file:
-            traces.write(_requests(options, options.seeds[0]), file)
+            traces.write(_load_requests(options, options.seeds[0]), file)
     tasks = [
         _Task(options, policy, variant, seed)
         for seed in options.seeds
         for policy in options.policies
-        for variant in range(_variants(options, policy))
+        for variant in range(_variant_count(options, policy))
     ]
-    processes = min(options.processes, MOST_PROCESSES)
+    processes = min(options.processes, MAX_PROCESSES)
     figures = workers.map_tasks(_run_task, tasks, processes)
     runs = {}
     for task, found in zip(tasks, figures, strict=True):
@@ -226,26 +226,26 @@
         if best is None or found['objective'] > best['objective']:
             policies[task.policy] = found
     by_seed = [
-        {'seed': seed, 'policies': found, **_gap(found)}
+        {'seed': seed, 'policies': found, **_gap_figures(found)}
         for seed, found in runs.items()
     ]
     return {
         'deployment': options.deployment,
         'trace': options.trace or options.shape,
         'period_s': options.period_s,
-        'load': _load_of(options),
+        'load': _effective_load(options),
         'runs': by_seed,
-        'summary': _summary(options, by_seed),
+        'summary': _summarize(options, by_seed),
     }
 
 
-def _load_of(options):
+def _effective_load(options):
     if options.load is None and not options.trace:
         return traces.DEFAULT_LOAD
     return options.load
 
 
-def _requests(options, seed):
+def _load_requests(options, seed):
     deployment = traces.DEPLOYMENTS[options.deployment]
     if options.trace:
         with open(options.trace, newline='') as file:
@@ -255,7 +255,7 @@
         return traces.scale(requests, options.load, deployment.engines)
     shape = traces.Shape(
         name=options.shape,
-        load=_load_of(options),
+        load=_effective_load(options),
         period_s=options.period_s,
         amplitude=options.amplitude,
         duration_s=options.duration_s,
@@ -263,7 +263,7 @@
     return traces.generate(deployment, shape, seed)
 
 
-def _faults(options):
+def _read_faults(options):
     if not options.faults:
         return []
     deployment = traces.DEPLOYMENTS[options.deployment]
@@ -272,74 +272,74 @@
 
 
 def _run_task(task):
-    return _trial(task).run()
+    return _build_trial(task).run()
 
 
-def _variants(options, policy):
+def _variant_count(options, policy):
     """Runs of a policy, of which the best counts."""
     if policy == 'fixed':
         return FIXED_SPLITS
-    return len(HINDSIGHT_SHARES) if policy == 'hindsight' else 1
+    return len(HINDSIGHT_UTILIZATIONS) if policy == 'hindsight' else 1
 
 
-def _trial(task):
+def _build_trial(task):
     options = task.options
     deployment = traces.DEPLOYMENTS[options.deployment]
-    requests = _requests(options, task.seed)
-    planner, prefills = _planner(task, deployment, requests)
-    faults = _faults(options)
+    requests = _load_requests(options, task.seed)
+    planner, prefills = _build_planner(task, deployment, requests)
+    faults = _read_faults(options)
     return trial.Trial(
         deployment, requests, planner, prefills, faults, task.seed
     )
 
 
-def _planner(task, deployment, requests):
+def _build_planner(task, deployment, requests):
     """The planner of a run, and how many engines prefill at first."""
     match task.policy:
         case 'fixed':
-            splits = baselines.likely_splits(
+            splits = baselines.rank_splits(
                 requests,
                 requests[-1].at_s,
                 deployment.engines,
-                _relaxed(HINDSIGHT_SHARES[0]),
+                _relaxed_settings(HINDSIGHT_UTILIZATIONS[0]),
             )
             return baselines.Fixed(), splits[task.variant]
         case 'greedy':
-            return baselines.Greedy(), trial.FIRST_PREFILLS
+            return baselines.Greedy(), trial.INITIAL_PREFILLS
         case 'hysteresis':
-            return baselines.Hysteresis(), trial.FIRST_PREFILLS
+            return baselines.Hysteresis(), trial.INITIAL_PREFILLS
         case 'ours':
             planner = roles.Planner(trial.planner_settings())
-            return planner, trial.FIRST_PREFILLS
-    settings = _relaxed(HINDSIGHT_SHARES[task.variant])
+            return planner, trial.INITIAL_PREFILLS
+    settings = _relaxed_settings(HINDSIGHT_UTILIZATIONS[task.variant])
     first, changes, _ = baselines.hindsight_plan(
         requests,
         requests[-1].at_s,
         deployment.engines,
         deployment.price_tokens,
         settings,
-        trial.FIRST_PREFILLS,
+        trial.INITIAL_PREFILLS,
     )
     return baselines.Schedule(changes), first
 
 
-def _relaxed(share):
+def _relaxed_settings(max_utilization):
     """Constants of the relaxed model, which knows the true costs."""
     return trial.planner_settings()._replace(
-        max_prefill_utilization=share,
-        max_decode_utilization=share,
-        role_change_downtime_s=HINDSIGHT_OUTAGE_S,
+        max_prefill_utilization=max_utilization,
+        max_decode_utilization=max_utilization,
+        role_change_downtime_s=HINDSIGHT_DOWNTIME_S,
     )
 
 
-def _gap(figures):
+def _gap_figures(figures):
     """The share of hindsight's lead over fixed that ours has."""
     if not {'fixed', 'ours', 'hindsight'} <= set(figures):
         return {}
     fixed = figures['fixed']['objective']
     ours = figures['ours']['objective']
     ceiling = max(figures['hindsight']['objective'], fixed)
-    worthwhile = ceiling >= WORTHWHILE * fixed
+    worthwhile = ceiling >= MIN_CEILING_RATIO * fixed
     return {
         'ceiling_ratio': ceiling / fixed,
         'ours_ratio': ours / fixed,
@@ -349,37 +349,37 @@
     }
 
 
-def _summary(options, by_seed):
+def _summarize(options, by_seed):
     summary = {}
     for policy in options.policies:
         found = [each['policies'][policy] for each in by_seed]
         summary[policy] = {
-            key: _spread([figures[key] for figures in found])
-            for key in SUMMED_UP
+            key: _min_median_max([figures[key] for figures in found])
+            for key in SUMMARY_KEYS
         }
     for key in ('ceiling_ratio', 'ours_ratio', 'gap_closed'):
         values = [each.get(key) for each in by_seed]
         values = [value for value in values if value is not None]
         if values:
-            summary[key] = _spread(values)
+            summary[key] = _min_median_max(values)
     return summary
 
 
-def _spread(values):
+def _min_median_max(values):
     return [min(values), statistics.median(values), max(values)]
 
 
-def timelines(options):
+def run_trials(options):
     """Finished runs by policy with the first seed, first variant only."""
     trials = {}
     for policy in options.policies:
-        each = _trial(_Task(options, policy, 0, options.seeds[0]))
+        each = _build_trial(_Task(options, policy, 0, options.seeds[0]))
         each.run()
         trials[policy] = each
     return trials
 
 
-def _print(result):
+def _print_result(result):
     print(
         f'{result["deployment"]} {result["trace"]} load {result["load"]} '
         f'seeds {len(result["runs"])}: min / median / max'
--- a/magnoliadyke/lab/runs.py
+++ b/magnoliadyke/lab/runs.py
@@ -2,13 +2,18 @@
 
 import collections
 
-__all__ = ['doubled', 'first_run_s', 'role_changes', 'runs_by_content']
+__all__ = [
+    'find_duplicate_executions',
+    'first_run_times_s',
+    'role_changes',
+    'runs_by_content',
+]
 
 #: Prefill alone gives the caller nothing; a run is what makes an answer.
-ANSWERING = ('decode', 'both', None)
+ANSWERING_KINDS = ('decode', 'both', None)
 
 
-def rows(cluster, what):
+def ledger_rows(cluster, what):
     """Rows of one kind from the ledgers of all endpoints.
 
     :param cluster: the :class:`magnoliadyke.lab.cluster.Cluster`
@@ -28,13 +33,13 @@
     A decode with an offset goes on with a run that was moved.
     """
     counts = collections.Counter()
-    for row in rows(cluster, 'run'):
-        if row.get('kind') in ANSWERING and not row.get('offset'):
+    for row in ledger_rows(cluster, 'run'):
+        if row.get('kind') in ANSWERING_KINDS and not row.get('offset'):
             counts[row['content']] += 1
     return counts
 
 
-def doubled(cluster, records):
+def find_duplicate_executions(cluster, records):
     """Non-repeatable requests that ran more than once.
 
     :param records: :class:`magnoliadyke.lab.workload.Record` of the run
@@ -47,10 +52,10 @@
     ]
 
 
-def first_run_s(cluster):
+def first_run_times_s(cluster):
     """Wall time at which each content first ran."""
     first = {}
-    for row in rows(cluster, 'run'):
+    for row in ledger_rows(cluster, 'run'):
         content = row['content']
         first[content] = min(first.get(content, row['at_s']), row['at_s'])
     return first
@@ -58,4 +63,4 @@
 
 def role_changes(cluster):
     """Role changes that were begun."""
-    return sum(1 for _ in rows(cluster, 'change_begun'))
+    return sum(1 for _ in ledger_rows(cluster, 'change_begun'))
--- a/magnoliadyke/lab/scrape.py
+++ b/magnoliadyke/lab/scrape.py
@@ -33,24 +33,26 @@
     customers: int
     state_bytes: int
     text_bytes: int
-    took_s: float
-    hold_s: float
+    render_s: float
+    longest_block_s: float
 
 
-class Watcher:
+class BlockingWatcher:
     """Takes a turn whenever it can and notes the time between turns."""
 
     def __init__(self):
-        self.hold_s = 0.0
+        self.longest_block_s = 0.0
         self.greenlet = gevent.spawn(self.run)
         gevent.sleep(0)
 
     def run(self):
         """Take turns for ever."""
         while True:
-            began_s = time.perf_counter()
+            start_s = time.perf_counter()
             gevent.sleep(0)
-            self.hold_s = max(self.hold_s, time.perf_counter() - began_s)
+            self.longest_block_s = max(
+                self.longest_block_s, time.perf_counter() - start_s
+            )
 
 
 def measure(settings, customers: int) -> Scrape:
@@ -65,12 +67,14 @@
         metrics.request_finished(f'c{number}', 'answered', TIMINGS, 9, 9)
     state_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    watcher = Watcher()
-    began_s = time.perf_counter()
+    watcher = BlockingWatcher()
+    start_s = time.perf_counter()
     text = metrics.render_prometheus()
-    took_s = time.perf_counter() - began_s
+    render_s = time.perf_counter() - start_s
     watcher.greenlet.kill()
-    return Scrape(customers, state_bytes, len(text), took_s, watcher.hold_s)
+    return Scrape(
+        customers, state_bytes, len(text), render_s, watcher.longest_block_s
+    )
 
 
 def main(argv: list[str]) -> int:
--- a/magnoliadyke/lab/slopes.py
+++ b/magnoliadyke/lab/slopes.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 from typing import Sequence
 
-__all__ = ['Series', 'fit', 'summary', 'table_of']
+__all__ = ['Series', 'fit', 'summary', 'format_table']
 
 
 class Series(NamedTuple):
@@ -52,13 +52,13 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
+    squares = sum((x - mean_x) ** 2 for x, _ in points)
     covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    slope = covariance / spread
+    slope = covariance / squares
     base = mean_y - slope * mean_x
     largest = max(abs(y) for _, y in points) or 1.0
-    off = max(abs(y - base - slope * x) for x, y in points)
-    return Line(base, slope, off / largest)
+    max_error = max(abs(y - base - slope * x) for x, y in points)
+    return Line(base, slope, max_error / largest)
 
 
 def summary(series):
@@ -79,7 +79,7 @@
     }
 
 
-def table_of(rows):
+def format_table(rows):
     """Return the summaries as lines of a Markdown table."""
     lines = [
         '| role | what | measured at | base + slope | residual | at target |',
--- a/magnoliadyke/lab/traces.py
+++ b/magnoliadyke/lab/traces.py
@@ -25,10 +25,12 @@
 ]
 
 SPEC = enginemodel.EngineSpec()
-FULL_STEP_S = SPEC.decode_base_s + SPEC.decode_s_per_stream * SPEC.max_batch
+FULL_BATCH_STEP_S = (
+    SPEC.decode_base_s + SPEC.decode_s_per_stream * SPEC.max_batch
+)
 #: Engine-seconds of one token, each in the role made for it.
 PREFILL_TOKEN_S = SPEC.prefill_s_per_token
-DECODE_TOKEN_S = FULL_STEP_S / SPEC.max_batch
+DECODE_TOKEN_S = FULL_BATCH_STEP_S / SPEC.max_batch
 
 DEFAULT_DURATION_S = 960.0
 DEFAULT_PERIOD_S = 240.0
@@ -46,8 +48,8 @@
 BURST_LENGTH_S = 60.0
 BURST_LOAD = 2.5
 LENGTH_SPREAD = 0.35
-REREAD_SHARE = 0.15
-FILES = 200
+REPEATED_FILE_SHARE = 0.15
+FILE_COUNT = 200
 
 
 class TraceError(errors.MagnoliadykeError):
@@ -104,7 +106,7 @@
 
     def cost_s(self):
         """Engine-seconds of one request, prefill and decode."""
-        return demand_of(self.prompt_tokens, self.output_tokens)
+        return request_demand_s(self.prompt_tokens, self.output_tokens)
 
 
 class Deployment(NamedTuple):
@@ -187,14 +189,16 @@
     duration_s: float = DEFAULT_DURATION_S
 
 
-def demand_of(prompt_tokens, output_tokens):
+def request_demand_s(prompt_tokens, output_tokens):
     """Engine-seconds of a request, each phase in the role made for it."""
     return prompt_tokens * PREFILL_TOKEN_S + output_tokens * DECODE_TOKEN_S
 
 
 def demand_s(requests):
     """Engine-seconds of a trace."""
-    return sum(demand_of(r.prompt_tokens, r.output_tokens) for r in requests)
+    return sum(
+        request_demand_s(r.prompt_tokens, r.output_tokens) for r in requests
+    )
 
 
 def scale(requests, load, engines):
@@ -286,13 +290,15 @@
 
 
 def _arrivals(deployment, shape, kind, rng):
-    due = rng.expovariate(1.0)
+    until_next = rng.expovariate(1.0)
     for number in range(int(shape.duration_s / BIN_S)):
         at_s = number * BIN_S
-        due -= _rate(deployment, shape, kind, at_s) * BIN_S
-        while due <= 0:
-            yield _draw(deployment, kind, at_s + rng.random() * BIN_S, rng)
-            due += rng.expovariate(1.0)
+        until_next -= _rate(deployment, shape, kind, at_s) * BIN_S
+        while until_next <= 0:
+            yield _draw_request(
+                deployment, kind, at_s + rng.random() * BIN_S, rng
+            )
+            until_next += rng.expovariate(1.0)
 
 
 def _rate(deployment, shape, kind, at_s):
@@ -312,10 +318,10 @@
     return demand / kind.cost_s()
 
 
-def _draw(deployment, kind, at_s, rng):
-    prompt = _length(kind.prompt_tokens, rng)
-    output = _length(kind.output_tokens, rng)
-    if kind.role == 'prefill' and rng.random() < REREAD_SHARE:
+def _draw_request(deployment, kind, at_s, rng):
+    prompt = _draw_length(kind.prompt_tokens, rng)
+    output = _draw_length(kind.output_tokens, rng)
+    if kind.role == 'prefill' and rng.random() < REPEATED_FILE_SHARE:
         prefix_id = f'{kind.name}-file-{rng.randrange(FILES)}'
         prefix_tokens = prompt // 2
     else:
@@ -335,7 +341,7 @@
     )
 
 
-def _length(mean, rng):
+def _draw_length(mean, rng):
     """A length about `mean`: uniform within `LENGTH_SPREAD`."""
     low = 1.0 - LENGTH_SPREAD
     return max(1, round(mean * (low + 2 * LENGTH_SPREAD * rng.random())))
@@ -369,8 +375,8 @@
     problems = []
     for row in reader:
         try:
-            requests.append(_parse(row, deployment))
-        except _BadRow as error:
+            requests.append(_parse_row(row, deployment))
+        except _RowError as error:
             problems.append(f'line {reader.line_num}: {error}')
     if not requests and not problems:
         problems.append('line 2: no request; add at least one row')
@@ -380,37 +386,37 @@
     return requests
 
 
-class _BadRow(Exception):
+class _RowError(Exception):
     """Why a row can't be used, with its remedy."""
 
 
-def _parse(row, deployment):
+def _parse_row(row, deployment):
     if len(row) != len(COLUMNS):
-        raise _BadRow(
+        raise _RowError(
             f'{len(row)} fields; give the {len(COLUMNS)} of the header'
         )
     cells = dict(zip(COLUMNS, row, strict=True))
     request = Request(
-        at_s=_number(cells, 'at_s', float, 0.0),
-        customer=_known(cells, 'customer', deployment.weights),
-        model=_known(cells, 'model', (deployment.model,)),
-        prompt_tokens=_number(cells, 'prompt_tokens', int, 1),
-        output_tokens=_number(cells, 'output_tokens', int, 1),
+        at_s=_parse_number(cells, 'at_s', float, 0.0),
+        customer=_parse_name(cells, 'customer', deployment.weights),
+        model=_parse_name(cells, 'model', (deployment.model,)),
+        prompt_tokens=_parse_number(cells, 'prompt_tokens', int, 1),
+        output_tokens=_parse_number(cells, 'output_tokens', int, 1),
         prefix_id=cells['prefix_id'],
-        prefix_tokens=_number(cells, 'prefix_tokens', int, 0),
-        first_token_s=_number(cells, 'first_token_s', float, 0.001),
-        per_token_s=_number(cells, 'per_token_s', float, 0.001),
-        repeatable=_boolean(cells, 'repeatable'),
+        prefix_tokens=_parse_number(cells, 'prefix_tokens', int, 0),
+        first_token_s=_parse_number(cells, 'first_token_s', float, 0.001),
+        per_token_s=_parse_number(cells, 'per_token_s', float, 0.001),
+        repeatable=_parse_boolean(cells, 'repeatable'),
     )
     if request.prefix_tokens > request.prompt_tokens:
-        raise _BadRow(
+        raise _RowError(
             f'prefix_tokens {request.prefix_tokens} exceeds prompt_tokens; '
             f'give at most {request.prompt_tokens}'
         )
     return request
 
 
-def _number(cells, column, kind, low):
+def _parse_number(cells, column, kind, low):
     text = cells[column]
     try:
         value = kind(text)
@@ -418,21 +424,21 @@
         value = math.nan
     if not low <= value < math.inf:
         name = 'whole number' if kind is int else 'number'
-        raise _BadRow(f'{column} is {text!r}; give a {name} from {low}')
+        raise _RowError(f'{column} is {text!r}; give a {name} from {low}')
     return value
 
 
-def _known(cells, column, names):
+def _parse_name(cells, column, names):
     if cells[column] not in names:
-        raise _BadRow(
+        raise _RowError(
             f'{column} {cells[column]!r} is not of this deployment; '
             f'use one of {", ".join(names)}'
         )
     return cells[column]
 
 
-def _boolean(cells, column):
+def _parse_boolean(cells, column):
     values = {'true': True, 'false': False}
     if cells[column] not in values:
-        raise _BadRow(f'{column} is {cells[column]!r}; give true or false')
+        raise _RowError(f'{column} is {cells[column]!r}; give true or false')
     return values[cells[column]]
--- a/magnoliadyke/lab/trial.py
+++ b/magnoliadyke/lab/trial.py
@@ -16,12 +16,12 @@
 
 __all__ = ['FAULT_KINDS', 'Fault', 'Trial', 'planner_settings', 'read_faults']
 
-TICK_S = 0.1
-REPORT_S = 0.5
-PLAN_S = 1.0
-RUN_OUT_S = 60.0
-FIRST_PREFILLS = 2
-URGENT_S = 1.0
+TICK_INTERVAL_S = 0.1
+REPORT_INTERVAL_S = 0.5
+PLAN_INTERVAL_S = 1.0
+COMPLETION_TIMEOUT_S = 60.0
+INITIAL_PREFILLS = 2
+URGENT_FIRST_TOKEN_S = 1.0
 URGENT_PRIORITY = 2
 NORMAL_PRIORITY = 5
 
@@ -117,27 +117,29 @@
         self.deployment = deployment
         self.requests = requests
         self.planner = planner
-        self.length_s = max(requests[-1].at_s, TICK_S)
+        self.length_s = max(requests[-1].at_s, TICK_INTERVAL_S)
         self.names = engine_names(deployment)
         self.timeline = fakes.Timeline()
-        first = {
+        initial_roles = {
             name: enginemodel.PREFILL
             if number < prefills
             else enginemodel.DECODE
             for number, name in enumerate(self.names)
         }
-        self.scheduler = self._scheduler(first, random.Random(f's{seed}'))
+        self.scheduler = self._build_scheduler(
+            initial_roles, random.Random(f's{seed}')
+        )
         self.pool = fakes.FakePool(
-            self.timeline, self.scheduler, traces.SPEC, first
+            self.timeline, self.scheduler, traces.SPEC, initial_roles
         )
         self.backlog = measures.Backlog()
-        self.blocks = {}
+        self.blocks_by_prefix = {}
         self.no_authority_until_s = -1.0
         self.splits = []
         for fault in faults:
-            self.timeline.at(fault.at_s, self._inject, fault)
+            self.timeline.at(fault.at_s, self._inject_fault, fault)
 
-    def _scheduler(self, first, rng):
+    def _build_scheduler(self, initial_roles, rng):
         deployment = self.deployment
         domains = deployment.failure_domains
         infos = [
@@ -147,16 +149,16 @@
                 kind='model',
                 address='',
                 failure_domain=domains[number % len(domains)],
-                role=first[name],
+                role=initial_roles[name],
             )
             for number, name in enumerate(self.names)
         ]
         scheduler = schedulers.Scheduler(infos, rng)
         scheduler.set_node_count(1, 0.0)
-        scheduler.set_table(self._view(), 0.0)
+        scheduler.set_table(self._build_table_view(), 0.0)
         return scheduler
 
-    def _view(self):
+    def _build_table_view(self):
         deployment = self.deployment
         customers = {
             name: table.CustomerRow(
@@ -180,8 +182,8 @@
         self.timeline.at(0.0, self._arrive, 0)
         self.timeline.at(0.0, self._tick)
         self.timeline.at(0.0, self._report)
-        self.timeline.at(PLAN_S / 2, self._plan)
-        self.timeline.run(self.length_s + RUN_OUT_S)
+        self.timeline.at(PLAN_INTERVAL_S / 2, self._plan)
+        self.timeline.run(self.length_s + COMPLETION_TIMEOUT_S)
         return measures.figures(
             self.pool.answers.values(),
             self.backlog,
@@ -193,13 +195,13 @@
 
     def _arrive(self, number):
         request = self.requests[number]
-        self.pool.submit(self._job(number, request))
+        self.pool.submit(self._build_job(number, request))
         if number + 1 < len(self.requests):
             at_s = self.requests[number + 1].at_s
             self.timeline.at(at_s, self._arrive, number + 1)
 
-    def _job(self, number, request):
-        urgent = request.first_token_s <= URGENT_S
+    def _build_job(self, number, request):
+        urgent = request.first_token_s <= URGENT_FIRST_TOKEN_S
         return jobs.Job(
             id=f'r{number}',
             customer=request.customer,
@@ -219,25 +221,29 @@
     def _prefix_blocks(self, request):
         count = request.prefix_tokens // enginemodel.BLOCK_TOKENS
         key = request.customer, request.prefix_id
-        known = self.blocks.get(key, ())
-        if len(known) < count:
-            known = tuple(f'{key[0]}/{key[1]}/{n}' for n in range(count))
-            self.blocks[key] = known
-        return known[:count]
+        created_blocks = self.blocks_by_prefix.get(key, ())
+        if len(created_blocks) < count:
+            created_blocks = tuple(
+                f'{key[0]}/{key[1]}/{n}' for n in range(count)
+            )
+            self.blocks_by_prefix[key] = created_blocks
+        return created_blocks[:count]
 
     def _tick(self):
         now_s = self.timeline.now_s
         self.pool.tick()
-        self.backlog.look(self.pool.waiting(self.deployment.weights), now_s)
-        if now_s < self.length_s + RUN_OUT_S:
-            self.timeline.at(now_s + TICK_S, self._tick)
+        self.backlog.record_sample(
+            self.pool.waiting(self.deployment.weights), now_s
+        )
+        if now_s < self.length_s + COMPLETION_TIMEOUT_S:
+            self.timeline.at(now_s + TICK_INTERVAL_S, self._tick)
 
     def _report(self):
         now_s = self.timeline.now_s
         for name in self.names:
             self.pool.report(name)
-        if now_s < self.length_s + RUN_OUT_S:
-            self.timeline.at(now_s + REPORT_S, self._report)
+        if now_s < self.length_s + COMPLETION_TIMEOUT_S:
+            self.timeline.at(now_s + REPORT_INTERVAL_S, self._report)
 
     def _plan(self):
         now_s = self.timeline.now_s
@@ -248,8 +254,8 @@
             change = self.planner.plan(self._pool_state(), now_s)
             if change is not None:
                 self.pool.change_role(change.endpoint, change.role)
-        if now_s + PLAN_S < self.length_s:
-            self.timeline.at(now_s + PLAN_S, self._plan)
+        if now_s + PLAN_INTERVAL_S < self.length_s:
+            self.timeline.at(now_s + PLAN_INTERVAL_S, self._plan)
 
     def _pool_state(self):
         pool = self.pool
@@ -269,23 +275,25 @@
             dwell_s=self.deployment.dwell_s,
         )
 
-    def _inject(self, fault):
+    def _inject_fault(self, fault):
         now_s = self.timeline.now_s
-        lasts_s = float('inf') if fault.for_s is None else fault.for_s
+        duration_s = float('inf') if fault.for_s is None else fault.for_s
         match fault.kind:
             case 'crash':
                 self.pool.crash(fault.target, fault.for_s)
             case 'withdrawn':
                 self.pool.withdraw(fault.target, fault.for_s)
             case 'report_lag':
-                usual_s = self.pool.report_lag_s
+                previous_lag_s = self.pool.report_lag_s
                 self.pool.report_lag_s = FAULT_LAG_S
                 if fault.for_s is not None:
-                    self.timeline.at(now_s + lasts_s, self._set_lag, usual_s)
+                    self.timeline.at(
+                        now_s + duration_s, self._set_lag, previous_lag_s
+                    )
             case 'no_authority':
-                self.no_authority_until_s = now_s + lasts_s
+                self.no_authority_until_s = now_s + duration_s
             case 'change_fails':
-                self.pool.fail_changes(now_s + lasts_s)
+                self.pool.fail_changes(now_s + duration_s)
             case _:
                 raise errors.UsageError(f'unknown fault {fault.kind!r}')
 
--- a/magnoliadyke/lab/weights.py
+++ b/magnoliadyke/lab/weights.py
@@ -24,8 +24,8 @@
 
     def __init__(self, spec):
         self.spec = spec
-        self.level_bytes = spec.burst_bytes
-        self.at_s = time.monotonic()
+        self.available_bytes = spec.burst_bytes
+        self.refilled_at_s = time.monotonic()
         self.granted = 0
         self.refused = 0
 
@@ -33,7 +33,7 @@
         """Answer one request."""
         match (request.method, request.path):
             case ('POST', '/tokens'):
-                return self.take(float(request.json()['bytes']))
+                return self.take_bytes(float(request.json()['bytes']))
             case ('GET', '/health'):
                 return standin.json_answer(200, {'state': 'up'})
             case ('GET', '/ledger'):
@@ -42,22 +42,26 @@
                 )
         return standin.error_answer(404, 'no_such_path', request.path)
 
-    def take(self, wanted_bytes):
+    def take_bytes(self, wanted_bytes):
         """Grant the bytes, or say when to come back."""
         now_s = time.monotonic()
-        grown = (now_s - self.at_s) * self.spec.bytes_s
-        self.level_bytes = min(self.spec.burst_bytes, self.level_bytes + grown)
-        self.at_s = now_s
-        missing = min(wanted_bytes, self.spec.burst_bytes) - self.level_bytes
-        if missing > 0:
+        refill_bytes = (now_s - self.refilled_at_s) * self.spec.bytes_s
+        self.available_bytes = min(
+            self.spec.burst_bytes, self.available_bytes + refill_bytes
+        )
+        self.refilled_at_s = now_s
+        missing_bytes = (
+            min(wanted_bytes, self.spec.burst_bytes) - self.available_bytes
+        )
+        if missing_bytes > 0:
             self.refused += 1
-            wait_s = missing / self.spec.bytes_s
+            wait_s = missing_bytes / self.spec.bytes_s
             return standin.json_answer(
                 429,
                 {'retry_after_s': round(wait_s, 3)},
                 (('Retry-After', str(int(wait_s) + 1)),),
             )
-        self.level_bytes -= wanted_bytes
+        self.available_bytes -= wanted_bytes
         self.granted += 1
         return standin.json_answer(200, {})
 
--- a/tests/test_lab_capacity.py
+++ b/tests/test_lab_capacity.py
@@ -29,4 +29,4 @@
 
 def test_an_unknown_probe_is_named_with_the_known_ones():
     with pytest.raises(SystemExit, match='membership'):
-        capacity.chosen('memberships')
+        capacity.parse_probes('memberships')
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -43,13 +43,21 @@
                 'c': [run('k', 'decode', 3.0, offset=9)],
             }
         )
-        self.assertEqual([], runs.doubled(cluster, [FakeRecord('k', False)]))
-        self.assertEqual({'k': 1.0}, runs.first_run_s(cluster))
+        self.assertEqual(
+            [],
+            runs.find_duplicate_executions(cluster, [FakeRecord('k', False)]),
+        )
+        self.assertEqual({'k': 1.0}, runs.first_run_times_s(cluster))
 
     def test_a_second_run_shows_unless_it_may_be(self):
         cluster = FakeCluster(
             {'a': [run('k', 'both', 1.0)], 'b': [run('k', 'both', 2.0)]}
         )
         record = FakeRecord('k', False)
-        self.assertEqual([record], runs.doubled(cluster, [record]))
-        self.assertEqual([], runs.doubled(cluster, [FakeRecord('k', True)]))
+        self.assertEqual(
+            [record], runs.find_duplicate_executions(cluster, [record])
+        )
+        self.assertEqual(
+            [],
+            runs.find_duplicate_executions(cluster, [FakeRecord('k', True)]),
+        )
--- a/tests/test_lab_slopes.py
+++ b/tests/test_lab_slopes.py
@@ -19,4 +19,4 @@
     series = slopes.Series('node', 'x', 'us', 'n', [(0, 1), (2, 5)], 4, 'm')
     row = slopes.summary(series)
     assert row['at_target'] == 9.0
-    assert '0: 1, 2: 5' in slopes.table_of([row])[2]
+    assert '0: 1, 2: 5' in slopes.format_table([row])[2]
