--- a/magnoliadyke/lab/nodecost.py
+++ b/magnoliadyke/lab/nodecost.py
@@ -115,7 +115,7 @@
     for line in fetch_metrics(running, name).splitlines():
         if line.startswith(PEER_BYTES_METRIC) and 'direction="sent"' in line:
             return float(line.rpartition(' ')[2])
-    raise LookupError(f'{name} does not report {METRIC}')
+    raise LookupError(f'{name} does not report {PEER_BYTES_METRIC}')
 
 
 def fetch_metrics(running, name):
--- a/magnoliadyke/lab/policy.py
+++ b/magnoliadyke/lab/policy.py
@@ -220,14 +220,14 @@
     processes = min(options.processes, MAX_PROCESSES)
     figures = workers.map_tasks(_run_task, tasks, processes)
     runs = {}
-    for task, found in zip(tasks, figures, strict=True):
+    for task, candidate in zip(tasks, figures, strict=True):
         policies = runs.setdefault(task.seed, {})
         best = policies.get(task.policy)
-        if best is None or found['objective'] > best['objective']:
-            policies[task.policy] = found
+        if best is None or candidate['objective'] > best['objective']:
+            policies[task.policy] = candidate
     by_seed = [
-        {'seed': seed, 'policies': found, **_gap_figures(found)}
-        for seed, found in runs.items()
+        {'seed': seed, 'policies': policies, **_gap_figures(policies)}
+        for seed, policies in runs.items()
     ]
     return {
         'deployment': options.deployment,
@@ -352,9 +352,9 @@
 def _summarize(options, by_seed):
     summary = {}
     for policy in options.policies:
-        found = [each['policies'][policy] for each in by_seed]
+        runs = [each['policies'][policy] for each in by_seed]
         summary[policy] = {
-            key: _min_median_max([figures[key] for figures in found])
+            key: _min_median_max([figures[key] for figures in runs])
             for key in SUMMARY_KEYS
         }
     for key in ('ceiling_ratio', 'ours_ratio', 'gap_closed'):
--- a/magnoliadyke/lab/scrape.py
+++ b/magnoliadyke/lab/scrape.py
@@ -26,8 +26,8 @@
 
     :param state_bytes: memory of the counts
     :param text_bytes: size of the answer
-    :param took_s: time for all of it
-    :param hold_s: longest time in which no other greenlet ran
+    :param render_s: time for all of it
+    :param longest_block_s: longest time in which no other greenlet ran
     """
 
     customers: int
@@ -86,8 +86,8 @@
             f'{scrape.customers:4} customers: '
             f'{scrape.state_bytes / 1000:6.0f} KB of state, '
             f'{scrape.text_bytes / 1000:4.0f} KB of text in '
-            f'{scrape.took_s * 1000:4.0f} ms, '
-            f'longest hold {scrape.hold_s * 1000:3.0f} ms'
+            f'{scrape.render_s * 1000:4.0f} ms, '
+            f'longest hold {scrape.longest_block_s * 1000:3.0f} ms'
         )
     return 0
 
--- a/magnoliadyke/lab/traces.py
+++ b/magnoliadyke/lab/traces.py
@@ -322,7 +322,7 @@
     prompt = _draw_length(kind.prompt_tokens, rng)
     output = _draw_length(kind.output_tokens, rng)
     if kind.role == 'prefill' and rng.random() < REPEATED_FILE_SHARE:
-        prefix_id = f'{kind.name}-file-{rng.randrange(FILES)}'
+        prefix_id = f'{kind.name}-file-{rng.randrange(FILE_COUNT)}'
         prefix_tokens = prompt // 2
     else:
         prefix_id = f'{kind.name}-instructions'
