--- a/magnoliadyke/lab/measures.py
+++ b/magnoliadyke/lab/measures.py
@@ -1,4 +1,4 @@
-"""Figures of a run: goodput, met shares, latencies, fairness."""
+"""Figures of a run: goodput, attained objectives, latency, fairness."""
 
 import collections
 import math
@@ -8,11 +8,15 @@
 
 __all__ = ['Backlog', 'figures', 'percentile']
 
+#: Window over which fairness is computed.
 WINDOW_S = 10.0
 
 
 def percentile(values, share):
-    """The nearest-rank percentile, or None of nothing."""
+    """Return the nearest-rank percentile, or None if there are no values.
+
+    :param share: share of the values at or below the result, from 0 to 1
+    """
     if not values:
         return None
     ranked = sorted(values)
@@ -21,21 +25,22 @@
 
 
 def job_tokens(job):
-    """Tokens that a request is worth when it met its objectives."""
+    """Return the tokens that a request adds to goodput if it is met."""
     return job.prompt_tokens + job.output_tokens
 
 
 class Backlog:
-    """Which customers had work waiting throughout each window."""
+    """Records which customers had jobs waiting throughout a window."""
 
     def __init__(self):
         self.waiting = collections.Counter()
         self.min_waiting = {}
 
     def record_sample(self, waiting, now_s):
-        """Note how many jobs of each customer wait now.
+        """Record the number of waiting jobs; call it at regular intervals.
 
-        :param waiting: count by customer, at about even times
+        :param waiting: number of waiting jobs by customer
+        :param now_s: time of the sample
         """
         window = int(now_s / WINDOW_S)
         for customer, count in waiting.items():
@@ -45,7 +50,11 @@
             )
 
     def backlogged_customers(self, window, customers):
-        """Customers that had at least one job waiting all the time."""
+        """Return the customers with a waiting job in every sample.
+
+        :param window: index of the window
+        :param customers: names of the customers to check
+        """
         return [
             name
             for name in customers
@@ -54,13 +63,16 @@
 
 
 def fairness(answers, backlog, weights):
-    """Lowest ratio of served to entitled share.
+    """Compute the lowest ratio of a customer's service to its entitlement.
 
-    Per window of 10 s: the engine-seconds of the jobs that were dispatched
-    in it.  A customer with work waiting throughout the window is entitled
-    to its weight's share of all that was dispatched.
+    Service is measured in engine-seconds of the jobs dispatched in a window
+    of 10 s.  A customer with jobs waiting throughout the window is entitled
+    to a share of all jobs dispatched in it, in proportion to its weight.
 
-    :returns: the lowest ratio over all windows, at most 1
+    :param answers: :class:`magnoliadyke.lab.fakes.Answer` of all jobs
+    :param backlog: :class:`Backlog` of the run
+    :param weights: weight of each customer
+    :returns: the lowest ratio over all windows and customers, at most 1
     """
     served = collections.defaultdict(collections.Counter)
     for answer in answers:
@@ -81,13 +93,20 @@
 
 
 def figures(answers, backlog, weights, length_s, role_changes, price_tokens):
-    """All figures of a run, by the keys of the JSON result.
-
-    A request is met if its answer is whole, its first token came within
-    `first_token_s` of its arrival, and its later tokens took `per_token_s`
-    or less in the mean.  Goodput counts prompt and output tokens of met
-    requests; the objective is goodput less the price of the role changes,
-    both per second of the trace.
+    """Compute all figures of a run, by the keys of the JSON result.
+
+    A request is met if its answer is complete, its first token was generated
+    within `first_token_s` of its arrival, and the mean time of its later
+    tokens is at most `per_token_s`.  Goodput counts prompt and output tokens
+    of met requests.  The figure `objective` is goodput less the price of the
+    role changes, both per second of the trace.
+
+    :param answers: :class:`magnoliadyke.lab.fakes.Answer` of all jobs
+    :param backlog: :class:`Backlog` of the run
+    :param weights: weight of each customer
+    :param length_s: length of the trace
+    :param role_changes: number of role changes
+    :param price_tokens: price of a role change, in tokens
     """
     answers = list(answers)
     met = [answer for answer in answers if answer.met()]
--- a/magnoliadyke/lab/plots.py
+++ b/magnoliadyke/lab/plots.py
@@ -1,4 +1,4 @@
-"""Draw runs: demand and roles, goodput over time."""
+"""Plots of demand, roles and goodput of policy runs over time."""
 
 from magnoliadyke import errors
 from magnoliadyke.lab import measures
@@ -9,9 +9,11 @@
 
 
 def draw(trials, path):
-    """Draw the runs of several policies into a PNG file.
+    """Plot the runs of several policies into a PNG file.
 
-    :param trials: finished :class:`magnoliadyke.lab.trial.Trial` by policy
+    :param trials: completed :class:`magnoliadyke.lab.trial.Trial` by policy
+    :param path: path of the file
+    :raises UsageError: if matplotlib is not installed
     """
     try:
         from matplotlib import figure
@@ -42,7 +44,7 @@
 
 
 def _goodput(trial):
-    """Tokens a second of met requests, by their arrival."""
+    """Return bin starts and goodput in tokens/s, binned by arrival time."""
     sums = [0.0] * (int(trial.length_s / BIN_S) + 1)
     for answer in trial.pool.answers.values():
         if answer.met():
--- a/magnoliadyke/lab/runs.py
+++ b/magnoliadyke/lab/runs.py
@@ -1,4 +1,4 @@
-"""What the ledgers of a lab run say."""
+"""Executions and role changes in the ledgers of the stand-ins of a run."""
 
 import collections
 
@@ -9,14 +9,16 @@
     'runs_by_content',
 ]
 
-#: Prefill alone gives the caller nothing; a run is what makes an answer.
+#: Kinds of work that generate an answer.  A prefill alone returns nothing to
+#: the caller and is not counted as an execution.
 ANSWERING_KINDS = ('decode', 'both', None)
 
 
 def ledger_rows(cluster, what):
-    """Rows of one kind from the ledgers of all endpoints.
+    """Yield the rows of one kind from the ledgers of all endpoints.
 
     :param cluster: the :class:`magnoliadyke.lab.cluster.Cluster`
+    :param what: the kind, such as ``run``
     """
     for name in cluster.endpoints:
         for row in cluster.ledger(name):
@@ -25,12 +27,12 @@
 
 
 def runs_by_content(cluster):
-    """How often each content began to run from its start.
+    """Count the executions of each request, by digest of its content.
 
-    Counting by content and not by key also finds a request that ran
-    although its caller was told "not run" and came back with a new key.
-
-    A decode with an offset goes on with a run that was moved.
+    Counting by content rather than by idempotency key also finds a request
+    that ran although its caller received "not run" and resubmitted it under
+    a new key.  A decode with an offset is not counted: it resumes a stream
+    that migrated from another engine.
     """
     counts = collections.Counter()
     for row in ledger_rows(cluster, 'run'):
@@ -40,7 +42,7 @@
 
 
 def find_duplicate_executions(cluster, records):
-    """Non-repeatable requests that ran more than once.
+    """Return the records of non-repeatable requests that ran twice or more.
 
     :param records: :class:`magnoliadyke.lab.workload.Record` of the run
     """
@@ -53,7 +55,7 @@
 
 
 def first_run_times_s(cluster):
-    """Wall time at which each content first ran."""
+    """Return the wall time of the first execution of each content."""
     first = {}
     for row in ledger_rows(cluster, 'run'):
         content = row['content']
@@ -62,5 +64,5 @@
 
 
 def role_changes(cluster):
-    """Role changes that were begun."""
+    """Return the number of role changes that engines started."""
     return sum(1 for _ in ledger_rows(cluster, 'change_begun'))
--- a/magnoliadyke/lab/scrape.py
+++ b/magnoliadyke/lab/scrape.py
@@ -1,4 +1,4 @@
-"""Time, size and longest hold of one scrape, by the number of customers.
+"""Cost of a metrics scrape by the number of customers.
 
 Usage: ``python -m magnoliadyke.lab.scrape SETTINGS``
 """
@@ -22,12 +22,14 @@
 
 
 class Scrape(typing.NamedTuple):
-    """What one scrape costs.
-
-    :param state_bytes: memory of the counts
-    :param text_bytes: size of the answer
-    :param render_s: time for all of it
-    :param longest_block_s: longest time in which no other greenlet ran
+    """Cost of one metrics scrape.
+
+    :param customers: number of customers with metrics
+    :param state_bytes: memory of the counters
+    :param text_bytes: size of the rendered page
+    :param render_s: time to render the page
+    :param longest_block_s: longest time for which rendering kept all other
+        greenlets from running
     """
 
     customers: int
@@ -38,7 +40,7 @@
 
 
 class BlockingWatcher:
-    """Takes a turn whenever it can and notes the time between turns."""
+    """Greenlet that measures how long it is kept from running."""
 
     def __init__(self):
         self.longest_block_s = 0.0
@@ -46,7 +48,7 @@
         gevent.sleep(0)
 
     def run(self):
-        """Take turns for ever."""
+        """Yield in an endless loop and record the longest wait."""
         while True:
             start_s = time.perf_counter()
             gevent.sleep(0)
@@ -56,9 +58,10 @@
 
 
 def measure(settings, customers: int) -> Scrape:
-    """Count a request of each customer and render the metrics.
+    """Record one request per customer, then render the metrics.
 
-    :param settings: any deployment's settings
+    :param settings: settings of any deployment
+    :param customers: number of customers
     """
     clock = clocks.SystemClock()
     metrics = metrics_module.Metrics(settings, settings.hosts[0].name, clock)
@@ -78,7 +81,11 @@
 
 
 def main(argv: list[str]) -> int:
-    """Print a line for each number of customers."""
+    """Print the cost for each number of customers.
+
+    :param argv: path of the settings file
+    :returns: exit status
+    """
     settings = settings_module.load(argv[0])
     for customers in SIZES:
         scrape = measure(settings, customers)
@@ -87,7 +94,7 @@
             f'{scrape.state_bytes / 1000:6.0f} KB of state, '
             f'{scrape.text_bytes / 1000:4.0f} KB of text in '
             f'{scrape.render_s * 1000:4.0f} ms, '
-            f'longest hold {scrape.longest_block_s * 1000:3.0f} ms'
+            f'longest block {scrape.longest_block_s * 1000:3.0f} ms'
         )
     return 0
 
--- a/magnoliadyke/lab/slopes.py
+++ b/magnoliadyke/lab/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, and what they say of a size."""
+"""Linear fits of measured costs, extrapolated to a target size."""
 
 from typing import NamedTuple
 from typing import Sequence
@@ -9,13 +9,13 @@
 class Series(NamedTuple):
     """A cost measured at several sizes.
 
-    :param role: who bears it, such as ``node``
-    :param name: what was measured
+    :param role: component that bears the cost, such as ``node``
+    :param name: the measured quantity
     :param unit: unit of the values
-    :param size_name: what grows, such as ``endpoints``
+    :param size_name: what is counted by the size, such as ``endpoints``
     :param points: (size, value) pairs
-    :param target: the size to work the cost out for
-    :param mechanism: what carries it
+    :param target: size to extrapolate the cost to
+    :param mechanism: why the cost grows as it does, in a few words
     """
 
     role: str
@@ -28,10 +28,10 @@
 
 
 class Line(NamedTuple):
-    """``value = base + slope * size``.
+    """Fitted line ``value = base + slope * size``.
 
-    :param residual: largest distance of a point from the line, relative to
-        the largest value
+    :param residual: largest absolute deviation of a point from the line,
+        divided by the largest absolute value
     """
 
     base: float
@@ -39,7 +39,7 @@
     residual: float
 
     def at(self, size):
-        """Return the line's value at a size."""
+        """Return the value on the line at a size."""
         return self.base + self.slope * size
 
 
@@ -62,7 +62,7 @@
 
 
 def summary(series):
-    """Return a series with its fit as a mapping for JSON."""
+    """Return a series and its fit as a JSON-serializable mapping."""
     line = fit(series.points)
     return {
         'role': series.role,
@@ -80,7 +80,11 @@
 
 
 def format_table(rows):
-    """Return the summaries as lines of a Markdown table."""
+    """Format summaries as a Markdown table.
+
+    :param rows: results of :func:`summary`
+    :return: list of lines
+    """
     lines = [
         '| role | what | measured at | base + slope | residual | at target |',
         '|---|---|---|---|---|---|',
--- a/magnoliadyke/lab/weights.py
+++ b/magnoliadyke/lab/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's weight store: bytes at a limited rate."""
+"""Stand-in for the platform's weight store, which limits its byte rate."""
 
 import time
 import typing
@@ -11,8 +11,8 @@
 class Spec(typing.NamedTuple):
     """Settings of the stand-in.
 
-    :param bytes_s: rate of the store, in bytes a second
-    :param burst_bytes: bytes that may be taken at once
+    :param bytes_s: refill rate of the token bucket, in bytes per second
+    :param burst_bytes: capacity of the bucket
     """
 
     bytes_s: float = 2e9
@@ -20,7 +20,7 @@
 
 
 class WeightStoreStandIn:
-    """A token bucket of bytes behind HTTP."""
+    """Serves a token bucket of bytes over HTTP."""
 
     def __init__(self, spec):
         self.spec = spec
@@ -30,7 +30,7 @@
         self.refused = 0
 
     def handle(self, request):
-        """Answer one request."""
+        """Return the response to one request."""
         match (request.method, request.path):
             case ('POST', '/tokens'):
                 return self.take_bytes(float(request.json()['bytes']))
@@ -43,7 +43,14 @@
         return standin.error_answer(404, 'no_such_path', request.path)
 
     def take_bytes(self, wanted_bytes):
-        """Grant the bytes, or say when to come back."""
+        """Take bytes from the bucket, or refuse with 429 and ``Retry-After``.
+
+        A request for more than the bucket's capacity is granted when the
+        bucket is full; the bucket's level is then negative.
+
+        :param wanted_bytes: bytes that the caller wants to read
+        :returns: the response
+        """
         now_s = time.monotonic()
         refill_bytes = (now_s - self.refilled_at_s) * self.spec.bytes_s
         self.available_bytes = min(
@@ -67,9 +74,9 @@
 
 
 def main(argv):
-    """Serve at ``ADDRESS`` with the settings in ``JSON``.
+    """Serve the weight store until stopped.
 
-    :param argv: address, then optionally a JSON object of :class:`Spec`
+    :param argv: address, then optionally the :class:`Spec` as JSON object
     :returns: exit status
     """
     spec = standin.read_spec(Spec, argv)
