--- a/magnoliadyke/lab/baselines.py
+++ b/magnoliadyke/lab/baselines.py
@@ -1,23 +1,27 @@
-"""Role policies to compare with: fixed, greedy, hysteresis, hindsight.
-
-Each has the two methods of :class:`magnoliadyke.core.roles.Planner` that the
-experiments call, so that all run over the same scheduler and fakes.
-
-The hindsight plan is the optimum, found by dynamic programming, of a
-relaxed problem over the known trace.  It relaxes these things:
-
-- the work is a fluid: no queue, no batch, no request that is cut in two;
-- a request that is not served within its second is lost without trace, so
-  overload costs nothing later;
-- demand is smoothed over `SMOOTH_S`, the slack that the objectives leave;
-- an engine that changes is away for exactly the outage;
-- an engine's time up to the usable shares can be sold, and the idle
-  rest in the other role at a fixed rate.
-
-It starts from the split that the other moving policies start from.  As it
-knows the future, the plan is not one that could be had; and as its
-model is not the fakes', another plan may do better on the fakes.  So it is
-tried with several usable shares and the best run counts as the ceiling.
+"""Baseline role policies: fixed, greedy, hysteresis and hindsight.
+
+Each has the methods `observe` and `plan` of
+:class:`magnoliadyke.core.roles.Planner`, so that all policies run on the same
+scheduler and fake engines.
+
+The hindsight plan is the optimum, computed by dynamic programming, of a
+relaxed problem over the complete trace.  The relaxed model differs from the
+fake engines as follows:
+
+- Work is a fluid, without queues, batches or interrupted requests.
+- Demand that is not served in its time step is dropped, so an overload costs
+  nothing later.
+- Demand is smoothed over `SMOOTH_S`, the slack that the objectives leave.
+- A role change makes an engine unavailable for exactly
+  `role_change_downtime_s`.
+- An engine is loaded up to its maximum utilization, and idle decode capacity
+  serves prefill at a fixed rate.
+
+The plan starts from the same split as greedy, hysteresis and the planner.  No
+online policy can compute it, since it uses future demand.  It is no strict
+upper bound: since the model differs from the fake engines, another plan may
+do better on them.  Experiments therefore compute a plan for each of several
+maximum utilizations and take the best run as the ceiling.
 """
 
 from typing import NamedTuple
@@ -36,17 +40,30 @@
     'rank_splits',
 ]
 
+#: Time step of the relaxed model.
 CELL_S = 2.0
 SMOOTH_S = 4.0
+#: Distance of the target from the present split, in engines, from which on
+#: hysteresis considers a change.
 HYSTERESIS_BAND = 0.75
+#: Time for which the target has to stay outside the band before a change.
 HYSTERESIS_HOLD_S = 10.0
+#: Shortest time between two changes.
 HYSTERESIS_DWELL_S = 30.0
 DEMAND_TIME_CONSTANT_S = 10.0
+#: Time per output token over which the relaxed model spreads an answer.
 DECODE_TOKEN_INTERVAL_S = 0.04
 
 
 def _change_towards(state, prefills):
-    """The change that moves the split one engine towards `prefills`."""
+    """Return the change that moves the split one engine towards a target.
+
+    :param state: :class:`magnoliadyke.core.roles.PoolState`
+    :param prefills: target number of prefill engines
+    :returns: :class:`magnoliadyke.core.roles.RoleChange` of the least loaded
+        engine; None while another engine changes its role or if the target
+        is reached
+    """
     ready = [each for each in state.engines if each.state in roles.READY]
     if any(each.state == 'changing' for each in state.engines):
         return None
@@ -64,30 +81,33 @@
 
 
 class Fixed:
-    """Never changes a role."""
+    """Policy that never changes a role."""
 
     def observe(self, demand, now_s):
-        """Heed no demand."""
+        """Ignore the demand."""
 
     def plan(self, state, now_s):
-        """Change nothing."""
+        """Return no change."""
         return None
 
 
 class _DemandFollower:
-    """Follows the share of prefill in a smoothed demand."""
+    """Base of policies that follow the prefill share of smoothed demand."""
 
     def __init__(self):
         self.prefill = forecast.Series(DEMAND_TIME_CONSTANT_S)
         self.decode = forecast.Series(DEMAND_TIME_CONSTANT_S)
 
     def observe(self, demand, now_s):
-        """Take a demand into the smoothed one."""
+        """Add a sample of the demand."""
         self.prefill.add(demand.prefill_s_per_s, now_s)
         self.decode.add(demand.decode_s_per_s, now_s)
 
     def target_prefills(self, state):
-        """Engines that should prefill, as a fraction."""
+        """Return the prefill engines that fit the demand, not rounded.
+
+        :returns: None if there is no demand
+        """
         prefill = self.prefill.mean()
         decode = self.decode.mean()
         ready = sum(each.state in roles.READY for each in state.engines)
@@ -97,10 +117,10 @@
 
 
 class Greedy(_DemandFollower):
-    """Changes to the nearest split as soon as the demand does."""
+    """Policy that changes to the split nearest to the demand at once."""
 
     def plan(self, state, now_s):
-        """Change towards the nearest split at once."""
+        """Return a change towards the nearest split."""
         target_prefills = self.target_prefills(state)
         if target_prefills is None:
             return None
@@ -108,7 +128,7 @@
 
 
 class Hysteresis(_DemandFollower):
-    """Changes when the demand has asked for it clearly and for a while."""
+    """Policy that changes after demand stays outside a band for some time."""
 
     def __init__(self):
         super().__init__()
@@ -116,7 +136,7 @@
         self.changed_at_s = float('-inf')
 
     def plan(self, state, now_s):
-        """Change once the demand has been outside the band for long."""
+        """Return a change if hold time and dwell time have passed."""
         target_prefills = self.target_prefills(state)
         ready = [each for each in state.engines if each.state in roles.READY]
         prefills = sum(each.role == roles.PREFILL for each in ready)
@@ -139,23 +159,30 @@
 
 
 class Change(NamedTuple):
-    """From `at_s` on, `prefills` engines should prefill."""
+    """A change of the split.
+
+    :param at_s: time from which on the split applies
+    :param prefills: number of prefill engines
+    """
 
     at_s: float
     prefills: int
 
 
 class Schedule:
-    """Carries out a list of :class:`Change`."""
+    """Policy that follows a given schedule.
+
+    :param changes: list of :class:`Change` by time
+    """
 
     def __init__(self, changes):
         self.changes = list(changes)
 
     def observe(self, demand, now_s):
-        """Heed no demand; the changes are known."""
+        """Ignore the demand, since the schedule is given."""
 
     def plan(self, state, now_s):
-        """Change towards the split that is due."""
+        """Return a change towards the scheduled split."""
         started = [each for each in self.changes if each.at_s <= now_s]
         if not started:
             return None
@@ -163,10 +190,14 @@
 
 
 def fluid_demand(requests, cells):
-    """Demand of each cell, smoothed, as (prefill, decode) pairs.
+    """Compute the smoothed demand in each time step.
 
-    A prompt counts where it arrives; an output is spread over the time that
-    its tokens take.
+    A prompt counts in the time step of its arrival; an output is spread over
+    the time that its tokens take.
+
+    :param requests: :class:`traces.Request` by arrival time
+    :param cells: number of time steps
+    :returns: list of (prefill, decode) in engine-seconds per second
     """
     prefill = [0.0] * cells
     decode = [0.0] * cells
@@ -196,19 +227,24 @@
 def hindsight_plan(
     requests, length_s, engines, price_tokens, settings, first=None
 ):
-    """The optimal changes of the relaxed problem.
-
-    :param settings: a :class:`magnoliadyke.core.roles.PlannerSettings`
-    :param first: prefill engines at the start; None to choose them too
-    :returns: (first number of prefill engines, list of :class:`Change`,
-        tokens a second of the relaxed optimum)
+    """Compute the optimal changes of the relaxed problem.
+
+    :param requests: :class:`traces.Request` by arrival time
+    :param length_s: length of the trace
+    :param engines: number of engines
+    :param price_tokens: price of a role change, in tokens
+    :param settings: :class:`magnoliadyke.core.roles.PlannerSettings`
+    :param first: initial number of prefill engines; None to optimize it
+    :returns: (initial number of prefill engines, list of :class:`Change`,
+        tokens per second of the relaxed optimum)
     """
     cells = max(1, int(length_s / CELL_S))
     demand = fluid_demand(requests, cells)
     values = [_served_tokens(settings, engines, each) for each in demand]
     downtime_cells = max(1, round(settings.role_change_downtime_s / CELL_S))
     splits = range(1, engines)
-    # best[cell][split]: tokens from the cell on, and what to do in it.
+    # best[cell][split]: the largest number of tokens from this time step to
+    # the end, and the step of the split (0, 1 or -1) that attains it.
     best = [{split: (0.0, 0) for split in splits} for _ in range(cells + 1)]
     for cell in range(cells - 1, -1, -1):
         for split in splits:
@@ -232,7 +268,12 @@
 
 
 def rank_splits(requests, length_s, engines, settings):
-    """Fixed numbers of prefill engines, by the relaxed model, best first."""
+    """Rank the fixed splits by the tokens that the relaxed model serves.
+
+    The parameters are those of :func:`hindsight_plan`.
+
+    :returns: numbers of prefill engines, the best first
+    """
     cells = max(1, int(length_s / CELL_S))
     demand = fluid_demand(requests, cells)
     values = [_served_tokens(settings, engines, each) for each in demand]
@@ -243,7 +284,10 @@
 
 
 def _served_tokens(settings, engines, demand):
-    """Tokens of a cell for each split, one engine away or none."""
+    """Return the tokens served in a time step, by (prefills, decodes).
+
+    All splits of the pool are included, also with one engine unavailable.
+    """
     values = {}
     for prefills in range(engines):
         for decodes in (engines - prefills, engines - prefills - 1):
--- a/magnoliadyke/lab/policy.py
+++ b/magnoliadyke/lab/policy.py
@@ -1,4 +1,4 @@
-"""Measure role policies over the production core, on virtual time.
+"""Compare role policies on the scheduler of the system, in virtual time.
 
 Usage:
   magnoliadyke lab policy --deployment=NAME [options]
@@ -6,34 +6,37 @@
 
 Options:
   --deployment=NAME  dala or zarqa.
-  --trace=FILE       Run this trace (CSV) instead of a generated one.
+  --trace=FILE       Run the trace in this CSV file; do not generate one.
   --shape=NAME       Generated trace: steady, swing, step, slow-day,
                      flood-large, flood-small, flash or burst-then-quiet
                      [default: swing].
   --period=SECONDS   Period of a swing or step [default: 240].
-  --amplitude=F      How far the share of prefill work swings [default: 0.4].
+  --amplitude=F      Largest deviation of the prefill share from one half
+                     [default: 0.4].
   --duration=SECONDS  Length of a generated trace [default: 960].
-  --load=F           Mean demand as a share of the pool. Without it a
-                     generated trace has 0.85, and a file runs as it is.
-  --policy=NAMES     Of fixed, greedy, hysteresis, ours, hindsight, with
-                     commas between [default: all].
+  --load=F           Mean demand as a share of the pool's capacity. Without
+                     it a generated trace has a load of 0.85, and a trace
+                     file is not scaled.
+  --policy=NAMES     Comma-separated names of policies: fixed, greedy,
+                     hysteresis, ours, hindsight [default: all].
   --seed=N           Seed of the trace and of the scheduler [default: 1].
   --seeds=A-B        Run all seeds from A to B.
-  --faults=FILE      Inject faults: JSON lines of at_s, kind, target, for_s.
-                     Kinds: crash, withdrawn, report_lag, no_authority,
-                     change_fails.
-  --processes=N      Runs at a time, 6 at most [default: 4].
+  --faults=FILE      Inject the faults in this file: JSON lines with at_s,
+                     kind, target, for_s. Kinds: crash, withdrawn,
+                     report_lag, no_authority, change_fails.
+  --processes=N      Number of parallel runs, 6 at most [default: 4].
   --write-trace=FILE Write the trace of the first seed as CSV.
   --json             Print JSON.
-  --plot=FILE        Draw goodput, demand and roles as PNG.
+  --plot=FILE        Plot goodput, demand and roles as PNG.
   -h --help          Show this text.
 
-A request is met if its answer is whole and both objectives are kept: its
-first token within first_token_s, its later tokens within per_token_s in the
-mean. Goodput counts prompt and output tokens of met requests; the objective
-is goodput less the price of role changes. Of the fixed splits the two that
-the relaxed model of hindsight ranks best are run, and of hindsight's plans
-one for each of two capacities; the better run of each counts.
+A request is met if its answer is complete, its first token comes within
+first_token_s and the mean time per later token is at most per_token_s.
+Goodput counts prompt and output tokens of met requests; the figure objective
+is goodput less the price of role changes. The policy ours is the planner of
+the system. The policy fixed runs the two splits that the relaxed model of
+hindsight ranks highest; hindsight runs a plan for each of two assumed
+utilizations. Of either, the run with the highest objective counts.
 """
 
 import json
@@ -54,11 +57,15 @@
 
 POLICIES = ('fixed', 'greedy', 'hysteresis', 'ours', 'hindsight')
 MAX_PROCESSES = 6
-#: Usable shares with which the hindsight plan is tried.
+#: Utilizations up to which the relaxed model loads an engine; hindsight runs a
+#: plan for each.
 HINDSIGHT_UTILIZATIONS = (0.94, 1.0)
-#: Fixed splits that are tried: those that the relaxed model ranks best.
+#: Number of fixed splits to run, from the highest rank in the relaxed model.
 FIXED_SPLITS = 2
+#: Downtime of an engine during a role change, in the relaxed model.
 HINDSIGHT_DOWNTIME_S = 7.0
+#: `gap_closed` is computed only if hindsight's objective is at least this
+#: multiple of that of the fixed split.
 MIN_CEILING_RATIO = 1.05
 SUMMARY_KEYS = (
     'goodput_tokens_s',
@@ -73,11 +80,18 @@
 
 
 class Options(NamedTuple):
-    """What to run; the command's options.
+    """Options of the command.
 
-    :param trace: path of a CSV file, or '' to generate by `shape`
-    :param load: None leaves a trace file as it is
+    :param deployment: a key of `traces.DEPLOYMENTS`
+    :param trace: path of a CSV file; '' to generate a trace by `shape`
+    :param load: mean demand as a share of the pool's capacity; None leaves a
+        trace file unscaled
+    :param policies: some of `POLICIES`
     :param seeds: seeds to run
+    :param faults: path of a file of faults, or ''
+    :param processes: number of parallel runs
+    :param write_trace: path to write the trace of the first seed to, or ''
+    :param plot: path to write a plot to, or ''
     """
 
     deployment: str
@@ -97,7 +111,7 @@
 
 
 class _Task(NamedTuple):
-    """One run: a policy's variant on a seed's trace."""
+    """One run: one variant of a policy on the trace of one seed."""
 
     options: Options
     policy: str
@@ -108,13 +122,15 @@
 def main(argv):
     """Run the command.
 
+    :param argv: arguments after ``lab policy``
     :returns: the exit status
+    :raises UsageError: if an argument is invalid
     """
     arguments = docopt.docopt(__doc__, argv=['lab', 'policy', *argv])
     options = options_from(arguments)
     result = run(options)
     if options.plot:
-        # Drawing needs an optional library: import it only when asked.
+        # matplotlib is an optional dependency, imported only for a plot.
         from magnoliadyke.lab import plots
 
         plots.draw(run_trials(options), options.plot)
@@ -127,9 +143,11 @@
 
 
 def options_from(arguments):
-    """Check the command's arguments.
+    """Convert and check the command's arguments.
 
-    :raises UsageError: with the remedy
+    :param arguments: mapping from docopt
+    :returns: :class:`Options`
+    :raises UsageError: if an argument is invalid
     """
     load = arguments['--load']
     shape = arguments['--shape']
@@ -162,7 +180,8 @@
 def _check_name(option, name, known):
     if name not in known:
         raise errors.UsageError(
-            f'{option} {name!r} is unknown', f'use one of {", ".join(known)}'
+            f'{option}: unknown name {name!r}',
+            f'use one of {", ".join(known)}',
         )
 
 
@@ -182,7 +201,8 @@
     load = _parse_positive({'--load': text}, '--load')
     if load > 10:
         raise errors.UsageError(
-            f'--load is {text}', 'give a share of the pool, such as 0.85'
+            f'--load is {text}',
+            "give a share of the pool's capacity, such as 0.85",
         )
     return load
 
@@ -202,10 +222,12 @@
 
 
 def run(options):
-    """Run all policies and seeds.
+    """Run all policies with all seeds.
 
-    :returns: a JSON-able mapping: `runs` by seed and policy, `summary`
-        with [min, median, max] over the seeds
+    :param options: :class:`Options`
+    :returns: JSON-serializable mapping: `runs` has the figures by seed and
+        policy, `summary` has [min, median, max] over the seeds
+    :raises TraceError: if the file of the trace or of the faults is invalid
     """
     _load_requests(options, options.seeds[0])
     if options.write_trace:
@@ -276,7 +298,7 @@
 
 
 def _variant_count(options, policy):
-    """Runs of a policy, of which the best counts."""
+    """Return the number of variants of a policy; the best run counts."""
     if policy == 'fixed':
         return FIXED_SPLITS
     return len(HINDSIGHT_UTILIZATIONS) if policy == 'hindsight' else 1
@@ -294,7 +316,7 @@
 
 
 def _build_planner(task, deployment, requests):
-    """The planner of a run, and how many engines prefill at first."""
+    """Return a run's planner and its initial number of prefill engines."""
     match task.policy:
         case 'fixed':
             splits = baselines.rank_splits(
@@ -324,7 +346,12 @@
 
 
 def _relaxed_settings(max_utilization):
-    """Constants of the relaxed model, which knows the true costs."""
+    """Return planner settings for the relaxed model.
+
+    They hold the true speeds of the fake engines.
+
+    :param max_utilization: utilization up to which an engine is loaded
+    """
     return trial.planner_settings()._replace(
         max_prefill_utilization=max_utilization,
         max_decode_utilization=max_utilization,
@@ -333,7 +360,13 @@
 
 
 def _gap_figures(figures):
-    """The share of hindsight's lead over fixed that ours has."""
+    """Compare ours with the range from the fixed split to hindsight.
+
+    :param figures: figures of the runs of one seed, by policy
+    :returns: `ceiling_ratio` and `ours_ratio`, both relative to the fixed
+        split, and `gap_closed`, the share of the range that ours gains;
+        empty if one of the three policies did not run
+    """
     if not {'fixed', 'ours', 'hindsight'} <= set(figures):
         return {}
     fixed = figures['fixed']['objective']
@@ -370,7 +403,11 @@
 
 
 def run_trials(options):
-    """Finished runs by policy with the first seed, first variant only."""
+    """Run the first variant of each policy with the first seed.
+
+    :param options: :class:`Options`
+    :returns: completed :class:`trial.Trial` by policy
+    """
     trials = {}
     for policy in options.policies:
         each = _build_trial(_Task(options, policy, 0, options.seeds[0]))
--- a/magnoliadyke/lab/traces.py
+++ b/magnoliadyke/lab/traces.py
@@ -1,4 +1,4 @@
-"""Request traces: a CSV reader and generators of shifting token mixes."""
+"""Request traces: CSV files and generators of shifting token mixes."""
 
 import csv
 import math
@@ -28,7 +28,8 @@
 FULL_BATCH_STEP_S = (
     SPEC.decode_base_s + SPEC.decode_s_per_stream * SPEC.max_batch
 )
-#: Engine-seconds of one token, each in the role made for it.
+#: Engine-seconds per token on an engine in the matching role; decode runs with
+#: a full batch.
 PREFILL_TOKEN_S = SPEC.prefill_s_per_token
 DECODE_TOKEN_S = FULL_BATCH_STEP_S / SPEC.max_batch
 
@@ -53,7 +54,11 @@
 
 
 class TraceError(errors.MagnoliadykeError):
-    """A trace file that can't be used; `problems` lists the bad rows."""
+    """Raised for a trace or fault file with invalid lines.
+
+    :param path: path of the file, for the message
+    :param problems: a description and a remedy for each invalid line
+    """
 
     def __init__(self, path, problems):
         self.problems = tuple(problems)
@@ -65,12 +70,15 @@
 
 
 class Request(NamedTuple):
-    """A row of a trace.
-
-    :param at_s: arrival, in seconds from the start
-    :param prefix_tokens: leading tokens shared by all of `prefix_id`
-    :param first_token_s: objective for the first token
-    :param per_token_s: objective for the mean time of a later token
+    """One request, a row of a trace.
+
+    :param at_s: arrival time, in seconds from the start of the trace
+    :param prefix_id: name of the prompt prefix that the request shares with
+        others; '' if it shares none
+    :param prefix_tokens: length of that prefix, at most `prompt_tokens`
+    :param first_token_s: objective for the time to the first token
+    :param per_token_s: objective for the mean time per later token
+    :param repeatable: whether the request may be executed more than once
     """
 
     at_s: float
@@ -89,11 +97,14 @@
 
 
 class JobKind(NamedTuple):
-    """A kind of work, with its mean sizes.
-
-    :param role: the role that most of its engine time needs, or '' for
-        short exchanges whose rate does not swing
-    :param share: share of the mean demand, for short exchanges
+    """A kind of request, with its mean sizes.
+
+    :param role: role in which engines spend most of their time on it, or ''
+        for short exchanges, whose share of the demand is constant
+    :param prompt_tokens: mean length of the prompt
+    :param output_tokens: mean length of the answer
+    :param first_token_s: objective for the time to the first token
+    :param share: share of the mean demand, for short exchanges only
     """
 
     name: str
@@ -105,17 +116,21 @@
     share: float = 0.0
 
     def cost_s(self):
-        """Engine-seconds of one request, prefill and decode."""
+        """Return engine-seconds of a request of mean size, both phases."""
         return request_demand_s(self.prompt_tokens, self.output_tokens)
 
 
 class Deployment(NamedTuple):
-    """What the experiments need to know of a deployment.
-
-    :param weights: weight of each customer, the large one first
-    :param queue_wait_s: longest queueing of each customer
-    :param price_tokens: price of a role change
-    :param dwell_s: least time between two changes of an engine
+    """The parts of a deployment that the experiments use.
+
+    :param pool: name of its pool of engines
+    :param model: name of the model that all engines run
+    :param engines: number of engines
+    :param weights: weight of each customer, the large customer first
+    :param queue_wait_s: longest time in the queue, by customer
+    :param kinds: the :class:`JobKind` of its requests
+    :param price_tokens: price of a role change, in tokens
+    :param dwell_s: shortest time between two role changes of an engine
     """
 
     name: str
@@ -174,12 +189,13 @@
 
 
 class Shape(NamedTuple):
-    """Which trace to generate.
+    """Parameters of a generated trace.
 
-    :param name: one of `SHAPES`
-    :param load: mean demand as a share of the pool
-    :param period_s: period of the swing
-    :param amplitude: how far the prefill share moves from its middle
+    :param name: a key of `SHAPES`
+    :param load: mean demand as a share of the pool's capacity
+    :param period_s: period of a swing or step
+    :param amplitude: largest deviation of the prefill share from one half
+    :param duration_s: length of the trace
     """
 
     name: str
@@ -190,21 +206,23 @@
 
 
 def request_demand_s(prompt_tokens, output_tokens):
-    """Engine-seconds of a request, each phase in the role made for it."""
+    """Return engine-seconds of a request, each phase in the matching role."""
     return prompt_tokens * PREFILL_TOKEN_S + output_tokens * DECODE_TOKEN_S
 
 
 def demand_s(requests):
-    """Engine-seconds of a trace."""
+    """Return the engine-seconds of all requests of a trace."""
     return sum(
         request_demand_s(r.prompt_tokens, r.output_tokens) for r in requests
     )
 
 
 def scale(requests, load, engines):
-    """Stretch or squeeze arrival times until the mean demand is `load`.
+    """Scale the arrival times so that the mean demand is `load`.
 
-    :param load: share of the pool's engine-seconds
+    :param load: demand as a share of the pool's engine-seconds
+    :param engines: number of engines in the pool
+    :returns: list of :class:`Request`
     """
     if not requests:
         return requests
@@ -215,9 +233,10 @@
     ]
 
 
-# Shares of the swinging work and factors on the rates, over time.  Each
-# returns (share of prefill work 0..1, factor on the large customer's rate,
-# demand of the small customers added, in pools).
+# The shapes over time.  Each function returns the prefill share, from 0 to 1,
+# of the demand that is not of short exchanges; the factor on the arrival rates
+# of the large customer; and the demand added for each kind of request of the
+# other customers, as a share of the pool's capacity.
 
 
 def _steady(shape, at_s):
@@ -277,9 +296,12 @@
 
 
 def generate(deployment, shape, seed):
-    """Draw a trace: Poisson arrivals whose rates follow the shape.
+    """Generate Poisson arrivals whose rates follow the shape.
 
-    :param seed: the same seed draws the same trace
+    :param deployment: :class:`Deployment`
+    :param shape: :class:`Shape`
+    :param seed: seed of the random generator; it determines the trace
+    :returns: list of :class:`Request` by arrival time
     """
     requests = []
     for number, kind in enumerate(deployment.kinds):
@@ -302,7 +324,7 @@
 
 
 def _rate(deployment, shape, kind, at_s):
-    """Arrivals a second of one kind of work."""
+    """Return the arrivals per second of one kind of request."""
     prefill_share, large, small = SHAPES[shape.name](shape, at_s)
     short = sum(each.share for each in deployment.kinds)
     if kind.role:
@@ -342,13 +364,16 @@
 
 
 def _draw_length(mean, rng):
-    """A length about `mean`: uniform within `LENGTH_SPREAD`."""
+    """Draw a length, uniform within `LENGTH_SPREAD` of the mean."""
     low = 1.0 - LENGTH_SPREAD
     return max(1, round(mean * (low + 2 * LENGTH_SPREAD * rng.random())))
 
 
 def write(requests, file):
-    """Write a trace as CSV."""
+    """Write a trace as CSV.
+
+    :param file: the open text file
+    """
     writer = csv.writer(file)
     writer.writerow(COLUMNS)
     for request in requests:
@@ -360,11 +385,12 @@
 
 
 def read(file, path, deployment):
-    """Read a trace of a deployment from CSV.
+    """Read a trace from CSV and check it against a deployment.
 
     :param file: the open text file
-    :param path: its name, for messages
-    :raises TraceError: with every bad row, its line and its remedy
+    :param path: its path, for messages
+    :returns: list of :class:`Request` by arrival time
+    :raises TraceError: with the line and a remedy for each invalid row
     """
     reader = csv.reader(file)
     header = next(reader, [])
@@ -379,7 +405,9 @@
         except _RowError as error:
             problems.append(f'line {reader.line_num}: {error}')
     if not requests and not problems:
-        problems.append('line 2: no request; add at least one row')
+        problems.append(
+            'line 2: the trace has no requests; add at least one row'
+        )
     if problems:
         raise TraceError(path, problems)
     requests.sort(key=lambda request: request.at_s)
@@ -387,13 +415,13 @@
 
 
 class _RowError(Exception):
-    """Why a row can't be used, with its remedy."""
+    """Raised for an invalid row, with a remedy."""
 
 
 def _parse_row(row, deployment):
     if len(row) != len(COLUMNS):
         raise _RowError(
-            f'{len(row)} fields; give the {len(COLUMNS)} of the header'
+            f'{len(row)} fields; give the {len(COLUMNS)} fields of the header'
         )
     cells = dict(zip(COLUMNS, row, strict=True))
     request = Request(
@@ -431,7 +459,7 @@
 def _parse_name(cells, column, names):
     if cells[column] not in names:
         raise _RowError(
-            f'{column} {cells[column]!r} is not of this deployment; '
+            f'{column} {cells[column]!r} is not in this deployment; '
             f'use one of {", ".join(names)}'
         )
     return cells[column]
--- a/magnoliadyke/lab/trial.py
+++ b/magnoliadyke/lab/trial.py
@@ -1,4 +1,4 @@
-"""One run of one trace: the production core over fakes on virtual time."""
+"""Run of a trace on the scheduler and fake engines, in virtual time."""
 
 import json
 import random
@@ -32,15 +32,17 @@
     'no_authority',
     'change_fails',
 )
+#: Delay of load reports during a `report_lag` fault.
 FAULT_LAG_S = 5.0
 
 
 class Fault(NamedTuple):
-    """A fault at an interface.
+    """A fault injected at the interface between scheduler and engines.
 
+    :param at_s: time of injection
     :param kind: one of `FAULT_KINDS`
-    :param target: an endpoint, or '' for all
-    :param for_s: how long it lasts; None for ever
+    :param target: name of the endpoint; '' for kinds that affect all
+    :param for_s: how long the fault lasts; None for the rest of the run
     """
 
     at_s: float
@@ -52,7 +54,11 @@
 def read_faults(file, path, deployment):
     """Read faults from JSON lines.
 
-    :raises TraceError: with every bad line and its remedy
+    :param file: iterable of lines
+    :param path: path of the file, for messages
+    :param deployment: :class:`traces.Deployment` that has the targets
+    :returns: list of :class:`Fault`
+    :raises TraceError: with a remedy for each invalid line
     """
     faults = []
     problems = []
@@ -74,8 +80,8 @@
         fault = Fault(**fields)
     except (json.JSONDecodeError, TypeError):
         raise ValueError(
-            f'{line.strip()!r} is no fault; give a JSON object of '
-            f'{", ".join(Fault._fields)}'
+            f'{line.strip()!r} is not a fault; give a JSON object with '
+            f'the fields {", ".join(Fault._fields)}'
         ) from None
     if fault.kind not in FAULT_KINDS:
         raise ValueError(
@@ -93,13 +99,13 @@
 
 
 def engine_names(deployment):
-    """Names of the pool's engines, as in the settings."""
+    """Return the names of the pool's engines, as in the settings."""
     count = deployment.engines
     return [f'{deployment.pool}-{number + 1}' for number in range(count)]
 
 
 def planner_settings(spec=traces.SPEC):
-    """Planner constants that follow from an engine's speeds."""
+    """Return planner settings with the speeds of the fake engines."""
     return roles.PlannerSettings(
         prefill_tokens_s=1.0 / traces.PREFILL_TOKEN_S,
         decode_tokens_s=1.0 / traces.DECODE_TOKEN_S,
@@ -107,10 +113,15 @@
 
 
 class Trial:
-    """One run.
-
-    :param planner: observes the demand and plans role changes
-    :param prefills: engines that prefill at first
+    """One run of a trace under one planner.
+
+    :param deployment: :class:`traces.Deployment`
+    :param requests: :class:`traces.Request` by arrival time, at least one
+    :param planner: object with the methods `observe` and `plan` of
+        :class:`magnoliadyke.core.roles.Planner`
+    :param prefills: number of engines that start in the prefill role
+    :param faults: :class:`Fault` to inject
+    :param seed: seed of the scheduler
     """
 
     def __init__(self, deployment, requests, planner, prefills, faults, seed):
@@ -175,9 +186,9 @@
         return table.View(1, customers, {deployment.pool: row}, {}, {})
 
     def run(self):
-        """Run the trace and what is left in the queues after it.
+        """Run the trace and `COMPLETION_TIMEOUT_S` for requests still open.
 
-        :returns: the figures of the run
+        :returns: result of :func:`measures.figures`
         """
         self.timeline.at(0.0, self._arrive, 0)
         self.timeline.at(0.0, self._tick)
@@ -295,7 +306,9 @@
             case 'change_fails':
                 self.pool.fail_changes(now_s + duration_s)
             case _:
-                raise errors.UsageError(f'unknown fault {fault.kind!r}')
+                raise errors.UsageError(
+                    f'unknown kind of fault {fault.kind!r}'
+                )
 
     def _set_lag(self, lag_s):
         self.pool.report_lag_s = lag_s
