--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -1,16 +1,19 @@
-"""Slopes of state, time and traffic, for the page on capacity.
+"""Measure how memory, CPU time and traffic grow with a deployment's size.
 
 Usage:
   capacity [--json] [--only NAMES] [--nodes SIZES] [--seconds S]
 
 Options:
-  --json           print JSON instead of a table
-  --only NAMES     probes to run, separated by commas [default: core]
-  --nodes SIZES    numbers of real nodes to start [default: 8,16,32,64]
-  --seconds S      how long real nodes are watched at each size [default: 10]
-
-Probes: membership gossip scheduler planner records table nodes; ``core``
-means all but ``nodes``, ``all`` means all.
+  --json           print JSON instead of a Markdown table
+  --only NAMES     comma-separated names of probes to run [default: core]
+  --nodes SIZES    numbers of nodes that the probe nodes starts
+                   [default: 8,16,32,64]
+  --seconds S      length of the measurement of nodes at each size
+                   [default: 10]
+
+Probes: membership gossip scheduler planner records table nodes. The name
+core selects all probes in this process, all selects nodes as well, which
+starts deployments of real processes.
 """
 
 import gc
@@ -35,23 +38,29 @@
 
 __all__ = ['PROBES', 'main']
 
+#: Target sizes to which the costs are extrapolated.
 NODES = 420
 ENDPOINTS = 1800
 CUSTOMERS = 270
-#: Keys that a node must remember: its share of the requests of the peak for
-#: as long as a ticket may bring new keys.
+#: Idempotency keys that a node has to keep at the target size: its share of
+#: the peak rate of 7700 requests/s, for the time in which new keys of a ticket
+#: are accepted.
 REMEMBERED_KEYS = int(7700 / NODES * records.DEFAULTS.accept_s)
 
 MEMBER_SIZES = (8, 32, 128, 420)
 ENDPOINT_SIZES = (5, 50, 500, 1800)
 RECORD_SIZES = (1000, 4000, 16000, 64000)
 CUSTOMER_SIZES = (2, 30, 90, 270)
+#: Protocol periods that the membership probe runs.
 PERIODS = 200
 DEPLOYMENT = 'capacity'
 
 
 class TracedMemory:
-    """Bytes that a block of code keeps alive."""
+    """Context manager that measures the memory a block leaves allocated.
+
+    :ivar bytes: the memory, set at the end of the block
+    """
 
     def __enter__(self):
         gc.collect()
@@ -66,7 +75,11 @@
 
 
 def mean_cpu_s(call, rounds):
-    """Return processor seconds of one call, as the mean of many."""
+    """Return the mean CPU time of a call.
+
+    :param call: function of the number of the call
+    :param rounds: number of calls
+    """
     start_s = time.process_time()
     for number in range(rounds):
         call(number)
@@ -77,7 +90,7 @@
 
 
 def make_member(number):
-    """A member as a deployment of this size would have it."""
+    """Return a member with an address of its own."""
     return membership.Member(
         host=f'host-{number}',
         incarnation=1_700_000_000_000 + number,
@@ -90,7 +103,7 @@
 
 
 def probe_membership():
-    """Measure one node's membership: state, bytes and time a second."""
+    """Measure memory, traffic and CPU load of one node's membership."""
     state, sent, busy = [], [], []
     for size in MEMBER_SIZES:
         with TracedMemory() as memory:
@@ -99,11 +112,11 @@
         sent_bytes, seconds = run_periods(local, size)
         sent.append((size, sent_bytes))
         busy.append((size, 100 * seconds))
-    carried = 'one probe a period, bounded updates in each datagram'
+    carried = 'one probe per period, bounded updates per datagram'
     return [
         slopes.Series(
             'node', 'membership state', 'bytes', 'nodes', state, NODES,
-            'one row a member, one sighting a member',
+            'one row and one sighting per member',
         ),
         slopes.Series(
             'node', 'datagrams sent', 'bytes/s', 'nodes', sent, NODES, carried
@@ -116,7 +129,7 @@
 
 
 def build_membership(size):
-    """Build the membership of a node that knows ``size`` nodes."""
+    """Build the membership of a node in a deployment of ``size`` nodes."""
     local = membership.Membership(
         make_member(0),
         membership.MembershipSettings(),
@@ -129,7 +142,7 @@
 
 
 def make_ack(local, number, sequence):
-    """An answer from one member, with as many updates as may ride."""
+    """Return a member's ack with the maximum number of updates."""
     sightings = local.freshness.relayed_sightings(0.0, 7, local.rng)
     updates = tuple(
         make_member((number + step) % 7 + 1)
@@ -141,9 +154,11 @@
 
 
 def run_periods(local, size):
-    """Run the protocol for some periods against answering peers.
+    """Run the protocol for `PERIODS` against peers that answer each probe.
 
-    :return: bytes sent a second, processor seconds a second
+    :param local: :class:`magnoliadyke.core.membership.Membership`
+    :param size: number of nodes
+    :return: bytes sent per second, CPU seconds per second
     """
     period_s = local.settings.period_s
     sent = 0
@@ -156,7 +171,10 @@
 
 
 def run_period(local, size, step, now_s):
-    """One period: own probes answered, one probe from a peer; bytes sent."""
+    """Run one period: answer the node's probes and send it one of a peer.
+
+    :return: bytes that the node sent
+    """
     sent = 0
     for action in local.tick(now_s):
         if not isinstance(action, membership.SendDatagram):
@@ -179,7 +197,7 @@
 
 
 def probe_gossip():
-    """Measure the task round the membership core."""
+    """Measure the gossip task that drives the membership protocol."""
     return gossipcost.probe(MEMBER_SIZES, NODES)
 
 
@@ -187,7 +205,7 @@
 
 
 def engine_infos(count):
-    """Model endpoints, half of them prefill."""
+    """Return engines, half of them in the prefill role."""
     return [
         jobs.EndpointInfo(
             f'engine-{number}',
@@ -203,7 +221,7 @@
 
 
 def probe_scheduler():
-    """Measure placing a request, and the state of all endpoints."""
+    """Measure the CPU time per request and the memory of the scheduler."""
     placed, state = [], []
     for size in ENDPOINT_SIZES:
         with TracedMemory() as memory:
@@ -225,7 +243,7 @@
 
 
 def place_request(placer, number):
-    """Submit a job and let it end."""
+    """Submit a job and record its successful end."""
     now_s = number * 0.01
     job = jobs.Job(
         f'job-{number}',
@@ -244,7 +262,7 @@
 
 
 def probe_planner():
-    """Measure one planning round of the holder of a pool's duty."""
+    """Measure one planning round of the node that holds a pool's duty."""
     planned = []
     for size in ENDPOINT_SIZES:
         planner = roles.Planner()
@@ -263,7 +281,7 @@
     return [
         slopes.Series(
             'duty holder', 'one planning round', 'ms', 'engines', planned,
-            ENDPOINTS / 4, 'one holder a pool; 4 models share the engines',
+            ENDPOINTS / 4, 'one holder per pool; 4 pools share the engines',
         ),
     ]  # fmt: skip
 
@@ -272,7 +290,7 @@
 
 
 def probe_records():
-    """Measure the memory of a remembered key and the time to enter it."""
+    """Measure the memory of idempotency keys and the time to add one."""
     state, entered = [], []
     for size in RECORD_SIZES:
         start_s = time.process_time()
@@ -296,7 +314,7 @@
 
 
 def record_key(record_table, number):
-    """Open one key and end it with an outcome and no answer."""
+    """Open the record of a key and settle it without an answer."""
     key = f'host-1.1700000000000.{number // 100}-0123456789abcdef/{number}'
     digest = f'{number:032x}'
     opened = record_table.open(key, 'customer-1', digest, 0.0, 0.0)
@@ -304,12 +322,15 @@
 
 
 def table_view(count):
-    """A view of a table with so many customers."""
+    """Return the view of a table with ``count`` customers."""
     return table.view(table_document(count))
 
 
 def table_document(count):
-    """A document with all columns set for so many customers."""
+    """Return a table document with all columns set for each customer.
+
+    :param count: number of customers
+    """
     cells = {}
     for number in range(count):
         for column in table.SCHEMA:
@@ -323,7 +344,7 @@
 
 
 def probe_table():
-    """Measure the table's size in the store and the time to read it."""
+    """Measure the table's size in the store and the time to load it."""
     size, read = [], []
     for count in CUSTOMER_SIZES:
         text = table.dump(table_document(count))
@@ -336,11 +357,11 @@
     return [
         slopes.Series(
             'store', 'the table', 'bytes', 'customers', size, CUSTOMERS,
-            'one value; the limit is 1 MB',
+            'one value in the store; the limit is 1 MB',
         ),
         slopes.Series(
             'node', 'a new table read and put in force', 'ms', 'customers',
-            read, CUSTOMERS, 'once an edit: 940 a day',
+            read, CUSTOMERS, 'once per edit, 940 edits per day',
         ),
     ]  # fmt: skip
 
@@ -357,7 +378,11 @@
 
 
 def parse_probes(text):
-    """Names of probes from the command line."""
+    """Return the probes that the option ``--only`` selects.
+
+    :param text: value of the option
+    :raises SystemExit: if a probe is unknown
+    """
     names = {'core': tuple(CORE_PROBES), 'all': PROBES}.get(text)
     names = names or tuple(text.split(','))
     unknown = [name for name in names if name not in PROBES]
@@ -368,8 +393,9 @@
 
 
 def main(argv):
-    """Run the probes and print their slopes.
+    """Run the probes and print the fitted lines.
 
+    :param argv: arguments without the program's name
     :return: exit status
     """
     options = docopt.docopt(__doc__, argv)
--- a/magnoliadyke/lab/gossipcost.py
+++ b/magnoliadyke/lab/gossipcost.py
@@ -1,4 +1,4 @@
-"""What the membership task of one node costs, at several sizes of fleet."""
+"""CPU cost of one node's membership task at several fleet sizes."""
 
 import random
 import time
@@ -16,25 +16,26 @@
 SIMULATED_S = 20.0
 STEP_S = 0.1
 HOSTS_PER_SUBNET = 250
-#: A node is probed about as often as it probes, twice a second; each probe
-#: of its own is answered: with what is passed on, five datagrams a second.
+#: A node probes twice per second, receives an answer to each probe, and is
+#: probed about as often.  With relayed probes that makes five datagrams per
+#: second, one in two steps.
 STEPS_PER_DATAGRAM = 2
 SIGHTINGS_PER_DATAGRAM = 7
 
 
 class SocketlessGossip(gossip.Gossip):
-    """The task without its socket."""
+    """Gossip task that counts sent bytes and has no socket."""
 
     def send_data(self, address, data):
-        """Count a datagram."""
+        """Count the bytes of a datagram instead of sending it."""
         self.sent_bytes += len(data)
 
 
 def probe(sizes, target):
-    """Run one node's task on a paused clock among members that answer.
+    """Run one node's task on a manual clock, with acks of all its peers.
 
     :param sizes: numbers of nodes
-    :param target: number of nodes to work the cost out for
+    :param target: number of nodes to extrapolate the cost to
     :return: list of :class:`magnoliadyke.lab.slopes.Series`
     """
     points = [(size, cost_percent(size)) for size in sizes]
@@ -46,13 +47,13 @@
             'nodes',
             points,
             target,
-            'ticks, datagrams in and out, views and standings published',
+            'ticks, datagrams in and out, publication of views and standings',
         )
     ]
 
 
 def cost_percent(size):
-    """Processor time of the task, as a share of the clock's time."""
+    """Return the CPU time of the task, in percent of the simulated time."""
     hosts = [host_settings(number) for number in range(size)]
     document = nodecost.deployment(1)
     domains = document['failure_domains']
@@ -74,7 +75,7 @@
 
 
 def host_settings(number):
-    """Settings of one host, as read from JSON."""
+    """Return the settings of one host, as read from JSON."""
     subnet, last = divmod(number, HOSTS_PER_SUBNET)
     address = f'127.0.{10 + subnet}.{last + 1}'
     return {
@@ -89,7 +90,7 @@
 
 
 def run_steps(task, hosts, manual_clock):
-    """Let the clock go; peers answer and tell new figures of themselves."""
+    """Advance the clock and deliver acks with changed load of the peers."""
     rng = random.Random(2)
     for step in range(int(SIMULATED_S / STEP_S)):
         manual_clock.monotonic_s += STEP_S
@@ -102,7 +103,10 @@
 
 
 def encode_ack(task, host, sequence):
-    """A datagram in which a host tells of itself and of some others."""
+    """Return a datagram with the state of a host and sightings of others.
+
+    :param sequence: sequence number; the host's spare capacity depends on it
+    """
     now_s = task.clock.now_s()
     source = membership.Member(
         host['name'],
--- a/magnoliadyke/lab/nodecost.py
+++ b/magnoliadyke/lab/nodecost.py
@@ -1,4 +1,4 @@
-"""What idle real nodes cost for control, at several sizes of deployment."""
+"""Cost of the control traffic of idle nodes, by size of the deployment."""
 
 import copy
 import json
@@ -23,7 +23,7 @@
 
 
 def deployment(hosts):
-    """Settings of a deployment with so many hosts, as read from JSON."""
+    """Return settings of a deployment with ``hosts`` hosts, as from JSON."""
     document = json.loads(EXAMPLE.read_text())
     template = document['hosts'][0]
     domains = document['failure_domains']
@@ -34,7 +34,12 @@
 
 
 def host_settings(template, number, domains):
-    """One host, on an address of its own."""
+    """Return the settings of a host with a loopback address of its own.
+
+    :param template: settings of another host
+    :param number: index of the host
+    :param domains: names of the failure domains
+    """
     host = copy.deepcopy(template)
     address = f'127.0.1.{number + 1}'
     host['name'] = f'entry-{number + 1}'
@@ -44,11 +49,11 @@
 
 
 def probe(sizes, seconds, target):
-    """Start deployments of several sizes and watch them while idle.
+    """Start deployments of several sizes and measure them while idle.
 
     :param sizes: numbers of nodes
-    :param seconds: how long each is watched
-    :param target: number of nodes to work the cost out for
+    :param seconds: length of each measurement
+    :param target: number of nodes to extrapolate the cost to
     :return: list of :class:`magnoliadyke.lab.slopes.Series`
     """
     points_by_name = {}
@@ -57,10 +62,13 @@
             for name, value in measure_idle(size, seconds, directory).items():
                 points_by_name.setdefault(name, []).append((size, value))
     units = {
-        'processor': ('% of a core', 'one probe a period, one watch'),
-        'resident': ('MB', 'gevent, libraries and the code itself'),
+        'processor': (
+            '% of a core',
+            'one probe per period, one watch on the store',
+        ),
+        'resident': ('MB', 'gevent, libraries and the code'),
         'peer bytes sent': ('bytes/s', 'bounded datagrams'),
-        'store calls': ('calls/s of all nodes', 'one watch a node'),
+        'store calls': ('calls/s of all nodes', 'one watch per node'),
     }
     return [
         slopes.Series(
@@ -77,7 +85,10 @@
 
 
 def measure_idle(size, seconds, directory):
-    """Start one deployment; figures per node, and of the store as a whole."""
+    """Start one deployment and measure it.
+
+    :return: means per node by name; `store calls` is the sum of all nodes
+    """
     options = cluster.Options(directory=directory)
     with cluster.Cluster(deployment(size), options) as running:
         running.start()
@@ -99,7 +110,7 @@
 
 
 def read_counters(running):
-    """Sums over all nodes now."""
+    """Return the time and the present counters, summed over all nodes."""
     usage = [running.usage(name) for name in running.hosts]
     return {
         'at_s': time.monotonic(),
@@ -111,7 +122,10 @@
 
 
 def sent_bytes(running, name):
-    """Bytes that a node has sent to its peers, by its own metrics."""
+    """Return the bytes that a node sent to its peers, from its metrics.
+
+    :raises LookupError: if the node does not report the metric
+    """
     for line in fetch_metrics(running, name).splitlines():
         if line.startswith(PEER_BYTES_METRIC) and 'direction="sent"' in line:
             return float(line.rpartition(' ')[2])
@@ -119,7 +133,7 @@
 
 
 def fetch_metrics(running, name):
-    """The metrics page of a node."""
+    """Return the text of a node's metrics page."""
     address = running.admin_address(name)
     headers = {'Authorization': f'Bearer {cluster.ADMIN_TOKEN}'}
     request = urllib.request.Request(
@@ -130,7 +144,7 @@
 
 
 def store_calls(running):
-    """Calls that the key-value stand-in has counted."""
+    """Return the number of calls to the key-value stand-in."""
     status, body = cluster.call_json(
         running.address('keyvalue'), 'GET', '/ledger'
     )
--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -1,4 +1,4 @@
-"""Measure what a node costs on the way of a request to an engine."""
+"""Measure the latency and CPU time that a node adds to a request."""
 
 import json
 import pathlib
@@ -15,16 +15,17 @@
 
 __all__ = ['main', 'measure']
 
-USAGE = """Cost of the path through one node, beside the direct call.
+USAGE = """Cost of the path through one node, compared with direct calls.
 
 Usage:
   pathcost [--seconds=S] [--streams=LIST] [--requests=N] [--run=N]
 
 Options:
   --seconds=S      length of each measurement [default: 6]
-  --streams=LIST   numbers of streams at a time [default: 1,50,500]
-  --requests=N     short requests for the cost of a request [default: 400]
-  --run=N          second number of the 127.x addresses [default: 201]
+  --streams=LIST   numbers of parallel streams [default: 1,50,500]
+  --requests=N     number of short requests in each measurement of the
+                   cost of a request [default: 400]
+  --run=N          second octet of the 127.x addresses [default: 201]
 """
 EXAMPLE = pathlib.Path(__file__).parents[2] / 'examples' / 'dala.json'
 TOKEN_INTERVAL_S = 0.05
@@ -46,10 +47,10 @@
 
 
 class Sample(typing.NamedTuple):
-    """What one stream saw.
+    """Latency of one stream at the caller.
 
-    :param first_s: seconds from the request to the first token
-    :param gaps_s: seconds between reads with tokens
+    :param time_to_first_token_s: time from the request to its first token
+    :param gaps_s: times between consecutive reads that returned tokens
     """
 
     time_to_first_token_s: float
@@ -57,7 +58,10 @@
 
 
 def request_bytes(path, body, headers):
-    """Return an HTTP request."""
+    """Return the bytes of an HTTP POST request.
+
+    :param headers: mapping of additional headers
+    """
     lines = [f'POST {path} HTTP/1.1', 'Host: lab', 'Connection: close']
     lines += [f'{name}: {value}' for name, value in headers.items()]
     lines.append(f'Content-Length: {len(body)}')
@@ -65,14 +69,22 @@
 
 
 class Reader:
-    """Reads streams with as little work of its own as possible."""
+    """Reads streams with little CPU load, to leave the CPU to the node.
+
+    :ivar tokens: tokens of all streams so far
+    :ivar samples: :class:`Sample` of each stream that had a token
+    """
 
     def __init__(self):
         self.tokens = 0
         self.samples = []
 
     def read_stream(self, address, data, end_s):
-        """Send one request and count its tokens until ``end_s``."""
+        """Send one request and count its tokens until it or the time ends.
+
+        :param data: bytes of the request
+        :param end_s: monotonic time at which to close the connection
+        """
         host, _, port = address.rpartition(':')
         start_s = time.monotonic()
         connection = socket.create_connection((host, int(port)))
@@ -99,9 +111,9 @@
 
 
 class Bench:
-    """One node before five engines, and ways to load them.
+    """Load generator for one node and the engines behind it.
 
-    :param running: :class:`cluster.Cluster` that has started
+    :param running: started :class:`cluster.Cluster` of one host
     """
 
     def __init__(self, running):
@@ -117,17 +129,17 @@
         self.ticket = ''
 
     def cpu_s(self):
-        """Return the node's processor seconds so far."""
+        """Return the CPU seconds that the node has used so far."""
         return self.cluster.usage(self.host)['cpu_s']
 
     def idle_cpu_share(self, seconds):
-        """Return the share of a core that the idle node takes."""
+        """Return the share of a core that the idle node uses."""
         before_s = self.cpu_s()
         gevent.sleep(seconds)
         return (self.cpu_s() - before_s) / seconds
 
     def completion_body(self, tokens):
-        """Return a completion request's body as a dict."""
+        """Return the body of a completion request with ``tokens`` tokens."""
         self.number += 1
         return {
             'id': f'cost-{self.number}',
@@ -138,13 +150,17 @@
         }
 
     def direct_request(self, tokens):
-        """Return address and bytes of a request to an engine."""
+        """Return address and bytes of a completion request to an engine."""
         body = json.dumps(self.completion_body(tokens)).encode()
         engine = self.engines[self.number % len(self.engines)]
         return engine, request_bytes('/v1/completions', body, {})
 
     def node_request(self, tokens, key=''):
-        """Return address and bytes of a request to the node."""
+        """Return address and bytes of a completion request to the node.
+
+        :param tokens: number of output tokens
+        :param key: idempotency key, or '' for none
+        """
         body = json.dumps(self.completion_body(tokens)).encode()
         headers = {'Authorization': f'Bearer {cluster.caller_key(CUSTOMER)}'}
         if key:
@@ -152,7 +168,12 @@
         return self.node, request_bytes('/v1/completions', body, headers)
 
     def read_streams(self, make_request, count, seconds):
-        """Keep ``count`` streams open for a time; return the reader."""
+        """Read ``count`` parallel streams for ``seconds``.
+
+        :param make_request: method that returns address and bytes of a
+            request, by its number of tokens
+        :return: the :class:`Reader`
+        """
         reader = Reader()
         end_s = time.monotonic() + seconds
         greenlets = []
@@ -167,7 +188,10 @@
         return reader
 
     def stream_cost(self, count, seconds):
-        """Measure ``count`` streams through the node and directly."""
+        """Measure ``count`` parallel streams, directly and through the node.
+
+        :return: mapping for JSON
+        """
         direct = self.read_streams(self.direct_request, count, seconds)
         gevent.sleep(0.5)
         reader = Reader()
@@ -192,9 +216,12 @@
         }
 
     def store_cost(self, make_request, count, concurrent):
-        """Measure short requests and the store's calls meanwhile.
+        """Measure short requests and the store calls that they cause.
 
-        :param concurrent: how many are under way at a time
+        :param make_request: see :meth:`read_streams`
+        :param count: number of requests
+        :param concurrent: number of requests in flight
+        :return: mapping for JSON
         """
         before = self.store_calls()
         figures = self.request_cost(make_request, count, concurrent)
@@ -211,16 +238,16 @@
         return figures
 
     def store_calls(self):
-        """Return the store's count of calls by kind."""
+        """Return the number of calls to the store so far, by kind."""
         address = self.cluster.address('keyvalue')
         return cluster.call_json(address, 'GET', '/ledger')[1]['calls']
 
     def foreign_request(self, tokens):
-        """Return address and bytes of a request with a caller's own key."""
+        """Return a request with a foreign key, which the node claims first."""
         return self.node_request(tokens, f'order {self.number}')
 
     def ticket_request(self, tokens):
-        """Return address and bytes of a request with a key of a ticket."""
+        """Return a request with a key made from a ticket."""
         if not self.ticket:
             answer = cluster.call_json(self.node, 'GET', '/v1/hosts')[1]
             self.ticket = answer['ticket']
@@ -229,7 +256,12 @@
     def request_cost(
         self, make_request, count, concurrent=CONCURRENT_REQUESTS
     ):
-        """Measure short requests, a few at a time."""
+        """Measure short requests, ``concurrent`` of them in flight.
+
+        :param make_request: see :meth:`read_streams`
+        :param count: number of requests
+        :return: mapping for JSON
+        """
         durations_s = []
 
         def send_some(number):
@@ -257,7 +289,13 @@
         }
 
     def measure(self, seconds, streams, requests):
-        """Return all figures; the short requests come first."""
+        """Measure the idle node, then short requests, then streams.
+
+        :param seconds: length of each measurement of streams
+        :param streams: numbers of parallel streams
+        :param requests: number of short requests
+        :return: mapping for JSON
+        """
         return {
             'idle_core_share': round(self.idle_cpu_share(3.0), 4),
             'completion_direct': self.request_cost(
@@ -280,19 +318,22 @@
         }
 
     def service_request(self, _):
-        """Return address and bytes of a service call to the node."""
+        """Return address and bytes of a request to a plain service."""
         headers = {'Authorization': f'Bearer {cluster.caller_key(CUSTOMER)}'}
         path = f'/v1/services/{SERVICE}/balance'
         return self.node, request_bytes(path, b'{}', headers)
 
 
 def tokens_lasting(seconds):
-    """Return how many tokens keep a stream going for a time."""
+    """Return the number of tokens of a stream that outlasts ``seconds``."""
     return int((seconds + 1.0) / TOKEN_INTERVAL_S)
 
 
 def send_and_read(address, data):
-    """Send a request and read until the connection ends."""
+    """Send a request and read its response until the connection closes.
+
+    :raises RuntimeError: if the status is not 200
+    """
     host, _, port = address.rpartition(':')
     connection = socket.create_connection((host, int(port)))
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -309,7 +350,7 @@
 
 
 def percentile(values, share):
-    """Return the value below which ``share`` of the values lie."""
+    """Return the value below which ``share`` of the values lie, 0 if none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -317,12 +358,15 @@
 
 
 def milliseconds(values_s, share):
-    """Return a percentile in milliseconds."""
+    """Return a percentile of seconds, in milliseconds."""
     return round(1000 * percentile(values_s, share), 2)
 
 
 def summary(samples):
-    """Return first-token times and gaps of streams as a dict."""
+    """Return percentiles of the latency of streams, as a mapping for JSON.
+
+    The first 20 gaps of a stream are left out.
+    """
     times_to_first_token_s = [
         sample.time_to_first_token_s for sample in samples
     ]
@@ -337,9 +381,14 @@
 
 
 def remove_limits(document):
-    """Return settings in which nothing but the path limits the streams.
+    """Remove the limits that would restrict the streams.
+
+    Every pool of engines gets decode engines only, and the customer gets high
+    limits of concurrent and queued requests.
 
-    :param document: settings of the sample deployment, as read from JSON
+    :param document: settings of the sample deployment, as read from JSON;
+        changed in place
+    :return: the document
     """
     rows = document['initial_table']
     rows['customers'][CUSTOMER].update(
@@ -362,12 +411,13 @@
 
 
 def measure(seconds, streams, requests, run):
-    """Run all measurements; return their figures as a dict.
+    """Start a deployment of one host and run all measurements.
 
-    :param seconds: length of each measurement
-    :param streams: numbers of streams at a time
+    :param seconds: length of each measurement of streams
+    :param streams: numbers of parallel streams
     :param requests: number of short requests
-    :param run: second number of the loopback addresses
+    :param run: second octet of the loopback addresses
+    :return: mapping for JSON
     """
     document = remove_limits(json.loads(EXAMPLE.read_text()))
     with tempfile.TemporaryDirectory() as directory:
@@ -384,7 +434,7 @@
 
 
 def main(argv):
-    """Measure and print JSON.
+    """Run all measurements and print their figures as JSON.
 
     :param argv: arguments without the program's name
     :return: exit status
