--- a/magnoliadyke/lab/cacheevents.py
+++ b/magnoliadyke/lab/cacheevents.py
@@ -10,8 +10,8 @@
 
 __all__ = ['EventLog', 'Entry']
 
-ENTRIES_KEPT = 4_000
-LONGEST_WAIT_S = 30.0
+MAX_ENTRIES = 4_000
+MAX_WAIT_S = 30.0
 
 
 class Entry(typing.NamedTuple):
@@ -34,7 +34,7 @@
         self.delay_s = delay_s
         self.loss = loss
         self.seq = 0
-        self.entries = collections.deque(maxlen=ENTRIES_KEPT)
+        self.entries = collections.deque(maxlen=MAX_ENTRIES)
         self.added = event.Event()
         self.rng = random.Random(0)
 
@@ -42,8 +42,10 @@
         """Log one event."""
         self.seq += 1
         lost = self.rng.random() < loss
-        kept = None if lost else blocks
-        self.entries.append(Entry(self.seq, kind, kept, now_s + self.delay_s))
+        published_blocks = None if lost else blocks
+        self.entries.append(
+            Entry(self.seq, kind, published_blocks, now_s + self.delay_s)
+        )
         added, self.added = self.added, event.Event()
         added.set()
 
@@ -52,32 +54,32 @@
 
         :param wait_s: seconds to wait for the first one
         """
-        end_s = time.monotonic() + min(wait_s, LONGEST_WAIT_S)
+        end_s = time.monotonic() + min(wait_s, MAX_WAIT_S)
         while True:
             now_s = time.monotonic()
-            ready = self.ready(after, now_s)
+            ready = self.ready_entries(after, now_s)
             if ready or now_s >= end_s:
-                return self.shape(after, ready)
-            self.wait(after, now_s, end_s)
+                return self.format_entries(after, ready)
+            self.wait_for_entry(after, now_s, end_s)
 
-    def ready(self, after, now_s):
+    def ready_entries(self, after, now_s):
         """Entries after ``after`` that may be published by now."""
         return [
             e for e in self.entries if e.seq > after and e.ready_s <= now_s
         ]
 
-    def wait(self, after, now_s, end_s):
+    def wait_for_entry(self, after, now_s, end_s):
         """Wait until an entry may be published, or until ``end_s``."""
-        coming = [e.ready_s for e in self.entries if e.seq > after]
-        until_s = min([end_s, *coming])
-        if coming:
+        ready_times_s = [e.ready_s for e in self.entries if e.seq > after]
+        until_s = min([end_s, *ready_times_s])
+        if ready_times_s:
             gevent.sleep(until_s - now_s)
         else:
             self.added.wait(until_s - now_s)
 
-    def shape(self, after, ready):
+    def format_entries(self, after, ready):
         """The published answer."""
-        following = ready[-1].seq if ready else after
+        next_seq = ready[-1].seq if ready else after
         # A reader may also be ahead of a log that began anew in a restart.
         restarted = after > self.seq
         trimmed = bool(self.entries) and self.entries[0].seq > after + 1
@@ -88,6 +90,6 @@
                 for e in ready
                 if e.blocks is not None
             ],
-            'next': 0 if restarted else following,
+            'next': 0 if restarted else next_seq,
             'gap': restarted or trimmed or lost,
         }
--- a/magnoliadyke/lab/cluster.py
+++ b/magnoliadyke/lab/cluster.py
@@ -142,7 +142,9 @@
             'targets': [a for a, n in self.names.items() if n != name],
         }
         command = [sys.executable, '-m', links.__name__, *words]
-        self.launch(name, command, {links.VARIABLE: json.dumps(spec)})
+        self.launch(
+            name, command, {links.ENVIRONMENT_VARIABLE: json.dumps(spec)}
+        )
 
     def launch(self, name, command, extra):
         """Start a process; its output goes to its log."""
--- a/magnoliadyke/lab/demo.py
+++ b/magnoliadyke/lab/demo.py
@@ -250,7 +250,7 @@
                     for record in answered
                     if record.job.kind == 'model'
                     and record.job.customer == name
-                    and record.met()
+                    and record.met_objectives()
                 )
                 / length_s,
                 1,
--- a/magnoliadyke/lab/engine.py
+++ b/magnoliadyke/lab/engine.py
@@ -19,14 +19,14 @@
 
 __all__ = ['EngineStandIn', 'Spec', 'answer_text', 'digest', 'main']
 
-KV_KEPT_S = 60.0
+KV_EXPORT_RETENTION_S = 60.0
 KV_FETCH_TIMEOUT_S = 5.0
 REPORT_INTERVAL_S = 0.1
-REPORTS_KEPT = 600
-KEEP_ALIVE_S = 1.0
-SILENCE_S = 600.0
-IDS_KEPT = 50_000
-KEEP_ALIVE = b': keep-alive\n\n'
+MAX_REPORTS = 600
+KEEP_ALIVE_INTERVAL_S = 1.0
+SILENCE_DURATION_S = 600.0
+MAX_RUNS = 50_000
+KEEP_ALIVE_COMMENT = b': keep-alive\n\n'
 
 #: What a checker needs to know of the answers.
 answer_text = enginerun.answer_text
@@ -63,7 +63,7 @@
     ledger: str = ''
 
 
-class Cache(typing.NamedTuple):
+class ExportedCache(typing.NamedTuple):
     """KV cache that was exported and waits for its importer."""
 
     prompt_tokens: int
@@ -93,9 +93,9 @@
         )
         self.state = 'in'
         self.runs = collections.OrderedDict()
-        self.caches = {}
-        self.reports = collections.deque(maxlen=REPORTS_KEPT)
-        self.silenced = 0
+        self.exported_caches = {}
+        self.reports = collections.deque(maxlen=MAX_REPORTS)
+        self.silence_count = 0
         self.wake = event.Event()
         self.events = cacheevents.EventLog(spec.event_delay_s, spec.event_loss)
         self.commands = enginecommands.Commands(
@@ -104,105 +104,111 @@
 
     def start(self):
         """Start the tasks that move the engine along."""
-        for task in (self.drive, self.report_forever, self.keep_alive):
+        for task in (
+            self.run_model,
+            self.record_reports_forever,
+            self.wake_idle_streams,
+        ):
             gevent.spawn(task)
 
     # Tasks.
 
-    def drive(self):
+    def run_model(self):
         """Advance the model and hand its events to the runs."""
         while True:
             now_s = time.monotonic()
-            for happened in self.model.advance(now_s):
-                self.apply(happened, now_s)
-            next_s = self.model.next_at()
+            for model_event in self.model.advance(now_s):
+                self.apply_event(model_event, now_s)
+            next_s = self.model.next_event_s()
             self.wake.clear()
             if next_s is None:
                 self.wake.wait()
             else:
                 self.wake.wait(max(0.0, next_s - time.monotonic()))
 
-    def apply(self, happened, now_s):
+    def apply_event(self, model_event, now_s):
         """Apply one event of the model."""
-        match happened:
+        match model_event:
             case enginemodel.Token(run_id, index):
                 run = self.runs[run_id]
                 run.produced = index + 1
                 run.notify()
             case enginemodel.PrefillDone(run_id, _, cached_tokens):
-                self.prefilled(self.runs[run_id], cached_tokens)
+                self.record_prefill_done(self.runs[run_id], cached_tokens)
             case enginemodel.Finished(run_id):
-                self.finish(self.runs[run_id], 'finished')
+                self.finish_run(self.runs[run_id], 'finished')
             case enginemodel.RoleChanged(role):
-                self.commands.changed(role)
+                self.commands.record_role_change(role)
             case enginemodel.CacheStored(blocks):
                 self.events.add('stored', blocks, now_s, self.event_loss())
             case enginemodel.CacheEvicted(blocks):
                 self.events.add('evicted', blocks, now_s, self.event_loss())
 
-    def prefilled(self, run, cached_tokens):
+    def record_prefill_done(self, run, cached_tokens):
         """The prompt has been read."""
         run.cached_tokens = cached_tokens
-        self.crash_if_marked(run)
+        self.crash_on_crash_word(run)
         if run.kind == enginemodel.PREFILL:
-            self.finish(run, 'finished')
+            self.finish_run(run, 'finished')
 
-    def crash_if_marked(self, run):
+    def crash_on_crash_word(self, run):
         """End the process if the prompt has the word that kills engines."""
         if self.spec.crash_word in run.prompt.split():
-            self.ledger.write('crash', id=run.id, running=self.live_ids())
+            self.ledger.write(
+                'crash', id=run.id, running=self.active_run_ids()
+            )
             standin.crash()
 
-    def live_ids(self):
+    def active_run_ids(self):
         """Ids of the runs that have not ended."""
-        return [run.id for run in self.runs.values() if not run.end]
+        return [run.id for run in self.runs.values() if not run.end_reason]
 
-    def finish(self, run, end):
+    def finish_run(self, run, end):
         """A run is over."""
-        run.end = end
+        run.end_reason = end
         run.notify()
         self.ledger.write('end', id=run.id, end=end, tokens=run.produced)
         # Exports and resumes need what a run made, not its whole prompt.
         run.prompt = ''
 
-    def report_forever(self):
+    def record_reports_forever(self):
         """Take load reports, to be given out late."""
         while True:
             now_s = time.monotonic()
-            self.reports.append(self.report(now_s))
-            self.drop_old(now_s)
+            self.reports.append(self.build_report(now_s))
+            self.evict_old(now_s)
             gevent.sleep(REPORT_INTERVAL_S)
 
-    def report(self, now_s):
+    def build_report(self, now_s):
         """The load at this moment."""
         report = self.model.report(now_s)
         state = self.state
-        if state == 'in' and self.commands.changing():
+        if state == 'in' and self.commands.is_changing():
             state = 'changing'
         return report._replace(
             state=state, generation=self.commands.generation
         )
 
-    def drop_old(self, now_s):
+    def evict_old(self, now_s):
         """Forget caches and runs that nobody will ask for."""
-        for kv_id, cache in list(self.caches.items()):
+        for kv_id, cache in list(self.exported_caches.items()):
             if cache.until_s < now_s:
-                del self.caches[kv_id]
-        while len(self.runs) > IDS_KEPT:
+                del self.exported_caches[kv_id]
+        while len(self.runs) > MAX_RUNS:
             oldest = next(iter(self.runs.values()))
-            if not oldest.end:
+            if not oldest.end_reason:
                 return
             del self.runs[oldest.id]
 
-    def keep_alive(self):
+    def wake_idle_streams(self):
         """Wake idle streams so that they can say they are alive.
 
         One ticker for all costs less than a timer in each stream.
         """
         while True:
-            gevent.sleep(KEEP_ALIVE_S)
+            gevent.sleep(KEEP_ALIVE_INTERVAL_S)
             for run in list(self.runs.values()):
-                if not run.end:
+                if not run.end_reason:
                     run.notify()
 
     # Requests.
@@ -221,12 +227,12 @@
             case ['POST', 'v1', 'kv', 'export']:
                 return self.export(request)
             case ['GET', 'v1', 'kv', kv_id]:
-                return self.give_cache(kv_id)
+                return self.read_exported_cache(kv_id)
             case ['GET', 'v1', 'load']:
-                return self.load()
+                return self.read_load()
             case ['GET', 'v1', 'state']:
                 return standin.json_answer(
-                    200, self.commands.state(self.state)
+                    200, self.commands.published_state(self.state)
                 )
             case ['GET', 'v1', 'cache_events']:
                 return self.cache_events(request)
@@ -246,7 +252,7 @@
         body = request.json()
         if not body.get('stream'):
             raise ValueError('stream must be true')
-        refusal = self.refusal(body, body['id'])
+        refusal = self.find_refusal(body, body['id'])
         if refusal is not None:
             return refusal
         offset = int(body.get('offset') or 0)
@@ -258,14 +264,14 @@
                 return not_run('the KV cache to import is gone')
             offset = cache['offset'] if 'offset' not in body else offset
             # The fetch yields: a twin of this request may have come in.
-            refusal = self.refusal(body, body['id'])
+            refusal = self.find_refusal(body, body['id'])
             if refusal is not None:
                 return refusal
         total = enginerun.output_tokens(body)
         run = self.submit(body['id'], kind, body, total, offset, request)
         return standin.EventStream(self.stream(run, offset))
 
-    def refusal(self, body, run_id):
+    def find_refusal(self, body, run_id):
         """Why a request can't be run, if so."""
         if self.state == 'left' or self.faults.get('refuse') is not None:
             return not_run('the engine takes no work')
@@ -316,48 +322,53 @@
 
     def stream(self, run, offset):
         """Server-sent events of a run from an offset on."""
-        opened = self.silenced
-        sent_s = time.monotonic()
+        silence_count_at_open = self.silence_count
+        last_sent_s = time.monotonic()
         # The head leaves with the first bytes: the reader learns at once
         # that the engine has the request.
-        yield KEEP_ALIVE
+        yield KEEP_ALIVE_COMMENT
         while True:
-            if opened != self.silenced:
-                gevent.sleep(SILENCE_S)
+            if silence_count_at_open != self.silence_count:
+                gevent.sleep(SILENCE_DURATION_S)
                 return
             changed = run.changed
             if run.produced > offset:
                 start, offset = offset, run.produced
-                sent_s = time.monotonic()
+                last_sent_s = time.monotonic()
                 yield run.frame(start, offset)
-            elif run.end == 'finished':
+            elif run.end_reason == 'finished':
                 yield run.last_frame()
                 return
-            elif run.end:
+            elif run.end_reason:
                 # Cancelled or moved: no finish mark, so nobody can take
                 # what came so far for the whole answer.
                 return
             else:
                 changed.wait()
                 now_s = time.monotonic()
-                if run.produced <= offset and now_s - sent_s >= KEEP_ALIVE_S:
-                    sent_s = now_s
-                    if opened == self.silenced:
-                        yield KEEP_ALIVE
+                if (
+                    run.produced <= offset
+                    and now_s - last_sent_s >= KEEP_ALIVE_INTERVAL_S
+                ):
+                    last_sent_s = now_s
+                    if silence_count_at_open == self.silence_count:
+                        yield KEEP_ALIVE_COMMENT
 
     def prefill(self, request):
         """Read a prompt and keep its KV cache for another engine."""
         body = request.json()
         run_id = prefill_id(body['id'])
-        refusal = self.refusal(body, run_id)
+        refusal = self.find_refusal(body, run_id)
         if refusal is not None:
             return refusal
         run = self.submit(run_id, enginemodel.PREFILL, body, 0, 0, request)
-        while not run.end:
+        while not run.end_reason:
             run.changed.wait()
-        if run.end != 'finished':
-            return standin.error_answer(409, run.end, 'the prefill was ended')
-        kv_id = self.keep_cache(run.prompt_tokens, 0)
+        if run.end_reason != 'finished':
+            return standin.error_answer(
+                409, run.end_reason, 'the prefill was ended'
+            )
+        kv_id = self.export_cache(run.prompt_tokens, 0)
         return standin.json_answer(
             200,
             {
@@ -367,16 +378,18 @@
             },
         )
 
-    def keep_cache(self, prompt_tokens, offset):
+    def export_cache(self, prompt_tokens, offset):
         """Keep an exported KV cache for a while; its id."""
         kv_id = secrets.token_hex(8)
-        until_s = time.monotonic() + KV_KEPT_S
-        self.caches[kv_id] = Cache(prompt_tokens, offset, until_s)
+        until_s = time.monotonic() + KV_EXPORT_RETENTION_S
+        self.exported_caches[kv_id] = ExportedCache(
+            prompt_tokens, offset, until_s
+        )
         return kv_id
 
-    def give_cache(self, kv_id):
+    def read_exported_cache(self, kv_id):
         """Hand a KV cache to another engine."""
-        cache = self.caches.get(kv_id)
+        cache = self.exported_caches.get(kv_id)
         if cache is None:
             return standin.error_answer(404, 'unknown_kv', kv_id)
         return standin.json_answer(
@@ -388,7 +401,7 @@
         """Go on with a stream from an offset."""
         run = self.runs.get(run_id)
         offset = int(request.query.get('offset', '0'))
-        moved = run is not None and run.end not in ('', 'finished')
+        moved = run is not None and run.end_reason not in ('', 'finished')
         if run is None or moved:
             return standin.error_answer(404, 'unknown_stream', run_id)
         return standin.EventStream(self.stream(run, offset))
@@ -398,9 +411,9 @@
         found = False
         for name in (run_id, prefill_id(run_id)):
             run = self.runs.get(name)
-            if run is not None and not run.end:
+            if run is not None and not run.end_reason:
                 self.model.cancel(name, time.monotonic())
-                self.finish(run, 'cancelled')
+                self.finish_run(run, 'cancelled')
                 found = True
         self.wake.set()
         if not found and run_id not in self.runs:
@@ -411,27 +424,27 @@
         """Stop a stream so that another engine can go on with it."""
         run_id = request.json()['id']
         run = self.runs.get(run_id)
-        if run is None or run.end:
+        if run is None or run.end_reason:
             return standin.error_answer(404, 'unknown_stream', run_id)
         now_s = time.monotonic()
-        for happened in self.model.advance(now_s):
-            self.apply(happened, now_s)
-        if run.end:
+        for model_event in self.model.advance(now_s):
+            self.apply_event(model_event, now_s)
+        if run.end_reason:
             return standin.error_answer(404, 'unknown_stream', run_id)
         offset = self.model.cancel(run_id, now_s)
-        self.finish(run, 'exported')
+        self.finish_run(run, 'exported')
         self.wake.set()
-        kv_id = self.keep_cache(run.prompt_tokens, offset)
+        kv_id = self.export_cache(run.prompt_tokens, offset)
         return standin.json_answer(200, {'kv_id': kv_id, 'offset': offset})
 
-    def load(self):
+    def read_load(self):
         """The newest load report that is old enough."""
         fault = self.faults.get('lag')
         lag_s = self.spec.report_lag_s
         if fault is not None:
             lag_s = float(fault.get('lag_s', 5.0))
         now_s = time.monotonic()
-        chosen = self.reports[0] if self.reports else self.report(now_s)
+        chosen = self.reports[0] if self.reports else self.build_report(now_s)
         for report in reversed(self.reports):
             if report.at_s <= now_s - lag_s:
                 chosen = report
@@ -462,10 +475,12 @@
             case 'clear':
                 self.faults.clear()
             case 'crash':
-                self.ledger.write('crash', id='', running=self.live_ids())
+                self.ledger.write(
+                    'crash', id='', running=self.active_run_ids()
+                )
                 standin.crash()
             case 'silent':
-                self.silenced += 1
+                self.silence_count += 1
                 for run in self.runs.values():
                     run.notify()
             case 'leaving' | 'left':
--- a/magnoliadyke/lab/enginecommands.py
+++ b/magnoliadyke/lab/enginecommands.py
@@ -8,7 +8,7 @@
 
 __all__ = ['Commands']
 
-IDS_KEPT = 1_000
+MAX_COMMAND_IDS = 1_000
 KINDS = ('role', 'load', 'unload')
 
 
@@ -32,17 +32,17 @@
         self.spec = spec
         self.wake = wake
         self.models = list(spec.models)
-        self.loading = ''
+        self.loading_model = ''
         self.generation = 0
-        self.highest_fencing = 0
+        self.highest_fencing_token = 0
         self.last_command_id = ''
-        self.seen = {}
+        self.seen_ids = {}
 
-    def changing(self):
+    def is_changing(self):
         """Whether a change is under way."""
-        return self.model.state == 'changing' or bool(self.loading)
+        return self.model.state == 'changing' or bool(self.loading_model)
 
-    def state(self, state):
+    def published_state(self, state):
         """The engine's state as published; it does not lag.
 
         :param state: ``in``, ``leaving`` or ``left``
@@ -50,7 +50,7 @@
         return {
             'role': self.model.role,
             'target': self.model.target_role,
-            'changing': self.changing(),
+            'changing': self.is_changing(),
             'generation': self.generation,
             'last_command_id': self.last_command_id,
             'models': self.models,
@@ -60,7 +60,7 @@
     def handle(self, request):
         """Answer one command."""
         body = request.json()
-        answer = self.judge(body)
+        answer = self.process(body)
         self.ledger.write(
             'command',
             id=body.get('id'),
@@ -71,56 +71,56 @@
             fencing=body.get('fencing'),
             sender=request.header('X-Sender'),
             status=answer.status,
-            highest=self.highest_fencing,
+            highest=self.highest_fencing_token,
             checks_fencing=self.spec.checks_fencing,
         )
-        if self.faults.take('lose_reply') is not None:
+        if self.faults.consume('lose_reply') is not None:
             raise standin.DropConnection
         return answer
 
-    def judge(self, body):
+    def process(self, body):
         """Refuse a command, or carry it out."""
         command_id = str(body['id'])
         if body.get('kind') not in KINDS:
             raise ValueError(f'kind must be one of {", ".join(KINDS)}')
-        if command_id in self.seen:
+        if command_id in self.seen_ids:
             return standin.json_answer(202, {'id': command_id})
         fencing = int(body.get('fencing') or 0)
-        if self.spec.checks_fencing and fencing < self.highest_fencing:
+        if self.spec.checks_fencing and fencing < self.highest_fencing_token:
             return standin.error_answer(
                 409,
                 'stale_fencing',
                 'give up: somebody else holds the duty',
-                highest=self.highest_fencing,
+                highest=self.highest_fencing_token,
             )
         expires_in_s = body.get('expires_in_s')
         if expires_in_s is not None and float(expires_in_s) <= 0:
             return standin.error_answer(409, 'expired', 'send a new command')
-        if self.changing():
+        if self.is_changing():
             return standin.error_answer(
                 409, 'changing', 'wait until the change is over'
             )
-        self.highest_fencing = max(self.highest_fencing, fencing)
-        self.remember(command_id)
+        self.highest_fencing_token = max(self.highest_fencing_token, fencing)
+        self.record_id(command_id)
         self.generation = int(body.get('generation') or 0)
-        self.carry_out(body)
+        self.execute(body)
         return standin.json_answer(202, {'id': command_id})
 
-    def remember(self, command_id):
+    def record_id(self, command_id):
         """Keep the id, so that a repeated command does nothing."""
         self.last_command_id = command_id
-        self.seen[command_id] = None
-        if len(self.seen) > IDS_KEPT:
-            del self.seen[next(iter(self.seen))]
+        self.seen_ids[command_id] = None
+        if len(self.seen_ids) > MAX_COMMAND_IDS:
+            del self.seen_ids[next(iter(self.seen_ids))]
 
-    def carry_out(self, body):
+    def execute(self, body):
         """Begin what the command asks for."""
         match body.get('kind'):
             case 'role':
                 self.change_role(body['role'])
             case 'load':
-                self.loading = body['model']
-                gevent.spawn_later(self.spec.load_s, self.loaded)
+                self.loading_model = body['model']
+                gevent.spawn_later(self.spec.load_s, self.finish_load)
             case _:
                 if body['model'] in self.models:
                     self.models.remove(body['model'])
@@ -134,9 +134,9 @@
         before = self.model.role
         self.model.set_role(role, time.monotonic())
         self.ledger.write('change_begun', role=role, before=before)
-        if self.faults.take('fail_change') is not None:
+        if self.faults.consume('fail_change') is not None:
             self.model.target_role = before
-        if self.faults.take('crash_in_change') is not None:
+        if self.faults.consume('crash_in_change') is not None:
             half_s = self.model.spec.role_change_s / 2
             gevent.spawn_later(half_s, self.crash)
         self.wake.set()
@@ -146,13 +146,13 @@
         self.ledger.write('crash', id='', running=[])
         standin.crash()
 
-    def changed(self, role):
+    def record_role_change(self, role):
         """The role change is over."""
         self.ledger.write('change_done', role=role)
 
-    def loaded(self):
+    def finish_load(self):
         """The model load is over."""
-        if self.loading not in self.models:
-            self.models.append(self.loading)
-        self.ledger.write('loaded', model=self.loading)
-        self.loading = ''
+        if self.loading_model not in self.models:
+            self.models.append(self.loading_model)
+        self.ledger.write('loaded', model=self.loading_model)
+        self.loading_model = ''
--- a/magnoliadyke/lab/enginemodel.py
+++ b/magnoliadyke/lab/enginemodel.py
@@ -130,7 +130,7 @@
 
     __slots__ = (
         'cached_tokens',
-        'end_count',
+        'end_step',
         'needed_tokens',
         'prefill_left',
         'ready_s',
@@ -142,7 +142,7 @@
         self.ready_s = now_s
         self.prefill_left = NO_STREAM
         self.cached_tokens = 0
-        self.end_count = 0
+        self.end_step = 0
         self.needed_tokens = work.prompt_tokens
         if work.kind != PREFILL:
             self.needed_tokens += work.output_tokens
@@ -174,12 +174,12 @@
         self.running = {}
         self.waiting_prompt_tokens = 0
         self._entries = {}
-        self._prompts = []
+        self._waiting_prompts = []
         self._imports = []
-        self._ends = []
-        self._fresh = []
+        self._stream_ends = []
+        self._new_streams = []
         self._serial = 0
-        self._count = 0
+        self._step_count = 0
         self._events = []
         self._at_s = now_s
         self._span_steps = 0
@@ -189,7 +189,7 @@
 
     def submit(self, work, now_s):
         """Take a work item; it joins at the next step."""
-        self._settle(now_s)
+        self._complete_steps(now_s)
         entry = _Entry(work, now_s)
         self._entries[work.id] = entry
         self._serial += 1
@@ -198,40 +198,40 @@
             entry.ready_s = now_s + self._import_s(work)
             heapq.heappush(self._imports, key)
         else:
-            heapq.heappush(self._prompts, key)
+            heapq.heappush(self._waiting_prompts, key)
             self.waiting_prompt_tokens += work.prompt_tokens
-        self._begin(now_s)
+        self._start_step(now_s)
 
     def cancel(self, work_id, now_s):
         """Drop a work item.
 
         :returns: output tokens that exist, or `NO_STREAM` if none can
         """
-        self._settle(now_s)
+        self._complete_steps(now_s)
         entry = self._entries.pop(work_id, None)
         if entry is None:
             return NO_STREAM
-        offset = self._offset(entry)
+        offset = self._output_offset(entry)
         if self.running.pop(work_id, None) is not None:
             self.kv_used_tokens -= entry.needed_tokens
         elif entry.work.kind != DECODE:
             self.waiting_prompt_tokens -= self._prompt_left(entry)
             if entry.prefill_left != NO_STREAM:
                 self.kv_used_tokens -= entry.needed_tokens
-        self._begin(now_s)
+        self._start_step(now_s)
         return offset
 
     def offset(self, work_id):
         """Output tokens of a work item that exist so far."""
         entry = self._entries.get(work_id)
-        return NO_STREAM if entry is None else self._offset(entry)
+        return NO_STREAM if entry is None else self._output_offset(entry)
 
     def set_role(self, role, now_s):
         """Begin a role change; what runs is frozen until its end.
 
         The prefix cache is lost.  Draining first is the caller's matter.
         """
-        self._settle(now_s)
+        self._complete_steps(now_s)
         self.target_role = role
         self.generation += 1
         self.state = 'changing'
@@ -245,17 +245,17 @@
 
         :returns: ids of the work that was lost
         """
-        self._settle(now_s)
+        self._complete_steps(now_s)
         lost = list(self._entries)
         self.state = 'crashed'
         self._change_end_s = None
         self._span_steps = 0
         self._entries = {}
         self.running = {}
-        self._prompts = []
+        self._waiting_prompts = []
         self._imports = []
-        self._ends = []
-        self._fresh = []
+        self._stream_ends = []
+        self._new_streams = []
         self._step_prompts = ()
         self.waiting_prompt_tokens = 0
         self.kv_used_tokens = 0
@@ -272,12 +272,12 @@
 
         :returns: events since the last call, oldest first
         """
-        self._settle(now_s)
-        self._begin(now_s)
+        self._complete_steps(now_s)
+        self._start_step(now_s)
         events, self._events = self._events, []
         return events
 
-    def next_at(self):
+    def next_event_s(self):
         """Time of the next event, or None when nothing runs."""
         if self._events:
             return self._at_s
@@ -308,10 +308,10 @@
         tokens = work.prompt_tokens + work.offset
         return tokens * self.spec.kv_import_s_per_token
 
-    def _offset(self, entry):
+    def _output_offset(self, entry):
         if entry.work.id not in self.running:
             return entry.work.offset
-        left = entry.end_count - self._count
+        left = entry.end_step - self._step_count
         return entry.work.output_tokens - left
 
     def _prompt_left(self, entry):
@@ -319,69 +319,72 @@
             return entry.work.prompt_tokens
         return entry.prefill_left
 
-    def _settle(self, now_s):
+    def _complete_steps(self, now_s):
         """Apply every step that has ended by `now_s`."""
         if self._change_end_s is not None:
             if self._change_end_s > now_s:
                 return
-            self._end_change()
+            self._complete_role_change()
         while self._span_steps:
             end_s = self._at_s + self._span_steps * self._step_s
             if end_s > now_s:
-                self._cut_span(now_s)
+                self._truncate_span(now_s)
                 return
-            self._count += self._span_steps
+            self._step_count += self._span_steps
             self._at_s = end_s
             self._span_steps = 0
-            self._end_step()
-            self._begin(end_s)
+            self._complete_step()
+            self._start_step(end_s)
 
-    def _cut_span(self, now_s):
+    def _truncate_span(self, now_s):
         """Leave only the step that is under way at `now_s`."""
         if self._span_steps == 1:
             return
-        whole = int((now_s - self._at_s) / self._step_s)
-        whole = min(max(whole, 0), self._span_steps - 1)
-        self._count += whole
-        self._at_s += whole * self._step_s
-        self._span_steps -= whole
+        completed_steps = int((now_s - self._at_s) / self._step_s)
+        completed_steps = min(max(completed_steps, 0), self._span_steps - 1)
+        self._step_count += completed_steps
+        self._at_s += completed_steps * self._step_s
+        self._span_steps -= completed_steps
 
-    def _end_change(self):
+    def _complete_role_change(self):
         self.role = self.target_role
         self.state = 'in'
         self._at_s = self._change_end_s
         self._change_end_s = None
         self._events.append(RoleChanged(self.role, self._at_s))
-        self._begin(self._at_s)
+        self._start_step(self._at_s)
 
-    def _begin(self, now_s):
+    def _start_step(self, now_s):
         """Form the next step, or shorten a long span to the current one."""
         if self.state != 'in':
             return
         if self._span_steps:
-            if self._work_may_join():
+            if self._has_joinable_work():
                 self._span_steps = 1
             return
         self._at_s = max(self._at_s, now_s)
         self._admit_imports()
         decode_s = self._decode_s()
-        prompts_s = self._take_prompts(decode_s)
+        prompts_s = self._schedule_prefill(decode_s)
         if not self.running and not self._step_prompts:
             return
         self._step_s = decode_s + prompts_s
         self._span_steps = self._steps_ahead()
 
     def _steps_ahead(self):
-        if self.report_tokens or self._fresh or self._step_prompts:
+        if self.report_tokens or self._new_streams or self._step_prompts:
             return 1
-        if self._work_may_join():
+        if self._has_joinable_work():
             return 1
-        while self._ends and self._ends[0][2].work.id not in self.running:
-            heapq.heappop(self._ends)
-        return max(1, self._ends[0][0] - self._count)
-
-    def _work_may_join(self):
-        if self._prompts:
+        while (
+            self._stream_ends
+            and self._stream_ends[0][2].work.id not in self.running
+        ):
+            heapq.heappop(self._stream_ends)
+        return max(1, self._stream_ends[0][0] - self._step_count)
+
+    def _has_joinable_work(self):
+        if self._waiting_prompts:
             return True
         return self._imports and len(self.running) < self.spec.max_batch
 
@@ -402,31 +405,33 @@
             entry = key[2]
             if self._entries.get(entry.work.id) is not entry:
                 continue
-            if entry.ready_s > self._at_s or not self._reserve(entry):
+            if entry.ready_s > self._at_s or not self._reserve_kv(entry):
                 later.append(key)
                 continue
-            self._run(entry)
+            self._start_stream(entry)
         for key in later:
             heapq.heappush(self._imports, key)
 
-    def _reserve(self, entry):
+    def _reserve_kv(self, entry):
         free = self.spec.kv_capacity_tokens - self.kv_used_tokens
         if entry.needed_tokens > free and self.kv_used_tokens:
             return False
         self.kv_used_tokens += entry.needed_tokens
-        self._fit_cache()
+        self._evict_excess()
         return True
 
-    def _run(self, entry):
+    def _start_stream(self, entry):
         work = entry.work
         self.running[work.id] = entry
         left = max(work.output_tokens - work.offset, 1)
-        entry.end_count = self._count + left
+        entry.end_step = self._step_count + left
         self._serial += 1
-        heapq.heappush(self._ends, (entry.end_count, self._serial, entry))
-        self._fresh.append(entry)
+        heapq.heappush(
+            self._stream_ends, (entry.end_step, self._serial, entry)
+        )
+        self._new_streams.append(entry)
 
-    def _take_prompts(self, decode_s):
+    def _schedule_prefill(self, decode_s):
         """Choose the prompt tokens that the next step reads.
 
         :returns: the seconds that they add to the step
@@ -435,28 +440,28 @@
         left = budget
         chosen = []
         kept = []
-        full = False
-        while self._prompts and left > 0:
-            key = heapq.heappop(self._prompts)
+        is_blocked = False
+        while self._waiting_prompts and left > 0:
+            key = heapq.heappop(self._waiting_prompts)
             entry = key[2]
-            if not self._is_prompt(entry):
+            if not self._needs_prefill(entry):
                 continue
             kept.append(key)
             if entry.prefill_left == NO_STREAM:
                 # Prompts opened before go on past one that finds no memory:
                 # were they to wait behind it, neither would ever end.
-                full = full or not self._open(entry)
-                if full:
+                is_blocked = is_blocked or not self._start_prefill(entry)
+                if is_blocked:
                     continue
             tokens = min(left, entry.prefill_left)
             chosen.append((entry, tokens))
             left -= tokens
         for key in kept:
-            heapq.heappush(self._prompts, key)
+            heapq.heappush(self._waiting_prompts, key)
         self._step_prompts = chosen
         return (budget - left) * token_s
 
-    def _is_prompt(self, entry):
+    def _needs_prefill(self, entry):
         present = self._entries.get(entry.work.id) is entry
         return present and entry.prefill_left != 0
 
@@ -472,13 +477,13 @@
         fitting = max(spec.min_chunk_tokens, fitting)
         return min(spec.chunk_tokens, fitting), token_s
 
-    def _open(self, entry):
+    def _start_prefill(self, entry):
         """Reserve memory for a prompt and look up its cached prefix."""
         work = entry.work
         streams = len(self.running)
         if work.kind != PREFILL and streams >= self.spec.max_batch:
             return False
-        if not self._reserve(entry):
+        if not self._reserve_kv(entry):
             return False
         cached = self._cached_tokens(work)
         entry.cached_tokens = cached
@@ -496,34 +501,36 @@
             self.cache.move_to_end(block)
         return min(blocks * BLOCK_TOKENS, max(work.prompt_tokens - 1, 0))
 
-    def _end_step(self):
-        self._report_step()
-        self._fresh = []
-        while self._ends and self._ends[0][0] <= self._count:
-            entry = heapq.heappop(self._ends)[2]
+    def _complete_step(self):
+        self._report_tokens()
+        self._new_streams = []
+        while (
+            self._stream_ends and self._stream_ends[0][0] <= self._step_count
+        ):
+            entry = heapq.heappop(self._stream_ends)[2]
             if self.running.get(entry.work.id) is entry:
-                self._finish(entry)
+                self._finish_stream(entry)
         chosen, self._step_prompts = self._step_prompts, ()
         for entry, tokens in chosen:
-            self._read(entry, tokens)
+            self._complete_prefill_chunk(entry, tokens)
 
-    def _report_step(self):
-        entries = self._fresh
+    def _report_tokens(self):
+        entries = self._new_streams
         if self.report_tokens:
             entries = self.running.values()
         for entry in entries:
             if self.running.get(entry.work.id) is entry:
-                index = self._offset(entry) - 1
+                index = self._output_offset(entry) - 1
                 self._events.append(Token(entry.work.id, index, self._at_s))
 
-    def _finish(self, entry):
+    def _finish_stream(self, entry):
         work_id = entry.work.id
         del self.running[work_id]
         del self._entries[work_id]
         self.kv_used_tokens -= entry.needed_tokens
         self._events.append(Finished(work_id, self._at_s))
 
-    def _read(self, entry, tokens):
+    def _complete_prefill_chunk(self, entry, tokens):
         work = entry.work
         if self._entries.get(work.id) is not entry:
             return
@@ -533,23 +540,23 @@
             return
         done = PrefillDone(work.id, self._at_s, entry.cached_tokens)
         self._events.append(done)
-        self._store(work.prefix_blocks)
+        self._store_blocks(work.prefix_blocks)
         if work.kind == PREFILL:
             del self._entries[work.id]
             self.kv_used_tokens -= entry.needed_tokens
         else:
-            self._run(entry)
+            self._start_stream(entry)
 
-    def _store(self, blocks):
+    def _store_blocks(self, blocks):
         new = tuple(block for block in blocks if block not in self.cache)
         for block in reversed(blocks):
             self.cache[block] = None
             self.cache.move_to_end(block)
         if new:
             self._events.append(CacheStored(new, self._at_s))
-        self._fit_cache()
+        self._evict_excess()
 
-    def _fit_cache(self):
+    def _evict_excess(self):
         free = self.spec.kv_capacity_tokens - self.kv_used_tokens
         over = len(self.cache) - max(free, 0) // BLOCK_TOKENS
         if over > 0:
--- a/magnoliadyke/lab/enginerun.py
+++ b/magnoliadyke/lab/enginerun.py
@@ -7,8 +7,8 @@
 
 __all__ = ['Run', 'answer_text', 'digest', 'output_tokens']
 
-DIGEST_DIGITS = 6
-LENGTH_MARK = 'answer-tokens:'
+DIGEST_HEX_DIGITS = 6
+LENGTH_PREFIX = 'answer-tokens:'
 DONE = b'data: [DONE]\n\n'
 
 
@@ -29,7 +29,7 @@
         self.total = total
         self.produced = offset
         self.cached_tokens = 0
-        self.end = ''
+        self.end_reason = ''
         self.changed = event.Event()
         frame = {
             'id': run_id,
@@ -87,13 +87,13 @@
 
 def digest(prompt):
     """What marks the answer to this prompt."""
-    return hashlib.sha256(prompt.encode()).hexdigest()[:DIGEST_DIGITS]
+    return hashlib.sha256(prompt.encode()).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 def output_tokens(body):
     """Length of the answer: the limit, or less where the prompt says so."""
     limit = max(1, int(body.get('max_tokens') or 16))
     for word in body['prompt'].split():
-        if word.startswith(LENGTH_MARK):
-            return max(1, min(limit, int(word[len(LENGTH_MARK) :])))
+        if word.startswith(LENGTH_PREFIX):
+            return max(1, min(limit, int(word[len(LENGTH_PREFIX) :])))
     return limit
--- a/magnoliadyke/lab/fakes.py
+++ b/magnoliadyke/lab/fakes.py
@@ -12,7 +12,7 @@
 
 READY = 'up'
 RESTART_S = 20.0
-CACHE_LAG_S = 1.0
+CACHE_EVENT_LAG_S = 1.0
 
 
 class Timeline:
@@ -62,7 +62,7 @@
         self.outcome = None
         self.cached_tokens = 0
 
-    def met(self):
+    def met_objectives(self):
         """Whether the answer was whole and in time."""
         if self.finished_s is None:
             return False
@@ -81,7 +81,7 @@
     """Where a dispatched job runs."""
 
     action: schedulers.Dispatch
-    decode_at: str | None
+    decode_engine: str | None
 
 
 class FakePool:
@@ -115,11 +115,11 @@
         self.changing = {}
         self.report_lag_s = 0.25
         self.reported_at_s = {name: 0.0 for name in roles}
-        self.told_at_s = {name: 0.0 for name in roles}
+        self.state_set_at_s = {name: 0.0 for name in roles}
         self.reported_state = {name: 'in' for name in roles}
         self.reported_load = {name: 0 for name in roles}
         self.fail_change_until_s = -1.0
-        self._versions = {name: 0 for name in roles}
+        self._wake_versions = {name: 0 for name in roles}
 
     # Jobs
 
@@ -127,7 +127,7 @@
         """A caller's request arrives."""
         self.answers[job.id] = Answer(job)
         self.queued[job.customer].add(job.id)
-        self.act(self.scheduler.submit(job, self.timeline.now_s))
+        self.apply_actions(self.scheduler.submit(job, self.timeline.now_s))
 
     def waiting(self, customers):
         """Jobs that were not dispatched yet, by customer."""
@@ -144,9 +144,9 @@
 
     def tick(self):
         """Let the scheduler act on the time that has passed."""
-        self.act(self.scheduler.tick(self.timeline.now_s))
+        self.apply_actions(self.scheduler.tick(self.timeline.now_s))
 
-    def act(self, actions):
+    def apply_actions(self, actions):
         """Carry out what the scheduler decided."""
         for action in actions:
             job = self.answers[action.job_id].job
@@ -176,7 +176,7 @@
             return
         if kind != 'prefill':
             run = self.runs[job.id]
-            self.runs[job.id] = run._replace(decode_at=name)
+            self.runs[job.id] = run._replace(decode_engine=name)
         work = enginemodel.Work(
             id=job.id,
             kind=kind,
@@ -187,31 +187,31 @@
             offset=offset,
         )
         engine.submit(work, now_s)
-        self._arm(name)
+        self._schedule_wake(name)
 
     def _fail(self, job_id, name, ran, crashed=False):
         run = self.runs.pop(job_id)
-        stage = 'decode' if run.decode_at else 'prefill'
+        stage = 'decode' if run.decode_engine else 'prefill'
         failed = jobs.Failed(name, stage, ran=ran, crashed=crashed)
         now_s = self.timeline.now_s
-        self.act(self.scheduler.record_result(job_id, failed, now_s))
+        self.apply_actions(self.scheduler.record_result(job_id, failed, now_s))
 
     # Engines
 
-    def _arm(self, name):
+    def _schedule_wake(self, name):
         """Wake an engine at its next event; earlier wake-ups lapse."""
-        at_s = self.engines[name].next_at()
-        self._versions[name] += 1
+        at_s = self.engines[name].next_event_s()
+        self._wake_versions[name] += 1
         if at_s is not None:
-            version = self._versions[name]
+            version = self._wake_versions[name]
             self.timeline.at(at_s, self._wake, name, version)
 
     def _wake(self, name, version):
-        if version != self._versions[name]:
+        if version != self._wake_versions[name]:
             return
         for event in self.engines[name].advance(self.timeline.now_s):
             self._on_event(name, event)
-        self._arm(name)
+        self._schedule_wake(name)
 
     def _on_event(self, name, event):
         now_s = self.timeline.now_s
@@ -222,7 +222,7 @@
                 answer = self.answers[event.id]
                 if answer.first_token_s is None:
                     answer.first_token_s = event.at_s
-                    self.act(
+                    self.apply_actions(
                         self.scheduler.record_first_token(event.id, now_s)
                     )
             case enginemodel.Finished():
@@ -230,37 +230,37 @@
             case enginemodel.RoleChanged():
                 self._on_role_changed(name, event)
             case enginemodel.CacheStored():
-                self._tell_cache(name, 'stored', event.blocks)
+                self._publish_cache_event(name, 'stored', event.blocks)
             case enginemodel.CacheEvicted():
-                self._tell_cache(name, 'evicted', event.blocks)
+                self._publish_cache_event(name, 'evicted', event.blocks)
 
-    def _tell_cache(self, name, kind, blocks):
+    def _publish_cache_event(self, name, kind, blocks):
         """Publish a cache event, late as the engines do."""
         events = ({'kind': kind, 'blocks': blocks},)
-        arrives_s = self.timeline.now_s + CACHE_LAG_S
+        arrives_s = self.timeline.now_s + CACHE_EVENT_LAG_S
         self.timeline.at(arrives_s, self._on_cache_events, name, events)
 
     def _on_cache_events(self, name, events):
         now_s = self.timeline.now_s
-        self.act(
+        self.apply_actions(
             self.scheduler.handle_cache_events(name, events, False, now_s)
         )
 
     def _on_prefill_done(self, name, event):
         now_s = self.timeline.now_s
         self.answers[event.id].cached_tokens = event.cached_tokens
-        self.act(self.scheduler.record_prefill_done(event.id, now_s))
+        self.apply_actions(self.scheduler.record_prefill_done(event.id, now_s))
         action = self.runs[event.id].action
         if action.prefill_endpoint is not None:
             job = self.answers[event.id].job
             target = self._decode_endpoint(action.endpoint)
             self._start(target, job, 'decode')
             if target != action.endpoint:
-                self.act(
+                self.apply_actions(
                     self.scheduler.record_migration(event.id, target, now_s)
                 )
         if name in self.changing:
-            self._change_when_dry(name)
+            self._change_when_drained(name)
 
     def _decode_endpoint(self, name):
         """The endpoint itself, or another one while it is changing."""
@@ -277,9 +277,11 @@
             job.prompt_tokens, job.output_tokens, answer.cached_tokens
         )
         now_s = self.timeline.now_s
-        self.act(self.scheduler.record_result(event.id, result, now_s))
+        self.apply_actions(
+            self.scheduler.record_result(event.id, result, now_s)
+        )
         if name in self.changing:
-            self._change_when_dry(name)
+            self._change_when_drained(name)
 
     def report(self, name):
         """Take an engine's load report; it arrives after the lag."""
@@ -291,14 +293,16 @@
             self.timeline.at(arrives_s, self._on_report, name, report)
 
     def _on_report(self, name, report):
-        if report.at_s < self.told_at_s[name]:
+        if report.at_s < self.state_set_at_s[name]:
             # From before a change that is over: it would bring the old role
             # back, and with it wrong routes for as long as reports lag.
             return
         self.reported_at_s[name] = report.at_s
         self.reported_load[name] = report.running + report.queued
         now_s = self.timeline.now_s
-        self.act(self.scheduler.handle_load_report(name, report, now_s))
+        self.apply_actions(
+            self.scheduler.handle_load_report(name, report, now_s)
+        )
         if report.state != self.reported_state[name]:
             # The scheduler groups its endpoints by state when it is told
             # one; without this an engine whose own word lagged behind the
@@ -315,8 +319,8 @@
         self.changing[name] = role
         self._set_state(name, 'changing')
         self._move_streams(name)
-        self.timeline.at(now_s + self.drain_s, self._change, name, role)
-        self._change_when_dry(name)
+        self.timeline.at(now_s + self.drain_s, self._start_change, name, role)
+        self._change_when_drained(name)
 
     def _move_streams(self, name):
         """Continue an engine's streams on the engines that decode."""
@@ -329,14 +333,16 @@
             offset = engine.cancel(job_id, now_s)
             job = self.answers[job_id].job
             self._start(target, job, 'decode', offset)
-            self.act(self.scheduler.record_migration(job_id, target, now_s))
-        self._arm(name)
+            self.apply_actions(
+                self.scheduler.record_migration(job_id, target, now_s)
+            )
+        self._schedule_wake(name)
 
-    def _least_running(self, besides):
+    def _least_running(self, excluded):
         names = [
             name
             for name, engine in self.engines.items()
-            if name != besides
+            if name != excluded
             and self.states[name] == READY
             and engine.role == enginemodel.DECODE
         ]
@@ -346,12 +352,12 @@
             default=None,
         )
 
-    def _change_when_dry(self, name):
+    def _change_when_drained(self, name):
         report = self.engines[name].report(self.timeline.now_s)
         if not report.running and not report.queued:
-            self._change(name, self.changing[name])
+            self._start_change(name, self.changing[name])
 
-    def _change(self, name, role):
+    def _start_change(self, name, role):
         engine = self.engines[name]
         if self.changing.get(name) != role or engine.state != 'in':
             return
@@ -360,20 +366,24 @@
         if now_s < self.fail_change_until_s:
             half_s = self.spec.role_change_s / 2
             self.timeline.at(now_s + half_s, self.crash, name, RESTART_S)
-        self._arm(name)
+        self._schedule_wake(name)
 
     def _on_role_changed(self, name, event):
         del self.changing[name]
         now_s = self.timeline.now_s
-        self.act(self.scheduler.set_endpoint_role(name, event.role, now_s))
+        self.apply_actions(
+            self.scheduler.set_endpoint_role(name, event.role, now_s)
+        )
         self._set_state(name, READY)
 
     def _set_state(self, name, state):
         now_s = self.timeline.now_s
         if state != self.states[name]:
-            self.told_at_s[name] = now_s
+            self.state_set_at_s[name] = now_s
         self.states[name] = state
-        self.act(self.scheduler.set_endpoint_state(name, state, now_s))
+        self.apply_actions(
+            self.scheduler.set_endpoint_state(name, state, now_s)
+        )
 
     # Faults
 
@@ -386,7 +396,7 @@
             return
         now_s = self.timeline.now_s
         lost = self.engines[name].crash(now_s)
-        self._versions[name] += 1
+        self._wake_versions[name] += 1
         self.changing.pop(name, None)
         self._set_state(name, 'crashed')
         for job_id in lost:
@@ -398,7 +408,9 @@
         engine = self.engines[name]
         now_s = self.timeline.now_s
         engine.restart(now_s)
-        self.act(self.scheduler.set_endpoint_role(name, engine.role, now_s))
+        self.apply_actions(
+            self.scheduler.set_endpoint_role(name, engine.role, now_s)
+        )
         self._set_state(name, READY)
 
     def withdraw(self, name, for_s):
--- a/magnoliadyke/lab/hostlist.py
+++ b/magnoliadyke/lab/hostlist.py
@@ -8,7 +8,7 @@
 
 __all__ = ['HostListStandIn', 'Spec', 'main']
 
-VERSIONS_KEPT = 200
+MAX_VERSIONS = 200
 
 
 class Spec(typing.NamedTuple):
@@ -29,32 +29,32 @@
         self.spec = spec
         rows = {row['host']: dict(row) for row in spec.hosts}
         self.versions = collections.deque(
-            [(time.time(), rows)], maxlen=VERSIONS_KEPT
+            [(time.time(), rows)], maxlen=MAX_VERSIONS
         )
 
     def handle(self, request):
         """Answer one request."""
         match (request.method, request.path):
             case ('GET', '/hosts'):
-                return self.published()
+                return self.read_hosts()
             case ('POST', '/hosts'):
-                return self.change(request.json())
+                return self.update_row(request.json())
             case ('GET', '/health'):
                 return standin.json_answer(200, {'state': 'up'})
         return standin.error_answer(404, 'no_such_path', request.path)
 
-    def published(self):
+    def read_hosts(self):
         """The newest list that is old enough, or the first one."""
-        limit_s = time.time() - self.spec.lag_s
+        newest_allowed_s = time.time() - self.spec.lag_s
         at_s, rows = self.versions[0]
         for version_s, version in self.versions:
-            if version_s <= limit_s:
+            if version_s <= newest_allowed_s:
                 at_s, rows = version_s, version
         return standin.json_answer(
             200, {'hosts': list(rows.values()), 'at_s': at_s}
         )
 
-    def change(self, row):
+    def update_row(self, row):
         """Set a host's row; state ``gone`` removes it."""
         rows = dict(self.versions[-1][1])
         before = rows.pop(row['host'], {})
--- a/magnoliadyke/lab/httpstandin.py
+++ b/magnoliadyke/lab/httpstandin.py
@@ -19,13 +19,13 @@
     """
 
     def __init__(self, address: str) -> None:
-        self.requested = address
+        self.listen_address = address
         self.sockets: set[socket.socket] = set()
         self.server: server.StreamServer | None = None
 
     def start(self) -> str:
         """Listen; returns the address."""
-        host, _, port = self.requested.rpartition(':')
+        host, _, port = self.listen_address.rpartition(':')
         self.server = server.StreamServer((host, int(port)), self._serve)
         self.server.start()
         return self.address
--- a/magnoliadyke/lab/keyvalue.py
+++ b/magnoliadyke/lab/keyvalue.py
@@ -12,10 +12,10 @@
 
 __all__ = ['KeyValueStandIn', 'Store', 'main']
 
-VALUE_LIMIT_BYTES = 1_000_000
-HISTORY_ROWS = 4_000
-LONGEST_WATCH_S = 60.0
-BURST_S = 1.0
+MAX_VALUE_BYTES = 1_000_000
+MAX_HISTORY_CHANGES = 4_000
+MAX_WATCH_S = 60.0
+BUCKET_CAPACITY_S = 1.0
 EXPIRY_INTERVAL_S = 0.05
 
 
@@ -65,7 +65,7 @@
         self.revision = 0
         self.items = {}
         self.leases = {}
-        self.history = collections.deque(maxlen=HISTORY_ROWS)
+        self.history = collections.deque(maxlen=MAX_HISTORY_CHANGES)
 
     def put(
         self,
@@ -134,8 +134,14 @@
 
     def expire(self, now_s):
         """End all leases that ran out; the keys removed."""
-        over = [k for k, (_, until) in self.leases.items() if until <= now_s]
-        return [key for lease in over for key in self.revoke(lease, now_s)]
+        expired_leases = [
+            k for k, (_, until) in self.leases.items() if until <= now_s
+        ]
+        return [
+            key
+            for lease in expired_leases
+            for key in self.revoke(lease, now_s)
+        ]
 
     def restore(self, until_s):
         """Go back to the state at ``until_s``, as from an old backup.
@@ -155,7 +161,7 @@
                 self.items.pop(change.key, None)
             else:
                 self.items[change.key] = change.item
-        self.history = collections.deque(kept, maxlen=HISTORY_ROWS)
+        self.history = collections.deque(kept, maxlen=MAX_HISTORY_CHANGES)
         self.drop_orphans()
         keys = before.keys() | self.items.keys()
         return [k for k in keys if before.get(k) != self.items.get(k)]
@@ -167,22 +173,26 @@
                 del self.items[key]
 
 
-class Rate:
+class TokenBucket:
     """Token bucket that holds one second's worth of calls."""
 
     def __init__(self, per_s, now_s):
         self.per_s = per_s
-        self.level = per_s * BURST_S
+        self.available_calls = per_s * BUCKET_CAPACITY_S
         self.at_s = now_s
 
     def take(self, now_s):
         """Whether one more call may pass."""
-        grown = self.level + (now_s - self.at_s) * self.per_s
-        self.level = min(self.per_s * BURST_S, grown)
+        refilled_calls = (
+            self.available_calls + (now_s - self.at_s) * self.per_s
+        )
+        self.available_calls = min(
+            self.per_s * BUCKET_CAPACITY_S, refilled_calls
+        )
         self.at_s = now_s
-        if self.level < 1.0:
+        if self.available_calls < 1.0:
             return False
-        self.level -= 1.0
+        self.available_calls -= 1.0
         return True
 
 
@@ -203,10 +213,10 @@
         self.ledger = standin.Ledger(spec.ledger)
         self.calls = collections.Counter()
         self.senders = {}
-        self.waiting = {}
+        self.waiters_by_key = {}
         now_s = time.monotonic()
-        self.reads = Rate(spec.reads_s, now_s)
-        self.writes = Rate(spec.writes_s, now_s)
+        self.reads = TokenBucket(spec.reads_s, now_s)
+        self.writes = TokenBucket(spec.writes_s, now_s)
 
     def handle(self, request):
         """Answer one request."""
@@ -220,11 +230,11 @@
         kind, handler, key = self.route(request)
         if handler is None:
             return standin.error_answer(404, 'no_such_path', request.path)
-        self.count(kind, request)
-        self.suffer(request)
+        self.record_call(kind, request)
+        self.apply_faults(request)
         rate = self.reads if kind in READ_KINDS else self.writes
         if not rate.take(time.monotonic()):
-            self.count('refused', request)
+            self.record_call('refused', request)
             return standin.error_answer(
                 429, 'over_rate', 'wait and call less often'
             )
@@ -253,13 +263,13 @@
                 return 'revoke', self.revoke, key
         return '', None, ''
 
-    def count(self, kind, request):
+    def record_call(self, kind, request):
         """Count one call, in all and for its sender."""
         self.calls[kind] += 1
         sender = request.header('X-Sender', request.environ['REMOTE_ADDR'])
         self.senders.setdefault(sender, collections.Counter())[kind] += 1
 
-    def suffer(self, request):
+    def apply_faults(self, request):
         """Apply what slows or stops every call."""
         outage = self.faults.get('outage')
         if outage is not None:
@@ -297,9 +307,9 @@
         value = body.get('value')
         if not isinstance(value, str):
             raise ValueError('value must be a string')
-        if len(value) > VALUE_LIMIT_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             return standin.error_answer(
-                413, 'too_large', f'keep it under {VALUE_LIMIT_BYTES} bytes'
+                413, 'too_large', f'keep it under {MAX_VALUE_BYTES} bytes'
             )
         lease = body.get('lease') or ''
         if lease and lease not in self.store.leases:
@@ -309,30 +319,34 @@
         )
         if isinstance(result, Conflict):
             return self.conflict(key, request, result)
-        self.wrote('put', key, request, revision=result.revision)
+        self.complete_write('put', key, request, revision=result.revision)
         return standin.json_answer(200, {'revision': result.revision})
 
     def delete(self, key, request):
         """Remove one key."""
-        wanted = request.query.get('if_revision')
+        required_revision = request.query.get('if_revision')
         result = self.store.delete(
-            key, int(wanted) if wanted else None, time.monotonic()
+            key,
+            int(required_revision) if required_revision else None,
+            time.monotonic(),
         )
         if isinstance(result, Conflict):
             return self.conflict(key, request, result)
         if result is None:
             return standin.error_answer(404, 'no_such_key', key)
-        self.wrote('delete', key, request, revision=self.store.revision)
+        self.complete_write(
+            'delete', key, request, revision=self.store.revision
+        )
         return standin.json_answer(200, {'revision': self.store.revision})
 
     def conflict(self, key, request, conflict):
         """Answer a write that came too late."""
-        self.count('conflict', request)
+        self.record_call('conflict', request)
         return standin.json_answer(
             409, {'revision': conflict.revision, 'value': conflict.value}
         )
 
-    def wrote(self, what, key, request, revision):
+    def complete_write(self, what, key, request, revision):
         """Tell watches and the ledger, then lose the reply if asked to."""
         self.ledger.write(
             what,
@@ -340,17 +354,17 @@
             revision=revision,
             sender=request.header('X-Sender'),
         )
-        self.wake([key])
+        self.notify_watches([key])
         fault = self.faults.get('lose_reply')
         if fault is not None and key.startswith(fault.get('prefix', '')):
-            self.faults.take('lose_reply')
+            self.faults.consume('lose_reply')
             self.ledger.write('reply_lost', key=key, revision=revision)
             raise standin.DropConnection
 
     def watch(self, key, request):
         """Wait until the key's revision is past ``after``."""
         after = int(request.query.get('after', '0'))
-        wait_s = min(float(request.query.get('wait_s', '30')), LONGEST_WATCH_S)
+        wait_s = min(float(request.query.get('wait_s', '30')), MAX_WATCH_S)
         end_s = time.monotonic() + wait_s
         while True:
             item = self.store.items.get(key)
@@ -359,24 +373,24 @@
             left_s = end_s - time.monotonic()
             if left_s <= 0:
                 return standin.Answer(204)
-            self.wait(key, left_s)
+            self.wait_for_change(key, left_s)
             if self.faults.get('outage') is not None:
                 raise standin.DropConnection
 
-    def wait(self, key, timeout_s):
+    def wait_for_change(self, key, timeout_s):
         """Wait for a change of the key."""
         changed = event.Event()
-        waiters = self.waiting.setdefault(key, set())
+        waiters = self.waiters_by_key.setdefault(key, set())
         waiters.add(changed)
         try:
             changed.wait(timeout_s)
         finally:
             waiters.discard(changed)
 
-    def wake(self, keys):
+    def notify_watches(self, keys):
         """Wake the watches of keys that changed."""
         for key in keys:
-            for changed in self.waiting.get(key, ()):
+            for changed in self.waiters_by_key.get(key, ()):
                 changed.set()
 
     def grant(self, key, request):
@@ -394,7 +408,7 @@
 
     def revoke(self, lease, request):
         """End a lease."""
-        self.wake(self.store.revoke(lease, time.monotonic()))
+        self.notify_watches(self.store.revoke(lease, time.monotonic()))
         return standin.json_answer(200, {})
 
     def set_fault(self, fault):
@@ -405,10 +419,12 @@
                 self.faults.clear()
             case 'restore_old':
                 age_s = float(fault.get('age_s', 5.0))
-                self.wake(self.store.restore(time.monotonic() - age_s))
+                self.notify_watches(
+                    self.store.restore(time.monotonic() - age_s)
+                )
             case 'outage':
                 self.faults.set(kind, fault)
-                self.wake(list(self.waiting))
+                self.notify_watches(list(self.waiters_by_key))
             case 'slow' | 'lose_reply':
                 self.faults.set(kind, fault)
             case _:
@@ -435,7 +451,7 @@
             gone = self.store.expire(time.monotonic())
             for key in gone:
                 self.ledger.write('expired', key=key)
-            self.wake(gone)
+            self.notify_watches(gone)
 
 
 READ_KINDS = frozenset(['get', 'list', 'watch'])
--- a/magnoliadyke/lab/links.py
+++ b/magnoliadyke/lab/links.py
@@ -16,13 +16,13 @@
 from magnoliadyke.lab import proxy
 from magnoliadyke.lab import standin
 
-__all__ = ['Map', 'install', 'main']
+__all__ = ['Routes', 'install', 'main']
 
-VARIABLE = 'MAGNOLIADYKE_LAB_LINKS'
+ENVIRONMENT_VARIABLE = 'MAGNOLIADYKE_LAB_LINKS'
 SOCKET = socket.socket
 
 
-class Map(typing.NamedTuple):
+class Routes(typing.NamedTuple):
     """Where this process's connections go.
 
     :param name: name of this process
@@ -35,31 +35,31 @@
     targets: frozenset[str]
 
 
-def install(links):
+def install(routes):
     """Send this process's connections through the proxy.
 
-    :param links: the :class:`Map`
+    :param links: the :class:`Routes`
     """
-    where = standin.split_address(links.proxy)
+    proxy_address = standin.split_address(routes.proxy)
     connect, sendto, recvfrom = SOCKET.connect, SOCKET.sendto, SOCKET.recvfrom
 
     def connect_through(self, address):
-        target = name_of(address)
-        if target not in links.targets:
+        target = format_address(address)
+        if target not in routes.targets:
             return connect(self, address)
-        connect(self, where)
-        self.sendall(f'{links.name} {target}\n'.encode('ascii'))
+        connect(self, proxy_address)
+        self.sendall(f'{routes.name} {target}\n'.encode('ascii'))
         if self.recv(1) != proxy.CONNECTED:
             raise ConnectionRefusedError(111, 'Connection refused')
         return None
 
     def sendto_through(self, data, *arguments):
-        target = name_of(arguments[-1])
-        if target not in links.targets:
+        target = format_address(arguments[-1])
+        if target not in routes.targets:
             return sendto(self, data, *arguments)
-        origin = name_of(self.getsockname())
-        packet = proxy.datagram(links.name, origin, target, bytes(data))
-        sendto(self, packet, where)
+        origin = format_address(self.getsockname())
+        packet = proxy.datagram(routes.name, origin, target, bytes(data))
+        sendto(self, packet, proxy_address)
         return len(data)
 
     def recvfrom_through(self, *arguments):
@@ -74,7 +74,7 @@
     SOCKET.recvfrom = recvfrom_through
 
 
-def name_of(address):
+def format_address(address):
     """An address pair as ``ip:port``."""
     return '%s:%d' % address[:2] if isinstance(address, tuple) else ''
 
@@ -87,9 +87,9 @@
     """
     from magnoliadyke import cli
 
-    spec = json.loads(os.environ[VARIABLE])
+    spec = json.loads(os.environ[ENVIRONMENT_VARIABLE])
     targets = frozenset(spec['targets'])
-    install(Map(spec['name'], spec['proxy'], targets))
+    install(Routes(spec['name'], spec['proxy'], targets))
     return cli.main(argv)
 
 
--- a/magnoliadyke/lab/measures.py
+++ b/magnoliadyke/lab/measures.py
@@ -84,7 +84,7 @@
     both per second of the trace.
     """
     answers = list(answers)
-    met = [answer for answer in answers if answer.met()]
+    met = [answer for answer in answers if answer.met_objectives()]
     met_tokens = sum(tokens(answer.job) for answer in met)
     goodput = met_tokens / length_s
     customers = {
@@ -112,7 +112,7 @@
     begun = [a for a in answers if a.first_token_s is not None]
     first = [a.first_token_s - a.job.arrived_s for a in begun]
     between = [a.per_token_s() for a in begun if a.finished_s is not None]
-    met = sum(answer.met() for answer in answers)
+    met = sum(answer.met_objectives() for answer in answers)
     return {
         'requests': len(answers),
         'met_share': met / len(answers) if answers else None,
--- a/magnoliadyke/lab/platformfleet.py
+++ b/magnoliadyke/lab/platformfleet.py
@@ -218,7 +218,8 @@
                     'platform',
                     str(path),
                 ],
-                env=os.environ | {links.VARIABLE: json.dumps(spec)},
+                env=os.environ
+                | {links.ENVIRONMENT_VARIABLE: json.dumps(spec)},
                 stdout=log,
                 stderr=subprocess.STDOUT,
                 preexec_fn=cluster.die_with_parent,
--- a/magnoliadyke/lab/plots.py
+++ b/magnoliadyke/lab/plots.py
@@ -45,7 +45,7 @@
     """Tokens a second of met requests, by their arrival."""
     sums = [0.0] * (int(trial.length_s / BIN_S) + 1)
     for answer in trial.pool.answers.values():
-        if answer.met():
+        if answer.met_objectives():
             place = int(answer.job.arrived_s / BIN_S)
             sums[place] += measures.tokens(answer.job) / BIN_S
     return [place * BIN_S for place in range(len(sums))], sums
--- a/magnoliadyke/lab/service.py
+++ b/magnoliadyke/lab/service.py
@@ -73,7 +73,7 @@
         delay_s = 0.0 if slow is None else float(slow.get('delay_s', 1.0))
         gevent.sleep(self.spec.work_s + delay_s)
         self.ledger.write('end', id=request_id, end='finished')
-        if self.faults.take('lose_reply') is not None:
+        if self.faults.consume('lose_reply') is not None:
             raise standin.DropConnection
         return standin.json_answer(
             200,
--- a/magnoliadyke/lab/standin.py
+++ b/magnoliadyke/lab/standin.py
@@ -33,10 +33,10 @@
     'split_address',
 ]
 
-LEDGER_ROWS_KEPT = 200_000
-BODY_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_LEDGER_ROWS = 200_000
+MAX_BODY_BYTES = 16 * 1024 * 1024
 STOP_TIMEOUT_S = 2.0
-CONTENT_DIGITS = 16
+CONTENT_DIGEST_HEX_DIGITS = 16
 
 STATUS_TEXT = {
     200: '200 OK',
@@ -104,7 +104,7 @@
     """
 
     def __init__(self, path=''):
-        self.rows = collections.deque(maxlen=LEDGER_ROWS_KEPT)
+        self.rows = collections.deque(maxlen=MAX_LEDGER_ROWS)
         self.file = open(path, 'ab', buffering=0) if path else None
 
     def write(self, what, **fields):
@@ -142,7 +142,7 @@
             return None
         return self.values[kind]
 
-    def take(self, kind):
+    def consume(self, kind):
         """As :meth:`get`, using up one of the fault's ``count`` (1)."""
         fault = self.get(kind)
         if fault is not None:
@@ -229,8 +229,8 @@
 def read_request(environ):
     """The request in a WSGI environment."""
     length = int(environ.get('CONTENT_LENGTH') or 0)
-    if length > BODY_LIMIT_BYTES:
-        raise ValueError(f'the body is over {BODY_LIMIT_BYTES} bytes')
+    if length > MAX_BODY_BYTES:
+        raise ValueError(f'the body is over {MAX_BODY_BYTES} bytes')
     chunked = environ.get('HTTP_TRANSFER_ENCODING', '').lower() == 'chunked'
     body = b''
     if length or chunked:
@@ -294,7 +294,7 @@
 def content_digest(*parts):
     """What marks a request's content in a ledger, whatever its key."""
     digest = hashlib.sha256('\n'.join(parts).encode())
-    return digest.hexdigest()[:CONTENT_DIGITS]
+    return digest.hexdigest()[:CONTENT_DIGEST_HEX_DIGITS]
 
 
 def crash():
--- a/tests/test_lab_cacheevents.py
+++ b/tests/test_lab_cacheevents.py
@@ -9,8 +9,8 @@
     def test_events_are_late(self):
         log = cacheevents.EventLog(1.0, 0.0)
         log.add('stored', ('a',), 10.0, 0.0)
-        self.assertEqual([], log.ready(0, 10.9))
-        self.assertEqual(1, len(log.ready(0, 11.0)))
+        self.assertEqual([], log.ready_entries(0, 10.9))
+        self.assertEqual(1, len(log.ready_entries(0, 11.0)))
 
     def test_lost_and_forgotten_events_are_gaps(self):
         log = cacheevents.EventLog(0.0, 0.0)
--- a/tests/test_lab_enginecommands.py
+++ b/tests/test_lab_enginecommands.py
@@ -25,7 +25,7 @@
         return self.engine.handle(standin.Request(method, path, {}, {}, data))
 
     def settle(self):
-        while self.engine.commands.changing():
+        while self.engine.commands.is_changing():
             gevent.sleep(0.005)
 
     def test_fencing_is_checked_where_the_settings_say_so(self):
--- a/tests/test_lab_enginemodel.py
+++ b/tests/test_lab_enginemodel.py
@@ -8,8 +8,10 @@
 def run(engine, until_s):
     """Advance event by event and return all events."""
     events = []
-    while engine.next_at() is not None and engine.next_at() <= until_s:
-        events += engine.advance(engine.next_at())
+    while (
+        engine.next_event_s() is not None and engine.next_event_s() <= until_s
+    ):
+        events += engine.advance(engine.next_event_s())
     return events + engine.advance(until_s)
 
 
--- a/tests/test_lab_hostlist.py
+++ b/tests/test_lab_hostlist.py
@@ -17,5 +17,5 @@
         row = {'host': 'a', 'state': 'live', 'address': '127.0.0.1'}
         for lag_s, shown in ((60.0, 'live'), (0.0, 'leaving')):
             stand_in = hostlist.HostListStandIn(hostlist.Spec([row], lag_s))
-            stand_in.change({'host': 'a', 'state': 'leaving'})
+            stand_in.update_row({'host': 'a', 'state': 'leaving'})
             self.assertEqual({'a': shown}, self.hosts(stand_in))
--- a/tests/test_lab_links.py
+++ b/tests/test_lab_links.py
@@ -33,7 +33,7 @@
             original = getattr(links.SOCKET, name)
             self.addCleanup(setattr, links.SOCKET, name, original)
         targets = frozenset([STORE, '127.66.1.9:1'])
-        links.install(links.Map('entry-1', PROXY, targets))
+        links.install(links.Routes('entry-1', PROXY, targets))
 
     def start_proxy(self, spec):
         # A process of its own: connections of this one go through it.
--- a/tests/test_lab_standin.py
+++ b/tests/test_lab_standin.py
@@ -16,7 +16,7 @@
         faults.set('slow', {'for_s': 0})
         self.assertIsNone(faults.get('slow'))
         faults.set('lose_reply', {'count': 2})
-        taken = [faults.take('lose_reply') is not None for _ in range(3)]
+        taken = [faults.consume('lose_reply') is not None for _ in range(3)]
         self.assertEqual([True, True, False], taken)
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -19,7 +19,7 @@
     with requestpath.Bench(speeds=SLOW) as bench:
         caller = gevent.spawn(bench.complete, 100, **OVERSEEN)
         gevent.sleep(0.5)
-        bench.engine.silenced += 1
+        bench.engine.silence_count += 1
         reply = caller.get(timeout=15)
         assert reply.text() == requestpath.answer_of(100)
         assert len(bench.runs()) == 1
@@ -45,7 +45,7 @@
         caller = gevent.spawn(bench.complete, 60, **OVERSEEN)
         gevent.sleep(0.4)
         (attempt,) = bench.runs()
-        bench.engine.finish(bench.engine.runs[attempt], 'moved')
+        bench.engine.finish_run(bench.engine.runs[attempt], 'moved')
         reply = caller.get(timeout=15)
         assert b'[DONE]' not in reply.body
         assert b'event: error' in reply.body
@@ -62,7 +62,7 @@
         caller = gevent.spawn(bench.complete, 60)
         gevent.sleep(0.4)
         (attempt,) = bench.runs()
-        bench.engine.finish(bench.engine.runs[attempt], 'moved')
+        bench.engine.finish_run(bench.engine.runs[attempt], 'moved')
         reply = caller.get(timeout=15)
         assert reply.text() == requestpath.answer_of(60)
         assert len(bench.runs()) == 2
