--- a/magnoliadyke/lab/cacheevents.py
+++ b/magnoliadyke/lab/cacheevents.py
@@ -1,4 +1,4 @@
-"""Cache events of an engine stand-in: published late and with gaps."""
+"""Cache events of an engine stand-in, published late and with gaps."""
 
 import collections
 import random
@@ -15,7 +15,11 @@
 
 
 class Entry(typing.NamedTuple):
-    """One event; ``blocks`` is ``None`` where it was lost."""
+    """One event; ``blocks`` is ``None`` if the event was lost.
+
+    :param kind: ``stored`` or ``evicted``
+    :param ready_s: monotonic time from which it is published
+    """
 
     seq: int
     kind: str
@@ -24,7 +28,7 @@
 
 
 class EventLog:
-    """The engine's log of cache events.
+    """Log of an engine's cache events.
 
     :param delay_s: seconds until an event is published
     :param loss: share of events that are never published
@@ -39,7 +43,10 @@
         self.rng = random.Random(0)
 
     def add(self, kind, blocks, now_s, loss):
-        """Log one event."""
+        """Append one event.
+
+        :param loss: probability that the event is lost
+        """
         self.seq += 1
         lost = self.rng.random() < loss
         published_blocks = None if lost else blocks
@@ -50,9 +57,9 @@
         added.set()
 
     def read(self, after, wait_s):
-        """Events after a sequence number, in the published shape.
+        """Return the events after a sequence number, as the protocol has them.
 
-        :param wait_s: seconds to wait for the first one
+        :param wait_s: maximum wait for the first event, in seconds
         """
         end_s = time.monotonic() + min(wait_s, MAX_WAIT_S)
         while True:
@@ -63,13 +70,13 @@
             self.wait_for_entry(after, now_s, end_s)
 
     def ready_entries(self, after, now_s):
-        """Entries after ``after`` that may be published by now."""
+        """Return the entries after ``after`` whose delay is over."""
         return [
             e for e in self.entries if e.seq > after and e.ready_s <= now_s
         ]
 
     def wait_for_entry(self, after, now_s, end_s):
-        """Wait until an entry may be published, or until ``end_s``."""
+        """Wait until an entry after ``after`` is ready, or until ``end_s``."""
         ready_times_s = [e.ready_s for e in self.entries if e.seq > after]
         until_s = min([end_s, *ready_times_s])
         if ready_times_s:
@@ -78,9 +85,10 @@
             self.added.wait(until_s - now_s)
 
     def format_entries(self, after, ready):
-        """The published answer."""
+        """Return the body of ``GET /v1/cache_events``."""
         next_seq = ready[-1].seq if ready else after
-        # A reader may also be ahead of a log that began anew in a restart.
+        # After a restart of the engine its log starts again at 1, so that a
+        # reader's sequence number may be larger than any in the log.
         restarted = after > self.seq
         trimmed = bool(self.entries) and self.entries[0].seq > after + 1
         lost = any(e.blocks is None for e in ready)
--- a/magnoliadyke/lab/enginecommands.py
+++ b/magnoliadyke/lab/enginecommands.py
@@ -13,16 +13,17 @@
 
 
 class Commands:
-    """What an engine does with the commands it gets.
+    """Processes the commands that an engine receives.
 
-    An engine that checks fencing numbers refuses one below the highest it
-    has seen; the others take any.  Both do one change at a time.
+    An engine that checks fencing tokens rejects a command whose token is
+    below the highest one it has accepted; other engines accept any token.
+    Both kinds run one change at a time.
 
     :param model: the engine's step model
     :param faults: the stand-in's faults
-    :param ledger: where each command is written
+    :param ledger: records each command
     :param spec: the stand-in's settings
-    :param wake: set when the model has to be looked at
+    :param wake: event that makes the engine advance its model
     """
 
     def __init__(self, model, faults, ledger, spec, wake):
@@ -39,11 +40,11 @@
         self.seen_ids = {}
 
     def is_changing(self):
-        """Whether a change is under way."""
+        """Return whether a role change or a model load is in progress."""
         return self.model.state == 'changing' or bool(self.loading_model)
 
     def published_state(self, state):
-        """The engine's state as published; it does not lag.
+        """Return the body of ``GET /v1/state``, which is never delayed.
 
         :param state: ``in``, ``leaving`` or ``left``
         """
@@ -58,7 +59,10 @@
         }
 
     def handle(self, request):
-        """Answer one command."""
+        """Process a command and record it in the ledger.
+
+        :raises standin.DropConnection: the fault ``lose_reply`` is on
+        """
         body = request.json()
         answer = self.process(body)
         self.ledger.write(
@@ -79,7 +83,11 @@
         return answer
 
     def process(self, body):
-        """Refuse a command, or carry it out."""
+        """Reject a command, or execute it.
+
+        :returns: the HTTP response
+        :raises KeyError, ValueError: the command is malformed
+        """
         command_id = str(body['id'])
         if body.get('kind') not in KINDS:
             raise ValueError(f'kind must be one of {", ".join(KINDS)}')
@@ -90,7 +98,7 @@
             return standin.error_answer(
                 409,
                 'stale_fencing',
-                'give up: somebody else holds the duty',
+                'another sender holds the lease; send no more commands',
                 highest=self.highest_fencing_token,
             )
         expires_in_s = body.get('expires_in_s')
@@ -98,7 +106,7 @@
             return standin.error_answer(409, 'expired', 'send a new command')
         if self.is_changing():
             return standin.error_answer(
-                409, 'changing', 'wait until the change is over'
+                409, 'changing', 'retry after the change in progress'
             )
         self.highest_fencing_token = max(self.highest_fencing_token, fencing)
         self.record_id(command_id)
@@ -107,14 +115,14 @@
         return standin.json_answer(202, {'id': command_id})
 
     def record_id(self, command_id):
-        """Keep the id, so that a repeated command does nothing."""
+        """Store a command id, so that a duplicate has no effect."""
         self.last_command_id = command_id
         self.seen_ids[command_id] = None
         if len(self.seen_ids) > MAX_COMMAND_IDS:
             del self.seen_ids[next(iter(self.seen_ids))]
 
     def execute(self, body):
-        """Begin what the command asks for."""
+        """Start the change that the command requests."""
         match body.get('kind'):
             case 'role':
                 self.change_role(body['role'])
@@ -127,7 +135,7 @@
                 self.ledger.write('unloaded', model=body['model'])
 
     def change_role(self, role):
-        """Begin a role change, unless the engine has the role."""
+        """Start a role change, unless the engine has the role already."""
         if role == self.model.role:
             self.ledger.write('role_kept', role=role)
             return
@@ -142,16 +150,16 @@
         self.wake.set()
 
     def crash(self):
-        """Die in the middle of a change."""
+        """End the process in the middle of a role change."""
         self.ledger.write('crash', id='', running=[])
         standin.crash()
 
     def record_role_change(self, role):
-        """The role change is over."""
+        """Record the end of a role change."""
         self.ledger.write('change_done', role=role)
 
     def finish_load(self):
-        """The model load is over."""
+        """Add the loaded model to those that the engine runs."""
         if self.loading_model not in self.models:
             self.models.append(self.loading_model)
         self.ledger.write('loaded', model=self.loading_model)
--- a/magnoliadyke/lab/enginemodel.py
+++ b/magnoliadyke/lab/enginemodel.py
@@ -1,4 +1,4 @@
-"""Step model of a model engine: continuous batching, KV memory, roles."""
+"""Step model of an engine: continuous batching, KV cache and roles."""
 
 import collections
 import heapq
@@ -32,20 +32,23 @@
     """Speeds and sizes of an engine.
 
     The defaults describe an engine whose decode step with a full batch of
-    64 takes 46 ms (1,400 tokens/s) and that reads 5,000 prompt tokens/s.
+    64 takes 46 ms (1,400 tokens/s) and that prefills 5,000 tokens/s.
 
     :param prefill_s_per_token: seconds per prompt token, prefill role
-    :param decode_base_s: seconds of a decode step without streams
-    :param decode_s_per_stream: further seconds of a step for each stream
-    :param prefill_penalty_on_decode: factor on prefill, decode role
-    :param decode_penalty_on_prefill: factor on decode, prefill role
-    :param max_batch: streams in one decode step
-    :param kv_capacity_tokens: tokens of KV memory, prefix cache included
-    :param chunk_tokens: most prompt tokens in one step, prefill role
-    :param min_chunk_tokens: least prompt tokens in a step, decode role
-    :param step_target_s: the decode role sizes chunks to this step time
-    :param role_change_s: seconds during which a role change runs nothing
-    :param kv_import_s_per_token: seconds per imported token of KV cache
+    :param decode_base_s: fixed part of a decode step, in seconds
+    :param decode_s_per_stream: seconds that each stream adds to a step
+    :param prefill_penalty_on_decode: factor on prefill time, decode role
+    :param decode_penalty_on_prefill: factor on decode time, prefill role
+    :param max_batch: maximum number of streams in one decode step
+    :param kv_capacity_tokens: size of the KV cache in tokens, including the
+        prefix cache
+    :param chunk_tokens: maximum prompt tokens in one step
+    :param min_chunk_tokens: minimum prompt tokens in a step of the decode
+        role with running streams, if that many wait
+    :param step_target_s: step time for which the decode role sizes its
+        prefill chunks
+    :param role_change_s: duration of a role change; no step runs meanwhile
+    :param kv_import_s_per_token: seconds to import one token of KV cache
     """
 
     prefill_s_per_token: float = 0.0002
@@ -63,13 +66,13 @@
 
 
 class Work(NamedTuple):
-    """A request as one engine sees it.
+    """A request, or one stage of it, submitted to an engine.
 
-    :param kind: 'prefill' (KV cache only), 'decode' (KV cache comes from
-        elsewhere) or 'both'
-    :param output_tokens: index one past the last output token
-    :param priority: lower runs first
-    :param offset: output tokens that exist already
+    :param kind: 'prefill' (computes the KV cache only), 'decode' (imports
+        the KV cache from another engine) or 'both'
+    :param output_tokens: length of the complete output, `offset` included
+    :param priority: lower values run first
+    :param offset: number of output tokens generated earlier
     """
 
     id: str
@@ -82,7 +85,7 @@
 
 
 class PrefillDone(NamedTuple):
-    """The prompt has been read; its KV cache is ready."""
+    """The prefill is complete; the KV cache of the prompt is ready."""
 
     id: str
     at_s: float
@@ -90,7 +93,7 @@
 
 
 class Token(NamedTuple):
-    """Output token number `index` exists."""
+    """Output token number `index` was generated."""
 
     id: str
     index: int
@@ -98,35 +101,35 @@
 
 
 class Finished(NamedTuple):
-    """All output tokens exist."""
+    """All output tokens were generated."""
 
     id: str
     at_s: float
 
 
 class RoleChanged(NamedTuple):
-    """The engine works in its new role."""
+    """A role change is complete."""
 
     role: str
     at_s: float
 
 
 class CacheStored(NamedTuple):
-    """Blocks entered the prefix cache."""
+    """Blocks were added to the prefix cache."""
 
     blocks: tuple
     at_s: float
 
 
 class CacheEvicted(NamedTuple):
-    """Blocks left the prefix cache."""
+    """Blocks were evicted from the prefix cache."""
 
     blocks: tuple
     at_s: float
 
 
 class _Entry:
-    """A work item on its way through the engine."""
+    """Progress of one work item."""
 
     __slots__ = (
         'cached_tokens',
@@ -149,13 +152,14 @@
 
 
 class EngineModel:
-    """One engine, moved along by :meth:`advance`.
+    """Simulates one engine; :meth:`advance` moves its clock.
 
-    The model works in steps, as an engine with continuous batching does:
-    a step gives each running stream one token and reads a chunk of the
-    prompts that wait.  A stream's end is kept as a step count, so a step
-    costs the same at any batch, and steps in which nothing begins or ends
-    are taken together unless `report_tokens` asks for each token.
+    The model runs in steps, as an engine with continuous batching does:
+    a step generates one token for each running stream and prefills a chunk
+    of the waiting prompts.  A stream's end is stored as a step number, so
+    simulating a step costs the same for any batch size.  Steps in which no
+    work starts or ends are simulated as one span, unless `report_tokens`
+    is set.
 
     :param spec: speeds and sizes
     :param role: 'prefill' or 'decode'
@@ -188,7 +192,7 @@
         self._change_end_s = None
 
     def submit(self, work, now_s):
-        """Take a work item; it joins at the next step."""
+        """Enqueue a work item; it may join the batch at the next step."""
         self._complete_steps(now_s)
         entry = _Entry(work, now_s)
         self._entries[work.id] = entry
@@ -203,9 +207,10 @@
         self._start_step(now_s)
 
     def cancel(self, work_id, now_s):
-        """Drop a work item.
+        """Remove a work item.
 
-        :returns: output tokens that exist, or `NO_STREAM` if none can
+        :returns: number of output tokens so far, or `NO_STREAM` if the
+            engine does not hold the work item
         """
         self._complete_steps(now_s)
         entry = self._entries.pop(work_id, None)
@@ -222,14 +227,18 @@
         return offset
 
     def offset(self, work_id):
-        """Output tokens of a work item that exist so far."""
+        """Return the number of output tokens that a work item has so far.
+
+        :returns: `NO_STREAM` if the engine does not hold the work item
+        """
         entry = self._entries.get(work_id)
         return NO_STREAM if entry is None else self._output_offset(entry)
 
     def set_role(self, role, now_s):
-        """Begin a role change; what runs is frozen until its end.
+        """Start a role change; running work pauses until it is complete.
 
-        The prefix cache is lost.  Draining first is the caller's matter.
+        The prefix cache is cleared.  The caller has to drain the engine
+        first if its work must not pause.
         """
         self._complete_steps(now_s)
         self.target_role = role
@@ -241,9 +250,9 @@
         self._evict(len(self.cache), now_s)
 
     def crash(self, now_s):
-        """Lose all work and memory.
+        """Drop all work, the KV cache and the prefix cache.
 
-        :returns: ids of the work that was lost
+        :returns: ids of the dropped work items
         """
         self._complete_steps(now_s)
         lost = list(self._entries)
@@ -263,12 +272,12 @@
         return lost
 
     def restart(self, now_s):
-        """Come back empty after a crash."""
+        """Accept work again, with empty caches, after a crash."""
         self.state = 'in'
         self._at_s = now_s
 
     def advance(self, now_s):
-        """Run up to `now_s`.
+        """Simulate up to `now_s`.
 
         :returns: events since the last call, oldest first
         """
@@ -278,7 +287,7 @@
         return events
 
     def next_event_s(self):
-        """Time of the next event, or None when nothing runs."""
+        """Return the time of the next event, or None if no work can run."""
         if self._events:
             return self._at_s
         if self._change_end_s is not None:
@@ -290,7 +299,7 @@
         return None
 
     def report(self, now_s):
-        """The load as the engine would publish it now."""
+        """Return the engine's current load report."""
         queued = len(self._entries) - len(self.running)
         return jobs.LoadReport(
             at_s=now_s,
@@ -320,7 +329,7 @@
         return entry.prefill_left
 
     def _complete_steps(self, now_s):
-        """Apply every step that has ended by `now_s`."""
+        """Apply the effects of all steps that end by `now_s`."""
         if self._change_end_s is not None:
             if self._change_end_s > now_s:
                 return
@@ -337,7 +346,7 @@
             self._start_step(end_s)
 
     def _truncate_span(self, now_s):
-        """Leave only the step that is under way at `now_s`."""
+        """Complete the steps of the span that end by `now_s`."""
         if self._span_steps == 1:
             return
         completed_steps = int((now_s - self._at_s) / self._step_s)
@@ -355,7 +364,10 @@
         self._start_step(self._at_s)
 
     def _start_step(self, now_s):
-        """Form the next step, or shorten a long span to the current one."""
+        """Schedule the next step, or cut a span short so that work may join.
+
+        A span that is under way is reduced to its current step.
+        """
         if self.state != 'in':
             return
         if self._span_steps:
@@ -432,9 +444,9 @@
         self._new_streams.append(entry)
 
     def _schedule_prefill(self, decode_s):
-        """Choose the prompt tokens that the next step reads.
+        """Choose the prompt tokens that the next step prefills.
 
-        :returns: the seconds that they add to the step
+        :returns: seconds that their prefill adds to the step
         """
         budget, token_s = self._prompt_budget(decode_s)
         left = budget
@@ -448,8 +460,9 @@
                 continue
             kept.append(key)
             if entry.prefill_left == NO_STREAM:
-                # Prompts opened before go on past one that finds no memory:
-                # were they to wait behind it, neither would ever end.
+                # Prompts whose prefill has started continue ahead of one
+                # that can't reserve KV cache: if they waited behind it,
+                # they would never release the memory that it needs.
                 is_blocked = is_blocked or not self._start_prefill(entry)
                 if is_blocked:
                     continue
@@ -478,7 +491,10 @@
         return min(spec.chunk_tokens, fitting), token_s
 
     def _start_prefill(self, entry):
-        """Reserve memory for a prompt and look up its cached prefix."""
+        """Reserve KV cache for a prompt and look up its cached prefix.
+
+        :returns: False if the batch or the KV cache is full
+        """
         work = entry.work
         streams = len(self.running)
         if work.kind != PREFILL and streams >= self.spec.max_batch:
--- a/magnoliadyke/lab/enginerun.py
+++ b/magnoliadyke/lab/enginerun.py
@@ -1,4 +1,4 @@
-"""One prompt on its way through an engine stand-in, and its answer."""
+"""A run of one prompt on an engine stand-in, and its output text."""
 
 import hashlib
 import json
@@ -13,10 +13,15 @@
 
 
 class Run:
-    """One prompt on its way through the engine.
+    """One prompt submitted to the engine, and its progress.
 
     :param kind: ``prefill``, ``decode`` or ``both``
-    :param offset: output tokens that exist already
+    :param total: length of the complete output, in tokens
+    :param offset: number of output tokens generated earlier
+    :ivar produced: number of output tokens so far, ``offset`` included
+    :ivar end_reason: ``finished``, ``cancelled`` or ``exported``; empty
+        while the run is in progress
+    :ivar changed: set, and replaced by a new event, at each change
     """
 
     def __init__(self, run_id, kind, prompt, model, total, offset):
@@ -43,12 +48,12 @@
         self.tail = tail.encode()
 
     def notify(self):
-        """Wake all that wait for this run."""
+        """Wake all greenlets that wait for a change of this run."""
         changed, self.changed = self.changed, event.Event()
         changed.set()
 
     def frame(self, start, end):
-        """The server-sent event of output tokens ``start`` to ``end``."""
+        """Return the server-sent event with tokens ``start`` to ``end``."""
         text = answer_text(self.digest, start, end).encode()
         return b'data: {"offset":%d,"end":%d,%b%b%b\n\n' % (
             start,
@@ -59,7 +64,7 @@
         )
 
     def last_frame(self):
-        """The event that ends the answer, and the mark after it."""
+        """Return the final event of the answer, followed by ``[DONE]``."""
         frame = {
             'offset': self.produced,
             'id': self.id,
@@ -77,21 +82,25 @@
 
 
 def answer_text(prompt_digest, start, end):
-    """Text of the output tokens ``start`` to ``end``.
+    """Return the text of the output tokens ``start`` to ``end``.
 
-    It depends on the prompt alone, so that a checker can tell a whole
-    answer from one that was cut or belongs to somebody else.
+    It depends on the prompt alone, so that a checker can tell a complete
+    answer from a truncated one and from that of another request.
     """
     return ''.join(f'{prompt_digest}-{i} ' for i in range(start, end))
 
 
 def digest(prompt):
-    """What marks the answer to this prompt."""
+    """Return the digest of a prompt that its answer's tokens repeat."""
     return hashlib.sha256(prompt.encode()).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 def output_tokens(body):
-    """Length of the answer: the limit, or less where the prompt says so."""
+    """Return the length of the answer, in tokens.
+
+    It is ``max_tokens``, or less if a word of the prompt,
+    ``answer-tokens:N``, requests a shorter answer.
+    """
     limit = max(1, int(body.get('max_tokens') or 16))
     for word in body['prompt'].split():
         if word.startswith(LENGTH_PREFIX):
