--- a/magnoliadyke/lab/engine.py
+++ b/magnoliadyke/lab/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: the published protocol over a step model."""
+"""Stand-in for a model engine: its HTTP protocol over a step model."""
 
 import collections
 import http.client
@@ -28,7 +28,7 @@
 MAX_RUNS = 50_000
 KEEP_ALIVE_COMMENT = b': keep-alive\n\n'
 
-#: What a checker needs to know of the answers.
+#: For checkers, which compute the expected answers.
 answer_text = enginerun.answer_text
 digest = enginerun.digest
 
@@ -36,17 +36,18 @@
 class Spec(typing.NamedTuple):
     """Settings of the stand-in.
 
-    :param role: role at the start
-    :param checks_fencing: whether it refuses stale fencing numbers
-    :param models: models that are loaded at the start
+    :param role: initial role
+    :param checks_fencing: whether it rejects stale fencing tokens
+    :param models: models that are loaded initially
     :param speeds: fields of :class:`enginemodel.EngineSpec`
-    :param report_lag_s: age of the load report that is given out
-    :param event_delay_s: delay of cache events
+    :param report_lag_s: minimum age of the load report that it returns
+    :param event_delay_s: delay until a cache event is published
     :param event_loss: share of cache events that are lost
-    :param load_s: seconds to load a model
-    :param queue_limit: work that may wait before it refuses more
-    :param crash_word: a prompt with this word ends the process
-    :param ledger: file for the ledger; in memory only when empty
+    :param load_s: duration of a model load
+    :param queue_limit: number of waiting requests from which it rejects
+        further ones
+    :param crash_word: a prompt with this word crashes the process
+    :param ledger: path of the ledger file; in memory only if empty
     """
 
     name: str = 'engine'
@@ -64,7 +65,11 @@
 
 
 class ExportedCache(typing.NamedTuple):
-    """KV cache that was exported and waits for its importer."""
+    """An exported KV cache that another engine may import.
+
+    :param offset: number of output tokens that it includes
+    :param until_s: monotonic time at which it expires
+    """
 
     prompt_tokens: int
     offset: int
@@ -72,15 +77,15 @@
 
 
 class EngineStandIn:
-    """The engine behind its published HTTP protocol, with faults.
+    """An engine that speaks the published HTTP protocol, with faults.
 
     Faults, by ``POST /faults {"kind", ...}``: ``refuse`` (``for_s``),
-    ``silent`` (streams open now say nothing more; new ones work), ``lag``
-    (``for_s``, ``lag_s``), ``lose_events`` (``for_s``, ``share``),
-    ``lose_reply`` (``count``: commands whose answer is lost),
-    ``crash_in_change``, ``fail_change`` (it ends in the old role), ``crash``
-    (at once), ``leaving`` (the state says so, work is still taken), ``left``
-    (work is refused), ``back``, ``clear``.
+    ``silent`` (open streams send no more bytes but stay connected; new ones
+    work), ``lag`` (``for_s``, ``lag_s``), ``lose_events`` (``for_s``,
+    ``share``), ``lose_reply`` (``count``: commands whose response is lost),
+    ``crash_in_change``, ``fail_change`` (a role change ends in the old
+    role), ``crash`` (at once), ``leaving`` (the published state, but requests
+    are still accepted), ``left`` (requests are rejected), ``back``, ``clear``.
     """
 
     def __init__(self, spec):
@@ -103,7 +108,7 @@
         )
 
     def start(self):
-        """Start the tasks that move the engine along."""
+        """Start the engine's background tasks."""
         for task in (
             self.run_model,
             self.record_reports_forever,
@@ -114,7 +119,7 @@
     # Tasks.
 
     def run_model(self):
-        """Advance the model and hand its events to the runs."""
+        """Advance the model in real time and apply its events to the runs."""
         while True:
             now_s = time.monotonic()
             for model_event in self.model.advance(now_s):
@@ -127,7 +132,6 @@
                 self.wake.wait(max(0.0, next_s - time.monotonic()))
 
     def apply_event(self, model_event, now_s):
-        """Apply one event of the model."""
         match model_event:
             case enginemodel.Token(run_id, index):
                 run = self.runs[run_id]
@@ -145,14 +149,14 @@
                 self.events.add('evicted', blocks, now_s, self.event_loss())
 
     def record_prefill_done(self, run, cached_tokens):
-        """The prompt has been read."""
+        """Record the end of a prefill, after which the crash word acts."""
         run.cached_tokens = cached_tokens
         self.crash_on_crash_word(run)
         if run.kind == enginemodel.PREFILL:
             self.finish_run(run, 'finished')
 
     def crash_on_crash_word(self, run):
-        """End the process if the prompt has the word that kills engines."""
+        """Crash the process if the prompt contains the crash word."""
         if self.spec.crash_word in run.prompt.split():
             self.ledger.write(
                 'crash', id=run.id, running=self.active_run_ids()
@@ -160,19 +164,22 @@
             standin.crash()
 
     def active_run_ids(self):
-        """Ids of the runs that have not ended."""
+        """Return the ids of the runs that have not ended."""
         return [run.id for run in self.runs.values() if not run.end_reason]
 
     def finish_run(self, run, end):
-        """A run is over."""
+        """End a run, and record it in the ledger.
+
+        :param end: ``finished``, ``cancelled`` or ``exported``
+        """
         run.end_reason = end
         run.notify()
         self.ledger.write('end', id=run.id, end=end, tokens=run.produced)
-        # Exports and resumes need what a run made, not its whole prompt.
+        # Exports and resumes use the output, not the prompt: free it.
         run.prompt = ''
 
     def record_reports_forever(self):
-        """Take load reports, to be given out late."""
+        """Record load reports, which are returned only after the lag."""
         while True:
             now_s = time.monotonic()
             self.reports.append(self.build_report(now_s))
@@ -180,7 +187,7 @@
             gevent.sleep(REPORT_INTERVAL_S)
 
     def build_report(self, now_s):
-        """The load at this moment."""
+        """Return the current load report."""
         report = self.model.report(now_s)
         state = self.state
         if state == 'in' and self.commands.is_changing():
@@ -190,7 +197,10 @@
         )
 
     def evict_old(self, now_s):
-        """Forget caches and runs that nobody will ask for."""
+        """Remove expired KV exports and, above the limit, the oldest runs.
+
+        A run in progress stays, and with it all that began after it.
+        """
         for kv_id, cache in list(self.exported_caches.items()):
             if cache.until_s < now_s:
                 del self.exported_caches[kv_id]
@@ -201,9 +211,9 @@
             del self.runs[oldest.id]
 
     def wake_idle_streams(self):
-        """Wake idle streams so that they can say they are alive.
+        """Wake idle streams so that they send a keep-alive comment.
 
-        One ticker for all costs less than a timer in each stream.
+        One timer for all streams costs less than one for each.
         """
         while True:
             gevent.sleep(KEEP_ALIVE_INTERVAL_S)
@@ -214,7 +224,7 @@
     # Requests.
 
     def handle(self, request):
-        """Answer one request."""
+        """Route one request to its handler."""
         match [request.method, *request.path.split('/')[1:]]:
             case ['POST', 'v1', 'completions']:
                 return self.complete(request)
@@ -248,7 +258,7 @@
         return standin.error_answer(404, 'no_such_path', request.path)
 
     def complete(self, request):
-        """Start a stream."""
+        """Handle ``POST /v1/completions``: start a stream."""
         body = request.json()
         if not body.get('stream'):
             raise ValueError('stream must be true')
@@ -261,9 +271,9 @@
             kind = enginemodel.DECODE
             cache = fetch_cache(body['kv'])
             if cache is None:
-                return not_run('the KV cache to import is gone')
+                return not_run('the KV cache to import is not available')
             offset = cache['offset'] if 'offset' not in body else offset
-            # The fetch yields: a twin of this request may have come in.
+            # The fetch yields: a duplicate may have been accepted meanwhile.
             refusal = self.find_refusal(body, body['id'])
             if refusal is not None:
                 return refusal
@@ -272,9 +282,9 @@
         return standin.EventStream(self.stream(run, offset))
 
     def find_refusal(self, body, run_id):
-        """Why a request can't be run, if so."""
+        """Return the response that rejects a request, or None."""
         if self.state == 'left' or self.faults.get('refuse') is not None:
-            return not_run('the engine takes no work')
+            return not_run('the engine does not accept requests')
         if body.get('model') not in self.commands.models:
             return not_run(f'model {body.get("model")!r} is not loaded')
         waiting = self.model.report(time.monotonic()).queued
@@ -287,7 +297,7 @@
         return None
 
     def submit(self, run_id, kind, body, total, offset, request):
-        """Give work to the model and write it in the ledger."""
+        """Submit work to the model and record it in the ledger."""
         prompt = body['prompt']
         run = enginerun.Run(run_id, kind, prompt, body['model'], total, offset)
         words = prompt.split()
@@ -321,11 +331,11 @@
         return run
 
     def stream(self, run, offset):
-        """Server-sent events of a run from an offset on."""
+        """Generate the server-sent events of a run from an offset on."""
         silence_count_at_open = self.silence_count
         last_sent_s = time.monotonic()
-        # The head leaves with the first bytes: the reader learns at once
-        # that the engine has the request.
+        # The server sends the response head with the first chunk: yielding
+        # one at once lets the client see that the engine has the request.
         yield KEEP_ALIVE_COMMENT
         while True:
             if silence_count_at_open != self.silence_count:
@@ -340,8 +350,8 @@
                 yield run.last_frame()
                 return
             elif run.end_reason:
-                # Cancelled or moved: no finish mark, so nobody can take
-                # what came so far for the whole answer.
+                # Cancelled or exported: without the final event, no client
+                # can mistake the partial output for a complete answer.
                 return
             else:
                 changed.wait()
@@ -355,7 +365,7 @@
                         yield KEEP_ALIVE_COMMENT
 
     def prefill(self, request):
-        """Read a prompt and keep its KV cache for another engine."""
+        """Handle ``POST /v1/prefill``: prefill and export the KV cache."""
         body = request.json()
         run_id = prefill_id(body['id'])
         refusal = self.find_refusal(body, run_id)
@@ -366,7 +376,7 @@
             run.changed.wait()
         if run.end_reason != 'finished':
             return standin.error_answer(
-                409, run.end_reason, 'the prefill was ended'
+                409, run.end_reason, 'the prefill ended early'
             )
         kv_id = self.export_cache(run.prompt_tokens, 0)
         return standin.json_answer(
@@ -379,7 +389,10 @@
         )
 
     def export_cache(self, prompt_tokens, offset):
-        """Keep an exported KV cache for a while; its id."""
+        """Store an exported KV cache until it expires.
+
+        :returns: its id
+        """
         kv_id = secrets.token_hex(8)
         until_s = time.monotonic() + KV_EXPORT_RETENTION_S
         self.exported_caches[kv_id] = ExportedCache(
@@ -388,7 +401,7 @@
         return kv_id
 
     def read_exported_cache(self, kv_id):
-        """Hand a KV cache to another engine."""
+        """Handle ``GET /v1/kv/ID``: return an exported KV cache."""
         cache = self.exported_caches.get(kv_id)
         if cache is None:
             return standin.error_answer(404, 'unknown_kv', kv_id)
@@ -398,7 +411,7 @@
         )
 
     def resume(self, run_id, request):
-        """Go on with a stream from an offset."""
+        """Handle ``GET /v1/streams/ID``: resume a stream from an offset."""
         run = self.runs.get(run_id)
         offset = int(request.query.get('offset', '0'))
         moved = run is not None and run.end_reason not in ('', 'finished')
@@ -407,7 +420,7 @@
         return standin.EventStream(self.stream(run, offset))
 
     def cancel(self, run_id, request):
-        """End a stream or a prefill."""
+        """Handle ``POST /v1/streams/ID/cancel``: end a stream or a prefill."""
         found = False
         for name in (run_id, prefill_id(run_id)):
             run = self.runs.get(name)
@@ -421,7 +434,10 @@
         return standin.json_answer(200, {'cancelled': found})
 
     def export(self, request):
-        """Stop a stream so that another engine can go on with it."""
+        """Handle ``POST /v1/kv/export``: stop a stream, export its KV cache.
+
+        Another engine can import it and continue the stream.
+        """
         run_id = request.json()['id']
         run = self.runs.get(run_id)
         if run is None or run.end_reason:
@@ -438,7 +454,7 @@
         return standin.json_answer(200, {'kv_id': kv_id, 'offset': offset})
 
     def read_load(self):
-        """The newest load report that is old enough."""
+        """Return the newest load report that is older than the lag."""
         fault = self.faults.get('lag')
         lag_s = self.spec.report_lag_s
         if fault is not None:
@@ -455,20 +471,20 @@
         )
 
     def event_loss(self):
-        """Share of cache events that are lost now."""
+        """Return the current probability that a cache event is lost."""
         fault = self.faults.get('lose_events')
         if fault is not None:
             return float(fault.get('share', 1.0))
         return self.spec.event_loss
 
     def cache_events(self, request):
-        """Cache events after a sequence number, late and with gaps."""
+        """Handle ``GET /v1/cache_events``, a long poll."""
         after = int(request.query.get('after', '0'))
         wait_s = float(request.query.get('wait_s', '0'))
         return standin.json_answer(200, self.events.read(after, wait_s))
 
     def set_fault(self, fault):
-        """Turn a fault on or off."""
+        """Handle ``POST /faults``: turn a fault on or off."""
         kind = fault.get('kind', '')
         self.ledger.write('fault', fault=dict(fault))
         match kind:
@@ -502,17 +518,24 @@
 
 
 def prefill_id(run_id):
-    """Prefill and decode of one id may meet on one engine."""
+    """Return the run id of a prefill.
+
+    It differs from that of the decode, which may run on the same engine.
+    """
     return f'prefill:{run_id}'
 
 
 def not_run(message):
-    """Refuse work before it ran."""
+    """Return the response to a request that was not executed."""
     return standin.error_answer(503, 'not_run', message)
 
 
 def fetch_cache(kv):
-    """Ask the engine that holds a KV cache for it; ``None`` if it's gone."""
+    """Fetch an exported KV cache from the engine that holds it.
+
+    :param kv: object with ``address`` and ``kv_id``
+    :returns: None if the engine is unreachable or has no such export
+    """
     address, port = standin.split_address(kv['address'])
     connection = http.client.HTTPConnection(
         address, port, timeout=KV_FETCH_TIMEOUT_S
--- a/magnoliadyke/lab/hostlist.py
+++ b/magnoliadyke/lab/hostlist.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of hosts, which lags."""
+"""Stand-in for the platform's list of hosts, which is out of date."""
 
 import collections
 import time
@@ -15,7 +15,7 @@
     """Settings of the stand-in.
 
     :param hosts: rows with ``host``, ``state`` and ``address``
-    :param lag_s: age of the list that is given out
+    :param lag_s: minimum age of the list that it returns
     """
 
     hosts: typing.Sequence[typing.Mapping[str, str]] = ()
@@ -23,7 +23,7 @@
 
 
 class HostListStandIn:
-    """The list as it was ``lag_s`` ago; ``POST /hosts`` changes a row."""
+    """Returns the list as of ``lag_s`` ago; ``POST /hosts`` changes a row."""
 
     def __init__(self, spec):
         self.spec = spec
@@ -33,7 +33,7 @@
         )
 
     def handle(self, request):
-        """Answer one request."""
+        """Route one request to its handler."""
         match (request.method, request.path):
             case ('GET', '/hosts'):
                 return self.read_hosts()
@@ -44,7 +44,7 @@
         return standin.error_answer(404, 'no_such_path', request.path)
 
     def read_hosts(self):
-        """The newest list that is old enough, or the first one."""
+        """Return the newest list that is older than the lag, or the first."""
         newest_allowed_s = time.time() - self.spec.lag_s
         at_s, rows = self.versions[0]
         for version_s, version in self.versions:
@@ -55,7 +55,7 @@
         )
 
     def update_row(self, row):
-        """Set a host's row; state ``gone`` removes it."""
+        """Update fields of a host's row; state ``gone`` removes the row."""
         rows = dict(self.versions[-1][1])
         before = rows.pop(row['host'], {})
         if row.get('state') != 'gone':
--- a/magnoliadyke/lab/httpstandin.py
+++ b/magnoliadyke/lab/httpstandin.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of the platform have in common: they listen for HTTP."""
+"""HTTP server that the stand-ins of the platform have in common."""
 
 import abc
 
@@ -12,7 +12,7 @@
 
 
 class HttpStandIn(abc.ABC):
-    """Answers requests on kept connections.
+    """Serves requests on persistent connections.
 
     :param address: numeric ``ip:port``; port 0 for any
     :ivar sockets: open connections
@@ -24,7 +24,10 @@
         self.server: server.StreamServer | None = None
 
     def start(self) -> str:
-        """Listen; returns the address."""
+        """Start listening.
+
+        :returns: the address, with the port that was bound
+        """
         host, _, port = self.listen_address.rpartition(':')
         self.server = server.StreamServer((host, int(port)), self._serve)
         self.server.start()
@@ -32,7 +35,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Address on which it listens, as ``ip:port``."""
         return f'{self.server.server_host}:{self.server.server_port}'
 
     def stop(self) -> None:
@@ -52,7 +55,7 @@
             while self._serve_one(caller, reader):
                 pass
         except (callers.CallerLeft, http.BrokenMessage, http.PeerClosed):
-            # Callers come and go.
+            # Clients may disconnect at any time.
             pass
         finally:
             self.sockets.discard(sock)
@@ -62,11 +65,17 @@
     def _serve_one(
         self, caller: callers.Caller, reader: http.RequestReader
     ) -> bool:
-        """Answer one request; False ends the connection."""
+        """Answer one request.
+
+        :returns: False to close the connection
+        """
 
 
 def read_request(reader: http.RequestReader) -> tuple[http.Head, bytes]:
-    """Wait for a whole request."""
+    """Read one complete request.
+
+    :returns: its head and its body
+    """
     head = reader.next_part()
     pieces = []
     while isinstance(part := reader.next_part(), http.Body):
--- a/magnoliadyke/lab/service.py
+++ b/magnoliadyke/lab/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: echoes calls and keeps a ledger of them."""
+"""Stand-in for a plain service: echoes calls and records them."""
 
 import typing
 
@@ -12,8 +12,8 @@
 class Spec(typing.NamedTuple):
     """Settings of the stand-in.
 
-    :param work_s: seconds that a call takes
-    :param ledger: file for the ledger; in memory only when empty
+    :param work_s: duration of a call
+    :param ledger: path of the ledger file; in memory only if empty
     """
 
     name: str = 'service'
@@ -22,12 +22,12 @@
 
 
 class ServiceStandIn:
-    """A service that takes any path and writes each call in its ledger.
+    """A service that accepts any path and records each call.
 
     Faults, by ``POST /faults {"kind", ...}``: ``refuse`` (``for_s``),
     ``slow`` (``for_s``, ``delay_s``), ``lose_reply`` (``count``: calls that
-    ran but are not answered), ``crash``, ``leaving``, ``left``, ``back``,
-    ``clear``.
+    are executed but get no response), ``crash``, ``leaving``, ``left``,
+    ``back``, ``clear``.
     """
 
     def __init__(self, spec):
@@ -37,7 +37,7 @@
         self.state = 'in'
 
     def handle(self, request):
-        """Answer one call."""
+        """Route one request to its handler."""
         match (request.method, request.path):
             case ('GET', '/health'):
                 return standin.json_answer(200, {'state': self.state})
@@ -49,10 +49,13 @@
         return self.call(request)
 
     def call(self, request):
-        """Run one call."""
+        """Execute one call and echo it.
+
+        :raises standin.DropConnection: the fault ``lose_reply`` is on
+        """
         if self.state == 'left' or self.faults.get('refuse') is not None:
             return standin.error_answer(
-                503, 'not_run', 'the service takes no work'
+                503, 'not_run', 'the service does not accept calls'
             )
         request_id = request.header('X-Request-Id')
         self.ledger.write(
@@ -87,7 +90,7 @@
         )
 
     def set_fault(self, fault):
-        """Turn a fault on or off."""
+        """Handle ``POST /faults``: turn a fault on or off."""
         kind = fault.get('kind', '')
         self.ledger.write('fault', fault=dict(fault))
         match kind:
--- a/magnoliadyke/lab/standin.py
+++ b/magnoliadyke/lab/standin.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a WSGI server, requests, answers, a ledger."""
+"""Common parts of the stand-ins: WSGI server, requests, faults, ledger."""
 
 import collections
 from collections import abc
@@ -53,7 +53,7 @@
 
 
 class Request(typing.NamedTuple):
-    """One request as a stand-in sees it."""
+    """One request to a stand-in."""
 
     method: str
     path: str
@@ -62,12 +62,15 @@
     body: bytes
 
     def header(self, name, default=''):
-        """Value of the header ``name``."""
+        """Return the value of the header ``name``, in any case."""
         key = 'HTTP_' + name.upper().replace('-', '_')
         return self.environ.get(key, default)
 
     def json(self):
-        """The body as a JSON object; an empty body is an empty object."""
+        """Return the body, a JSON object; an empty body gives an empty one.
+
+        :raises ValueError: the body is not a JSON object
+        """
         if not self.body:
             return {}
         value = json.loads(self.body)
@@ -77,7 +80,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """An answer with its whole body."""
+    """A response with its complete body."""
 
     status: int
     body: bytes = b''
@@ -85,22 +88,22 @@
 
 
 class EventStream(typing.NamedTuple):
-    """A stream of server-sent events."""
+    """A response that streams server-sent events."""
 
     chunks: abc.Iterable[bytes]
 
 
 class DropConnection(Exception):
-    """Ends the connection without an answer."""
+    """Makes the server close the connection without a response."""
 
 
 class Ledger:
-    """Rows of what a stand-in did, for a checker outside the nodes.
+    """Records what a stand-in did, for a checker outside the nodes.
 
-    A row goes to the file with one write before the answer leaves, so that
-    it outlives a crash of the process.
+    A row is appended to the file with one unbuffered write before the
+    response is sent, so that it survives a crash of the process.
 
-    :param path: file to append JSON lines to; none when empty.
+    :param path: file of JSON lines to append to; none if empty
     """
 
     def __init__(self, path=''):
@@ -108,7 +111,7 @@
         self.file = open(path, 'ab', buffering=0) if path else None
 
     def write(self, what, **fields):
-        """Append a row; ``at_s`` is wall time in seconds."""
+        """Append a row; its ``at_s`` is the wall time in seconds."""
         row = {'at_s': time.time(), 'what': what, **fields}
         self.rows.append(row)
         if self.file is not None:
@@ -117,14 +120,14 @@
 
 
 class Faults:
-    """Faults that are on, each until its time is over."""
+    """The active faults, each with its end time."""
 
     def __init__(self):
         self.until_s = {}
         self.values = {}
 
     def set(self, kind, fault):
-        """Turn a fault on for ``for_s`` seconds; for good without it."""
+        """Turn a fault on for its ``for_s`` seconds, or until cleared."""
         for_s = fault.get('for_s')
         forever = float('inf')
         end_s = forever if for_s is None else time.monotonic() + float(for_s)
@@ -132,18 +135,21 @@
         self.values[kind] = fault
 
     def clear(self, kind=''):
-        """Turn one fault off, or all."""
+        """Turn one fault off, or all if ``kind`` is empty."""
         for name in [kind] if kind else list(self.until_s):
             self.until_s.pop(name, None)
 
     def get(self, kind):
-        """Settings of the fault while it is on."""
+        """Return the settings of a fault, or None if it is off."""
         if self.until_s.get(kind, 0.0) <= time.monotonic():
             return None
         return self.values[kind]
 
     def consume(self, kind):
-        """As :meth:`get`, using up one of the fault's ``count`` (1)."""
+        """Return a fault as :meth:`get` does, and decrement its ``count``.
+
+        The fault is cleared when its count, by default 1, reaches 0.
+        """
         fault = self.get(kind)
         if fault is not None:
             fault['count'] = int(fault.get('count', 1)) - 1
@@ -153,10 +159,10 @@
 
 
 class Handler(pywsgi.WSGIHandler):
-    """Lets an application end its connection without an answer."""
+    """Lets an application close its connection without a response."""
 
     def get_environ(self):
-        """The WSGI environment with the handler itself in it."""
+        """Return the WSGI environment, with this handler added."""
         environ = super().get_environ()
         environ['lab.handler'] = self
         return environ
@@ -165,8 +171,8 @@
 class Server:
     """HTTP server of one stand-in.
 
-    :param address: ``ip:port`` to listen on.
-    :param handle: answers one request.
+    :param address: ``ip:port`` to listen on
+    :param handle: function from a :class:`Request` to its response
     """
 
     def __init__(
@@ -175,8 +181,8 @@
         handle,
     ):
         self.handle = handle
-        # Headers and body leave in two writes: without TCP_NODELAY an answer
-        # can wait 40 ms for a delayed acknowledgement.  Accepted sockets
+        # Headers and body are sent in two writes: without TCP_NODELAY the
+        # second can wait 40 ms for a delayed ACK.  Accepted sockets
         # inherit the option from the listener.
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -192,15 +198,15 @@
         )
 
     def start(self):
-        """Start to accept connections."""
+        """Start accepting connections."""
         self.wsgi.start()
 
     def stop(self):
-        """Stop and end what is still open after a short time."""
+        """Stop, and close connections still open after the timeout."""
         self.wsgi.stop(timeout=STOP_TIMEOUT_S)
 
     def application(self, environ, start_response):
-        """The WSGI application."""
+        """Handle one WSGI request; one that is malformed gets a 400."""
         try:
             answer = self.handle(read_request(environ))
         except DropConnection:
@@ -227,7 +233,10 @@
 
 
 def read_request(environ):
-    """The request in a WSGI environment."""
+    """Read the request from a WSGI environment.
+
+    :raises ValueError: the body is too long
+    """
     length = int(environ.get('CONTENT_LENGTH') or 0)
     if length > MAX_BODY_BYTES:
         raise ValueError(f'the body is over {MAX_BODY_BYTES} bytes')
@@ -246,7 +255,7 @@
 
 
 def json_answer(status, value, headers=()):
-    """An answer with a JSON body."""
+    """Return a response with a JSON body."""
     body = json.dumps(value, separators=(',', ':')).encode()
     return Answer(
         status, body, (('Content-Type', 'application/json'), *headers)
@@ -254,13 +263,13 @@
 
 
 def error_answer(status, code, message, **fields):
-    """An error in the shape that all stand-ins use."""
+    """Return an error response in the format of all stand-ins."""
     error = {'code': code, 'message': message, **fields}
     return json_answer(status, {'error': error})
 
 
 def read_spec(kind, argv):
-    """The settings of a stand-in from its arguments.
+    """Parse the settings of a stand-in from its arguments.
 
     :param kind: ``Spec`` of the stand-in, a NamedTuple
     :param argv: address, then optionally a JSON object of its fields
@@ -269,7 +278,7 @@
 
 
 def split_address(address):
-    """``ip:port`` as a pair."""
+    """Split ``ip:port`` into a pair of address and port number."""
     host, _, port = address.rpartition(':')
     return host, int(port)
 
@@ -277,8 +286,8 @@
 def run(server, *, at_stop=None):
     """Serve until SIGTERM or SIGINT.
 
-    :param at_stop: called before the server stops.
-    :returns: exit status.
+    :param at_stop: called before the server stops
+    :returns: exit status
     """
     stopped = event.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -292,11 +301,14 @@
 
 
 def content_digest(*parts):
-    """What marks a request's content in a ledger, whatever its key."""
+    """Return the digest by which a ledger identifies a request's content.
+
+    Duplicates have the same digest, whatever their idempotency keys.
+    """
     digest = hashlib.sha256('\n'.join(parts).encode())
     return digest.hexdigest()[:CONTENT_DIGEST_HEX_DIGITS]
 
 
 def crash():
-    """End the process at once, as a crash would: nothing is flushed."""
+    """Exit at once without flushing or cleanup, as in a crash."""
     os._exit(70)
