--- a/magnoliadyke/lab/fakes.py
+++ b/magnoliadyke/lab/fakes.py
@@ -1,4 +1,4 @@
-"""Fake model endpoints at the scheduler's interface, on virtual time."""
+"""Simulated model endpoints for a scheduler, on virtual time."""
 
 import collections
 import heapq
@@ -16,7 +16,7 @@
 
 
 class Timeline:
-    """Virtual time: calls in order of their time, then of their making."""
+    """Virtual clock that runs calls by time, then in order of scheduling."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -24,13 +24,13 @@
         self._serial = 0
 
     def at(self, at_s, call, *arguments):
-        """Call `call(*arguments)` at `at_s`, not before now."""
+        """Schedule `call(*arguments)` at `at_s`, or now if that is past."""
         self._serial += 1
         key = (max(at_s, self.now_s), self._serial, call, arguments)
         heapq.heappush(self._calls, key)
 
     def run(self, until_s):
-        """Run all calls up to `until_s`; later ones stay."""
+        """Run all calls scheduled up to `until_s`; later ones stay."""
         while self._calls and self._calls[0][0] <= until_s:
             self.now_s, _, call, arguments = heapq.heappop(self._calls)
             call(*arguments)
@@ -38,11 +38,12 @@
 
 
 class Answer:
-    """What became of one job.
+    """Progress and outcome of one job.
 
-    :param first_token_s: when its first token existed, None before
-    :param finished_s: when it was whole, None before
-    :param outcome: why it was refused, None if it was not
+    :ivar dispatched_s: time of its first dispatch, None before
+    :ivar first_token_s: time of its first output token, None before
+    :ivar finished_s: time at which the output was complete, None before
+    :ivar outcome: reason of its rejection, None if it was not rejected
     """
 
     __slots__ = (
@@ -63,7 +64,7 @@
         self.cached_tokens = 0
 
     def met_objectives(self):
-        """Whether the answer was whole and in time."""
+        """Return whether the answer is complete and met both objectives."""
         if self.finished_s is None:
             return False
         job = self.job
@@ -72,30 +73,31 @@
         return self.per_token_s() <= job.per_token_s
 
     def per_token_s(self):
-        """Mean time of a token after the first."""
+        """Return the mean time per output token after the first."""
         later = max(1, self.job.output_tokens - 1)
         return (self.finished_s - self.first_token_s) / later
 
 
 class _Run(NamedTuple):
-    """Where a dispatched job runs."""
+    """A dispatch, and the engine on which its decode has started."""
 
     action: schedulers.Dispatch
     decode_engine: str | None
 
 
 class FakePool:
-    """The engines of a pool, driven by one scheduler.
-
-    It does what the dispatcher and the duties do over HTTP: it starts what
-    the scheduler dispatches, tells it what happened, and carries a role
-    change out so that no request is cut: the engine gets no new work, its
-    streams move to engines that decode, its prompts are read to the end
-    (for `drain_s` at most), and then it changes.
-
-    :param specs: spec of each engine by name
-    :param roles: first role of each engine by name
-    :param drain_s: longest wait for an engine to run dry
+    """The engines of a pool, with one scheduler.
+
+    It does in virtual time what the dispatcher and the duties do over HTTP:
+    it starts the jobs that the scheduler dispatches, reports their progress
+    and results to the scheduler, and executes role changes without failing
+    requests: the engine gets no new work, its streams migrate to decode
+    engines, its prefills complete (within `drain_s`), and then its role
+    changes.
+
+    :param spec: speeds and sizes of all engines
+    :param roles: initial role of each engine by name
+    :param drain_s: maximum time to drain an engine, in seconds
     """
 
     def __init__(self, timeline, scheduler, spec, roles, drain_s=8.0):
@@ -124,30 +126,33 @@
     # Jobs
 
     def submit(self, job):
-        """A caller's request arrives."""
+        """Submit a job to the scheduler."""
         self.answers[job.id] = Answer(job)
         self.queued[job.customer].add(job.id)
         self.apply_actions(self.scheduler.submit(job, self.timeline.now_s))
 
     def waiting(self, customers):
-        """Jobs that were not dispatched yet, by customer."""
+        """Return the number of jobs not dispatched yet, by customer."""
         return {name: len(self.queued[name]) for name in customers}
 
     def prefills(self):
-        """Engines whose role is prefill."""
+        """Return the number of engines whose role is prefill."""
         engines = self.engines.values()
         return sum(each.role == enginemodel.PREFILL for each in engines)
 
     def fail_changes(self, until_s):
-        """Engines crash half-way through a change that begins by then."""
+        """Make engines crash half-way through changes that start earlier.
+
+        :param until_s: end of the fault
+        """
         self.fail_change_until_s = until_s
 
     def tick(self):
-        """Let the scheduler act on the time that has passed."""
+        """Run the scheduler's tick at the present time."""
         self.apply_actions(self.scheduler.tick(self.timeline.now_s))
 
     def apply_actions(self, actions):
-        """Carry out what the scheduler decided."""
+        """Execute the actions that the scheduler returned."""
         for action in actions:
             job = self.answers[action.job_id].job
             self.queued[job.customer].discard(job.id)
@@ -199,7 +204,7 @@
     # Engines
 
     def _schedule_wake(self, name):
-        """Wake an engine at its next event; earlier wake-ups lapse."""
+        """Schedule an engine's next event; earlier wake-ups are ignored."""
         at_s = self.engines[name].next_event_s()
         self._wake_versions[name] += 1
         if at_s is not None:
@@ -235,7 +240,7 @@
                 self._publish_cache_event(name, 'evicted', event.blocks)
 
     def _publish_cache_event(self, name, kind, blocks):
-        """Publish a cache event, late as the engines do."""
+        """Send the scheduler a cache event, after a lag as of engines."""
         events = ({'kind': kind, 'blocks': blocks},)
         arrives_s = self.timeline.now_s + CACHE_EVENT_LAG_S
         self.timeline.at(arrives_s, self._on_cache_events, name, events)
@@ -263,7 +268,7 @@
             self._change_when_drained(name)
 
     def _decode_endpoint(self, name):
-        """The endpoint itself, or another one while it is changing."""
+        """Return the endpoint, or a substitute while its role changes."""
         if self.states[name] == READY and name not in self.changing:
             return name
         return self._least_running(name) or name
@@ -284,7 +289,7 @@
             self._change_when_drained(name)
 
     def report(self, name):
-        """Take an engine's load report; it arrives after the lag."""
+        """Send the scheduler an engine's load report, after the lag."""
         engine = self.engines[name]
         now_s = self.timeline.now_s
         if engine.state != 'crashed':
@@ -294,8 +299,9 @@
 
     def _on_report(self, name, report):
         if report.at_s < self.state_set_at_s[name]:
-            # From before a change that is over: it would bring the old role
-            # back, and with it wrong routes for as long as reports lag.
+            # The report is older than the last change of state: it would
+            # restore the old role in the scheduler, and cause wrong routes
+            # until a newer report arrives.
             return
         self.reported_at_s[name] = report.at_s
         self.reported_load[name] = report.running + report.queued
@@ -304,16 +310,16 @@
             self.scheduler.handle_load_report(name, report, now_s)
         )
         if report.state != self.reported_state[name]:
-            # The scheduler groups its endpoints by state when it is told
-            # one; without this an engine whose own word lagged behind the
-            # end of its change would get no work.
+            # The scheduler groups its endpoints by state only when a state
+            # is set; without this an engine whose reports lag behind the
+            # end of its role change would get no work.
             self.reported_state[name] = report.state
             self._set_state(name, self.states[name])
 
     # Role changes
 
     def change_role(self, name, role):
-        """Drain an engine and give it another role."""
+        """Drain an engine, then start a change of its role."""
         now_s = self.timeline.now_s
         self.role_changes += 1
         self.changing[name] = role
@@ -323,7 +329,7 @@
         self._change_when_drained(name)
 
     def _move_streams(self, name):
-        """Continue an engine's streams on the engines that decode."""
+        """Migrate an engine's streams to the least loaded decode engines."""
         engine = self.engines[name]
         for job_id in list(engine.running):
             target = self._least_running(name)
@@ -388,9 +394,9 @@
     # Faults
 
     def crash(self, name, for_s):
-        """An engine loses everything and comes back in its old role.
+        """Crash an engine; it restarts empty and in its old role.
 
-        :param for_s: seconds until it is back; None for never
+        :param for_s: seconds until the restart; None for no restart
         """
         if self.engines[name].state == 'crashed':
             return
@@ -414,9 +420,9 @@
         self._set_state(name, READY)
 
     def withdraw(self, name, for_s):
-        """An engine leaves: no new work, its streams end where they run.
+        """Withdraw an engine: it gets no new work, its streams complete.
 
-        :param for_s: seconds until it is back; None for never
+        :param for_s: seconds until it is available; None for never
         """
         self._set_state(name, 'leaving')
         if for_s is not None:
--- a/magnoliadyke/lab/keyvalue.py
+++ b/magnoliadyke/lab/keyvalue.py
@@ -22,10 +22,10 @@
 class Spec(typing.NamedTuple):
     """Settings of the stand-in.
 
-    :param reads_s: reads a second; a watch is one read.
-    :param writes_s: writes a second; a keep-alive is one write.
-    :param delay_s: time that each call takes.
-    :param ledger: file for the ledger; in memory only when empty.
+    :param reads_s: limit of reads a second; a watch is one read
+    :param writes_s: limit of writes a second; a keep-alive is one write
+    :param delay_s: delay of each call, in seconds
+    :param ledger: path of the ledger file; in memory only if empty
     """
 
     reads_s: float = 2000.0
@@ -35,7 +35,7 @@
 
 
 class Item(typing.NamedTuple):
-    """One key's value; ``lease`` is empty for a value that stays."""
+    """One key's value; ``lease`` is empty if it does not expire."""
 
     value: str
     revision: int
@@ -43,7 +43,7 @@
 
 
 class Change(typing.NamedTuple):
-    """One write; ``item`` is ``None`` for a removal."""
+    """One write at a monotonic time; ``item`` is None for a removal."""
 
     at_s: float
     revision: int
@@ -52,14 +52,18 @@
 
 
 class Conflict(typing.NamedTuple):
-    """The key does not have the revision that the write asked for."""
+    """The key does not have the revision that a write requires.
+
+    :param revision: present revision; 0 if the key is absent
+    :param value: present value; None if the key is absent
+    """
 
     revision: int
     value: str | None
 
 
 class Store:
-    """Values, leases and one global revision; the caller gives the time."""
+    """Values, leases and one global revision; callers pass in the time."""
 
     def __init__(self):
         self.revision = 0
@@ -75,7 +79,11 @@
         lease,
         now_s,
     ):
-        """Write if the revision matches; 0 stands for an absent key."""
+        """Write a key if its revision matches; an absent key has 0.
+
+        :param if_revision: required revision; None to write anyway
+        :returns: the :class:`Item`, or a :class:`Conflict`
+        """
         conflict = self.conflict(key, if_revision)
         if conflict is not None:
             return conflict
@@ -84,7 +92,11 @@
         return item
 
     def delete(self, key, if_revision, now_s):
-        """Remove a key if its revision matches."""
+        """Remove a key if its revision matches.
+
+        :returns: the removed :class:`Item`, None if there was none, or a
+            :class:`Conflict`
+        """
         conflict = self.conflict(key, if_revision)
         if conflict is not None:
             return conflict
@@ -94,7 +106,7 @@
         return item
 
     def conflict(self, key, if_revision):
-        """What stands against a write, if anything does."""
+        """Return the :class:`Conflict` that prevents a write, or None."""
         present = self.items.get(key)
         revision = present.revision if present else 0
         if if_revision is None or if_revision == revision:
@@ -102,7 +114,7 @@
         return Conflict(revision, present.value if present else None)
 
     def record(self, key, item, now_s):
-        """Apply one change and keep it in the history."""
+        """Apply one change and append it to the history."""
         self.revision += 1
         if item is None:
             self.items.pop(key, None)
@@ -111,13 +123,19 @@
         self.history.append(Change(now_s, self.revision, key, item))
 
     def grant(self, ttl_s, now_s):
-        """A new lease."""
+        """Grant a lease.
+
+        :returns: its id
+        """
         lease = secrets.token_hex(8)
         self.leases[lease] = (ttl_s, now_s + ttl_s)
         return lease
 
     def keep_alive(self, lease, now_s):
-        """Renew a lease; its time to live, ``None`` when it is gone."""
+        """Renew a lease.
+
+        :returns: its time to live in seconds; None if it has expired
+        """
         if lease not in self.leases:
             return None
         ttl_s, _ = self.leases[lease]
@@ -125,7 +143,10 @@
         return ttl_s
 
     def revoke(self, lease, now_s):
-        """End a lease and remove its keys; the keys removed."""
+        """End a lease and remove its keys.
+
+        :returns: the removed keys
+        """
         self.leases.pop(lease, None)
         keys = [k for k, i in self.items.items() if i.lease == lease]
         for key in keys:
@@ -133,7 +154,10 @@
         return keys
 
     def expire(self, now_s):
-        """End all leases that ran out; the keys removed."""
+        """End all expired leases.
+
+        :returns: the removed keys
+        """
         expired_leases = [
             k for k, (_, until) in self.leases.items() if until <= now_s
         ]
@@ -144,12 +168,12 @@
         ]
 
     def restore(self, until_s):
-        """Go back to the state at ``until_s``, as from an old backup.
+        """Restore the state at ``until_s``, as from an old backup.
 
-        The revision counter goes back too, so later writes repeat numbers
-        that were given out before.
+        The revision counter is restored too, so that later writes reuse
+        revisions of the lost ones.
 
-        :returns: the keys whose values changed.
+        :returns: the keys whose items changed
         """
         before = dict(self.items)
         self.items.clear()
@@ -167,14 +191,14 @@
         return [k for k in keys if before.get(k) != self.items.get(k)]
 
     def drop_orphans(self):
-        """Remove keys whose lease is gone."""
+        """Remove keys whose lease no longer exists."""
         for key, item in list(self.items.items()):
             if item.lease and item.lease not in self.leases:
                 del self.items[key]
 
 
 class TokenBucket:
-    """Token bucket that holds one second's worth of calls."""
+    """Token bucket whose capacity is one second of calls."""
 
     def __init__(self, per_s, now_s):
         self.per_s = per_s
@@ -182,7 +206,10 @@
         self.at_s = now_s
 
     def take(self, now_s):
-        """Whether one more call may pass."""
+        """Consume one call.
+
+        :returns: False if the rate limit is exceeded
+        """
         refilled_calls = (
             self.available_calls + (now_s - self.at_s) * self.per_s
         )
@@ -197,12 +224,12 @@
 
 
 class KeyValueStandIn:
-    """The store behind its published HTTP protocol, with faults.
+    """The store with its published HTTP protocol and faults.
 
     Faults, by ``POST /faults {"kind", ...}``: ``outage`` (``for_s``;
     ``mode`` ``refuse`` or ``hang``), ``slow`` (``for_s``, ``delay_s``),
     ``lose_reply`` (``count``, ``prefix``; the write takes effect, the
-    connection ends without an answer), ``restore_old`` (``age_s``), and
+    connection closes without a response), ``restore_old`` (``age_s``), and
     ``clear``.
     """
 
@@ -219,7 +246,7 @@
         self.writes = TokenBucket(spec.writes_s, now_s)
 
     def handle(self, request):
-        """Answer one request."""
+        """Answer one request within the rate limits, unless a fault is on."""
         match request.path.split('/')[1:]:
             case ['health']:
                 return standin.json_answer(200, {'state': 'up'})
@@ -241,7 +268,7 @@
         return handler(key, request)
 
     def route(self, request):
-        """Kind of the call, its handler and the key or lease."""
+        """Return the kind of a call, its handler and its key or lease."""
         parts = request.path.split('/', 2)
         key = parts[2] if len(parts) > 2 else ''
         match (request.method, parts[1]):
@@ -264,13 +291,16 @@
         return '', None, ''
 
     def record_call(self, kind, request):
-        """Count one call, in all and for its sender."""
+        """Count one call, in total and for its sender."""
         self.calls[kind] += 1
         sender = request.header('X-Sender', request.environ['REMOTE_ADDR'])
         self.senders.setdefault(sender, collections.Counter())[kind] += 1
 
     def apply_faults(self, request):
-        """Apply what slows or stops every call."""
+        """Delay a call, and fail or hang it during an outage.
+
+        :raises standin.DropConnection: an outage is on
+        """
         outage = self.faults.get('outage')
         if outage is not None:
             if outage.get('mode') == 'hang':
@@ -285,14 +315,14 @@
             gevent.sleep(delay_s)
 
     def get(self, key, request):
-        """One key's item."""
+        """Return the item of one key."""
         item = self.store.items.get(key)
         if item is None:
             return standin.error_answer(404, 'no_such_key', key)
         return standin.json_answer(200, item_json(key, item))
 
     def list_items(self, key, request):
-        """All items under a prefix."""
+        """Return all items whose keys have a prefix."""
         prefix = request.query.get('prefix', '')
         items = [
             item_json(key, item)
@@ -340,14 +370,17 @@
         return standin.json_answer(200, {'revision': self.store.revision})
 
     def conflict(self, key, request, conflict):
-        """Answer a write that came too late."""
+        """Return the response to a write with an outdated revision."""
         self.record_call('conflict', request)
         return standin.json_answer(
             409, {'revision': conflict.revision, 'value': conflict.value}
         )
 
     def complete_write(self, what, key, request, revision):
-        """Tell watches and the ledger, then lose the reply if asked to."""
+        """Record a write and notify its watches.
+
+        :raises standin.DropConnection: the fault ``lose_reply`` is on
+        """
         self.ledger.write(
             what,
             key=key,
@@ -362,7 +395,7 @@
             raise standin.DropConnection
 
     def watch(self, key, request):
-        """Wait until the key's revision is past ``after``."""
+        """Wait until the key's revision is larger than ``after``."""
         after = int(request.query.get('after', '0'))
         wait_s = min(float(request.query.get('wait_s', '30')), MAX_WATCH_S)
         end_s = time.monotonic() + wait_s
@@ -378,7 +411,7 @@
                 raise standin.DropConnection
 
     def wait_for_change(self, key, timeout_s):
-        """Wait for a change of the key."""
+        """Wait for a change of the key, or for the timeout."""
         changed = event.Event()
         waiters = self.waiters_by_key.setdefault(key, set())
         waiters.add(changed)
@@ -388,7 +421,7 @@
             waiters.discard(changed)
 
     def notify_watches(self, keys):
-        """Wake the watches of keys that changed."""
+        """Wake the watches of the keys."""
         for key in keys:
             for changed in self.waiters_by_key.get(key, ()):
                 changed.set()
@@ -433,7 +466,7 @@
         return standin.json_answer(200, {})
 
     def read_ledger(self):
-        """Counts per kind and per sender, and what was written."""
+        """Return the counts of calls, by kind and sender, and the ledger."""
         return standin.json_answer(
             200,
             {
@@ -445,7 +478,7 @@
         )
 
     def expire_forever(self):
-        """End leases as they run out."""
+        """End leases as they expire, and record the removed keys."""
         while True:
             gevent.sleep(EXPIRY_INTERVAL_S)
             gone = self.store.expire(time.monotonic())
@@ -458,15 +491,15 @@
 
 
 def item_json(key, item):
-    """An item as the protocol shows it."""
+    """Return an item in the format of the protocol."""
     return {'key': key, 'value': item.value, 'revision': item.revision}
 
 
 def main(argv):
     """Serve at ``ADDRESS`` with the settings in ``JSON``.
 
-    :param argv: address, then optionally a JSON object of :class:`Spec`.
-    :returns: exit status.
+    :param argv: address, then optionally a JSON object of :class:`Spec`
+    :returns: exit status
     """
     spec = standin.read_spec(Spec, argv)
     stand_in = KeyValueStandIn(spec)
--- a/magnoliadyke/lab/links.py
+++ b/magnoliadyke/lab/links.py
@@ -1,8 +1,9 @@
-"""Runs a command with its connections sent through the fault proxy.
+"""Runs a command with its connections routed through the fault proxy.
 
-The program itself is the one that runs in production: only the targets of
-``connect`` and ``sendto`` change, in this process, as a rule of a packet
-filter would change them.  What is not in the map goes straight.
+The program is the one that runs in production.  Only ``connect``,
+``sendto`` and ``recvfrom`` are patched, in this process, and redirect the
+traffic as a rule of a packet filter would.  Traffic to targets that are not
+in the routes is sent directly.
 """
 
 import json
@@ -23,11 +24,11 @@
 
 
 class Routes(typing.NamedTuple):
-    """Where this process's connections go.
+    """The targets that a process reaches through the proxy.
 
-    :param name: name of this process
+    :param name: name by which the proxy identifies this process
     :param proxy: ``ip:port`` of the proxy
-    :param targets: the ``ip:port`` that are reached through it
+    :param targets: ``ip:port`` of each target reached through it
     """
 
     name: str
@@ -36,9 +37,9 @@
 
 
 def install(routes):
-    """Send this process's connections through the proxy.
+    """Patch the sockets of this process to use the proxy.
 
-    :param links: the :class:`Routes`
+    :param routes: targets to redirect
     """
     proxy_address = standin.split_address(routes.proxy)
     connect, sendto, recvfrom = SOCKET.connect, SOCKET.sendto, SOCKET.recvfrom
@@ -75,14 +76,14 @@
 
 
 def format_address(address):
-    """An address pair as ``ip:port``."""
+    """Return an address pair as ``ip:port``; empty for other addresses."""
     return '%s:%d' % address[:2] if isinstance(address, tuple) else ''
 
 
 def main(argv):
     """Run the program's command line behind the proxy.
 
-    :param argv: words of the command line
+    :param argv: arguments of the command line
     :returns: exit status
     """
     from magnoliadyke import cli
