--- a/magnoliadyke/lab/engine.py
+++ b/magnoliadyke/lab/engine.py
@@ -149,7 +149,7 @@
                 self.events.add('evicted', blocks, now_s, self.event_loss())
 
     def record_prefill_done(self, run, cached_tokens):
-        """Record the end of a prefill, after which the crash word acts."""
+        """Record a prefill's end; crash if its prompt has the crash word."""
         run.cached_tokens = cached_tokens
         self.crash_on_crash_word(run)
         if run.kind == enginemodel.PREFILL:
--- a/magnoliadyke/lab/fakes.py
+++ b/magnoliadyke/lab/fakes.py
@@ -141,9 +141,9 @@
         return sum(each.role == enginemodel.PREFILL for each in engines)
 
     def fail_changes(self, until_s):
-        """Make engines crash half-way through changes that start earlier.
+        """Make engines crash half-way through their role changes.
 
-        :param until_s: end of the fault
+        :param until_s: virtual time; changes that start later succeed
         """
         self.fail_change_until_s = until_s
 
@@ -240,7 +240,7 @@
                 self._publish_cache_event(name, 'evicted', event.blocks)
 
     def _publish_cache_event(self, name, kind, blocks):
-        """Send the scheduler a cache event, after a lag as of engines."""
+        """Send the scheduler a cache event, after `CACHE_EVENT_LAG_S`."""
         events = ({'kind': kind, 'blocks': blocks},)
         arrives_s = self.timeline.now_s + CACHE_EVENT_LAG_S
         self.timeline.at(arrives_s, self._on_cache_events, name, events)
