--- a/magnoliadyke/burnplot.py
+++ b/magnoliadyke/burnplot.py
@@ -1,4 +1,4 @@
-"""Draws a burn report: rates by window, bad requests by cause."""
+"""Draws a burn report: burn rates by window and bad requests by cause."""
 
 from typing import Any
 from typing import Mapping
@@ -13,7 +13,7 @@
 SIZE_INCHES = (9, 4)
 #: The window whose causes are drawn, in seconds.
 CAUSES_WINDOW_S = 3600
-LABELS = {
+WINDOW_LABELS = {
     300: '5 min',
     1800: '30 min',
     3600: '1 h',
@@ -23,10 +23,10 @@
 
 
 def draw(report: Mapping[str, Any], path: str) -> None:
-    """Draw a report.
+    """Draw a burn report.
 
-    :param report: as ``GET /admin/burn`` gives it.
-    :param path: PNG file to write.
+    :param report: the response of ``GET /admin/burn``.
+    :param path: path of the PNG file to write.
     """
     drawing = figure.Figure(figsize=SIZE_INCHES, layout='constrained')
     rates, causes = drawing.subplots(1, 2)
@@ -44,14 +44,14 @@
             marker='o',
             label=customer['name'],
         )
-    axes.axhline(1.0, linestyle='--', color='grey', label='budget just spent')
+    axes.axhline(1.0, linestyle='--', color='grey', label='whole budget spent')
     axes.set(xlabel='window', ylabel='burn rate', ylim=(0, None))
     axes.legend()
 
 
 def _label(window: Mapping[str, Any]) -> str:
     seconds = window['window_s']
-    return LABELS.get(seconds, f'{seconds} s')
+    return WINDOW_LABELS.get(seconds, f'{seconds} s')
 
 
 def _draw_causes(axes: Any, customers: Sequence[Mapping[str, Any]]) -> None:
@@ -63,7 +63,7 @@
         drawn = [
             below + count for below, count in zip(drawn, counts, strict=True)
         ]
-    axes.set(ylabel=f'bad requests in {LABELS[CAUSES_WINDOW_S]}')
+    axes.set(ylabel=f'bad requests in {WINDOW_LABELS[CAUSES_WINDOW_S]}')
     axes.legend()
 
 
--- a/magnoliadyke/core/autoscaler.py
+++ b/magnoliadyke/core/autoscaler.py
@@ -43,7 +43,7 @@
 
     :param min_endpoints: minimum in each failure domain, both kinds together
     :param max_endpoints: maximum in each failure domain, both kinds together
-    :param boot_s: time from an order to the first request
+    :param boot_s: time from an order to the first request, in seconds
     :param reclaimable_price: price of a reclaimable endpoint, relative to
         an on-demand one
     :param prices: price of an endpoint per second, by failure domain
@@ -57,12 +57,12 @@
 
 
 #: Delay before a kind that was unavailable in a failure domain is ordered
-#: there again.
+#: there again, in seconds.
 UNAVAILABLE_RETRY_S = 3.0
-#: Time beyond the start of an endpoint until it is registered.
+#: Time from the start of an endpoint until it is registered, in seconds.
 REGISTRATION_S = 3.0
-#: How long a surplus has to last before it is removed: endpoints that are
-#: being replaced stay until their replacements accept work.
+#: How long a surplus has to last before it is removed, in seconds: endpoints
+#: that are being replaced stay until their replacements accept work.
 SURPLUS_DELAY_S = 8.0
 
 #: A failure domain and whether the endpoint is reclaimable.
@@ -73,8 +73,10 @@
     """Plans the endpoints of one service; it must not be called concurrently.
 
     :ivar ordered: count and time of the latest order, by domain and kind
-    :ivar unavailable_until_s: when an unavailable kind may be ordered again
-    :ivar surplus_since_s: since when there are more endpoints than planned
+    :ivar unavailable_until_s: when an unavailable kind may be ordered again,
+        by domain and kind
+    :ivar surplus_since_s: since when there are more endpoints than planned,
+        by domain and kind
     """
 
     def __init__(self, service: str) -> None:
@@ -87,15 +89,15 @@
         self,
         limits: ScalingLimits,
         available: Mapping[str, AvailableCapacity],
-        wanted: int,
+        required_count: int,
         now_s: float,
     ) -> list[ScaleOrder]:
-        """Return the orders that are due.
+        """Return the orders to send now.
 
         :param available: endpoints that accept work, by failure domain
-        :param wanted: number of endpoints that the load needs
+        :param required_count: number of endpoints that the load needs
         """
-        targets = self.targets(limits, available, wanted, now_s)
+        targets = self.targets(limits, available, required_count, now_s)
         orders = [
             ScaleOrder(self.service, domain, target, reclaimable)
             for (domain, reclaimable), target in targets.items()
@@ -116,17 +118,17 @@
         self,
         limits: ScalingLimits,
         available: Mapping[str, AvailableCapacity],
-        wanted: int,
+        required_count: int,
         now_s: float,
     ) -> dict[Kind, int]:
         """Return the planned number of endpoints, by domain and kind.
 
         :param available: endpoints that accept work, by failure domain
-        :param wanted: number of endpoints that the load needs
+        :param required_count: number of endpoints that the load needs
         """
         domains = sorted(limits.prices, key=lambda d: (limits.prices[d], d))
         reclaimable_targets = self._reclaimable_targets(
-            limits, available, domains, wanted, now_s
+            limits, available, domains, required_count, now_s
         )
         counts = {
             (domain, True): count
@@ -137,12 +139,12 @@
             for domain in domains
         )
         # On-demand endpoints stay until reclaimable ones replace them.
-        short = max(0, wanted - ready)
+        short = max(0, required_count - ready)
         for domain in domains:
             on_demand = min(_count(available, domain, False), short)
             short -= on_demand
             counts[domain, False] = on_demand
-        missing = wanted - sum(counts.values())
+        missing = required_count - sum(counts.values())
         for domain in domains:
             room = (
                 limits.max_endpoints
@@ -159,7 +161,7 @@
         limits: ScalingLimits,
         available: Mapping[str, AvailableCapacity],
         domains: list[str],
-        wanted: int,
+        required_count: int,
         now_s: float,
     ) -> dict[str, int]:
         """Return the planned number of reclaimable endpoints, by domain.
@@ -182,7 +184,7 @@
             )
             for domain in domains
         }
-        while sum(counts.values()) - max(counts.values()) < wanted:
+        while sum(counts.values()) - max(counts.values()) < required_count:
             open_to = [
                 domain
                 for domain in domains
@@ -197,7 +199,7 @@
             if counts[fullest] <= limits.min_endpoints:
                 break
             counts[fullest] -= 1
-            if sum(counts.values()) - max(counts.values()) < wanted:
+            if sum(counts.values()) - max(counts.values()) < required_count:
                 counts[fullest] += 1
                 break
         return counts
--- a/magnoliadyke/core/digestexchange.py
+++ b/magnoliadyke/core/digestexchange.py
@@ -14,7 +14,7 @@
 #: other would hardly age: a run that ended long ago would seem to go on, and
 #: no other suspect would be retried.
 MAX_DIGEST_DELAY_S = 1.5
-#: The state of a peer is dropped after this time without a digest.
+#: The state of a peer is dropped after this time without a digest, in seconds.
 PEER_RETENTION_S = 60.0
 #: Customers whose totals are kept per peer. Those with much usage are in
 #: every digest and stay. For another customer whose total was dropped, the
@@ -107,7 +107,7 @@
         """
         pool = self.pools[pool_name]
         local = pool.demand_report(now_s)[2:]
-        peer_demands = self._recent_pool_demands(pool.number, now_s)
+        peer_demands = self._recent_pool_demands(pool.name_checksum, now_s)
         peer_count = max(0, self.shares.nodes - 1)
         scale = peer_count / len(peer_demands) if peer_demands else 0.0
         sums = [sum(values) for values in zip(*peer_demands, strict=True)]
@@ -236,7 +236,7 @@
         self.quarantine.merge(
             report.fingerprint,
             report.pool,
-            report.rank,
+            report.tokens_at_crash,
             report.cleared,
             digests.blames_of(report, now_s),
             now_s,
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -41,15 +41,16 @@
 MAX_UNPLACED_JOBS = 6
 #: Queued jobs of one customer that a dispatch round tries to place.
 LOOKAHEAD_JOBS = 4
-#: Time after which a pool's share of the stream credits is recomputed.
-FRACTION_INTERVAL_S = 0.25
+#: Interval, in seconds, at which a pool's share of the stream credits is
+#: recomputed.
+CREDIT_SHARE_INTERVAL_S = 0.25
 #: Prefill capacity of a decode engine, as a fraction of a prefill engine.
 MIXED_PREFILL_CAPACITY = 0.2
 #: Cached blocks that are tracked in total, divided between the engines.
 ESTIMATED_BLOCKS = 60_000
-#: Least number of cached blocks that are tracked for each engine.
+#: Minimum number of cached blocks that are tracked for each engine.
 MIN_CACHED_BLOCKS = 512
-#: Least queue timeout of a suspect job, which other jobs overtake.
+#: Minimum queue timeout of a suspect job, in seconds; other jobs overtake it.
 MIN_SUSPECT_WAIT_S = 30.0
 #: Health states by the state in a load report, where the names differ.
 REPORTED_STATES = {'in': health.UP}
@@ -64,7 +65,7 @@
     :param endpoint: decodes the job, or serves the call of a plain service
     :param prefill_endpoint: prefills the prompt first; None when
         ``endpoint`` does both
-    :param alone: whether this node runs no other job on the endpoint
+    :param is_only_job: whether this node runs no other job on the endpoint
         meanwhile
     :param prompt_s: predicted prefill time in seconds, 0 for a service
     """
@@ -72,7 +73,7 @@
     job_id: str
     endpoint: str
     prefill_endpoint: str | None = None
-    alone: bool = False
+    is_only_job: bool = False
     prompt_s: float = dataclasses.field(default=0.0, compare=False)
 
 
@@ -87,7 +88,8 @@
 class SchedulerSettings(NamedTuple):
     """Constants of one scheduler.
 
-    :param max_streams: most streams that an engine decodes in one step
+    :param max_streams: maximum number of streams that an engine decodes in
+        one step
     """
 
     max_streams: int = 64
@@ -166,11 +168,11 @@
             by_pool.setdefault((info.pool, info.kind), []).append(info)
         self.endpoints = {}
         self.pools = {}
-        size = self.settings.routing_settings.subset
+        size = self.settings.routing_settings.subset_size
         for (name, kind), each in by_pool.items():
             members = [
                 routing.Endpoint(info, self.settings.health_settings)
-                for info in routing.subset(each, size, self.epoch)
+                for info in routing.select_subset(each, size, self.epoch)
             ]
             self.endpoints.update((one.name, one) for one in members)
             pool = routing.Pool(name, kind, members, len(each))
@@ -196,7 +198,7 @@
             row = view.endpoints.get(name)
             state = row.state if row is not None else 'in'
             state = TABLE_STATES.get(state, health.LEAVING)
-            endpoint.health.tabled = state
+            endpoint.health.table_state = state
         for pool in self.pools.values():
             pool.endpoints.rebuild_by_role()
         return self._dispatch_all(now_s)
@@ -237,7 +239,7 @@
         """Apply an engine's prefix cache events.
 
         :param events: mappings with ``kind`` and ``blocks``
-        :param gap: whether events before these were lost
+        :param gap: whether events before these did not arrive
         """
         if name not in self.endpoints:
             return []
@@ -285,7 +287,7 @@
             return []
         run.leave_stream(now_s)
         run.join_stream(endpoint, now_s)
-        run.begin_stream(now_s)
+        run.start_stream(now_s)
         return self._dispatch_all(now_s)
 
     def _set_role(self, endpoint, role, now_s):
@@ -336,7 +338,7 @@
                 *self._dispatch_all(now_s),
             ]
         self.runs[job.id] = run
-        self._queue(run, pool, now_s)
+        self._enqueue(run, pool, now_s)
         actions = self._dispatch_all(now_s)
         if run.dispatched_s is None and job.id in self.runs:
             waiting = pool.waiting_count(job.customer)
@@ -369,18 +371,18 @@
         run = self.runs.get(job_id)
         if run is None or run.first_token_s is not None:
             return []
-        was_read = run.prefill_done_s is not None
-        if not was_read:
+        was_prefilled = run.prefill_done_s is not None
+        if not was_prefilled:
             self._end_prefill(run, now_s)
         run.first_token_s = now_s
         run.tokens = max(run.tokens, 1)
-        self.learner.record_first_token(run, was_read, now_s)
+        self.learner.record_first_token(run, was_prefilled, now_s)
         if run.timing.strict:
             pool = self.pools[run.job.pool]
             pool.lateness.add(now_s - run.expected_s)
         if run.stream_at is not None:
             run.streams_at_first = run.stream_at.load.streams.total()
-        return [] if was_read else self._dispatch_all(now_s)
+        return [] if was_prefilled else self._dispatch_all(now_s)
 
     def record_progress(self, job_id, tokens, now_s):
         """Record how many output tokens the job has produced so far."""
@@ -433,7 +435,7 @@
         fingerprint = quarantine.fingerprint_of(job.fingerprint)
         verdict = self.quarantine.verdict(fingerprint, now_s)
         if verdict == quarantine.CONVICTED:
-            self.quarantine.record_sighting(fingerprint, now_s)
+            self.quarantine.extend_retention(fingerprint, now_s)
             return _crash_rejection()
         if not pool.endpoints.available_count():
             return admission.no_endpoint(admission.MAX_RETRY_S / 10, self.rng)
@@ -476,13 +478,13 @@
         services = (
             len(by_role['']) * self.settings.routing_settings.service_slots
         )
-        fraction = pool.fraction
+        credit_share = pool.credit_share
         return admission.Capacity(
-            (prefill + MIXED_PREFILL_CAPACITY * decode) * fraction,
-            (decode + services) * fraction,
+            (prefill + MIXED_PREFILL_CAPACITY * decode) * credit_share,
+            (decode + services) * credit_share,
         )
 
-    def _queue(self, run, pool, now_s):
+    def _enqueue(self, run, pool, now_s):
         """Queue a job: by fair share, or for a trial if it is a suspect."""
         if self.suspects.verdict(run, now_s) == quarantine.SUSPECT:
             row = self.rows.get(run.job.customer, DEFAULT_ROW)
@@ -498,7 +500,7 @@
         item = (run.timing.latest_start_s, run.job.id)
         heapq.heappush(self.expiries, item)
 
-    def _unqueue(self, run):
+    def _dequeue(self, run):
         pool = self.pools[run.job.pool]
         if pool.queue.remove(run.job.id):
             pool.update_waiting(run, -1)
@@ -508,7 +510,7 @@
 
     def _forget(self, run, now_s):
         """Remove an ended job from its queue, its endpoints and the node."""
-        self._unqueue(run)
+        self._dequeue(run)
         self._release(run, now_s)
         self.runs.pop(run.job.id, None)
 
@@ -523,7 +525,7 @@
 
     def _dispatch_pool(self, pool, now_s, actions):
         """Dispatch queued jobs of a pool by fair share until none fits."""
-        fraction = self._fraction(pool, now_s)
+        credit_share = self._credit_share(pool, now_s)
         unplaced = 0
         progress = True
         while progress:
@@ -533,7 +535,7 @@
                 if not self.limits.may_start(customer, now_s):
                     continue
                 context = routing.PlacementContext(
-                    fraction,
+                    credit_share,
                     backlog_s=self._prefill_backlog_s(pool),
                     first=first,
                 )
@@ -570,7 +572,7 @@
     def _try_place(self, run, pool, context, now_s):
         """Dispatch a queued job, or refuse it if it is predicted late.
 
-        :returns: the action, or None if no endpoint has room now
+        :returns: the action, or None if no endpoint has capacity now
         """
         spare_s = run.timing.deadline_s - now_s
         share = pool.priority_share(run.job.priority)
@@ -583,12 +585,12 @@
         expected_s = placement.first_token_s + pool.lateness.value
         if run.timing.strict and expected_s > spare_s:
             return self._refuse_late(run, now_s)
-        self._unqueue(run)
+        self._dequeue(run)
         return self._dispatch(run, pool, placement, now_s)
 
-    def _dispatch(self, run, pool, placement, now_s, alone=False):
+    def _dispatch(self, run, pool, placement, now_s, is_only_job=False):
         job = run.job
-        run.begin_attempt()
+        run.reset_attempt()
         run.attempts += 1
         run.dispatched_s = now_s
         run.prefill_endpoint = placement.prefill
@@ -611,25 +613,25 @@
             job.id,
             placement.endpoint.name,
             placement.prefill.name if split else None,
-            alone,
+            is_only_job,
             placement.prompt_s if job.kind == 'model' else 0.0,
         )
 
-    def _fraction(self, pool, now_s):
+    def _credit_share(self, pool, now_s):
         """This node's share of the stream credits of the engines it uses."""
         if self.shares.nodes == 1:
-            pool.fraction = 1.0
-        elif now_s >= pool.fraction_due_s:
+            pool.credit_share = 1.0
+        elif now_s >= pool.credit_share_due_s:
             # Cached: the share sums the demand of all peers, too much work
             # for each placement.
-            pool.fraction_due_s = now_s + FRACTION_INTERVAL_S
+            pool.credit_share_due_s = now_s + CREDIT_SHARE_INTERVAL_S
             demand = pool.demand_s(now_s)
-            key = ('pool', pool.number)
+            key = ('pool', pool.name_checksum)
             part = self.shares.fraction(key, demand, now_s)
             members = pool.endpoints
             part *= members.total / len(members.members)
-            pool.fraction = min(1.0, part)
-        return pool.fraction
+            pool.credit_share = min(1.0, part)
+        return pool.credit_share
 
     def _refuse_expired(self, now_s):
         """Refuse queued jobs whose latest start has passed."""
@@ -688,7 +690,7 @@
             self.learner.record_prefill_done(run, endpoint, now_s)
             endpoint.health.record_success()
             run.leave_prompt(now_s)
-        run.begin_stream(now_s)
+        run.start_stream(now_s)
 
     def _complete(self, run, result, now_s):
         """End a job whose complete answer has arrived."""
@@ -777,7 +779,7 @@
         until_s = now_s + row.queue_wait_s
         if run.tokens or run.ran or run.timing.latest_start_s < now_s:
             run.timing = admission.Timing(until_s, until_s)
-        self._queue(run, self.pools[run.job.pool], now_s)
+        self._enqueue(run, self.pools[run.job.pool], now_s)
 
     def _refuse(self, run, outcome, now_s):
         self._forget(run, now_s)
@@ -793,22 +795,22 @@
             if verdict == quarantine.CONVICTED:
                 actions += self._refuse(run, _crash_rejection(), now_s)
             else:
-                self._queue(run, pool, now_s)
+                self._enqueue(run, pool, now_s)
         run = self.suspects.next_suspect(pool, self.runs, now_s)
         if run is None:
             return actions
         spare_s = run.timing.latest_start_s - now_s
         context = routing.PlacementContext(
-            self._fraction(pool, now_s), spare_s
+            self._credit_share(pool, now_s), spare_s
         )
         placement = self.router.place(
             run.job, pool.endpoints, context, now_s, only_endpoint=pool.trial
         )
         if placement is None:
             return actions
-        alone = not pool.trial.load.jobs
+        is_only_job = not pool.trial.load.jobs
         self.suspects.record_trial_start(run, pool, now_s)
-        action = self._dispatch(run, pool, placement, now_s, alone)
+        action = self._dispatch(run, pool, placement, now_s, is_only_job)
         return [*actions, action]
 
     # Peers
@@ -830,13 +832,13 @@
         """
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
-            endpoint.load.peers.told(read_s, now_s)
+            endpoint.load.peers.record_peer_prompt(read_s, now_s)
 
     def demand(self, pool_name, now_s):
         """Return the pool's demand, summed over nodes with fresh digests."""
         return self.digest_exchange.demand(pool_name, now_s)
 
-    def subset(self, pool_name):
+    def subset_names(self, pool_name):
         """Names of the pool's endpoints that this node uses.
 
         The node needs load reports and cache events of these only.
--- a/magnoliadyke/core/suspects.py
+++ b/magnoliadyke/core/suspects.py
@@ -5,7 +5,8 @@
 
 __all__ = ['SuspectQueue']
 
-#: How long a suspect that may run waits for its engine to become idle.
+#: How long a suspect that may run waits for its engine to become idle, in
+#: seconds.
 TRIAL_WAIT_S = 5.0
 NEVER_S = float('-inf')
 
@@ -13,7 +14,8 @@
 class SuspectQueue:
     """Keeps suspected requests apart from all other jobs of the node.
 
-    :param judge: :class:`magnoliadyke.core.quarantine.Quarantine`
+    :param judge: the :class:`magnoliadyke.core.quarantine.Quarantine` that
+        keeps the verdicts
     :ivar last_crash_s: time of the last recorded crash, by endpoint name
     """
 
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -1,4 +1,4 @@
-"""The task that owns the scheduler and feeds it what endpoints report."""
+"""The task that owns the scheduler and passes it the endpoints' reports."""
 
 import collections
 import typing
@@ -20,18 +20,18 @@
 
 __all__ = [
     'CancelJob',
-    'CrashSeen',
+    'CrashReported',
     'Demands',
     'Dispatcher',
     'FirstToken',
     'JobFailed',
     'JobFinished',
-    'MoveStream',
+    'RequestMigrationTarget',
     'PeerDigest',
+    'PeerPromptsPlaced',
     'PrefillDone',
-    'PromptsHeard',
-    'PromptsPlaced',
     'Progress',
+    'PromptsPlaced',
     'SubmitJob',
     'TakeSnapshot',
     'build_endpoints',
@@ -41,24 +41,26 @@
 HEALTH_INTERVAL_S = 1.0
 PUBLISH_INTERVAL_S = 1.0
 CACHE_WAIT_S = 10.0
-RETRY_S = 1.0
-CHANGES_KEPT = 20
-#: A prompt that is read in less is no news to other nodes, in seconds.
-LEAST_TOLD_S = 0.03
-#: One lost answer is no proof; a second one in a row is.
+CACHE_RETRY_INTERVAL_S = 1.0
+MAX_CHANGES_KEPT = 20
+#: Predicted prefill time from which a prompt is announced to other nodes, in
+#: seconds; an announcement of a shorter one would cost more than it saves.
+MIN_ANNOUNCED_PREFILL_S = 0.03
+#: Consecutive polls without a response after which an endpoint counts as
+#: crashed; a single response may be lost in the network.
 FAILURES_UNTIL_CRASHED = 2
 
 
 NOT_PLACED = outcomes.NotRun(
     'internal_error', 'ask another host and report the error in the log'
 )
-NOT_KNOWN = outcomes.Unknown(
+OUTCOME_UNKNOWN = outcomes.Unknown(
     'internal_error', 'look up the effect before asking again'
 )
 
 
 class SubmitJob(mailbox.Ask):
-    """Place a job; answered with a ``Dispatch`` or a ``Refuse``.
+    """Request to place a job; the reply is ``Dispatch`` or ``Refuse``.
 
     :param job: the :class:`magnoliadyke.core.jobs.Job` to place
     """
@@ -70,7 +72,9 @@
 
 
 class JobFailed(mailbox.Ask):
-    """An attempt failed; answered with the next ``Dispatch`` or ``Refuse``.
+    """Reports a failed attempt; the reply is ``Dispatch`` or ``Refuse``.
+
+    ``Dispatch`` means one more attempt, on the endpoint that it names.
 
     :param failed: :class:`magnoliadyke.core.jobs.Failed`
     """
@@ -81,10 +85,10 @@
         self.failed = failed
 
 
-class MoveStream(mailbox.Ask):
-    """Find another engine for a running answer; answered with its name.
+class RequestMigrationTarget(mailbox.Ask):
+    """Request for another engine for a running stream; the reply is its name.
 
-    The answer is ``''`` when no other engine takes work.
+    The reply is ``''`` when no other engine accepts requests.
     """
 
     def __init__(self, job_id):
@@ -93,10 +97,10 @@
 
 
 class JobFinished(typing.NamedTuple):
-    """A job is over.
+    """Reports the end of a job.
 
     :param result: :class:`magnoliadyke.core.jobs.Finished`, or ``Failed``
-        of a job that gets no further attempt
+        when the job gets no further attempt
     """
 
     job_id: str
@@ -104,46 +108,59 @@
 
 
 class CancelJob(typing.NamedTuple):
-    """Forget a job that still waits or runs."""
+    """Request to drop a job that is queued or running."""
 
     job_id: str
 
 
 class PrefillDone(typing.NamedTuple):
-    """The prefill endpoint has run the prompt."""
+    """Reports that the prefill engine has computed the KV cache.
+
+    :param at_s: when, in monotonic seconds
+    """
 
     job_id: str
     at_s: float
 
 
 class FirstToken(typing.NamedTuple):
-    """The first output token came."""
+    """Reports that the first output token of a job was received.
+
+    :param at_s: when, in monotonic seconds
+    """
 
     job_id: str
     at_s: float
 
 
 class Progress(typing.NamedTuple):
-    """How far jobs are: pairs of job id and output tokens so far."""
+    """Reports how many output tokens running jobs have produced.
+
+    :param tokens: pairs of job id and number of output tokens so far
+    """
 
     tokens: tuple[tuple[str, int], ...]
 
 
 class TakeSnapshot(mailbox.Ask):
-    """Ask for :class:`magnoliadyke.core.snapshot.Snapshot`, to show it."""
+    """Request for a :class:`magnoliadyke.core.snapshot.Snapshot`."""
+
 
+class CrashReported(typing.NamedTuple):
+    """Announces that an endpoint crashed while it ran a job.
 
-class CrashSeen(typing.NamedTuple):
-    """An endpoint died under a job; peers should hear of it at once.
+    Published on the topic ``digest`` between the periodic digests, so that
+    peers learn of the suspect request at once.
 
-    Published on the topic ``digest`` between the periodic digests.
+    :param digest: :class:`magnoliadyke.core.scheduler.Digest` that includes
+        the crash
     """
 
     digest: object
 
 
 class PromptsPlaced(typing.NamedTuple):
-    """Prompts that this node has just given to engines.
+    """Announces prompts that this node has just assigned to engines.
 
     :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
     """
@@ -152,7 +169,7 @@
 
 
 class Demands(typing.NamedTuple):
-    """Demand of the pools, published each second.
+    """Announces the demand of each pool; published each second.
 
     :param pools: pool name to ``core.scheduler.Demand``
     """
@@ -160,8 +177,8 @@
     pools: dict
 
 
-class PromptsHeard(typing.NamedTuple):
-    """Prompts that another node has given to engines.
+class PeerPromptsPlaced(typing.NamedTuple):
+    """Passes on prompts that another node has assigned to engines.
 
     :param prompts: :class:`magnoliadyke.core.notices.PromptNotice` each
     """
@@ -170,28 +187,39 @@
 
 
 class PeerDigest(typing.NamedTuple):
-    """The scheduler digest of another node, as gossip brought it."""
+    """Passes on the scheduler digest of another node, received by gossip.
+
+    :param host: host name of that node
+    :param digest: :class:`magnoliadyke.core.scheduler.Digest`
+    """
 
     host: str
     digest: object
 
 
-class LoadSeen(typing.NamedTuple):
-    """A load report came."""
+class LoadReported(typing.NamedTuple):
+    """Passes on the load report of an engine."""
 
     endpoint: str
     report: jobs.LoadReport
 
 
-class StateSeen(typing.NamedTuple):
-    """An endpoint's state became known."""
+class EndpointStateChanged(typing.NamedTuple):
+    """Reports a new state of an endpoint, polled or announced by a planner.
+
+    :param state: ``up``, ``leaving``, ``left``, ``crashed`` or ``changing``
+        (its role)
+    """
 
     endpoint: str
     state: str
 
 
-class CacheSeen(typing.NamedTuple):
-    """Cache events came; ``gap`` when some were lost before them."""
+class CacheEventsReceived(typing.NamedTuple):
+    """Passes on events of an engine's prefix cache.
+
+    :param gap: whether events before these were lost
+    """
 
     endpoint: str
     events: tuple
@@ -199,7 +227,7 @@
 
 
 def endpoint_infos(settings):
-    """Return the :class:`EndpointInfo` of all endpoints of the settings."""
+    """Return an :class:`EndpointInfo` for each endpoint of the settings."""
     return [
         jobs.EndpointInfo(
             each.name,
@@ -216,7 +244,7 @@
 
 
 def build_endpoints(infos, clock):
-    """Return the HTTP endpoints by name."""
+    """Return the HTTP clients of the endpoints, by endpoint name."""
     kinds = {
         'model': endpoints.HttpModelEndpoint,
         'service': endpoints.HttpServiceEndpoint,
@@ -225,12 +253,14 @@
 
 
 class Dispatcher(mailbox.Task):
-    """Own the scheduler; poll endpoints; answer :class:`SubmitJob`.
+    """Owns the scheduler, polls endpoints and places jobs on them.
 
-    Post it :class:`PeerDigest` and :class:`PromptsHeard` messages. It
-    publishes two topics each second: ``digest`` (the node's own scheduler
-    digest, for gossip) and ``demand`` (:class:`Demands`, for planning), and
-    ``prompts`` (:class:`PromptsPlaced`) as this node sends them.
+    Runs send it :class:`SubmitJob` and :class:`JobFailed`; the node
+    posts it the :class:`PeerDigest` and :class:`PeerPromptsPlaced` messages
+    of its peers. It publishes two topics each second: ``digest`` (the node's
+    own scheduler digest, for gossip) and ``demand`` (:class:`Demands`, for
+    planning). The topic ``prompts`` (:class:`PromptsPlaced`) is published
+    whenever this node assigns prompts to engines.
 
     :param settings: :class:`magnoliadyke.settings.Settings`
     :param clock: a :class:`magnoliadyke.clock.Clock`
@@ -238,7 +268,11 @@
     :param table: Topic of :class:`magnoliadyke.core.table.View`
     :param members: Topic of :class:`magnoliadyke.core.membership.MembersView`
     :param host: this node's host name
-    :ivar endpoints: the endpoints by name; streams talk to them
+    :ivar endpoints: clients of the endpoints by name; runs call them
+    :ivar pending: message of each run that waits for a decision, by job id
+    :ivar changing: monotonic seconds at which the role change of an engine
+        began, by engine name
+    :ivar changes: start and end of past role changes, by pool name
     """
 
     tick_interval_s = 0.05
@@ -263,39 +297,40 @@
         self.pending = {}
         self.changing = {}
         self.changes = collections.defaultdict(
-            lambda: collections.deque(maxlen=CHANGES_KEPT)
+            lambda: collections.deque(maxlen=MAX_CHANGES_KEPT)
         )
         self.pollers = []
         self.published_s = 0.0
 
     def on_start(self):
-        """Subscribe and start to poll."""
+        """Subscribe to table and members, and start the polling loops."""
         self.table.subscribe(self)
         self.members.subscribe(self)
         for endpoint in self.used_endpoints():
-            for loop in self.loops_of(endpoint):
+            for loop in self.polling_loops(endpoint):
                 self.pollers.append(gevent.spawn(loop, endpoint))
 
     def used_endpoints(self):
-        """Return the endpoints that this node may place work on.
+        """Return the endpoints on which this node may place jobs.
 
-        The others of a big pool need no polling: reports of all of them
-        would cost each node more than all its requests.
+        In a large pool that is a subset. The others are not polled: to read
+        the reports of all endpoints would cost a node more than to serve
+        its requests.
         """
         return [
             self.endpoints[name]
             for pool in self.settings.pools
-            for name in self.scheduler.subset(pool.name)
+            for name in self.scheduler.subset_names(pool.name)
         ]
 
-    def loops_of(self, endpoint):
-        """Return the polling loops of an endpoint."""
+    def polling_loops(self, endpoint):
+        """Return the methods that poll an endpoint of this kind forever."""
         if endpoint.info.kind == 'model':
             return (self.poll_load, self.poll_cache)
         return (self.poll_health,)
 
     def on_stop(self):
-        """Stop to poll and close idle connections."""
+        """Stop the polling loops and close idle connections."""
         gevent.killall(self.pollers)
         for endpoint in self.endpoints.values():
             endpoint.close()
@@ -305,33 +340,36 @@
         now_s = self.clock.now_s()
         try:
             actions = self.decide(message, now_s)
-            if tells_of_crash(message):
-                # Before anybody is answered: a caller that sends the request
-                # again at once must find it known as a suspect everywhere.
-                self.digest.publish(CrashSeen(self.scheduler.digest(now_s)))
+            if reports_crash(message):
+                # Published before any run gets its reply: a caller that
+                # resends the request at once must not reach a node that
+                # does not yet hold it as a suspect.
+                self.digest.publish(
+                    CrashReported(self.scheduler.digest(now_s))
+                )
             self.apply(actions)
         except Exception:
-            self.answer_failed(message)
+            self.reply_failed(message)
             raise
 
-    def answer_failed(self, message):
-        """Answer a run whose message the scheduler could not handle.
+    def reply_failed(self, message):
+        """Reply to a run whose message made the scheduler raise.
 
-        The run would wait for good, and its caller with it, while keep-alive
-        comments say that all is well.
+        Without a reply the run would wait forever, and its caller, who gets
+        keep-alive comments, would not notice.
         """
         match message:
             case SubmitJob(job_id=job_id):
                 outcome = NOT_PLACED
             case JobFailed(job_id=job_id, failed=failed):
-                outcome = NOT_PLACED if not failed.ran else NOT_KNOWN
+                outcome = NOT_PLACED if not failed.ran else OUTCOME_UNKNOWN
             case _:
                 return
         self.pending.pop(job_id, None)
         message.reply(scheduler.Refuse(job_id, outcome))
 
     def decide(self, message, now_s):
-        """Return the scheduler's actions for one message."""
+        """Pass one message to the scheduler; return its actions."""
         core = self.scheduler
         match message:
             case SubmitJob(job=job):
@@ -340,7 +378,7 @@
             case JobFailed(job_id=job_id, failed=failed):
                 self.pending[job_id] = message
                 return core.record_result(job_id, failed, now_s)
-            case MoveStream():
+            case RequestMigrationTarget():
                 return self.move_stream(message, now_s)
             case JobFinished(job_id, result):
                 return core.record_result(job_id, result, now_s)
@@ -357,10 +395,10 @@
             case Progress(tokens):
                 return self.progress(tokens, now_s)
             case _:
-                return self.learn(message, now_s)
+                return self.apply_fleet_update(message, now_s)
 
     def move_stream(self, message, now_s):
-        """Give an answer its place on another engine."""
+        """Reply with a target engine for a stream; record the migration."""
         core = self.scheduler
         name = migrationtarget.choose_target(
             core.runs, core.pools, message.job_id, now_s
@@ -368,30 +406,37 @@
         message.reply(name)
         return core.record_migration(message.job_id, name, now_s)
 
-    def learn(self, message, now_s):
-        """Return the actions for news of the fleet."""
+    def apply_fleet_update(self, message, now_s):
+        """Pass an update of the fleet's state on; return the actions."""
         core = self.scheduler
         match message:
-            case LoadSeen(endpoint, report):
+            case LoadReported(endpoint, report):
                 return core.handle_load_report(endpoint, report, now_s)
-            case StateSeen(endpoint, state):
-                self.note_change(endpoint, state, now_s)
+            case EndpointStateChanged(endpoint, state):
+                self.record_role_change(endpoint, state, now_s)
                 return core.set_endpoint_state(endpoint, state, now_s)
-            case CacheSeen(endpoint, events, gap):
+            case CacheEventsReceived(endpoint, events, gap):
                 return core.handle_cache_events(endpoint, events, gap, now_s)
             case PeerDigest(host, digest):
                 return core.merge_peer_digest(host, digest, now_s)
-            case PromptsHeard(prompts):
-                for told in prompts:
-                    core.record_peer_prompt(told.engine, told.read_s, now_s)
+            case PeerPromptsPlaced(prompts):
+                for notice in prompts:
+                    core.record_peer_prompt(
+                        notice.engine, notice.read_s, now_s
+                    )
                 return []
             case table.View():
                 return core.set_table(message, now_s)
             case membership.MembersView(members=members):
                 return core.set_node_count(count_alive(members), now_s)
 
-    def note_change(self, name, state, now_s):
-        """Remember when an endpoint was away for a change."""
+    def record_role_change(self, name, state, now_s):
+        """Record when an engine's role change began or ended.
+
+        :param name: name of the endpoint
+        :param state: its new state; ``changing`` starts a role change, any
+            other ends it
+        """
         pool = self.endpoints[name].info.pool
         began_s = self.changing.pop(name, None)
         if state == 'changing':
@@ -400,28 +445,33 @@
             self.changes[pool].append((began_s, now_s))
 
     def changing_s(self, pool, since_s, until_s):
-        """Return for how long an endpoint of a pool was away for a change.
+        """Return how long some engine of a pool was changing its role.
 
-        :param since_s: start of the time looked at, in monotonic seconds
-        :param until_s: its end
+        :param since_s: start of the interval, in monotonic seconds
+        :param until_s: end of the interval, in monotonic seconds
+        :return: seconds of the interval that role changes cover
         """
-        under_way = [
+        open_intervals = [
             (began_s, until_s)
             for name, began_s in self.changing.items()
             if self.endpoints[name].info.pool == pool
         ]
-        intervals = [*self.changes[pool], *under_way]
+        intervals = [*self.changes[pool], *open_intervals]
         return burn.covered_s(intervals, since_s, until_s)
 
     def progress(self, tokens, now_s):
-        """Report how far several jobs are."""
+        """Pass the output token counts of several jobs to the scheduler.
+
+        :param tokens: pairs of job id and number of output tokens so far
+        :return: the scheduler's actions
+        """
         actions = []
         for job_id, count in tokens:
             actions += self.scheduler.record_progress(job_id, count, now_s)
         return actions
 
     def tick(self):
-        """Let time pass for the scheduler; publish now and then."""
+        """Run the scheduler's timers; publish each ``PUBLISH_INTERVAL_S``."""
         now_s = self.clock.now_s()
         self.apply(self.scheduler.tick(now_s))
         if now_s - self.published_s >= PUBLISH_INTERVAL_S:
@@ -437,81 +487,101 @@
         }
         self.demand.publish(Demands(demands))
 
-    def tell_prompts(self, actions):
-        """Publish which engines were given how much to read."""
-        told = tuple(
+    def publish_prompts(self, actions):
+        """Announce the prompts that were assigned to engines.
+
+        The announcement names the engine that prefills a prompt and the
+        predicted prefill time.
+        """
+        announced = tuple(
             notices.PromptNotice(
                 action.prefill_endpoint or action.endpoint, action.prompt_s
             )
             for action in actions or ()
             if isinstance(action, scheduler.Dispatch)
-            and action.prompt_s >= LEAST_TOLD_S
+            and action.prompt_s >= MIN_ANNOUNCED_PREFILL_S
         )
-        if told:
-            self.prompts.publish(PromptsPlaced(told))
+        if announced:
+            self.prompts.publish(PromptsPlaced(announced))
 
     def apply(self, actions):
-        """Answer the runs that wait for these actions."""
-        self.tell_prompts(actions)
+        """Reply to the runs that wait for these actions."""
+        self.publish_prompts(actions)
         for action in actions or ():
             waiting = self.pending.pop(action.job_id, None)
             if waiting is not None:
                 waiting.reply(action)
             elif isinstance(action, scheduler.Dispatch):
-                # The run gave up while the decision was made; without this
-                # its slot would stay taken for good.
+                # The run was cancelled before the decision; without this
+                # its slot would never be released.
                 self.post(CancelJob(action.job_id))
 
     def poll_load(self, endpoint):
-        """Read load reports for good."""
-        health = Health(self, endpoint.name)
+        """Poll the load reports of an engine until killed."""
+        health = HealthTracker(self, endpoint.name)
         self.clock.sleep(self.rng.random() * LOAD_INTERVAL_S)
         while True:
             try:
                 document = endpoint.load()
-                self.post(LoadSeen(endpoint.name, self.read_load(document)))
-                health.seen(document.get('state', 'in'))
+                self.post(
+                    LoadReported(endpoint.name, self.read_load(document))
+                )
+                health.record_response(document.get('state', 'in'))
             except (errors.EndpointUnreachable, TypeError, ValueError):
-                health.missed()
+                health.record_no_response()
             self.clock.sleep(LOAD_INTERVAL_S * (0.75 + self.rng.random() / 2))
 
     def read_load(self, document):
-        """Return a report whose time is by this node's own clock."""
+        """Return a load report with its time by this node's own clock.
+
+        :param document: the engine's report as a dict; unknown fields are
+            ignored
+        :raises TypeError: when a required field is missing
+        :raises ValueError: when the report's age is not a number
+        """
         fields = jobs.LoadReport._fields
-        known = {name: document[name] for name in fields if name in document}
-        known['at_s'] = self.clock.now_s() - float(document.get('age_s', 0))
-        return jobs.LoadReport(**known)
+        report_fields = {
+            name: document[name] for name in fields if name in document
+        }
+        report_fields['at_s'] = self.clock.now_s() - float(
+            document.get('age_s', 0)
+        )
+        return jobs.LoadReport(**report_fields)
 
     def poll_cache(self, endpoint):
-        """Read cache events for good."""
+        """Read the prefix cache events of an engine until killed."""
         after = 0
         while True:
             try:
                 document = endpoint.cache_events(after, CACHE_WAIT_S)
                 events = tuple(document['events'])
-                # Numbers begin anew when the engine has been started anew.
+                # A restarted engine numbers its events from the start.
                 gap = bool(document.get('gap')) or document['next'] < after
                 after = document['next']
                 if events or gap:
-                    self.post(CacheSeen(endpoint.name, events, gap))
+                    self.post(CacheEventsReceived(endpoint.name, events, gap))
             except (errors.EndpointUnreachable, KeyError, TypeError):
-                self.clock.sleep(RETRY_S)
+                self.clock.sleep(CACHE_RETRY_INTERVAL_S)
 
     def poll_health(self, endpoint):
-        """Ask a plain service for its health for good."""
-        health = Health(self, endpoint.name)
+        """Poll the health of a plain service until killed."""
+        health = HealthTracker(self, endpoint.name)
         while True:
-            state = endpoint.healthy()
+            state = endpoint.poll_state()
             if state == 'crashed':
-                health.missed()
+                health.record_no_response()
             else:
-                health.seen(state)
+                health.record_response(state)
             interval_s = HEALTH_INTERVAL_S * (0.75 + self.rng.random() / 2)
             self.clock.sleep(interval_s)
 
 
-class Health:
-    """Turns poll results into :class:`StateSeen` when they change."""
+class HealthTracker:
+    """Posts :class:`EndpointStateChanged` when polls show another state.
+
+    :param dispatcher: the :class:`Dispatcher` to post to
+    :param name: name of the polled endpoint
+    """
 
     STATES = {'in': 'up'}
 
@@ -521,26 +591,29 @@
         self.state = 'up'
         self.failures = 0
 
-    def seen(self, state):
-        """The endpoint answered and named its state."""
+    def record_response(self, state):
+        """Record a poll that the endpoint answered.
+
+        :param state: the state that it reported
+        """
         self.failures = 0
-        self.become(self.STATES.get(state, state))
+        self.set_state(self.STATES.get(state, state))
 
-    def missed(self):
-        """The endpoint did not answer."""
+    def record_no_response(self):
+        """Record a poll without a response."""
         self.failures += 1
         if self.failures >= FAILURES_UNTIL_CRASHED:
-            self.become('crashed')
+            self.set_state('crashed')
 
-    def become(self, state):
-        """Tell the dispatcher when the state is another one."""
+    def set_state(self, state):
+        """Set the state, and post it to the dispatcher if it differs."""
         if state != self.state:
             self.state = state
-            self.dispatcher.post(StateSeen(self.name, state))
+            self.dispatcher.post(EndpointStateChanged(self.name, state))
 
 
-def tells_of_crash(message):
-    """Tell whether a message is of an endpoint that died under a job."""
+def reports_crash(message):
+    """Return whether a message reports a crash while a job was running."""
     match message:
         case JobFailed(failed=failed):
             return failed.crashed
@@ -551,6 +624,6 @@
 
 
 def count_alive(members):
-    """Return how many nodes share the work, this one included."""
+    """Return the number of members that are alive, at least 1."""
     alive = sum(member.state == 'alive' for member in members.values())
     return max(1, alive)
--- a/magnoliadyke/explain.py
+++ b/magnoliadyke/explain.py
@@ -1,17 +1,18 @@
-"""Gathers what all hosts logged of one request, in order of time."""
+"""Searches the logs of all hosts for one request and its possible causes."""
 
 from collections.abc import Iterable
 import datetime
 import re
 from typing import NamedTuple
 
-__all__ = ['Line', 'gather', 'nearby']
+__all__ = ['LogLine', 'find_request_lines', 'find_state_changes']
 
 _AT = re.compile(r'\bat=(\S+)')
 _HOST = re.compile(r'\bhost=(\S+)')
 _ENDPOINT = re.compile(r'\bendpoint=(\S+)')
-#: Events that change what a host believes; one of them may be the cause.
-BELIEFS = (
+#: Log events that report a change of a host's state or view of the fleet, and
+#: so may be the cause of what happened to a request.
+STATE_CHANGE_EVENTS = (
     'configuration',
     'endpoint',
     'endpoint_doubted',
@@ -31,10 +32,12 @@
 )
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One line of a host's log.
 
-    :param at: as the host's clock had it
+    :param at: time of the line, by the clock of the host
+    :param host: name of the host, ``''`` if the line has none
+    :param text: the whole line
     """
 
     at: datetime.datetime
@@ -42,38 +45,45 @@
     text: str
 
 
-def gather(request_id: str, lines: Iterable[str]) -> list[Line]:
-    """The lines that name a request, in order of time.
+def find_request_lines(request_id: str, lines: Iterable[str]) -> list[LogLine]:
+    """Return the log lines with a request id, in order of time.
 
-    :param lines: of the logs of all hosts
+    :param request_id: value of the field ``id`` to search for
+    :param lines: lines of the logs of all hosts
     """
-    mark = f' id={request_id} '
-    found = [_parse(text) for text in lines if mark in f'{text.rstrip()} ']
+    id_field = f' id={request_id} '
+    found = [_parse(text) for text in lines if id_field in f'{text.rstrip()} ']
     return sorted(line for line in found if line is not None)
 
 
-def nearby(
-    lines: Iterable[str], around: list[Line], seconds: float
-) -> list[Line]:
-    """Changes of belief that may have decided a request.
+def find_state_changes(
+    lines: Iterable[str], request_lines: list[LogLine], seconds: float
+) -> list[LogLine]:
+    """Return the state changes that may have affected a request.
 
-    Those of the hosts that handled it, and any of the endpoints that it
-    went to, shortly before its first line and until its last one.
+    These are changes on the hosts that handled the request, and changes of
+    the endpoints that it was sent to, from ``seconds`` before its first line
+    until its last line.
 
-    :param around: the lines of the request
-    :param seconds: how long before counts as shortly
+    :param lines: lines of the logs of all hosts
+    :param request_lines: the lines of the request, in order of time
+    :param seconds: length of the period before the first line
     """
-    if not around:
+    if not request_lines:
         return []
-    hosts = {line.host for line in around}
-    endpoints = {m for each in around for m in _ENDPOINT.findall(each.text)}
-    from_at = around[0].at - datetime.timedelta(seconds=seconds)
+    hosts = {line.host for line in request_lines}
+    endpoints = {
+        m for each in request_lines for m in _ENDPOINT.findall(each.text)
+    }
+    from_at = request_lines[0].at - datetime.timedelta(seconds=seconds)
     found = []
     for text in lines:
-        if not any(f'event={event} ' in f'{text} ' for event in BELIEFS):
+        if not any(
+            f'event={event} ' in f'{text} ' for event in STATE_CHANGE_EVENTS
+        ):
             continue
         line = _parse(text)
-        if line is None or not from_at <= line.at <= around[-1].at:
+        if line is None or not from_at <= line.at <= request_lines[-1].at:
             continue
         names = set(_ENDPOINT.findall(text))
         if names & endpoints or (not names and line.host in hosts):
@@ -81,7 +91,7 @@
     return sorted(found)
 
 
-def _parse(text: str) -> Line | None:
+def _parse(text: str) -> LogLine | None:
     at = _AT.search(text)
     if at is None:
         return None
@@ -89,6 +99,6 @@
     try:
         moment = datetime.datetime.fromisoformat(at[1])
     except ValueError:
-        # A line of another program among the logs.
+        # The line was written by another program.
         return None
-    return Line(moment, host[1] if host else '', text.strip())
+    return LogLine(moment, host[1] if host else '', text.strip())
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -54,7 +54,7 @@
     """Shared components that an exchange uses.
 
     :param budgets: retry budgets by service
-    :param begun: records that a request of a workspace began to run
+    :param record_start: records that a request of a workspace began to run
     """
 
     clock: clocks.Clock
@@ -67,7 +67,7 @@
     crashreports: crashreports.CrashReporter
     backoffs: backoffs.Backoffs
     rng: random.Random
-    begun: usageduty.StartRecorder
+    record_start: usageduty.StartRecorder
 
 
 class Exchange(abc.ABC):
@@ -75,7 +75,7 @@
 
     :param arrived_s: when the head of the request was complete, in monotonic
         seconds
-    :ivar deadline_s: when the caller gives up, in monotonic seconds
+    :ivar deadline_s: when the caller's timeout ends, in monotonic seconds
     :ivar runs: number of attempts that ran the request, or may have
     :ivar sends: number of attempts, including those that endpoints rejected
     :ivar tried: ids of endpoints that the request was sent to
@@ -122,7 +122,7 @@
 
     @property
     def left_s(self) -> float:
-        """Time until the caller gives up, in seconds."""
+        """Time until the caller's timeout ends, in seconds."""
         return self.deadline_s - self.parts.clock.now_s()
 
     def run(self) -> outcomes.Outcome:
@@ -152,8 +152,8 @@
 
     def _end_interrupted(self) -> outcomes.Refused | outcomes.Failed:
         """Return the outcome of a request that this host's stop aborts."""
-        self.caller.broken = self.caller.answer_begun
-        if not (self.runs or self.caller.answer_begun):
+        self.caller.broken = self.caller.answer_started
+        if not (self.runs or self.caller.answer_started):
             return outcomes.Refused(STOPPING, 0.0)
         return outcomes.Failed(504, STOPPING)
 
@@ -170,7 +170,7 @@
                 headers.append((b'Retry-After', retry_after))
                 self.caller.answer(503, headers, reason.encode())
             case outcomes.Failed(status, reason) if (
-                not self.caller.answer_begun
+                not self.caller.answer_started
             ):
                 headers = self.parts.codec.local_response_headers(self.request)
                 self.caller.answer(status, headers, reason.encode())
@@ -243,7 +243,7 @@
         workspace = self.request.workspace
         if workspace is not None and not self.start_recorded:
             self.start_recorded = True
-            self.parts.begun(workspace.name, ago_s)
+            self.parts.record_start(workspace.name, ago_s)
 
     def _record_crash(
         self,
--- a/magnoliadyke/gateway/inflightjobs.py
+++ b/magnoliadyke/gateway/inflightjobs.py
@@ -1,9 +1,9 @@
 """Tracks this host's jobs at engines, to inform a new placement leader.
 
-A new leader does not know the engines' cache contents and load.  For seconds
-it would send prompts to engines that do not cache them, to engines that are
-still busy with prefills of the previous leader, and into decode slots that
-are in use.  So each host sends its own jobs to a new leader.
+A new leader has no record of the engines' cache contents and load.  For
+seconds it would send prompts to engines that do not cache them, to engines
+that are still busy with prefills of the previous leader, and into decode slots
+that are in use.  So each host sends its own jobs to a new leader.
 """
 
 import collections
@@ -15,8 +15,8 @@
 
 __all__ = ['InFlightJobs']
 
-#: Prompts placed within this time are sent to a new leader: engines are
-#: likely to still cache them.
+#: Prompts placed within this time, in seconds, are sent to a new leader:
+#: engines are likely to still cache them.
 IN_FLIGHT_RETENTION_S = 6.0
 #: Maximum number of placed prompts kept for a new leader.
 MAX_IN_FLIGHT = 400
@@ -26,8 +26,8 @@
 class _InFlightJob:
     """A job that engines still work on.
 
-    :ivar is_prefilling: whether the prompt is long enough to be accounted and
-        its prefill is not known to be done
+    :ivar is_prefilling: whether the prompt is long enough to be tracked and
+        the end of its prefill was not recorded
     """
 
     service: str
@@ -37,7 +37,7 @@
     @property
     def prefill_engine_id(self) -> str:
         """Id of the engine that prefills the prompt."""
-        return self.placed.prefill or self.placed.run
+        return self.placed.prefill_engine or self.placed.decode_engine
 
 
 class _SentPrompt(NamedTuple):
@@ -72,14 +72,17 @@
     ) -> None:
         """Record that a job was placed.
 
-        :param short: whether its prompt is too short to be accounted
+        :param short: whether its prompt is too short to be tracked
         """
         self.in_flight[job.id] = _InFlightJob(service, placed, not short)
-        for engine in {placed.prefill or placed.run, placed.run}:
+        for engine in {
+            placed.prefill_engine or placed.decode_engine,
+            placed.decode_engine,
+        }:
             self.sent_prompts.append(_SentPrompt(now_s, service, job, engine))
 
     def record_prefill_done(self, job_id: int) -> None:
-        """Record that a job's prefill is done, or was given up."""
+        """Record that a job's prefill is done, or was abandoned."""
         in_flight_job = self.in_flight.get(job_id)
         if in_flight_job is not None:
             in_flight_job.is_prefilling = False
@@ -101,9 +104,9 @@
             contents = self._cache_contents(job.id, engine, job.parts)
             found_contents.setdefault(service, []).append(contents)
         for job_id, in_flight_job in self.in_flight.items():
-            engine = in_flight_job.placed.run
+            engine = in_flight_job.placed.decode_engine
             if (
-                in_flight_job.placed.tell_end
+                in_flight_job.placed.report_end
                 and (job_id, engine) not in recent
             ):
                 contents = self._cache_contents(job_id, engine, ())
@@ -136,7 +139,7 @@
             engine,
             parts,
             job_id,
-            in_flight_job.placed.read_tokens if reads else None,
-            in_flight_job.placed.tell_end
-            and engine == in_flight_job.placed.run,
+            in_flight_job.placed.prefill_tokens if reads else None,
+            in_flight_job.placed.report_end
+            and engine == in_flight_job.placed.decode_engine,
         )
--- a/magnoliadyke/gateway/keymirror.py
+++ b/magnoliadyke/gateway/keymirror.py
@@ -64,7 +64,8 @@
 class KeyMirror:
     """Applies the store's keys to the catalog and to listeners.
 
-    :param known: catalog that receives the configuration and the endpoints
+    :param endpoint_catalog: catalog that receives the configuration and the
+        endpoints
     :param listeners: receive the gateways' own keys, by key prefix
     :param gone: called with the id of each endpoint that is removed
     :ivar items: the store's keys as last applied
@@ -74,19 +75,19 @@
     def __init__(
         self,
         decoder: Decoder,
-        known: catalog.Catalog,
+        endpoint_catalog: catalog.Catalog,
         listeners: dict[str, Listener],
         gone: Callable[[str], None],
         clock: clocks.Clock,
     ) -> None:
         self.decoder = decoder
-        self.catalog = known
+        self.catalog = endpoint_catalog
         self.listeners = listeners
         self.gone = gone
         self.clock = clock
         self.items: dict[str, store.Item] = {}
-        self.expired_entries = expiredentries.ExpiredEntries(known)
-        self.stale_entries = staleentries.StaleEntries(known)
+        self.expired_entries = expiredentries.ExpiredEntries(endpoint_catalog)
+        self.stale_entries = staleentries.StaleEntries(endpoint_catalog)
         self.unusable: collections.Counter[str] = collections.Counter()
 
     def replace(self, items: dict[str, store.Item]) -> None:
@@ -105,8 +106,8 @@
         """Apply all keys of a store that was restored from a backup.
 
         Endpoints that the backup lacks, or holds in an older state, stay as
-        this host knows them for a grace period, in which they write their
-        entries again.
+        this host last recorded them for a grace period, in which they write
+        their entries again.
 
         :param at: position as of which the items were read
         """
@@ -183,7 +184,9 @@
                 position=item.position,
             )
 
-    def change(self, changes: tuple[store.Item | store.Removed, ...]) -> None:
+    def apply_changes(
+        self, changes: tuple[store.Item | store.Removed, ...]
+    ) -> None:
         """Apply changes, and start grace periods for removed endpoint entries.
 
         All entries that the changes remove are judged as one group.  An
@@ -255,7 +258,7 @@
             # applied, the state kept for the endpoint would be dropped twice:
             # now, and when the entry of the new process is read again.
             self.unusable['former endpoint'] += 1
-            LOG.repeated('endpoint_former', item.key, key=item.key)
+            LOG.throttled_warning('endpoint_former', item.key, key=item.key)
             return
         if self.stale_entries.is_stale(
             endpoint.name, item.position, self.clock.now_s()
@@ -283,7 +286,7 @@
     def _ignore_endpoint(self, item: store.Item, reason: str) -> None:
         """Ignore an entry that is not usable, and drop its endpoint."""
         self.unusable['endpoint'] += 1
-        LOG.repeated(
+        LOG.throttled_warning(
             'endpoint_ignored',
             item.key,
             key=item.key,
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -43,8 +43,8 @@
 class PeerState(NamedTuple):
     """All keys of the store that a host has read.
 
-    :param items: keys with their values, of those written after the position
-        asked for
+    :param items: keys with their values, of those written after the requested
+        position
     :param positions: positions of all keys, including those without an item
     :param position: position up to which the host has read the store
     :param store_contact: the host's contact with the store, None if it has
@@ -93,13 +93,15 @@
 
     def _serve(self, sock: socket.socket, address: tuple[str, int]) -> None:
         sock.settimeout(CONNECTION_TIMEOUT_S)
-        protocol = peer.protocol_over(sock)
+        protocol = peer.protocol_on(sock)
         try:
             State.Processor(_Handler(self.get_state)).process(
                 protocol, protocol
             )
         except peer.FAILURES as error:
-            LOG.repeated('state_not_told', address[0], error=str(error))
+            LOG.throttled_warning(
+                'state_not_told', address[0], error=str(error)
+            )
         finally:
             sock.close()
 
@@ -168,11 +170,11 @@
             FETCH_TIMEOUT_S, TimeoutError('state not fetched in time')
         ):
             sock = peer.connect(address)
-            client = State.Client(peer.protocol_over(sock))
+            client = State.Client(peer.protocol_on(sock))
             reply = client.fetch(constants.VERSION, known.revision, known.era)
             return _decode(reply)
     except (*peer.FAILURES, errors.ProtocolError) as error:
-        LOG.repeated('state_not_fetched', address, error=str(error))
+        LOG.throttled_warning('state_not_fetched', address, error=str(error))
         return None
     finally:
         if sock is not None:
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -1,4 +1,4 @@
-"""Hand a home's records to a successor, and take over those of others."""
+"""Transfer request records to a successor, and adopt those of others."""
 
 import json
 import typing
@@ -12,20 +12,21 @@
 __all__ = ['Adopted', 'Handover']
 
 HOME_LINE = b'{"home"'
-SEAL_TIMEOUT_S = 5.0
+FIRST_TRANSFER_TIMEOUT_S = 5.0
 BATCH_BYTES = 256 << 10
-FINISH_TRIES = 3
-#: Stands for an age without bound, which JSON can't express.
-LONGEST_AGE_S = 1e9
+MAX_FINISH_ATTEMPTS = 3
+#: Stands for an infinite age, which JSON can't express.
+UNBOUNDED_AGE_S = 1e9
 
 
 class Adopted(typing.NamedTuple):
-    """A home whose keys live on this node.
+    """A home whose records this node has taken over.
 
-    :param issuer: checks its tickets
-    :param shift_s: this clock's seconds minus the home's own
-    :param floor_s: issue time, by this clock, up to which the home had
-        forgotten keys
+    :param issuer: checks the tickets of that home
+    :param shift_s: this node's monotonic clock minus that of the home, in
+        seconds
+    :param floor_s: issue time, by this node's clock, up to which the home
+        may have dropped the records of keys
     """
 
     issuer: tickets.TicketIssuer
@@ -34,20 +35,26 @@
 
 
 class Handover:
-    """The records of this node on their way out, and of others coming in.
+    """Sends the records of a stopping node, and receives those of others.
 
-    A stopping node hands over twice. First, at once: all its records, with
-    requests that still run marked as being away. From then on new keys of
-    its tickets run at the successor. At the end: what became of the
-    requests that were running.
+    A stopping node transfers its records twice. The first transfer is made
+    at once; requests that still run are marked as running elsewhere. From
+    then on new keys of its tickets run at the successor. The second transfer
+    is made when those requests have ended or the stop's deadline has passed,
+    and has their outcomes.
 
     :param issuer: :class:`tickets.TicketIssuer` of this node
+    :param incarnation: incarnation of this node
     :param table: :class:`records.RecordTable` of this node
     :param peers: :class:`magnoliadyke.peer.PeerClients`
-    :param directory: :class:`magnoliadyke.directory.Directory`
+    :param directory: :class:`magnoliadyke.homedirectory.HomeDirectory`
     :ivar adopted: :class:`Adopted` by home
-    :ivar sealed: set once the first hand-over has been tried; None before
-    :ivar successor: host name, ``''`` if nobody took the records
+    :ivar incoming_lines: lines of hand-overs that are incomplete, by host and
+        incarnation
+    :ivar first_transfer_ended: event that is set when the first transfer has
+        succeeded or failed; None while this node runs new keys itself
+    :ivar member: successor as a gossip member, or None
+    :ivar successor: host name, ``''`` if no member took the records
     """
 
     def __init__(self, issuer, incarnation, table, peers, directory, clock):
@@ -55,34 +62,36 @@
         self.incarnation = incarnation
         self.table = table
         self.peers = peers
-        self.directory = directory
+        self.home_directory = directory
         self.clock = clock
         self.adopted = {}
-        self.arriving = {}
-        self.sealed = None
+        self.incoming_lines = {}
+        self.first_transfer_ended = None
         self.member = None
         self.successor = ''
 
-    # Coming in.
+    # Receiving.
 
-    def take(self, host, incarnation, lines, last):
-        """Take over records of a host that is leaving.
+    def receive_batch(self, host, incarnation, lines, last):
+        """Receive a batch of records of a host that is stopping.
 
-        :param lines: JSON lines (bytes)
-        :param last: whether the hand-over is complete
-        :return: number of lines taken
+        :param lines: JSON lines, each as bytes
+        :param last: whether this batch completes the hand-over
+        :return: number of lines received
         """
-        arriving = self.arriving.setdefault((host, incarnation), [])
-        arriving += lines
+        incoming_lines = self.incoming_lines.setdefault(
+            (host, incarnation), []
+        )
+        incoming_lines += lines
         if last:
-            # Nothing is adopted before all is here: a half of the records
-            # would let a key run again whose record is in the other half.
-            del self.arriving[host, incarnation]
-            self.take_all(arriving, self.clock.now_s())
+            # No home is adopted before its records are complete: a key whose
+            # record has not arrived yet would run a second time.
+            del self.incoming_lines[host, incarnation]
+            self.import_all(incoming_lines, self.clock.now_s())
         return len(lines)
 
-    def take_all(self, lines, now_s):
-        """Enter records and homes that have arrived completely."""
+    def import_all(self, lines, now_s):
+        """Import the records of a complete hand-over, then its homes."""
         for line in lines:
             if not line.startswith(HOME_LINE):
                 self.table.import_line(line, now_s)
@@ -91,7 +100,10 @@
                 self.adopt(json.loads(line), now_s)
 
     def adopt(self, description, now_s):
-        """Become the home of another home's keys."""
+        """Take over the keys of another home.
+
+        :param description: dict as :meth:`describe_homes` writes it
+        """
         home = description['home']
         host, _, incarnation = home.rpartition('.')
         secret = bytes.fromhex(description['secret'])
@@ -100,51 +112,54 @@
         floor_s = now_s - description['floor_age_s']
         self.adopted[home] = Adopted(issuer, shift_s, floor_s)
 
-    # Going out.
+    # Sending.
 
-    def begin(self, members):
-        """Give all records to a successor; new keys are its own from now.
+    def start_transfer(self, members):
+        """Make the first transfer; new keys run at the successor from now.
 
-        :param members: members to try, in order
+        :param members: gossip members to try, in order
         """
-        self.sealed = event.Event()
+        self.first_transfer_ended = event.Event()
         try:
             for member in members:
-                if self.hand_to(member, self.issuer.home):
+                if self.transfer_to(member, self.issuer.home):
                     self.member = member
                     self.successor = member.host
                     break
         finally:
-            self.sealed.set()
+            self.first_transfer_ended.set()
 
-    def finish(self):
-        """Tell the successor what became of the requests that ran."""
+    def finish_transfer(self):
+        """Make the second transfer, with the outcomes of requests that ran."""
         member = self.member
-        for _ in range(FINISH_TRIES):
-            if member is None or self.hand_to(member, ''):
+        for _ in range(MAX_FINISH_ATTEMPTS):
+            if member is None or self.transfer_to(member, ''):
                 return
-            # The successor is stopping as well: follow its own successor.
+            # The successor is stopping as well: try its own successor.
             home = tickets.home_name(member.host, member.incarnation)
-            member = self.directory.present_holder(home)
+            member = self.home_directory.current_holder(home)
+
+    def wait_for_transfer(self):
+        """Wait for the end of the first transfer.
 
-    def wait(self):
-        """Wait until the first hand-over is done; return the successor."""
-        self.sealed.wait(SEAL_TIMEOUT_S)
+        :return: host name of the successor, or ``''``
+        """
+        self.first_transfer_ended.wait(FIRST_TRANSFER_TIMEOUT_S)
         return self.successor
 
-    def hand_to(self, member, running_at):
+    def transfer_to(self, member, running_at):
         """Send all records to one member; return whether it is successor.
 
-        A member whose last answer was lost may have adopted the records. No
-        other may then be asked, or two nodes would run this home's keys: it
-        stays the successor, and if it has not adopted them its answer to
-        their keys is ``Unknown``.
+        If the reply to the last batch is lost, the member may have adopted
+        the records. It then stays the successor, since a second one would
+        run this home's keys as well. If it has not adopted them, its outcome
+        for their keys is ``Unknown``.
 
         :param running_at: home at which running requests can be followed
         """
         address = f'{member.address}:{member.peer_port}'
         now_s = self.clock.now_s()
-        *batches, final = self.batches(now_s, running_at)
+        *batches, last_batch = self.batches(now_s, running_at)
         try:
             for batch in batches:
                 if not self.send(address, batch, False):
@@ -152,12 +167,19 @@
         except errors.HostUnreachable:
             return False
         try:
-            return self.send(address, final, True)
+            return self.send(address, last_batch, True)
         except errors.HostUnreachable:
             return True
 
     def batches(self, now_s, running_at):
-        """Return the lines to hand over as a list of lists, none huge."""
+        """Return the lines to hand over, in batches.
+
+        The first batch begins with the homes. Each ends with the line that
+        brings its records to ``BATCH_BYTES`` or more.
+
+        :param running_at: home at which running requests can be followed
+        :return: lists of JSON lines
+        """
         batches = [list(self.describe_homes(now_s))]
         size = 0
         for line in self.table.export(now_s, running_at):
@@ -169,7 +191,7 @@
         return batches
 
     def describe_homes(self, now_s):
-        """Yield a line of JSON for each home that lives here."""
+        """Yield a JSON line for this home and each adopted one."""
         own = Adopted(self.issuer, 0.0, records.NO_FLOOR)
         for each in (own, *self.adopted.values()):
             floor_s = max(each.floor_s, self.table.floor_s)
@@ -177,11 +199,19 @@
                 'home': each.issuer.home,
                 'secret': each.issuer.secret.hex(),
                 'now_s': now_s - each.shift_s,
-                'floor_age_s': min(now_s - floor_s, LONGEST_AGE_S),
+                'floor_age_s': min(now_s - floor_s, UNBOUNDED_AGE_S),
             }
             yield json.dumps(description, separators=(',', ':')).encode()
 
     def send(self, address, batch, last):
-        """Send one batch; return whether it was taken."""
-        taken = self.peers.handover(address, self.incarnation, batch, last)
-        return taken is not None
+        """Send one batch; return whether the peer accepted it.
+
+        :param address: ``ip:port`` of the peer
+        :param batch: list of JSON lines
+        :param last: whether this batch completes the hand-over
+        :raises HostUnreachable: when the peer did not reply
+        """
+        accepted_count = self.peers.handover(
+            address, self.incarnation, batch, last
+        )
+        return accepted_count is not None
--- a/magnoliadyke/lab/baselines.py
+++ b/magnoliadyke/lab/baselines.py
@@ -1,23 +1,27 @@
-"""Role policies to compare with: fixed, greedy, hysteresis, hindsight.
-
-Each has the two methods of :class:`magnoliadyke.core.roles.Planner` that the
-experiments call, so that all run over the same scheduler and fakes.
-
-The hindsight plan is the optimum, found by dynamic programming, of a
-relaxed problem over the known trace.  It relaxes these things:
-
-- the work is a fluid: no queue, no batch, no request that is cut in two;
-- a request that is not served within its second is lost without trace, so
-  overload costs nothing later;
-- demand is smoothed over `SMOOTH_S`, the slack that the objectives leave;
-- an engine that changes is away for exactly the outage;
-- an engine's time up to the usable shares can be sold, and the idle
-  rest in the other role at a fixed rate.
-
-It starts from the split that the other moving policies start from.  As it
-knows the future, the plan is not one that could be had; and as its
-model is not the fakes', another plan may do better on the fakes.  So it is
-tried with several usable shares and the best run counts as the ceiling.
+"""Baseline role policies: fixed, greedy, hysteresis and hindsight.
+
+Each has the methods `observe` and `plan` of
+:class:`magnoliadyke.core.roles.Planner`, so that all policies run on the same
+scheduler and fake engines.
+
+The hindsight plan is the optimum, computed by dynamic programming, of a
+relaxed problem over the complete trace.  The relaxed model differs from the
+fake engines as follows:
+
+- Work is a fluid, without queues, batches or interrupted requests.
+- Demand that is not served in its time step is dropped, so an overload costs
+  nothing later.
+- Demand is smoothed over `SMOOTH_S`, the slack that the objectives leave.
+- A role change makes an engine unavailable for exactly
+  `role_change_downtime_s`.
+- An engine is loaded up to its maximum utilization, and idle decode capacity
+  serves prefill at a fixed rate.
+
+The plan starts from the same split as greedy, hysteresis and the planner.  No
+online policy can compute it, since it uses future demand.  It is no strict
+upper bound: since the model differs from the fake engines, another plan may
+do better on them.  Experiments therefore compute a plan for each of several
+maximum utilizations and take the best run as the ceiling.
 """
 
 from typing import NamedTuple
@@ -33,61 +37,77 @@
     'Schedule',
     'fluid_demand',
     'hindsight_plan',
-    'likely_splits',
+    'rank_splits',
 ]
 
+#: Time step of the relaxed model.
 CELL_S = 2.0
 SMOOTH_S = 4.0
+#: Distance of the target from the present split, in engines, from which on
+#: hysteresis considers a change.
 HYSTERESIS_BAND = 0.75
+#: Time for which the target has to stay outside the band before a change.
 HYSTERESIS_HOLD_S = 10.0
+#: Shortest time between two changes.
 HYSTERESIS_DWELL_S = 30.0
-DEMAND_MEMORY_S = 10.0
-TOKEN_S = 0.04
+DEMAND_TIME_CONSTANT_S = 10.0
+#: Time per output token over which the relaxed model spreads an answer.
+DECODE_TOKEN_INTERVAL_S = 0.04
 
 
 def _change_towards(state, prefills):
-    """The change that moves the split one engine towards `prefills`."""
+    """Return the change that moves the split one engine towards a target.
+
+    :param state: :class:`magnoliadyke.core.roles.PoolState`
+    :param prefills: target number of prefill engines
+    :returns: :class:`magnoliadyke.core.roles.RoleChange` of the least loaded
+        engine; None while another engine changes its role or if the target
+        is reached
+    """
     ready = [each for each in state.engines if each.state in roles.READY]
     if any(each.state == 'changing' for each in state.engines):
         return None
     prefilling = [each for each in ready if each.role == roles.PREFILL]
     decoding = [each for each in ready if each.role == roles.DECODE]
-    most = len(ready) - state.min_decode
-    wanted = max(state.min_prefill, min(most, prefills))
-    if wanted > len(prefilling) and decoding:
-        least = min(decoding, key=lambda engine: engine.load)
-        return roles.RoleChange(least.name, roles.PREFILL)
-    if wanted < len(prefilling):
-        least = min(prefilling, key=lambda engine: engine.load)
-        return roles.RoleChange(least.name, roles.DECODE)
+    max_prefills = len(ready) - state.min_decode
+    target_prefills = max(state.min_prefill, min(max_prefills, prefills))
+    if target_prefills > len(prefilling) and decoding:
+        least_loaded = min(decoding, key=lambda engine: engine.load)
+        return roles.RoleChange(least_loaded.name, roles.PREFILL)
+    if target_prefills < len(prefilling):
+        least_loaded = min(prefilling, key=lambda engine: engine.load)
+        return roles.RoleChange(least_loaded.name, roles.DECODE)
     return None
 
 
 class Fixed:
-    """Never changes a role."""
+    """Policy that never changes a role."""
 
     def observe(self, demand, now_s):
-        """Heed no demand."""
+        """Ignore the demand."""
 
     def plan(self, state, now_s):
-        """Change nothing."""
+        """Return no change."""
         return None
 
 
-class _Follower:
-    """Follows the share of prefill in a smoothed demand."""
+class _DemandFollower:
+    """Base of policies that follow the prefill share of smoothed demand."""
 
     def __init__(self):
-        self.prefill = forecast.Series(DEMAND_MEMORY_S)
-        self.decode = forecast.Series(DEMAND_MEMORY_S)
+        self.prefill = forecast.Series(DEMAND_TIME_CONSTANT_S)
+        self.decode = forecast.Series(DEMAND_TIME_CONSTANT_S)
 
     def observe(self, demand, now_s):
-        """Take a demand into the smoothed one."""
+        """Add a sample of the demand."""
         self.prefill.add(demand.prefill_s_per_s, now_s)
         self.decode.add(demand.decode_s_per_s, now_s)
 
-    def wanted(self, state):
-        """Engines that should prefill, as a fraction."""
+    def target_prefills(self, state):
+        """Return the prefill engines that fit the demand, not rounded.
+
+        :returns: None if there is no demand
+        """
         prefill = self.prefill.mean()
         decode = self.decode.mean()
         ready = sum(each.state in roles.READY for each in state.engines)
@@ -96,74 +116,88 @@
         return ready * prefill / (prefill + decode)
 
 
-class Greedy(_Follower):
-    """Changes to the nearest split as soon as the demand does."""
+class Greedy(_DemandFollower):
+    """Policy that changes to the split nearest to the demand at once."""
 
     def plan(self, state, now_s):
-        """Change towards the nearest split at once."""
-        wanted = self.wanted(state)
-        if wanted is None:
+        """Return a change towards the nearest split."""
+        target_prefills = self.target_prefills(state)
+        if target_prefills is None:
             return None
-        return _change_towards(state, round(wanted))
+        return _change_towards(state, round(target_prefills))
 
 
-class Hysteresis(_Follower):
-    """Changes when the demand has asked for it clearly and for a while."""
+class Hysteresis(_DemandFollower):
+    """Policy that changes after demand stays outside a band for some time."""
 
     def __init__(self):
         super().__init__()
-        self.asked_since_s = None
+        self.outside_band_since_s = None
         self.changed_at_s = float('-inf')
 
     def plan(self, state, now_s):
-        """Change once the demand has been outside the band for long."""
-        wanted = self.wanted(state)
+        """Return a change if hold time and dwell time have passed."""
+        target_prefills = self.target_prefills(state)
         ready = [each for each in state.engines if each.state in roles.READY]
         prefills = sum(each.role == roles.PREFILL for each in ready)
-        if wanted is None or abs(wanted - prefills) < HYSTERESIS_BAND:
-            self.asked_since_s = None
+        if (
+            target_prefills is None
+            or abs(target_prefills - prefills) < HYSTERESIS_BAND
+        ):
+            self.outside_band_since_s = None
             return None
-        if self.asked_since_s is None:
-            self.asked_since_s = now_s
-        if now_s - self.asked_since_s < HYSTERESIS_HOLD_S:
+        if self.outside_band_since_s is None:
+            self.outside_band_since_s = now_s
+        if now_s - self.outside_band_since_s < HYSTERESIS_HOLD_S:
             return None
         if now_s - self.changed_at_s < HYSTERESIS_DWELL_S:
             return None
-        change = _change_towards(state, round(wanted))
+        change = _change_towards(state, round(target_prefills))
         if change is not None:
             self.changed_at_s = now_s
         return change
 
 
 class Change(NamedTuple):
-    """From `at_s` on, `prefills` engines should prefill."""
+    """A change of the split.
+
+    :param at_s: time from which on the split applies
+    :param prefills: number of prefill engines
+    """
 
     at_s: float
     prefills: int
 
 
 class Schedule:
-    """Carries out a list of :class:`Change`."""
+    """Policy that follows a given schedule.
+
+    :param changes: list of :class:`Change` by time
+    """
 
     def __init__(self, changes):
         self.changes = list(changes)
 
     def observe(self, demand, now_s):
-        """Heed no demand; the changes are known."""
+        """Ignore the demand, since the schedule is given."""
 
     def plan(self, state, now_s):
-        """Change towards the split that is due."""
-        due = [each for each in self.changes if each.at_s <= now_s]
-        if not due:
+        """Return a change towards the scheduled split."""
+        started = [each for each in self.changes if each.at_s <= now_s]
+        if not started:
             return None
-        return _change_towards(state, due[-1].prefills)
+        return _change_towards(state, started[-1].prefills)
 
 
 def fluid_demand(requests, cells):
-    """Demand of each cell, smoothed, as (prefill, decode) pairs.
+    """Compute the smoothed demand in each time step.
 
-    A prompt counts where it arrives; an output is spread over the time that
-    its tokens take.
+    A prompt counts in the time step of its arrival; an output is spread over
+    the time that its tokens take.
+
+    :param requests: :class:`traces.Request` by arrival time
+    :param cells: number of time steps
+    :returns: list of (prefill, decode) in engine-seconds per second
     """
     prefill = [0.0] * cells
     decode = [0.0] * cells
@@ -172,7 +206,9 @@
         work_s = request.prompt_tokens * traces.PREFILL_TOKEN_S
         prefill[first] += work_s / CELL_S
         work_s = request.output_tokens * traces.DECODE_TOKEN_S
-        spread = 1 + int(request.output_tokens * TOKEN_S / CELL_S)
+        spread = 1 + int(
+            request.output_tokens * DECODE_TOKEN_INTERVAL_S / CELL_S
+        )
         for cell in range(first, min(first + spread, cells)):
             decode[cell] += work_s / spread / CELL_S
     return list(zip(_smooth(prefill), _smooth(decode), strict=True))
@@ -191,19 +227,24 @@
 def hindsight_plan(
     requests, length_s, engines, price_tokens, settings, first=None
 ):
-    """The optimal changes of the relaxed problem.
-
-    :param settings: a :class:`magnoliadyke.core.roles.PlannerSettings`
-    :param first: prefill engines at the start; None to choose them too
-    :returns: (first number of prefill engines, list of :class:`Change`,
-        tokens a second of the relaxed optimum)
+    """Compute the optimal changes of the relaxed problem.
+
+    :param requests: :class:`traces.Request` by arrival time
+    :param length_s: length of the trace
+    :param engines: number of engines
+    :param price_tokens: price of a role change, in tokens
+    :param settings: :class:`magnoliadyke.core.roles.PlannerSettings`
+    :param first: initial number of prefill engines; None to optimize it
+    :returns: (initial number of prefill engines, list of :class:`Change`,
+        tokens per second of the relaxed optimum)
     """
     cells = max(1, int(length_s / CELL_S))
     demand = fluid_demand(requests, cells)
-    values = [_cell_values(settings, engines, each) for each in demand]
-    away = max(1, round(settings.role_change_downtime_s / CELL_S))
+    values = [_served_tokens(settings, engines, each) for each in demand]
+    downtime_cells = max(1, round(settings.role_change_downtime_s / CELL_S))
     splits = range(1, engines)
-    # best[cell][split]: tokens from the cell on, and what to do in it.
+    # best[cell][split]: the largest number of tokens from this time step to
+    # the end, and the step of the split (0, 1 or -1) that attains it.
     best = [{split: (0.0, 0) for split in splits} for _ in range(cells + 1)]
     for cell in range(cells - 1, -1, -1):
         for split in splits:
@@ -213,7 +254,7 @@
                 after = split + step
                 if after not in splits:
                     continue
-                end = min(cell + away, cells)
+                end = min(cell + downtime_cells, cells)
                 left = min(split, after)
                 rest = engines - max(split, after)
                 total = sum(values[c][left, rest] for c in range(cell, end))
@@ -222,23 +263,31 @@
             best[cell][split] = max(options)
     if first is None:
         first = max(splits, key=lambda split: best[0][split][0])
-    changes = _follow(best, first, cells, away)
+    changes = _extract_changes(best, first, cells, downtime_cells)
     return first, changes, best[0][first][0] / (cells * CELL_S)
 
 
-def likely_splits(requests, length_s, engines, settings):
-    """Fixed numbers of prefill engines, by the relaxed model, best first."""
+def rank_splits(requests, length_s, engines, settings):
+    """Rank the fixed splits by the tokens that the relaxed model serves.
+
+    The parameters are those of :func:`hindsight_plan`.
+
+    :returns: numbers of prefill engines, the best first
+    """
     cells = max(1, int(length_s / CELL_S))
     demand = fluid_demand(requests, cells)
-    values = [_cell_values(settings, engines, each) for each in demand]
+    values = [_served_tokens(settings, engines, each) for each in demand]
     return sorted(
         range(1, engines),
         key=lambda split: -sum(v[split, engines - split] for v in values),
     )
 
 
-def _cell_values(settings, engines, demand):
-    """Tokens of a cell for each split, one engine away or none."""
+def _served_tokens(settings, engines, demand):
+    """Return the tokens served in a time step, by (prefills, decodes).
+
+    All splits of the pool are included, also with one engine unavailable.
+    """
     values = {}
     for prefills in range(engines):
         for decodes in (engines - prefills, engines - prefills - 1):
@@ -249,7 +298,7 @@
     return values
 
 
-def _follow(best, split, cells, away):
+def _extract_changes(best, split, cells, downtime_cells):
     changes = []
     cell = 0
     while cell < cells:
@@ -259,5 +308,5 @@
             continue
         split += step
         changes.append(Change(cell * CELL_S, split))
-        cell += away
+        cell += downtime_cells
     return changes
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -1,16 +1,19 @@
-"""Slopes of state, time and traffic, for the page on capacity.
+"""Measure how memory, CPU time and traffic grow with a deployment's size.
 
 Usage:
   capacity [--json] [--only NAMES] [--nodes SIZES] [--seconds S]
 
 Options:
-  --json           print JSON instead of a table
-  --only NAMES     probes to run, separated by commas [default: core]
-  --nodes SIZES    numbers of real nodes to start [default: 8,16,32,64]
-  --seconds S      how long real nodes are watched at each size [default: 10]
-
-Probes: membership gossip scheduler planner records table nodes; ``core``
-means all but ``nodes``, ``all`` means all.
+  --json           print JSON instead of a Markdown table
+  --only NAMES     comma-separated names of probes to run [default: core]
+  --nodes SIZES    numbers of nodes that the probe nodes starts
+                   [default: 8,16,32,64]
+  --seconds S      length of the measurement of nodes at each size
+                   [default: 10]
+
+Probes: membership gossip scheduler planner records table nodes. The name
+core selects all probes in this process, all selects nodes as well, which
+starts deployments of real processes.
 """
 
 import gc
@@ -35,23 +38,29 @@
 
 __all__ = ['PROBES', 'main']
 
+#: Target sizes to which the costs are extrapolated.
 NODES = 420
 ENDPOINTS = 1800
 CUSTOMERS = 270
-#: Keys that a node must remember: its share of the requests of the peak for
-#: as long as a ticket may bring new keys.
-KEPT_KEYS = int(7700 / NODES * records.DEFAULTS.accept_s)
+#: Idempotency keys that a node has to keep at the target size: its share of
+#: the peak rate of 7700 requests/s, for the time in which new keys of a ticket
+#: are accepted.
+REMEMBERED_KEYS = int(7700 / NODES * records.DEFAULTS.accept_s)
 
 MEMBER_SIZES = (8, 32, 128, 420)
 ENDPOINT_SIZES = (5, 50, 500, 1800)
 RECORD_SIZES = (1000, 4000, 16000, 64000)
 CUSTOMER_SIZES = (2, 30, 90, 270)
-ROUNDS = 200
+#: Protocol periods that the membership probe runs.
+PERIODS = 200
 DEPLOYMENT = 'capacity'
 
 
-class Sized:
-    """Bytes that a block of code keeps alive."""
+class TracedMemory:
+    """Context manager that measures the memory a block leaves allocated.
+
+    :ivar bytes: the memory, set at the end of the block
+    """
 
     def __enter__(self):
         gc.collect()
@@ -65,19 +74,23 @@
         tracemalloc.stop()
 
 
-def cost_s(call, rounds):
-    """Return processor seconds of one call, as the mean of many."""
-    begin = time.process_time()
+def mean_cpu_s(call, rounds):
+    """Return the mean CPU time of a call.
+
+    :param call: function of the number of the call
+    :param rounds: number of calls
+    """
+    start_s = time.process_time()
     for number in range(rounds):
         call(number)
-    return (time.process_time() - begin) / rounds
+    return (time.process_time() - start_s) / rounds
 
 
 # Membership.
 
 
-def member(number):
-    """A member as a deployment of this size would have it."""
+def make_member(number):
+    """Return a member with an address of its own."""
     return membership.Member(
         host=f'host-{number}',
         incarnation=1_700_000_000_000 + number,
@@ -90,20 +103,20 @@
 
 
 def probe_membership():
-    """Measure one node's membership: state, bytes and time a second."""
+    """Measure memory, traffic and CPU load of one node's membership."""
     state, sent, busy = [], [], []
     for size in MEMBER_SIZES:
-        with Sized() as sized:
-            own = membership_of(size)
-        state.append((size, sized.bytes))
-        sent_bytes, seconds = run_protocol(own, size)
+        with TracedMemory() as memory:
+            local = build_membership(size)
+        state.append((size, memory.bytes))
+        sent_bytes, seconds = run_periods(local, size)
         sent.append((size, sent_bytes))
         busy.append((size, 100 * seconds))
-    carried = 'one probe a period, bounded updates in each datagram'
+    carried = 'one probe per period, bounded updates per datagram'
     return [
         slopes.Series(
             'node', 'membership state', 'bytes', 'nodes', state, NODES,
-            'one row a member, one sighting a member',
+            'one row and one sighting per member',
         ),
         slopes.Series(
             'node', 'datagrams sent', 'bytes/s', 'nodes', sent, NODES, carried
@@ -115,78 +128,89 @@
     ]  # fmt: skip
 
 
-def membership_of(size):
-    """Build the membership of a node that knows ``size`` nodes."""
-    own = membership.Membership(
-        member(0),
+def build_membership(size):
+    """Build the membership of a node in a deployment of ``size`` nodes."""
+    local = membership.Membership(
+        make_member(0),
         membership.MembershipSettings(),
         random.Random(1),
-        [member(number) for number in range(1, size)],
+        [make_member(number) for number in range(1, size)],
     )
     for number in range(1, size):
-        own.receive(ack(own, number, 0), 0.0)
-    return own
+        local.receive(make_ack(local, number, 0), 0.0)
+    return local
 
 
-def ack(own, number, sequence):
-    """An answer from one member, with as many updates as may ride."""
-    sightings = own.freshness.relayed_sightings(0.0, 7, own.rng)
+def make_ack(local, number, sequence):
+    """Return a member's ack with the maximum number of updates."""
+    host_states = local.freshness.relayed_host_states(0.0, 7, local.rng)
     updates = tuple(
-        member((number + step) % 7 + 1) for step in range(own.settings.updates)
+        make_member((number + step) % 7 + 1)
+        for step in range(local.settings.max_updates)
     )
     return membership.Ack(
-        sequence, member(number), 'host-0', updates, tuple(sightings), b''
+        sequence,
+        make_member(number),
+        'host-0',
+        updates,
+        tuple(host_states),
+        b'',
     )
 
 
-def run_protocol(own, size):
-    """Run the protocol for some periods against answering peers.
+def run_periods(local, size):
+    """Run the protocol for `PERIODS` against peers that answer each probe.
 
-    :return: bytes sent a second, processor seconds a second
+    :param local: :class:`magnoliadyke.core.membership.Membership`
+    :param size: number of nodes
+    :return: bytes sent per second, CPU seconds per second
     """
-    period_s = own.settings.period_s
+    period_s = local.settings.period_s
     sent = 0
-    begin = time.process_time()
-    for step in range(1, ROUNDS + 1):
+    start_s = time.process_time()
+    for step in range(1, PERIODS + 1):
         now_s = step * period_s
-        sent += answered_period(own, size, step, now_s)
-    seconds = time.process_time() - begin
-    return sent / (ROUNDS * period_s), seconds / (ROUNDS * period_s)
+        sent += run_period(local, size, step, now_s)
+    seconds = time.process_time() - start_s
+    return sent / (PERIODS * period_s), seconds / (PERIODS * period_s)
 
 
-def answered_period(own, size, step, now_s):
-    """One period: own probes answered, one probe from a peer; bytes sent."""
+def run_period(local, size, step, now_s):
+    """Run one period: answer the node's probes and send it one of a peer.
+
+    :return: bytes that the node sent
+    """
     sent = 0
-    for action in own.tick(now_s):
+    for action in local.tick(now_s):
         if not isinstance(action, membership.SendDatagram):
             continue
         sent += len(gossip_codec.encode(DEPLOYMENT, action.message))
         target = int(action.message.target.rpartition('-')[2])
-        own.receive(ack(own, target, action.message.sequence), now_s)
+        local.receive(make_ack(local, target, action.message.sequence), now_s)
     probe = membership.Ping(
         step,
-        member(step % (size - 1) + 1),
+        make_member(step % (size - 1) + 1),
         'host-0',
         (),
-        tuple(own.freshness.relayed_sightings(now_s, 7, own.rng)),
+        tuple(local.freshness.relayed_host_states(now_s, 7, local.rng)),
         b'x' * 300,
     )
-    for action in own.receive(probe, now_s):
+    for action in local.receive(probe, now_s):
         if isinstance(action, membership.SendDatagram):
             sent += len(gossip_codec.encode(DEPLOYMENT, action.message))
     return sent
 
 
 def probe_gossip():
-    """Measure the task round the membership core."""
+    """Measure the gossip task that drives the membership protocol."""
     return gossipcost.probe(MEMBER_SIZES, NODES)
 
 
 # Scheduler and planner.
 
 
-def infos(count):
-    """Model endpoints, half of them prefill."""
+def engine_infos(count):
+    """Return engines, half of them in the prefill role."""
     return [
         jobs.EndpointInfo(
             f'engine-{number}',
@@ -202,18 +226,18 @@
 
 
 def probe_scheduler():
-    """Measure placing a request, and the state of all endpoints."""
-    routed, state = [], []
+    """Measure the CPU time per request and the memory of the scheduler."""
+    placed, state = [], []
     for size in ENDPOINT_SIZES:
-        with Sized() as sized:
-            owner = scheduler.Scheduler(infos(size), random.Random(1))
-        state.append((size, sized.bytes))
-        owner.set_table(customers_view(2), 0.0)
-        seconds = cost_s(lambda n, s=owner: place_one(s, n), 2000)
-        routed.append((size, 1e6 * seconds))
+        with TracedMemory() as memory:
+            placer = scheduler.Scheduler(engine_infos(size), random.Random(1))
+        state.append((size, memory.bytes))
+        placer.set_table(table_view(2), 0.0)
+        seconds = mean_cpu_s(lambda n, s=placer: place_request(s, n), 2000)
+        placed.append((size, 1e6 * seconds))
     return [
         slopes.Series(
-            'node', 'a request placed and ended', 'us', 'endpoints', routed,
+            'node', 'a request placed and ended', 'us', 'endpoints', placed,
             ENDPOINTS, 'a node routes over a subset of each pool',
         ),
         slopes.Series(
@@ -223,8 +247,8 @@
     ]  # fmt: skip
 
 
-def place_one(owner, number):
-    """Submit a job and let it end."""
+def place_request(placer, number):
+    """Submit a job and record its successful end."""
     now_s = number * 0.01
     job = jobs.Job(
         f'job-{number}',
@@ -236,20 +260,20 @@
         prefix_blocks=(f'block-{number % 50}',),
         arrived_s=now_s,
     )
-    owner.submit(job, now_s)
-    owner.record_prefill_done(job.id, now_s)
-    owner.record_first_token(job.id, now_s)
-    owner.record_result(job.id, jobs.Finished(500, 50, 0), now_s)
+    placer.submit(job, now_s)
+    placer.record_prefill_done(job.id, now_s)
+    placer.record_first_token(job.id, now_s)
+    placer.record_result(job.id, jobs.Finished(500, 50, 0), now_s)
 
 
 def probe_planner():
-    """Measure one planning round of the holder of a pool's duty."""
+    """Measure one planning round of the node that holds a pool's duty."""
     planned = []
     for size in ENDPOINT_SIZES:
         planner = roles.Planner()
         engines = tuple(
             roles.EngineView(info.name, info.role, 'in', 1.0, 0.0)
-            for info in infos(size)
+            for info in engine_infos(size)
         )
         state = roles.PoolState(engines)
         demand = scheduler.Demand(size * 0.3, size * 0.4, 0, 0.0, 0.0, 0)
@@ -258,11 +282,11 @@
             p.observe(d, float(number))
             p.plan(s, float(number))
 
-        planned.append((size, 1000 * cost_s(one_round, 20)))
+        planned.append((size, 1000 * mean_cpu_s(one_round, 20)))
     return [
         slopes.Series(
             'duty holder', 'one planning round', 'ms', 'engines', planned,
-            ENDPOINTS / 4, 'one holder a pool; 4 models share the engines',
+            ENDPOINTS / 4, 'one holder per pool; 4 pools share the engines',
         ),
     ]  # fmt: skip
 
@@ -271,44 +295,47 @@
 
 
 def probe_records():
-    """Measure the memory of a remembered key and the time to enter it."""
+    """Measure the memory of idempotency keys and the time to add one."""
     state, entered = [], []
     for size in RECORD_SIZES:
-        begin = time.process_time()
-        with Sized() as sized:
-            kept = records.RecordTable()
+        start_s = time.process_time()
+        with TracedMemory() as memory:
+            record_table = records.RecordTable()
             for number in range(size):
-                enter(kept, number)
-        seconds = time.process_time() - begin
-        state.append((size, sized.bytes))
+                record_key(record_table, number)
+        seconds = time.process_time() - start_s
+        state.append((size, memory.bytes))
         entered.append((size, 1e6 * seconds / size))
     return [
         slopes.Series(
             'node', 'remembered keys, answers shed', 'bytes', 'keys', state,
-            KEPT_KEYS, 'a key is kept until its ticket expires',
+            REMEMBERED_KEYS, 'a key is kept until its ticket expires',
         ),
         slopes.Series(
             'node', 'a key entered and ended', 'us, traced', 'keys', entered,
-            KEPT_KEYS, 'one mapping, one heap of expiry times',
+            REMEMBERED_KEYS, 'one mapping, one heap of expiry times',
         ),
     ]  # fmt: skip
 
 
-def enter(kept, number):
-    """Open one key and end it with an outcome and no answer."""
+def record_key(record_table, number):
+    """Open the record of a key and settle it without an answer."""
     key = f'host-1.1700000000000.{number // 100}-0123456789abcdef/{number}'
     digest = f'{number:032x}'
-    opened = kept.open(key, 'customer-1', digest, 0.0, 0.0)
-    kept.settle(opened.record, records.HOME_STOPPED)
+    opened = record_table.open(key, 'customer-1', digest, 0.0, 0.0)
+    record_table.settle(opened.record, records.HOME_STOPPED)
+
 
+def table_view(count):
+    """Return the view of a table with ``count`` customers."""
+    return table.view(table_document(count))
 
-def customers_view(count):
-    """A view of a table with so many customers."""
-    return table.view(document_of(count))
 
+def table_document(count):
+    """Return a table document with all columns set for each customer.
 
-def document_of(count):
-    """A document with all columns set for so many customers."""
+    :param count: number of customers
+    """
     cells = {}
     for number in range(count):
         for column in table.SCHEMA:
@@ -322,24 +349,24 @@
 
 
 def probe_table():
-    """Measure the table's size in the store and the time to read it."""
+    """Measure the table's size in the store and the time to load it."""
     size, read = [], []
     for count in CUSTOMER_SIZES:
-        text = table.dump(document_of(count))
+        text = table.dump(table_document(count))
         size.append((count, len(text.encode())))
 
-        def one(_number, t=text):
+        def read_table(_number, t=text):
             table.view(table.parse(t))
 
-        read.append((count, 1000 * cost_s(one, 20)))
+        read.append((count, 1000 * mean_cpu_s(read_table, 20)))
     return [
         slopes.Series(
             'store', 'the table', 'bytes', 'customers', size, CUSTOMERS,
-            'one value; the limit is 1 MB',
+            'one value in the store; the limit is 1 MB',
         ),
         slopes.Series(
             'node', 'a new table read and put in force', 'ms', 'customers',
-            read, CUSTOMERS, 'once an edit: 940 a day',
+            read, CUSTOMERS, 'once per edit, 940 edits per day',
         ),
     ]  # fmt: skip
 
@@ -355,8 +382,12 @@
 PROBES = (*CORE_PROBES, 'nodes')
 
 
-def chosen(text):
-    """Names of probes from the command line."""
+def parse_probes(text):
+    """Return the probes that the option ``--only`` selects.
+
+    :param text: value of the option
+    :raises SystemExit: if a probe is unknown
+    """
     names = {'core': tuple(CORE_PROBES), 'all': PROBES}.get(text)
     names = names or tuple(text.split(','))
     unknown = [name for name in names if name not in PROBES]
@@ -367,13 +398,14 @@
 
 
 def main(argv):
-    """Run the probes and print their slopes.
+    """Run the probes and print the fitted lines.
 
+    :param argv: arguments without the program's name
     :return: exit status
     """
     options = docopt.docopt(__doc__, argv)
     rows = []
-    for name in chosen(options['--only']):
+    for name in parse_probes(options['--only']):
         if name == 'nodes':
             sizes = [int(word) for word in options['--nodes'].split(',')]
             series = nodecost.probe(sizes, float(options['--seconds']), NODES)
@@ -383,7 +415,7 @@
     if options['--json']:
         print(json.dumps(rows, indent=1))
     else:
-        print('\n'.join(slopes.table_of(rows)))
+        print('\n'.join(slopes.format_table(rows)))
     return 0
 
 
--- a/magnoliadyke/lab/checker.py
+++ b/magnoliadyke/lab/checker.py
@@ -1,8 +1,8 @@
-"""Judges a run from outside: ledgers and callers against the promises.
+"""Checks the recorded evidence of a run against the system's promises.
 
-A pure function over what the stand-ins wrote down, what the callers were
-told and what the hosts showed of themselves.  It knows nothing of how the
-nodes work.
+A pure function over the ledgers of the stand-ins, the outcomes that callers
+received and the samples taken from the hosts.  It does not depend on how the
+nodes are implemented.
 """
 
 import collections
@@ -19,8 +19,8 @@
     'Fault',
     'Limits',
     'Run',
-    'Sample',
-    'Told',
+    'HostSample',
+    'ReportedOutcome',
     'Verdict',
     'Violation',
     'check',
@@ -31,12 +31,13 @@
 UNKNOWN = 'unknown'
 REJECTED = 'rejected'
 PAUSE = 'pause_host'
-#: A decode with an offset goes on with a run that was moved.
-FIRST_ROLES = ('prefill', 'both')
+#: Kinds of run that start a request.  A decode with an offset resumes a run
+#: that was migrated from another engine.
+FIRST_STAGE_KINDS = ('prefill', 'both')
 
 
-class Told(typing.NamedTuple):
-    """What a caller was told of one key."""
+class ReportedOutcome(typing.NamedTuple):
+    """The outcome that a caller received for one idempotency key."""
 
     at_s: float
     key: str
@@ -45,43 +46,49 @@
 
 
 class Call(typing.NamedTuple):
-    """One call, through all visits of its caller.
+    """One call, including all retries of its caller.
 
-    :param content: what marks it in the ledgers
+    :param content_digest: identifies the call in the ledgers
+    :param outcome: the last one, '' if there was none
     :param ended_s: wall time of the last outcome, None if there was none
-    :param whole: the answer is complete and this call's own
-    :param poisoned: it kills engines, and may be rejected for that
+    :param is_correct: the answer is complete and belongs to this call
+    :param poisoned: the request crashes engines, and may be rejected for it
     """
 
     name: str
-    content: str
+    content_digest: str
     repeatable: bool
     sent_s: float
     ended_s: float | None
     outcome: str
     reason: str = ''
-    whole: bool = False
+    is_correct: bool = False
     poisoned: bool = False
 
 
 class Run(typing.NamedTuple):
-    """An endpoint began to run something.
+    """The start of a request's execution on an endpoint.
 
+    :param content_digest: identifies the call that was executed
+    :param offset: tokens that another engine generated before the request
+        was migrated to this one
     :param kind: 'prefill', 'decode' or 'both'; 'service' for a service
     """
 
     at_s: float
     endpoint: str
     key: str
-    content: str
+    content_digest: str
     kind: str
     offset: int = 0
 
 
 class Command(typing.NamedTuple):
-    """A command reached an engine.
+    """A command that reached an engine.
 
-    :param taken: it was not refused
+    :param target: the role or model that it requests
+    :param accepted: the engine did not refuse it
+    :param checks_fencing: the engine compares fencing tokens
     """
 
     at_s: float
@@ -89,26 +96,32 @@
     id: str
     target: str
     generation: int
-    fencing: int
+    fencing_token: int
     sender: str
-    taken: bool
+    accepted: bool
     checks_fencing: bool
 
 
-class Sample(typing.NamedTuple):
-    """What a host showed of itself.
+class HostSample(typing.NamedTuple):
+    """The state that a host reported about itself.
 
-    :param at_s: when it was asked; what it showed is no older
+    :param at_s: when the request was sent; the reported state is no older
+    :param revision: of the table that is in force on the host
+    :param accepts_requests: the host lists itself to callers
     """
 
     at_s: float
     host: str
     revision: int
-    takes_work: bool
+    accepts_requests: bool
 
 
 class Edit(typing.NamedTuple):
-    """An edit that an operator was told is accepted."""
+    """An edit of the table that was reported to its operator as accepted.
+
+    :param revision: of the table from this edit on
+    :param accepted_s: when the operator received the response
+    """
 
     name: str
     revision: int
@@ -116,16 +129,21 @@
 
 
 class Departure(typing.NamedTuple):
-    """An endpoint that leaves, by its own word or the operators' table."""
+    """A period in which an endpoint is leaving or drained.
+
+    :param at_s: when the endpoint announced it or the drain was accepted
+    :param returned_s: when the endpoint may be used again
+    """
 
     endpoint: str
     at_s: float
-    back_s: float
+    returned_s: float
 
 
 class Fault(typing.NamedTuple):
     """A fault that was injected.
 
+    :param until_s: when it ended, infinite while it lasts
     :param planned: an operator's planned change, not a failure
     """
 
@@ -137,33 +155,40 @@
 
 
 class Evidence(typing.NamedTuple):
-    """All that a run left behind; times are wall clock seconds."""
+    """Everything recorded in a run; times are wall clock seconds."""
 
     calls: abc.Sequence[Call] = ()
-    told: abc.Sequence[Told] = ()
+    reported_outcomes: abc.Sequence[ReportedOutcome] = ()
     runs: abc.Sequence[Run] = ()
     commands: abc.Sequence[Command] = ()
-    samples: abc.Sequence[Sample] = ()
+    samples: abc.Sequence[HostSample] = ()
     edits: abc.Sequence[Edit] = ()
     departures: abc.Sequence[Departure] = ()
     faults: abc.Sequence[Fault] = ()
 
 
 class Limits(typing.NamedTuple):
-    """What counts as too late.
+    """Time limits of the promises, in seconds.
 
-    :param config_s: from acceptance until in force everywhere
-    :param leaving_s: from the notice until nothing new is sent
-    :param settle_s: how long a fault may be felt after its end
+    :param config_propagation_s: from the acceptance of an edit until it is
+        in force on all hosts
+    :param leaving_grace_s: from the notice that an endpoint leaves until it
+        gets no new requests
+    :param settle_s: how long after its end a fault may still affect calls
     """
 
-    config_s: float = 6.0
-    leaving_s: float = 3.0
+    config_propagation_s: float = 6.0
+    leaving_grace_s: float = 3.0
     settle_s: float = 10.0
 
 
 class Violation(typing.NamedTuple):
-    """A promise that was broken."""
+    """A broken promise.
+
+    :param promise: key of :data:`PROMISES`
+    :param at_s: wall time of the event that broke it
+    :param what: description for people
+    """
 
     promise: str
     at_s: float
@@ -171,39 +196,49 @@
 
 
 class Verdict(typing.NamedTuple):
-    """What the checker found.
+    """The checker's findings.
 
-    :param windows: commands of a process that was stopped between its last
-        check and the sending, taken by an engine that ignores numbers
+    :param unpreventable: stale commands of a process that was paused between
+        its last check of the lease and the send, accepted by an engine that
+        ignores fencing tokens
     """
 
     violations: list[Violation]
-    windows: list[Violation]
+    unpreventable: list[Violation]
 
 
 def check(evidence, limits=None):
-    """Judge a run.
+    """Check a run against all promises.
 
     :param evidence: :class:`Evidence`
+    :param limits: :class:`Limits`, the defaults if None
     :returns: :class:`Verdict`
     """
     limits = limits or Limits()
     found = []
-    for promise, judge in PROMISES.items():
-        for at_s, what in judge(evidence, limits):
+    for promise, find in PROMISES.items():
+        for at_s, what in find(evidence, limits):
             found.append(Violation(promise, at_s, what))
-    is_window = {v: in_window(v, evidence) for v in found}
+    unpreventable = {v: is_unpreventable(v, evidence) for v in found}
     return Verdict(
-        [v for v in found if not is_window[v]],
-        [v for v in found if is_window[v]],
+        [v for v in found if not unpreventable[v]],
+        [v for v in found if unpreventable[v]],
     )
 
 
-def lost(evidence, limits):
-    """Callers that wait for ever, or give up what could be repeated."""
+def find_lost_calls(evidence, limits):
+    """Calls without an outcome, or with a failure that is not allowed.
+
+    Only a poisoned call may end rejected.  A repeatable call must be answered
+    in the end.  A non-repeatable one may end as not run, and as unknown if a
+    failure may have affected it.
+    """
     for call in evidence.calls:
         if not call.outcome:
-            yield call.sent_s, f'{call.name} has no outcome; {call.reason}'
+            yield (
+                call.sent_s,
+                f'{call.name} received no outcome; {call.reason}',
+            )
         elif call.outcome == ANSWERED:
             continue
         elif call.poisoned and call.outcome == REJECTED:
@@ -213,15 +248,20 @@
                 call.ended_s,
                 f'{call.name} ended {call.outcome}: {call.reason}',
             )
-        elif call.outcome == UNKNOWN and not felt(call, evidence, limits):
+        elif call.outcome == UNKNOWN and not may_be_affected(
+            call, evidence, limits
+        ):
             yield (
                 call.ended_s,
-                f'{call.name} is unknown ({call.reason}), and nothing failed',
+                f'{call.name} ended unknown ({call.reason}) without a failure',
             )
 
 
-def felt(call, evidence, limits):
-    """Whether a failure may have touched a call."""
+def may_be_affected(call, evidence, limits):
+    """Whether an unplanned fault may have affected a call.
+
+    It may from its start until ``settle_s`` after its end.
+    """
     return any(
         fault.at_s <= call.ended_s
         and call.sent_s <= fault.until_s + limits.settle_s
@@ -230,90 +270,98 @@
     )
 
 
-def doubled(evidence, _limits):
-    """Calls that may not be repeated and ran twice."""
-    once = {c.content: c for c in evidence.calls if not c.repeatable}
-    begun = collections.defaultdict(list)
+def find_duplicate_executions(evidence, _limits):
+    """Non-repeatable calls that were executed more than once."""
+    once = {c.content_digest: c for c in evidence.calls if not c.repeatable}
+    executions = collections.defaultdict(list)
     for run in evidence.runs:
-        if run.content in once and not run.offset:
-            begun[run.content, stage_of(run)].append(run)
-    for (content, _), runs in begun.items():
+        if run.content_digest in once and not run.offset:
+            executions[run.content_digest, execution_stage(run)].append(run)
+    for (content, _), runs in executions.items():
         if len(runs) > 1:
             where = ', '.join(run.endpoint for run in runs)
-            yield runs[1].at_s, f'{once[content].name} ran on {where}'
+            yield runs[1].at_s, f'{once[content].name} was run on {where}'
+
 
+def execution_stage(run):
+    """The stage of a run: one request may run once in each stage.
 
-def stage_of(run):
-    """Prompt and output of one run may be on two engines."""
-    return 'first' if run.kind in FIRST_ROLES else run.kind
+    Its prefill and its decode may be on two engines.
+    """
+    return 'first' if run.kind in FIRST_STAGE_KINDS else run.kind
 
 
-def truncated_or_crossed(evidence, _limits):
-    """Answers that are cut short, or of another call."""
+def find_wrong_answers(evidence, _limits):
+    """Answers that are truncated or belong to another call."""
     for call in evidence.calls:
-        if call.outcome == ANSWERED and not call.whole:
+        if call.outcome == ANSWERED and not call.is_correct:
             yield (
                 call.ended_s,
-                f'{call.name} got a wrong answer: {call.reason}',
+                f'{call.name} received a wrong answer: {call.reason}',
             )
 
 
-def not_run_but_ran(evidence, _limits):
-    """Callers that were told "not run" of something that ran."""
+def find_false_not_run(evidence, _limits):
+    """Keys that were reported as not run although an endpoint ran them."""
     ran = {run.key: run for run in evidence.runs if run.key}
-    for told in evidence.told:
-        if told.outcome == NOT_RUN and told.key in ran:
-            run = ran[told.key]
-            yield told.at_s, f'{told.key} ran on {run.endpoint}'
+    for reported in evidence.reported_outcomes:
+        if reported.outcome == NOT_RUN and reported.key in ran:
+            run = ran[reported.key]
+            yield reported.at_s, f'{reported.key} ran on {run.endpoint}'
 
 
-def effective(evidence):
-    """Commands that an engine took, without repeats of the same."""
+def accepted_commands(evidence):
+    """Commands that engines accepted, each once, in order of time."""
     seen = set()
     for command in sorted(evidence.commands, key=lambda each: each.at_s):
-        if command.taken and (command.engine, command.id) not in seen:
+        if command.accepted and (command.engine, command.id) not in seen:
             seen.add((command.engine, command.id))
             yield command
 
 
-def conflicting_commands(evidence, _limits):
-    """Two commands that each claim the same place in an engine's order."""
+def find_conflicting_commands(evidence, _limits):
+    """Different commands to an engine with the same token and generation.
+
+    Fencing token and generation determine the order of an engine's commands.
+    """
     places = {}
-    for command in effective(evidence):
-        place = (command.engine, command.fencing, command.generation)
+    for command in accepted_commands(evidence):
+        place = (command.engine, command.fencing_token, command.generation)
         before = places.setdefault(place, command)
         if before.target != command.target:
             yield (
                 command.at_s,
-                f'{command.engine} was told {before.target} and '
+                f'{command.engine} accepted {before.target} and '
                 f'{command.target} with generation {command.generation}',
             )
 
 
-def stale_command_effective(evidence, _limits):
-    """Commands taken after one of a later holder."""
+def find_stale_commands(evidence, _limits):
+    """Commands accepted after one of a later lease holder."""
     highest = {}
-    for command in effective(evidence):
+    for command in accepted_commands(evidence):
         before = highest.get(command.engine)
-        if before is not None and command.fencing < before.fencing:
+        if before is not None and command.fencing_token < before.fencing_token:
             yield (
                 command.at_s,
-                f'{command.engine} took {command.id} of {command.sender} '
+                f'{command.engine} accepted {command.id} of {command.sender} '
                 f'after {before.id} of {before.sender}',
             )
         else:
             highest[command.engine] = command
 
 
-def in_window(violation, evidence):
-    """Whether a stale command is the one kind that cannot be prevented.
+def is_unpreventable(violation, evidence):
+    """Whether a violation is the one kind that no sender can prevent.
 
-    A process stopped between its last check and the system call that sends
-    goes on to send when it runs again; an engine that ignores numbers obeys.
+    That is a stale command of a process that was paused after its last check
+    of the lease, just before the system call that sends the command.  The
+    process sends it when it resumes, and an engine that ignores fencing tokens
+    accepts it.
     """
     if violation.promise != 'stale_command_effective':
         return False
-    for command in effective(evidence):
+    for command in accepted_commands(evidence):
         if command.at_s == violation.at_s and not command.checks_fencing:
             return any(
                 fault.kind == PAUSE
@@ -324,30 +372,30 @@
     return False
 
 
-def work_to_left_endpoint(evidence, limits):
-    """New work at an endpoint that left a while ago."""
+def find_work_after_departure(evidence, limits):
+    """Requests sent to an endpoint after the grace period of its departure."""
     for departure in evidence.departures:
-        late_s = departure.at_s + limits.leaving_s
+        deadline_s = departure.at_s + limits.leaving_grace_s
         for run in evidence.runs:
             if run.endpoint != departure.endpoint or run.offset:
                 continue
-            if late_s < run.at_s < departure.back_s:
+            if deadline_s < run.at_s < departure.returned_s:
                 after_s = run.at_s - departure.at_s
                 yield (
                     run.at_s,
-                    f'{run.endpoint} was given {run.key} {after_s:.1f} s '
-                    'after it began to leave',
+                    f'{run.endpoint} received {run.key} {after_s:.1f} s '
+                    'after its departure began',
                 )
 
 
-def cut_by_planned_change(evidence, limits):
-    """Calls that suffered although only planned changes went on."""
+def find_planned_change_failures(evidence, limits):
+    """Calls that failed while only planned changes were in effect."""
     planned = [fault for fault in evidence.faults if fault.planned]
     for call in evidence.calls:
-        hurt = call.outcome == UNKNOWN or (
-            call.outcome == ANSWERED and not call.whole
+        failed = call.outcome == UNKNOWN or (
+            call.outcome == ANSWERED and not call.is_correct
         )
-        if not hurt or felt(call, evidence, limits):
+        if not failed or may_be_affected(call, evidence, limits):
             continue
         for fault in planned:
             if fault.at_s <= call.ended_s and call.sent_s <= fault.until_s:
@@ -359,47 +407,54 @@
                 break
 
 
-def config_reverted(evidence, _limits):
-    """Hosts that take work with an older table than they had."""
+def find_reverted_config(evidence, _limits):
+    """Hosts that accept requests with an older table than before."""
     highest = {}
     for sample in sorted(evidence.samples, key=lambda each: each.at_s):
-        if not sample.takes_work:
+        if not sample.accepts_requests:
             continue
         before = highest.get(sample.host, 0)
         if sample.revision < before:
             yield (
                 sample.at_s,
-                f'{sample.host} went from {before} to {sample.revision}',
+                f'{sample.host} went back from revision {before} to '
+                f'{sample.revision}',
             )
         highest[sample.host] = max(before, sample.revision)
 
 
-def config_late(evidence, limits):
-    """Hosts that take work without an edit accepted long ago."""
+def find_late_config(evidence, limits):
+    """Hosts that accept requests without an edit past its deadline."""
     for edit in evidence.edits:
-        late_s = edit.accepted_s + limits.config_s
+        deadline_s = edit.accepted_s + limits.config_propagation_s
         hosts = set()
         for sample in evidence.samples:
-            behind = sample.revision < edit.revision and sample.takes_work
-            if behind and sample.at_s > late_s and sample.host not in hosts:
+            behind = (
+                sample.revision < edit.revision and sample.accepts_requests
+            )
+            if (
+                behind
+                and sample.at_s > deadline_s
+                and sample.host not in hosts
+            ):
                 hosts.add(sample.host)
                 yield (
                     sample.at_s,
-                    f'{sample.host} has {sample.revision}, not {edit.name} '
-                    f'({edit.revision})',
+                    f'{sample.host} is at revision {sample.revision}, without '
+                    f'{edit.name} (revision {edit.revision})',
                 )
 
 
-#: What each promise is called, and who judges it.
+#: Names of the promises, as in results, and what finds their violations.
 PROMISES = {
-    'lost': lost,
-    'doubled': doubled,
-    'truncated_or_crossed': truncated_or_crossed,
-    'not_run_but_ran': not_run_but_ran,
-    'conflicting_commands': conflicting_commands,
-    'stale_command_effective': stale_command_effective,
-    'work_to_left_endpoint': work_to_left_endpoint,
-    'cut_by_planned_change': cut_by_planned_change,
-    'config_reverted': config_reverted,
-    'config_late': config_late,
+    'lost': find_lost_calls,
+    'doubled': find_duplicate_executions,
+    'truncated_or_crossed': find_wrong_answers,
+    'not_run_but_ran': find_false_not_run,
+    'conflicting_commands': find_conflicting_commands,
+    'stale_command_effective': find_stale_commands,
+    'work_to_left_endpoint': find_work_after_departure,
+    'cut_by_planned_change': find_planned_change_failures,
+    'config_reverted': find_reverted_config,
+    'config_late': find_late_config,
 }
--- a/magnoliadyke/lab/faults.py
+++ b/magnoliadyke/lab/faults.py
@@ -1,4 +1,4 @@
-"""Faults against real processes, judged from outside.
+"""Runs a cluster of real processes under faults, and checks the outcome.
 
 Usage:
   magnoliadyke lab faults [options]
@@ -6,21 +6,24 @@
 
 Options:
   --deployment=NAME  dala or zarqa [default: dala].
-  --runs=N           How many schedules are drawn [default: 1].
+  --runs=N           Number of runs, each with a seed of its own [default: 1].
   --seed=S           Seed of the first run [default: 1].
-  --schedule=FILE    JSON lines at_s, kind, target, for_s, with; in place of
-                     drawn faults.
-  --faults=N         Faults of each run; else one, and two in every second.
-  --duration=S       Length of the load in seconds [default: 20].
-  --load=F           Mean demand as a share of the pool [default: 0.6].
-  --at-once=N        Runs side by side [default: 1].
+  --schedule=FILE    Faults, one JSON object a line, with at_s, kind, target,
+                     for_s and with; in place of random faults.
+  --faults=N         Random faults of each run; if left out, one and two in
+                     turn.
+  --duration=S       Duration of the load in seconds [default: 20].
+  --load=F           Mean demand as a share of the pool's capacity
+                     [default: 0.6].
+  --at-once=N        Number of concurrent runs [default: 1].
   --keep=DIR         Keep settings, logs and ledgers below this directory.
   --json             Print JSON.
   --kinds            List the kinds of faults.
 
-Eight nodes, the engines (every second ignores fencing numbers), services
-and the store run as processes of their own, with all links of the nodes
-through the fault proxy.  Exit status 0 only without a violation.
+Eight nodes, the engines (every second one does not check fencing tokens),
+services and the store run as processes of their own; all links of the nodes
+go through the fault proxy.  The exit status is 0 only if there is no
+violation.
 """
 
 import json
@@ -49,25 +52,27 @@
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
 CLIENTS = 8
-VISITS = 20
+MAX_RETRIES = 20
 SERVICE_CALLS_S = 20.0
-#: Long enough for calls to be under way when a fault comes.
+#: Execution time of service calls: so long that calls are in flight when a
+#: fault begins.
 SERVICE_WORK_S = 0.15
-LONGEST_ANSWER = 300
-#: The mix shifts this often, so that roles have a reason to change.
-STEP_S = 10.0
+MAX_OUTPUT_TOKENS = 300
+#: Period of the token mix, whose shifts cause role changes.
+MIX_STEP_S = 10.0
 ROLE_CHANGE_S = 1.5
 DWELL_S = 2.0
-FINISH_S = 40.0
-#: Every such model call may not be repeated.
-ONCE_EVERY = 3
+FINISH_TIMEOUT_S = 40.0
+#: One model call in so many is not repeatable.
+UNREPEATABLE_EVERY = 3
 
 
 class Plan(typing.NamedTuple):
     """One run.
 
     :param schedule: :class:`schedules.Fault` in order
-    :param directory: where its files go
+    :param load: mean demand as a share of the pool's capacity
+    :param directory: for the files of the run; empty for a temporary one
     """
 
     deployment: str
@@ -79,10 +84,13 @@
 
 
 def document_for(name):
-    """Settings of a deployment, made eager to change roles.
+    """Settings of a deployment, changed so that roles change often.
 
-    It starts with a split that suits no load; so roles change while the
-    faults come.
+    All engines but one begin in the prefill role, which suits no load: so
+    roles change while faults are injected.  Role changes have no price, and
+    every second engine does not check fencing tokens.
+
+    :param name: of the deployment
     """
     document = json.loads((EXAMPLES / f'{name}.json').read_text())
     rows = document['initial_table'].setdefault('pools', {})
@@ -99,7 +107,7 @@
 
 
 def targets_of(document):
-    """What faults may strike."""
+    """Names of the hosts, endpoints and domains that faults may target."""
     by_kind = {'model': [], 'service': []}
     for pool in document['pools']:
         by_kind[pool['kind']] += [e['name'] for e in pool['endpoints']]
@@ -112,18 +120,18 @@
 
 
 def calls_of(plan, document):
-    """The calls of a run: a mix that shifts, and a service's."""
+    """The calls of a run: model calls of a shifting mix, and service calls."""
     deployment = traces.DEPLOYMENTS[plan.deployment]
     shape = traces.Shape(
         'step',
         load=plan.load,
-        period_s=STEP_S,
+        period_s=MIX_STEP_S,
         duration_s=plan.duration_s,
     )
     requests = [
         request._replace(
-            repeatable=bool(number % ONCE_EVERY),
-            output_tokens=min(request.output_tokens, LONGEST_ANSWER),
+            repeatable=bool(number % UNREPEATABLE_EVERY),
+            output_tokens=min(request.output_tokens, MAX_OUTPUT_TOKENS),
         )
         for number, request in enumerate(
             traces.generate(deployment, shape, plan.seed)
@@ -137,9 +145,9 @@
 
 
 def run(plan):
-    """Carry a plan out.
+    """Execute a plan.
 
-    :returns: the run's figures and its verdict, as JSON would have them
+    :returns: the run's figures and violations, ready for JSON
     """
     document = document_for(plan.deployment)
     weights = traces.DEPLOYMENTS[plan.deployment].weights
@@ -149,22 +157,23 @@
         engine={'speeds': {'role_change_s': ROLE_CHANGE_S}},
         service={'work_s': SERVICE_WORK_S},
     )
-    with cluster.Cluster(document, options) as made:
+    with cluster.Cluster(document, options) as deployment:
         begun_s = time.monotonic()
-        made.start()
+        deployment.start()
         told = []
-        load = evidences.WatchedLoad(
-            evidences.watched_clients(made, weights, CLIENTS, told),
-            calls_of(plan, made.settings),
-            visits=VISITS,
+        load = evidences.RecordingLoad(
+            evidences.recording_clients(deployment, weights, CLIENTS, told),
+            calls_of(plan, deployment.settings),
+            max_retries=MAX_RETRIES,
         )
-        watcher = observer.Observer(made)
+        watcher = observer.Observer(deployment)
         editors = observer.Editors(
-            made, list(weights)[-1], random.Random(plan.seed)
+            deployment, list(weights)[-1], random.Random(plan.seed)
         )
-        faults = injector.Injector(made, editors, load)
-        # A fault before the first planner is elected would find no commands.
-        made.wait_for('keyvalue', faults.holder)
+        faults = injector.Injector(deployment, editors, load)
+        # Before a host holds the lease on the planner's duty, there are no
+        # commands to engines that a fault could affect.
+        deployment.wait_for('keyvalue', faults.holder)
         watcher.start()
         load.start()
         editors.start()
@@ -172,16 +181,18 @@
             gevent.spawn_later(fault.at_s, faults.inject, fault)
             for fault in plan.schedule
         ]
-        load.join(plan.duration_s + FINISH_S)
-        gevent.joinall(tasks, timeout=FINISH_S)
+        load.join(plan.duration_s + FINISH_TIMEOUT_S)
+        gevent.joinall(tasks, timeout=FINISH_TIMEOUT_S)
         editors.stop()
         watcher.stop()
-        made.unrule()
-        store_calls = evidences.store_calls_s(made, begun_s)
-        statuses = made.stop()
-        seen = evidences.collect(made, load, told, watcher, editors, faults)
+        deployment.remove_rule()
+        store_calls = evidences.store_call_rates(deployment, begun_s)
+        statuses = deployment.stop()
+        seen = evidences.collect(
+            deployment, load, told, watcher, editors, faults
+        )
         figures = evidences.figures(
-            made, load, watcher, editors, faults, seen, store_calls
+            deployment, load, watcher, editors, faults, seen, store_calls
         )
     verdict = checker.check(seen)
     return {
@@ -190,12 +201,15 @@
         **figures,
         'unclean_stops': {n: s for n, s in statuses.items() if s},
         'violations': [v._asdict() for v in verdict.violations],
-        'windows': [v._asdict() for v in verdict.windows],
+        'windows': [v._asdict() for v in verdict.unpreventable],
     }
 
 
 def plans_of(args):
-    """The plans that the command line asks for."""
+    """The plans of the runs that the command line asks for.
+
+    :raises UsageError: the directory of a run exists already
+    """
     name = args['--deployment']
     targets = targets_of(document_for(name))
     plans = []
@@ -212,10 +226,11 @@
         keep = args['--keep']
         directory = f'{keep}/{name}-{seed}' if keep else ''
         if keep and pathlib.Path(directory).exists():
-            # Ledgers grow at their end: two runs in one would look doubled.
+            # Ledgers are appended to: the executions of two runs in one
+            # ledger would look like duplicates.
             raise errors.UsageError(
                 f'{directory} holds an earlier run',
-                'keep this one in another directory',
+                'name another directory with --keep',
             )
         plans.append(
             Plan(
@@ -230,8 +245,8 @@
     return plans
 
 
-def carry_out(plan):
-    """Run a plan in its directory, or in one that is thrown away."""
+def run_in_directory(plan):
+    """Run a plan in its directory, or in a temporary one."""
     if plan.directory:
         return run(plan)
     with tempfile.TemporaryDirectory() as scratch:
@@ -239,7 +254,7 @@
 
 
 def summary_of(results):
-    """All runs in one."""
+    """Summary of all runs."""
     counts = dict.fromkeys(checker.PROMISES, 0)
     for result in results:
         for violation in result['violations']:
@@ -263,7 +278,7 @@
 
 
 def spread(values):
-    """How many there are, their median and the 99th percentile."""
+    """Count, median and 99th percentile of values in seconds."""
     values = sorted(values)
     return {
         'count': len(values),
@@ -273,13 +288,13 @@
 
 
 def worst(results, name):
-    """The longest of all runs, None if there was none."""
+    """Largest value of a figure in all runs, None if no run has one."""
     values = [value for result in results for value in result[name]]
     return max(values, default=None)
 
 
 def render(result):
-    """One run as lines for people."""
+    """One run as text."""
     faults = '; '.join(
         f'{row["kind"]} {row["target"]} at {row["at_s"]:.1f} s'
         for row in result['schedule']
@@ -297,7 +312,7 @@
 def main(argv):
     """Run the experiment.
 
-    :param argv: words of the command line after ``lab faults``
+    :param argv: arguments after ``lab faults``
     :returns: exit status
     """
     args = docopt.docopt(__doc__, ['lab', 'faults', *argv])
@@ -308,7 +323,7 @@
     results = []
     begun_s = time.monotonic()
     workers = pools.Pool(int(args['--at-once']))
-    for result in workers.imap_unordered(carry_out, plans_of(args)):
+    for result in workers.imap_unordered(run_in_directory, plans_of(args)):
         results.append(result)
         if not args['--json']:
             print(render(result), flush=True)
--- a/magnoliadyke/lab/hostlist.py
+++ b/magnoliadyke/lab/hostlist.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of hosts, which lags."""
+"""Stand-in for the platform's list of hosts, which is out of date."""
 
 import collections
 import time
@@ -8,14 +8,14 @@
 
 __all__ = ['HostListStandIn', 'Spec', 'main']
 
-VERSIONS_KEPT = 200
+MAX_VERSIONS = 200
 
 
 class Spec(typing.NamedTuple):
     """Settings of the stand-in.
 
     :param hosts: rows with ``host``, ``state`` and ``address``
-    :param lag_s: age of the list that is given out
+    :param lag_s: minimum age of the list that it returns
     """
 
     hosts: typing.Sequence[typing.Mapping[str, str]] = ()
@@ -23,39 +23,39 @@
 
 
 class HostListStandIn:
-    """The list as it was ``lag_s`` ago; ``POST /hosts`` changes a row."""
+    """Returns the list as of ``lag_s`` ago; ``POST /hosts`` changes a row."""
 
     def __init__(self, spec):
         self.spec = spec
         rows = {row['host']: dict(row) for row in spec.hosts}
         self.versions = collections.deque(
-            [(time.time(), rows)], maxlen=VERSIONS_KEPT
+            [(time.time(), rows)], maxlen=MAX_VERSIONS
         )
 
     def handle(self, request):
-        """Answer one request."""
+        """Route one request to its handler."""
         match (request.method, request.path):
             case ('GET', '/hosts'):
-                return self.published()
+                return self.read_hosts()
             case ('POST', '/hosts'):
-                return self.change(request.json())
+                return self.update_row(request.json())
             case ('GET', '/health'):
                 return standin.json_answer(200, {'state': 'up'})
         return standin.error_answer(404, 'no_such_path', request.path)
 
-    def published(self):
-        """The newest list that is old enough, or the first one."""
-        limit_s = time.time() - self.spec.lag_s
+    def read_hosts(self):
+        """Return the newest list that is older than the lag, or the first."""
+        newest_allowed_s = time.time() - self.spec.lag_s
         at_s, rows = self.versions[0]
         for version_s, version in self.versions:
-            if version_s <= limit_s:
+            if version_s <= newest_allowed_s:
                 at_s, rows = version_s, version
         return standin.json_answer(
             200, {'hosts': list(rows.values()), 'at_s': at_s}
         )
 
-    def change(self, row):
-        """Set a host's row; state ``gone`` removes it."""
+    def update_row(self, row):
+        """Update fields of a host's row; state ``gone`` removes the row."""
         rows = dict(self.versions[-1][1])
         before = rows.pop(row['host'], {})
         if row.get('state') != 'gone':
--- a/magnoliadyke/lab/keyvalue.py
+++ b/magnoliadyke/lab/keyvalue.py
@@ -12,20 +12,20 @@
 
 __all__ = ['KeyValueStandIn', 'Store', 'main']
 
-VALUE_LIMIT_BYTES = 1_000_000
-HISTORY_ROWS = 4_000
-LONGEST_WATCH_S = 60.0
-BURST_S = 1.0
+MAX_VALUE_BYTES = 1_000_000
+MAX_HISTORY_CHANGES = 4_000
+MAX_WATCH_S = 60.0
+BUCKET_CAPACITY_S = 1.0
 EXPIRY_INTERVAL_S = 0.05
 
 
 class Spec(typing.NamedTuple):
     """Settings of the stand-in.
 
-    :param reads_s: reads a second; a watch is one read.
-    :param writes_s: writes a second; a keep-alive is one write.
-    :param delay_s: time that each call takes.
-    :param ledger: file for the ledger; in memory only when empty.
+    :param reads_s: limit of reads a second; a watch is one read
+    :param writes_s: limit of writes a second; a keep-alive is one write
+    :param delay_s: delay of each call, in seconds
+    :param ledger: path of the ledger file; in memory only if empty
     """
 
     reads_s: float = 2000.0
@@ -35,7 +35,7 @@
 
 
 class Item(typing.NamedTuple):
-    """One key's value; ``lease`` is empty for a value that stays."""
+    """One key's value; ``lease`` is empty if it does not expire."""
 
     value: str
     revision: int
@@ -43,7 +43,7 @@
 
 
 class Change(typing.NamedTuple):
-    """One write; ``item`` is ``None`` for a removal."""
+    """One write at a monotonic time; ``item`` is None for a removal."""
 
     at_s: float
     revision: int
@@ -52,20 +52,24 @@
 
 
 class Conflict(typing.NamedTuple):
-    """The key does not have the revision that the write asked for."""
+    """The key does not have the revision that a write requires.
+
+    :param revision: present revision; 0 if the key is absent
+    :param value: present value; None if the key is absent
+    """
 
     revision: int
     value: str | None
 
 
 class Store:
-    """Values, leases and one global revision; the caller gives the time."""
+    """Values, leases and one global revision; callers pass in the time."""
 
     def __init__(self):
         self.revision = 0
         self.items = {}
         self.leases = {}
-        self.history = collections.deque(maxlen=HISTORY_ROWS)
+        self.history = collections.deque(maxlen=MAX_HISTORY_CHANGES)
 
     def put(
         self,
@@ -75,7 +79,11 @@
         lease,
         now_s,
     ):
-        """Write if the revision matches; 0 stands for an absent key."""
+        """Write a key if its revision matches; an absent key has 0.
+
+        :param if_revision: required revision; None to write anyway
+        :returns: the :class:`Item`, or a :class:`Conflict`
+        """
         conflict = self.conflict(key, if_revision)
         if conflict is not None:
             return conflict
@@ -84,7 +92,11 @@
         return item
 
     def delete(self, key, if_revision, now_s):
-        """Remove a key if its revision matches."""
+        """Remove a key if its revision matches.
+
+        :returns: the removed :class:`Item`, None if there was none, or a
+            :class:`Conflict`
+        """
         conflict = self.conflict(key, if_revision)
         if conflict is not None:
             return conflict
@@ -94,7 +106,7 @@
         return item
 
     def conflict(self, key, if_revision):
-        """What stands against a write, if anything does."""
+        """Return the :class:`Conflict` that prevents a write, or None."""
         present = self.items.get(key)
         revision = present.revision if present else 0
         if if_revision is None or if_revision == revision:
@@ -102,7 +114,7 @@
         return Conflict(revision, present.value if present else None)
 
     def record(self, key, item, now_s):
-        """Apply one change and keep it in the history."""
+        """Apply one change and append it to the history."""
         self.revision += 1
         if item is None:
             self.items.pop(key, None)
@@ -111,13 +123,19 @@
         self.history.append(Change(now_s, self.revision, key, item))
 
     def grant(self, ttl_s, now_s):
-        """A new lease."""
+        """Grant a lease.
+
+        :returns: its id
+        """
         lease = secrets.token_hex(8)
         self.leases[lease] = (ttl_s, now_s + ttl_s)
         return lease
 
     def keep_alive(self, lease, now_s):
-        """Renew a lease; its time to live, ``None`` when it is gone."""
+        """Renew a lease.
+
+        :returns: its time to live in seconds; None if it has expired
+        """
         if lease not in self.leases:
             return None
         ttl_s, _ = self.leases[lease]
@@ -125,7 +143,10 @@
         return ttl_s
 
     def revoke(self, lease, now_s):
-        """End a lease and remove its keys; the keys removed."""
+        """End a lease and remove its keys.
+
+        :returns: the removed keys
+        """
         self.leases.pop(lease, None)
         keys = [k for k, i in self.items.items() if i.lease == lease]
         for key in keys:
@@ -133,17 +154,26 @@
         return keys
 
     def expire(self, now_s):
-        """End all leases that ran out; the keys removed."""
-        over = [k for k, (_, until) in self.leases.items() if until <= now_s]
-        return [key for lease in over for key in self.revoke(lease, now_s)]
+        """End all expired leases.
+
+        :returns: the removed keys
+        """
+        expired_leases = [
+            k for k, (_, until) in self.leases.items() if until <= now_s
+        ]
+        return [
+            key
+            for lease in expired_leases
+            for key in self.revoke(lease, now_s)
+        ]
 
     def restore(self, until_s):
-        """Go back to the state at ``until_s``, as from an old backup.
+        """Restore the state at ``until_s``, as from an old backup.
 
-        The revision counter goes back too, so later writes repeat numbers
-        that were given out before.
+        The revision counter is restored too, so that later writes reuse
+        revisions of the lost ones.
 
-        :returns: the keys whose values changed.
+        :returns: the keys whose items changed
         """
         before = dict(self.items)
         self.items.clear()
@@ -155,44 +185,51 @@
                 self.items.pop(change.key, None)
             else:
                 self.items[change.key] = change.item
-        self.history = collections.deque(kept, maxlen=HISTORY_ROWS)
+        self.history = collections.deque(kept, maxlen=MAX_HISTORY_CHANGES)
         self.drop_orphans()
         keys = before.keys() | self.items.keys()
         return [k for k in keys if before.get(k) != self.items.get(k)]
 
     def drop_orphans(self):
-        """Remove keys whose lease is gone."""
+        """Remove keys whose lease no longer exists."""
         for key, item in list(self.items.items()):
             if item.lease and item.lease not in self.leases:
                 del self.items[key]
 
 
-class Rate:
-    """Token bucket that holds one second's worth of calls."""
+class TokenBucket:
+    """Token bucket whose capacity is one second of calls."""
 
     def __init__(self, per_s, now_s):
         self.per_s = per_s
-        self.level = per_s * BURST_S
+        self.available_calls = per_s * BUCKET_CAPACITY_S
         self.at_s = now_s
 
     def take(self, now_s):
-        """Whether one more call may pass."""
-        grown = self.level + (now_s - self.at_s) * self.per_s
-        self.level = min(self.per_s * BURST_S, grown)
+        """Consume one call.
+
+        :returns: False if the rate limit is exceeded
+        """
+        refilled_calls = (
+            self.available_calls + (now_s - self.at_s) * self.per_s
+        )
+        self.available_calls = min(
+            self.per_s * BUCKET_CAPACITY_S, refilled_calls
+        )
         self.at_s = now_s
-        if self.level < 1.0:
+        if self.available_calls < 1.0:
             return False
-        self.level -= 1.0
+        self.available_calls -= 1.0
         return True
 
 
 class KeyValueStandIn:
-    """The store behind its published HTTP protocol, with faults.
+    """The store with its published HTTP protocol and faults.
 
     Faults, by ``POST /faults {"kind", ...}``: ``outage`` (``for_s``;
     ``mode`` ``refuse`` or ``hang``), ``slow`` (``for_s``, ``delay_s``),
     ``lose_reply`` (``count``, ``prefix``; the write takes effect, the
-    connection ends without an answer), ``restore_old`` (``age_s``), and
+    connection closes without a response), ``restore_old`` (``age_s``), and
     ``clear``.
     """
 
@@ -203,13 +240,13 @@
         self.ledger = standin.Ledger(spec.ledger)
         self.calls = collections.Counter()
         self.senders = {}
-        self.waiting = {}
+        self.waiters_by_key = {}
         now_s = time.monotonic()
-        self.reads = Rate(spec.reads_s, now_s)
-        self.writes = Rate(spec.writes_s, now_s)
+        self.reads = TokenBucket(spec.reads_s, now_s)
+        self.writes = TokenBucket(spec.writes_s, now_s)
 
     def handle(self, request):
-        """Answer one request."""
+        """Answer one request within the rate limits, unless a fault is on."""
         match request.path.split('/')[1:]:
             case ['health']:
                 return standin.json_answer(200, {'state': 'up'})
@@ -220,18 +257,18 @@
         kind, handler, key = self.route(request)
         if handler is None:
             return standin.error_answer(404, 'no_such_path', request.path)
-        self.count(kind, request)
-        self.suffer(request)
+        self.record_call(kind, request)
+        self.apply_faults(request)
         rate = self.reads if kind in READ_KINDS else self.writes
         if not rate.take(time.monotonic()):
-            self.count('refused', request)
+            self.record_call('refused', request)
             return standin.error_answer(
                 429, 'over_rate', 'wait and call less often'
             )
         return handler(key, request)
 
     def route(self, request):
-        """Kind of the call, its handler and the key or lease."""
+        """Return the kind of a call, its handler and its key or lease."""
         parts = request.path.split('/', 2)
         key = parts[2] if len(parts) > 2 else ''
         match (request.method, parts[1]):
@@ -253,14 +290,17 @@
                 return 'revoke', self.revoke, key
         return '', None, ''
 
-    def count(self, kind, request):
-        """Count one call, in all and for its sender."""
+    def record_call(self, kind, request):
+        """Count one call, in total and for its sender."""
         self.calls[kind] += 1
         sender = request.header('X-Sender', request.environ['REMOTE_ADDR'])
         self.senders.setdefault(sender, collections.Counter())[kind] += 1
 
-    def suffer(self, request):
-        """Apply what slows or stops every call."""
+    def apply_faults(self, request):
+        """Delay a call, and fail or hang it during an outage.
+
+        :raises standin.DropConnection: an outage is on
+        """
         outage = self.faults.get('outage')
         if outage is not None:
             if outage.get('mode') == 'hang':
@@ -275,14 +315,14 @@
             gevent.sleep(delay_s)
 
     def get(self, key, request):
-        """One key's item."""
+        """Return the item of one key."""
         item = self.store.items.get(key)
         if item is None:
             return standin.error_answer(404, 'no_such_key', key)
         return standin.json_answer(200, item_json(key, item))
 
     def list_items(self, key, request):
-        """All items under a prefix."""
+        """Return all items whose keys have a prefix."""
         prefix = request.query.get('prefix', '')
         items = [
             item_json(key, item)
@@ -297,9 +337,9 @@
         value = body.get('value')
         if not isinstance(value, str):
             raise ValueError('value must be a string')
-        if len(value) > VALUE_LIMIT_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             return standin.error_answer(
-                413, 'too_large', f'keep it under {VALUE_LIMIT_BYTES} bytes'
+                413, 'too_large', f'keep it under {MAX_VALUE_BYTES} bytes'
             )
         lease = body.get('lease') or ''
         if lease and lease not in self.store.leases:
@@ -309,48 +349,55 @@
         )
         if isinstance(result, Conflict):
             return self.conflict(key, request, result)
-        self.wrote('put', key, request, revision=result.revision)
+        self.complete_write('put', key, request, revision=result.revision)
         return standin.json_answer(200, {'revision': result.revision})
 
     def delete(self, key, request):
         """Remove one key."""
-        wanted = request.query.get('if_revision')
+        required_revision = request.query.get('if_revision')
         result = self.store.delete(
-            key, int(wanted) if wanted else None, time.monotonic()
+            key,
+            int(required_revision) if required_revision else None,
+            time.monotonic(),
         )
         if isinstance(result, Conflict):
             return self.conflict(key, request, result)
         if result is None:
             return standin.error_answer(404, 'no_such_key', key)
-        self.wrote('delete', key, request, revision=self.store.revision)
+        self.complete_write(
+            'delete', key, request, revision=self.store.revision
+        )
         return standin.json_answer(200, {'revision': self.store.revision})
 
     def conflict(self, key, request, conflict):
-        """Answer a write that came too late."""
-        self.count('conflict', request)
+        """Return the response to a write with an outdated revision."""
+        self.record_call('conflict', request)
         return standin.json_answer(
             409, {'revision': conflict.revision, 'value': conflict.value}
         )
 
-    def wrote(self, what, key, request, revision):
-        """Tell watches and the ledger, then lose the reply if asked to."""
+    def complete_write(self, what, key, request, revision):
+        """Record a write and notify its watches.
+
+        :raises standin.DropConnection: the fault ``lose_reply`` is on
+        """
         self.ledger.write(
             what,
             key=key,
             revision=revision,
             sender=request.header('X-Sender'),
         )
-        self.wake([key])
+        self.notify_watches([key])
         fault = self.faults.get('lose_reply')
         if fault is not None and key.startswith(fault.get('prefix', '')):
-            self.faults.take('lose_reply')
+            self.faults.consume('lose_reply')
             self.ledger.write('reply_lost', key=key, revision=revision)
             raise standin.DropConnection
 
     def watch(self, key, request):
-        """Wait until the key's revision is past ``after``."""
+        """Wait until the key's revision is larger than ``after``."""
         after = int(request.query.get('after', '0'))
-        wait_s = min(float(request.query.get('wait_s', '30')), LONGEST_WATCH_S)
+        wait_s = min(float(request.query.get('wait_s', '30')), MAX_WATCH_S)
         end_s = time.monotonic() + wait_s
         while True:
             item = self.store.items.get(key)
@@ -359,24 +406,24 @@
             left_s = end_s - time.monotonic()
             if left_s <= 0:
                 return standin.Answer(204)
-            self.wait(key, left_s)
+            self.wait_for_change(key, left_s)
             if self.faults.get('outage') is not None:
                 raise standin.DropConnection
 
-    def wait(self, key, timeout_s):
-        """Wait for a change of the key."""
+    def wait_for_change(self, key, timeout_s):
+        """Wait for a change of the key, or for the timeout."""
         changed = event.Event()
-        waiters = self.waiting.setdefault(key, set())
+        waiters = self.waiters_by_key.setdefault(key, set())
         waiters.add(changed)
         try:
             changed.wait(timeout_s)
         finally:
             waiters.discard(changed)
 
-    def wake(self, keys):
-        """Wake the watches of keys that changed."""
+    def notify_watches(self, keys):
+        """Wake the watches of the keys."""
         for key in keys:
-            for changed in self.waiting.get(key, ()):
+            for changed in self.waiters_by_key.get(key, ()):
                 changed.set()
 
     def grant(self, key, request):
@@ -394,7 +441,7 @@
 
     def revoke(self, lease, request):
         """End a lease."""
-        self.wake(self.store.revoke(lease, time.monotonic()))
+        self.notify_watches(self.store.revoke(lease, time.monotonic()))
         return standin.json_answer(200, {})
 
     def set_fault(self, fault):
@@ -405,10 +452,12 @@
                 self.faults.clear()
             case 'restore_old':
                 age_s = float(fault.get('age_s', 5.0))
-                self.wake(self.store.restore(time.monotonic() - age_s))
+                self.notify_watches(
+                    self.store.restore(time.monotonic() - age_s)
+                )
             case 'outage':
                 self.faults.set(kind, fault)
-                self.wake(list(self.waiting))
+                self.notify_watches(list(self.waiters_by_key))
             case 'slow' | 'lose_reply':
                 self.faults.set(kind, fault)
             case _:
@@ -417,7 +466,7 @@
         return standin.json_answer(200, {})
 
     def read_ledger(self):
-        """Counts per kind and per sender, and what was written."""
+        """Return the counts of calls, by kind and sender, and the ledger."""
         return standin.json_answer(
             200,
             {
@@ -429,28 +478,28 @@
         )
 
     def expire_forever(self):
-        """End leases as they run out."""
+        """End leases as they expire, and record the removed keys."""
         while True:
             gevent.sleep(EXPIRY_INTERVAL_S)
             gone = self.store.expire(time.monotonic())
             for key in gone:
                 self.ledger.write('expired', key=key)
-            self.wake(gone)
+            self.notify_watches(gone)
 
 
 READ_KINDS = frozenset(['get', 'list', 'watch'])
 
 
 def item_json(key, item):
-    """An item as the protocol shows it."""
+    """Return an item in the format of the protocol."""
     return {'key': key, 'value': item.value, 'revision': item.revision}
 
 
 def main(argv):
     """Serve at ``ADDRESS`` with the settings in ``JSON``.
 
-    :param argv: address, then optionally a JSON object of :class:`Spec`.
-    :returns: exit status.
+    :param argv: address, then optionally a JSON object of :class:`Spec`
+    :returns: exit status
     """
     spec = standin.read_spec(Spec, argv)
     stand_in = KeyValueStandIn(spec)
--- a/magnoliadyke/lab/links.py
+++ b/magnoliadyke/lab/links.py
@@ -1,8 +1,9 @@
-"""Runs a command with its connections sent through the fault proxy.
+"""Runs a command with its connections routed through the fault proxy.
 
-The program itself is the one that runs in production: only the targets of
-``connect`` and ``sendto`` change, in this process, as a rule of a packet
-filter would change them.  What is not in the map goes straight.
+The program is the one that runs in production.  Only ``connect``,
+``sendto`` and ``recvfrom`` are patched, in this process, and redirect the
+traffic as a rule of a packet filter would.  Traffic to targets that are not
+in the routes is sent directly.
 """
 
 import json
@@ -16,18 +17,18 @@
 from magnoliadyke.lab import proxy
 from magnoliadyke.lab import standin
 
-__all__ = ['Map', 'install', 'main']
+__all__ = ['Routes', 'install', 'main']
 
-VARIABLE = 'MAGNOLIADYKE_LAB_LINKS'
+ENVIRONMENT_VARIABLE = 'MAGNOLIADYKE_LAB_LINKS'
 SOCKET = socket.socket
 
 
-class Map(typing.NamedTuple):
-    """Where this process's connections go.
+class Routes(typing.NamedTuple):
+    """The targets that a process reaches through the proxy.
 
-    :param name: name of this process
+    :param name: name by which the proxy identifies this process
     :param proxy: ``ip:port`` of the proxy
-    :param targets: the ``ip:port`` that are reached through it
+    :param targets: ``ip:port`` of each target reached through it
     """
 
     name: str
@@ -35,31 +36,31 @@
     targets: frozenset[str]
 
 
-def install(links):
-    """Send this process's connections through the proxy.
+def install(routes):
+    """Patch the sockets of this process to use the proxy.
 
-    :param links: the :class:`Map`
+    :param routes: targets to redirect
     """
-    where = standin.split_address(links.proxy)
+    proxy_address = standin.split_address(routes.proxy)
     connect, sendto, recvfrom = SOCKET.connect, SOCKET.sendto, SOCKET.recvfrom
 
     def connect_through(self, address):
-        target = name_of(address)
-        if target not in links.targets:
+        target = format_address(address)
+        if target not in routes.targets:
             return connect(self, address)
-        connect(self, where)
-        self.sendall(f'{links.name} {target}\n'.encode('ascii'))
+        connect(self, proxy_address)
+        self.sendall(f'{routes.name} {target}\n'.encode('ascii'))
         if self.recv(1) != proxy.CONNECTED:
             raise ConnectionRefusedError(111, 'Connection refused')
         return None
 
     def sendto_through(self, data, *arguments):
-        target = name_of(arguments[-1])
-        if target not in links.targets:
+        target = format_address(arguments[-1])
+        if target not in routes.targets:
             return sendto(self, data, *arguments)
-        origin = name_of(self.getsockname())
-        packet = proxy.datagram(links.name, origin, target, bytes(data))
-        sendto(self, packet, where)
+        origin = format_address(self.getsockname())
+        packet = proxy.datagram(routes.name, origin, target, bytes(data))
+        sendto(self, packet, proxy_address)
         return len(data)
 
     def recvfrom_through(self, *arguments):
@@ -74,22 +75,22 @@
     SOCKET.recvfrom = recvfrom_through
 
 
-def name_of(address):
-    """An address pair as ``ip:port``."""
+def format_address(address):
+    """Return an address pair as ``ip:port``; empty for other addresses."""
     return '%s:%d' % address[:2] if isinstance(address, tuple) else ''
 
 
 def main(argv):
     """Run the program's command line behind the proxy.
 
-    :param argv: words of the command line
+    :param argv: arguments of the command line
     :returns: exit status
     """
     from magnoliadyke import cli
 
-    spec = json.loads(os.environ[VARIABLE])
+    spec = json.loads(os.environ[ENVIRONMENT_VARIABLE])
     targets = frozenset(spec['targets'])
-    install(Map(spec['name'], spec['proxy'], targets))
+    install(Routes(spec['name'], spec['proxy'], targets))
     return cli.main(argv)
 
 
--- a/magnoliadyke/lab/live.py
+++ b/magnoliadyke/lab/live.py
@@ -1,30 +1,31 @@
-"""A trace against real node and stand-in processes, in real time.
+"""Runs a trace against real node and stand-in processes in real time.
 
 Usage:
   magnoliadyke lab live [options]
 
 Options:
   --deployment=NAME   dala or zarqa [default: dala].
-  --trace=FILE        Requests as CSV, in place of a generated trace; those
-                      after 300 s are left out.
+  --trace=FILE        CSV file of requests, in place of a generated trace;
+                      requests after 300 s are left out.
   --shape=NAME        steady, swing, step, slow-day, flood-large, flood-small,
                       flash or burst-then-quiet [default: swing].
-  --load=F            Mean demand as a share of the pool [default: 0.7].
-                      It stretches a trace file too.
-  --period=SECONDS    Period of the swing [default: 60].
-  --amplitude=F       How far the prefill share moves [default: 0.4].
+  --load=F            Mean demand as a share of the pool's capacity
+                      [default: 0.7].  A trace file is stretched to it too.
+  --period=SECONDS    Period of the shape [default: 60].
+  --amplitude=F       Amplitude of the prefill share [default: 0.4].
   --duration=SECONDS  Length of the trace, 300 at most [default: 60].
-  --policy=NAMES      fixed and ours, with a comma between [default: ours].
-  --seed=N            Which trace is drawn [default: 1].
-  --seeds=A-B         Several traces, one after the other.
-  --faults=FILE       JSON lines at_s, kind, target, for_s.  Kinds are those
-                      of lab policy, and node_loss (kill -9; the node comes
-                      back after for_s).
-  --hosts=N           How many of the hosts to start; all when 0 [default: 0].
+  --policy=NAMES      fixed, ours, or both separated by a comma
+                      [default: ours].
+  --seed=N            Seed of the generated trace [default: 1].
+  --seeds=A-B         Run the traces of several seeds in sequence.
+  --faults=FILE       JSON lines with at_s, kind, target, for_s.  Kinds are
+                      those of lab policy, and node_loss (kill -9; the node
+                      is restarted after for_s).
+  --hosts=N           Number of hosts to start; 0 for all [default: 0].
   --keep=DIR          Keep settings, logs and ledgers in this directory.
   --json              Print JSON.
 
-The figures are those of `magnoliadyke lab policy`, taken at the callers.
+The figures are those of `magnoliadyke lab policy`, measured at the callers.
 """
 
 import io
@@ -48,31 +49,36 @@
 from magnoliadyke.lab import trial
 from magnoliadyke.lab import workload
 
-__all__ = ['POLICIES', 'Run', 'main', 'read_faults']
+__all__ = ['POLICIES', 'RunPlan', 'main', 'read_faults']
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
-#: Policies that the nodes have, and their word for each in the table.
+#: Policies that the nodes implement, and the value of each in the table.
 POLICIES = {'fixed': 'fixed', 'ours': 'auto'}
 NODE_LOSS = 'node_loss'
-LONGEST_S = 300.0
+MAX_TRACE_S = 300.0
 DEFAULT_LOAD = 0.7
-#: Options of lab policy that make no sense here.
-NOT_HERE = {'--processes': '1', '--write-trace': None, '--plot': None}
-RUN_OUT_S = 60.0
+#: Options of lab policy that this command does not have.
+UNSUPPORTED_OPTIONS = {
+    '--processes': '1',
+    '--write-trace': None,
+    '--plot': None,
+}
+COMPLETION_TIMEOUT_S = 60.0
 CLIENTS_PER_HOST = 3
-LEAVING_S = 3.0
-RESTART_S = trial.fakes.RESTART_S
-LAG_S = trial.FAULT_LAG_S
+LEAVING_NOTICE_S = 3.0
+RESTART_DELAY_S = trial.fakes.RESTART_S
+REPORT_LAG_S = trial.FAULT_LAG_S
 
 
-class Run(typing.NamedTuple):
-    """What one run needs to know.
+class RunPlan(typing.NamedTuple):
+    """Parameters of one run.
 
     :param deployment: :class:`traces.Deployment`
     :param document: settings of the deployment
     :param requests: the trace
-    :param faults: :class:`trial.Fault`
-    :param hosts: how many hosts to start; all when 0
+    :param faults: list of :class:`trial.Fault`
+    :param directory: where settings, logs and ledgers go
+    :param hosts: number of hosts to start; 0 for all
     """
 
     deployment: traces.Deployment
@@ -84,36 +90,41 @@
 
 
 def run(plan, name):
-    """Run a trace under a policy; the figures.
+    """Run a trace under a policy.
 
-    :param plan: :class:`Run`
+    :param plan: :class:`RunPlan`
     :param name: policy of :data:`POLICIES`
+    :returns: the figures of the run, as in its JSON result
     """
     pools = plan.document['initial_table'].setdefault('pools', {})
     row = pools.setdefault(plan.deployment.pool, {})
     row['planning'] = POLICIES[name]
     options = cluster.Options(directory=plan.directory, hosts=plan.hosts)
-    with cluster.Cluster(plan.document, options) as made:
-        made.start()
+    with cluster.Cluster(plan.document, options) as running:
+        running.start()
         counts = dict.fromkeys(
-            plan.deployment.weights, CLIENTS_PER_HOST * len(made.hosts)
+            plan.deployment.weights, CLIENTS_PER_HOST * len(running.hosts)
         )
         load = loads.Load(
-            loads.make_clients(made, counts),
+            loads.make_clients(running, counts),
             workload.from_trace(plan.requests),
         )
         load.start()
         tasks = [
-            gevent.spawn_later(fault.at_s, inject, made, fault)
+            gevent.spawn_later(fault.at_s, inject, running, fault)
             for fault in plan.faults
         ]
         length_s = plan.requests[-1].at_s
-        load.join(length_s + RUN_OUT_S)
+        load.join(length_s + COMPLETION_TIMEOUT_S)
         gevent.killall(tasks)
-        note_dispatches(made, load)
-        changes = runs.role_changes(made)
-        usage = {n: made.usage(n) for n in made.hosts if made.alive(n)}
-        made.stop()
+        record_dispatch_times(running, load)
+        changes = runs.role_changes(running)
+        usage = {
+            n: running.process_usage(n)
+            for n in running.hosts
+            if running.is_alive(n)
+        }
+        running.stop()
     figures = measures.figures(
         load.records,
         load.backlog,
@@ -123,7 +134,7 @@
         plan.deployment.price_tokens,
     )
     figures['wrong'] = sum(
-        record.finished_s is not None and not record.whole()
+        record.finished_s is not None and not record.is_correct()
         for record in load.records
     )
     figures['node_cpu_s'] = round(
@@ -132,66 +143,74 @@
     return figures
 
 
-def note_dispatches(made, load):
-    """Note from the ledgers when each request reached an engine."""
-    first_s = runs.first_run_s(made)
+def record_dispatch_times(running, load):
+    """Set in each record when an engine started it, from the ledgers."""
+    first_s = runs.first_run_times_s(running)
     for record in load.records:
-        at_s = first_s.get(record.content())
+        at_s = first_s.get(record.content_digest())
         if at_s is not None:
             record.dispatched_s = at_s - load.start_wall_s
 
 
-def inject(made, fault):
-    """Cause a fault, and end it after its time."""
-    names = [fault.target] if fault.target else engines(made)
-    names = [name for name in names if made.alive(name)]
+def inject(running, fault):
+    """Cause a fault and end it after its duration."""
+    names = [fault.target] if fault.target else engine_names(running)
+    names = [name for name in names if running.is_alive(name)]
     match fault.kind:
         case 'crash':
-            made.kill(fault.target)
-            gevent.sleep(fault.for_s or RESTART_S)
-            made.restart(fault.target)
+            running.kill(fault.target)
+            gevent.sleep(fault.for_s or RESTART_DELAY_S)
+            running.restart(fault.target)
         case 'withdrawn':
-            withdraw(made, fault)
+            withdraw(running, fault)
         case 'report_lag':
             for name in names:
-                made.fault(name, kind='lag', lag_s=LAG_S, for_s=fault.for_s)
+                running.set_fault(
+                    name, kind='lag', lag_s=REPORT_LAG_S, for_s=fault.for_s
+                )
         case 'no_authority':
-            made.fault('keyvalue', kind='outage', for_s=fault.for_s)
+            running.set_fault('keyvalue', kind='outage', for_s=fault.for_s)
         case 'change_fails':
             for name in names:
-                made.fault(name, kind='fail_change', for_s=fault.for_s)
+                running.set_fault(name, kind='fail_change', for_s=fault.for_s)
         case 'node_loss':
-            made.kill(fault.target)
+            running.kill(fault.target)
             if fault.for_s is not None:
                 gevent.sleep(fault.for_s)
-                made.restart(fault.target)
+                running.restart(fault.target)
+
 
+def withdraw(running, fault):
+    """Have an engine leave, and return it after the fault's duration.
 
-def withdraw(made, fault):
-    """Have an engine leave, and come back after the fault's time."""
-    made.fault(fault.target, kind='leaving')
-    gevent.sleep(LEAVING_S)
-    made.fault(fault.target, kind='left')
+    It announces :data:`LEAVING_NOTICE_S` before that it is leaving.
+    """
+    running.set_fault(fault.target, kind='leaving')
+    gevent.sleep(LEAVING_NOTICE_S)
+    running.set_fault(fault.target, kind='left')
     if fault.for_s is not None:
-        gevent.sleep(max(0.0, fault.for_s - LEAVING_S))
-        made.fault(fault.target, kind='back')
+        gevent.sleep(max(0.0, fault.for_s - LEAVING_NOTICE_S))
+        running.set_fault(fault.target, kind='back')
 
 
-def engines(made):
+def engine_names(running):
     """Names of the model engines."""
     return [
         endpoint['name']
-        for pool in made.settings['pools']
+        for pool in running.settings['pools']
         if pool['kind'] == 'model'
         for endpoint in pool['endpoints']
     ]
 
 
 def read_faults(file, path, deployment, hosts):
-    """Read faults from JSON lines; as ``lab policy``, and node losses.
+    """Read faults from JSON lines: those of ``lab policy`` and node losses.
 
+    :param path: of the file, for messages
+    :param deployment: :class:`traces.Deployment`
     :param hosts: names of the hosts
-    :raises TraceError: with every bad line and its remedy
+    :returns: list of :class:`trial.Fault`, the node losses first
+    :raises TraceError: with every invalid line and its remedy
     """
     faults = []
     rest = []
@@ -213,7 +232,7 @@
 
 
 def node_loss(line):
-    """The fault in a line if it is the loss of a node."""
+    """The fault of a line if it is the loss of a node, else None."""
     try:
         fault = trial.Fault(**json.loads(line))
     except (ValueError, TypeError):
@@ -222,44 +241,47 @@
 
 
 def read_requests(options, deployment, seed):
-    """The trace to run: from a file, or drawn."""
+    """The trace to run, from a file or generated."""
     if options.trace:
         file = io.StringIO(arguments.read_text(options.trace))
         requests = traces.read(file, options.trace, deployment)
         if options.load is not None:
             requests = traces.scale(requests, options.load, deployment.engines)
-        return [each for each in requests if each.at_s <= LONGEST_S]
+        return [each for each in requests if each.at_s <= MAX_TRACE_S]
     shape = traces.Shape(
         options.shape,
         load=options.load or DEFAULT_LOAD,
         period_s=options.period_s,
         amplitude=options.amplitude,
-        duration_s=min(options.duration_s, LONGEST_S),
+        duration_s=min(options.duration_s, MAX_TRACE_S),
     )
     return traces.generate(deployment, shape, seed)
 
 
 def check_policies(names):
-    """Refuse policies that only ``lab policy`` has."""
+    """Reject policies that only ``lab policy`` has.
+
+    :raises UsageError: for a policy that nodes do not implement
+    """
     for name in names:
         if name not in POLICIES:
             raise errors.UsageError(
-                f'policy {name!r} does not run in nodes',
-                f'use one of {", ".join(POLICIES)}, or lab policy',
+                f'nodes do not implement policy {name!r}',
+                f'use one of {", ".join(POLICIES)}, or run it with lab policy',
             )
 
 
 def main(argv):
     """Run the experiment.
 
-    :param argv: words of the command line after ``lab live``
+    :param argv: command-line arguments after ``lab live``
     :returns: exit status
     """
     args = docopt.docopt(__doc__, ['lab', 'live', *argv])
-    options = policy.options_from({**args, **NOT_HERE})
+    options = policy.options_from({**args, **UNSUPPORTED_OPTIONS})
     check_policies(options.policies)
     result = run_all(
-        options, args['--keep'], arguments.whole_number(args, '--hosts')
+        options, args['--keep'], arguments.parse_whole_number(args, '--hosts')
     )
     if options.as_json:
         json.dump(result, sys.stdout, indent=2)
@@ -272,11 +294,12 @@
 
 
 def run_all(options, keep, hosts=0):
-    """Run all seeds and policies, one after the other.
+    """Run all seeds and policies in sequence.
 
     :param options: :class:`policy.Options`
-    :param keep: directory to keep, or None
-    :param hosts: how many hosts to start; all when 0
+    :param keep: directory for the files of the runs, None for a temporary one
+    :param hosts: number of hosts to start; 0 for all
+    :returns: the JSON result
     """
     deployment = traces.DEPLOYMENTS[options.deployment]
     path = EXAMPLES / f'{options.deployment}.json'
@@ -288,9 +311,9 @@
         figures = {}
         for name in options.policies:
             with tempfile.TemporaryDirectory() as scratch:
-                # Ledgers are appended to: each run needs its own.
+                # Ledgers are opened for appending: each run needs its own.
                 directory = f'{keep or scratch}/{seed}-{name}'
-                plan = Run(
+                plan = RunPlan(
                     deployment, document, requests, faults, directory, hosts
                 )
                 figures[name] = run(plan, name)
@@ -305,7 +328,7 @@
 
 
 def open_faults(path, deployment, document):
-    """Faults of the file, if one is named."""
+    """Faults of the file, none if no file is given."""
     if not path:
         return []
     hosts = [host['name'] for host in document['hosts']]
@@ -314,11 +337,11 @@
 
 
 def render(seed, name, figures):
-    """One run's figures as a line for people."""
+    """Render the figures of one run as a line of text."""
     return (
         f'seed {seed} {name}: '
         f'goodput {figures["goodput_tokens_s"]:.0f} tokens/s, '
-        f'met {figures["met_share"]:.3f}, '
+        f'objectives met {figures["met_share"]:.3f}, '
         f'{figures["role_changes"]} role changes, '
         f'{figures["not_run"]} not run, {figures["unknown"]} unknown, '
         f'fairness {figures["fairness"]:.2f}'
--- a/magnoliadyke/lab/measures.py
+++ b/magnoliadyke/lab/measures.py
@@ -1,4 +1,4 @@
-"""Figures of a run: goodput, met shares, latencies, fairness."""
+"""Figures of a run: goodput, attained objectives, latency, fairness."""
 
 import collections
 import math
@@ -8,11 +8,15 @@
 
 __all__ = ['Backlog', 'figures', 'percentile']
 
+#: Window over which fairness is computed.
 WINDOW_S = 10.0
 
 
 def percentile(values, share):
-    """The nearest-rank percentile, or None of nothing."""
+    """Return the nearest-rank percentile, or None if there are no values.
+
+    :param share: share of the values at or below the result, from 0 to 1
+    """
     if not values:
         return None
     ranked = sorted(values)
@@ -20,54 +24,68 @@
     return ranked[rank]
 
 
-def tokens(job):
-    """Tokens that a request is worth when it met its objectives."""
+def job_tokens(job):
+    """Return the tokens that a request adds to goodput if it is met."""
     return job.prompt_tokens + job.output_tokens
 
 
 class Backlog:
-    """Which customers had work waiting throughout each window."""
+    """Records which customers had jobs waiting throughout a window."""
 
     def __init__(self):
         self.waiting = collections.Counter()
-        self.lowest = {}
+        self.min_waiting = {}
 
-    def look(self, waiting, now_s):
-        """Note how many jobs of each customer wait now.
+    def record_sample(self, waiting, now_s):
+        """Record the number of waiting jobs; call it at regular intervals.
 
-        :param waiting: count by customer, at about even times
+        :param waiting: number of waiting jobs by customer
+        :param now_s: time of the sample
         """
         window = int(now_s / WINDOW_S)
         for customer, count in waiting.items():
             key = window, customer
-            self.lowest[key] = min(self.lowest.get(key, count), count)
+            self.min_waiting[key] = min(
+                self.min_waiting.get(key, count), count
+            )
+
+    def backlogged_customers(self, window, customers):
+        """Return the customers with a waiting job in every sample.
 
-    def backlogged(self, window, customers):
-        """Customers that had at least one job waiting all the time."""
+        :param window: index of the window
+        :param customers: names of the customers to check
+        """
         return [
-            name for name in customers if self.lowest.get((window, name), 0)
+            name
+            for name in customers
+            if self.min_waiting.get((window, name), 0)
         ]
 
 
 def fairness(answers, backlog, weights):
-    """Lowest ratio of served to entitled share.
+    """Compute the lowest ratio of a customer's service to its entitlement.
 
-    Per window of 10 s: the engine-seconds of the jobs that were dispatched
-    in it.  A customer with work waiting throughout the window is entitled
-    to its weight's share of all that was dispatched.
+    Service is measured in engine-seconds of the jobs dispatched in a window
+    of 10 s.  A customer with jobs waiting throughout the window is entitled
+    to a share of all jobs dispatched in it, in proportion to its weight.
 
-    :returns: the lowest ratio over all windows, at most 1
+    :param answers: :class:`magnoliadyke.lab.fakes.Answer` of all jobs
+    :param backlog: :class:`Backlog` of the run
+    :param weights: weight of each customer
+    :returns: the lowest ratio over all windows and customers, at most 1
     """
     served = collections.defaultdict(collections.Counter)
     for answer in answers:
         if answer.dispatched_s is not None:
             window = int(answer.dispatched_s / WINDOW_S)
             job = answer.job
-            cost_s = traces.demand_of(job.prompt_tokens, job.output_tokens)
+            cost_s = traces.request_demand_s(
+                job.prompt_tokens, job.output_tokens
+            )
             served[window][job.customer] += cost_s
     lowest = 1.0
     for window, costs in served.items():
-        for customer in backlog.backlogged(window, weights):
+        for customer in backlog.backlogged_customers(window, weights):
             entitled = costs.total() * weights[customer]
             entitled /= sum(weights.values())
             lowest = min(lowest, costs[customer] / entitled)
@@ -75,20 +93,27 @@
 
 
 def figures(answers, backlog, weights, length_s, role_changes, price_tokens):
-    """All figures of a run, by the keys of the JSON result.
-
-    A request is met if its answer is whole, its first token came within
-    `first_token_s` of its arrival, and its later tokens took `per_token_s`
-    or less in the mean.  Goodput counts prompt and output tokens of met
-    requests; the objective is goodput less the price of the role changes,
-    both per second of the trace.
+    """Compute all figures of a run, by the keys of the JSON result.
+
+    A request is met if its answer is complete, its first token was generated
+    within `first_token_s` of its arrival, and the mean time of its later
+    tokens is at most `per_token_s`.  Goodput counts prompt and output tokens
+    of met requests.  The figure `objective` is goodput less the price of the
+    role changes, both per second of the trace.
+
+    :param answers: :class:`magnoliadyke.lab.fakes.Answer` of all jobs
+    :param backlog: :class:`Backlog` of the run
+    :param weights: weight of each customer
+    :param length_s: length of the trace
+    :param role_changes: number of role changes
+    :param price_tokens: price of a role change, in tokens
     """
     answers = list(answers)
-    met = [answer for answer in answers if answer.met()]
-    met_tokens = sum(tokens(answer.job) for answer in met)
+    met = [answer for answer in answers if answer.met_objectives()]
+    met_tokens = sum(job_tokens(answer.job) for answer in met)
     goodput = met_tokens / length_s
     customers = {
-        name: _customer([a for a in answers if a.job.customer == name])
+        name: _customer_figures([a for a in answers if a.job.customer == name])
         for name in weights
     }
     return {
@@ -97,27 +122,29 @@
         'met_share': len(met) / max(1, len(answers)),
         'role_changes': role_changes,
         'objective': goodput - price_tokens * role_changes / length_s,
-        'not_run': _count(answers, outcomes.NotRun),
-        'unknown': _count(answers, outcomes.Unknown),
+        'not_run': _count_outcomes(answers, outcomes.NotRun),
+        'unknown': _count_outcomes(answers, outcomes.Unknown),
         'customers': customers,
         'fairness': fairness(answers, backlog, weights),
     }
 
 
-def _count(answers, kind):
+def _count_outcomes(answers, kind):
     return sum(isinstance(answer.outcome, kind) for answer in answers)
 
 
-def _customer(answers):
-    begun = [a for a in answers if a.first_token_s is not None]
-    first = [a.first_token_s - a.job.arrived_s for a in begun]
-    between = [a.per_token_s() for a in begun if a.finished_s is not None]
-    met = sum(answer.met() for answer in answers)
+def _customer_figures(answers):
+    started = [a for a in answers if a.first_token_s is not None]
+    first_token_times_s = [a.first_token_s - a.job.arrived_s for a in started]
+    token_intervals_s = [
+        a.per_token_s() for a in started if a.finished_s is not None
+    ]
+    met = sum(answer.met_objectives() for answer in answers)
     return {
         'requests': len(answers),
         'met_share': met / len(answers) if answers else None,
-        'first_token_p50_s': percentile(first, 0.5),
-        'first_token_p99_s': percentile(first, 0.99),
-        'between_tokens_p50_s': percentile(between, 0.5),
-        'between_tokens_p99_s': percentile(between, 0.99),
+        'first_token_p50_s': percentile(first_token_times_s, 0.5),
+        'first_token_p99_s': percentile(first_token_times_s, 0.99),
+        'between_tokens_p50_s': percentile(token_intervals_s, 0.5),
+        'between_tokens_p99_s': percentile(token_intervals_s, 0.99),
     }
--- a/magnoliadyke/lab/nodecost.py
+++ b/magnoliadyke/lab/nodecost.py
@@ -1,4 +1,4 @@
-"""What idle real nodes cost for control, at several sizes of deployment."""
+"""Cost of the control traffic of idle nodes, by size of the deployment."""
 
 import copy
 import json
@@ -19,23 +19,28 @@
 )
 SETTLE_S = 5.0
 CALL_TIMEOUT_S = 10.0
-METRIC = 'magnoliadyke_peer_bytes'
+PEER_BYTES_METRIC = 'magnoliadyke_peer_bytes'
 
 
 def deployment(hosts):
-    """Settings of a deployment with so many hosts, as read from JSON."""
+    """Return settings of a deployment with ``hosts`` hosts, as from JSON."""
     document = json.loads(EXAMPLE.read_text())
-    model = document['hosts'][0]
+    template = document['hosts'][0]
     domains = document['failure_domains']
     document['hosts'] = [
-        host_of(model, number, domains) for number in range(hosts)
+        host_settings(template, number, domains) for number in range(hosts)
     ]
     return document
 
 
-def host_of(model, number, domains):
-    """One host, on an address of its own."""
-    host = copy.deepcopy(model)
+def host_settings(template, number, domains):
+    """Return the settings of a host with a loopback address of its own.
+
+    :param template: settings of another host
+    :param number: index of the host
+    :param domains: names of the failure domains
+    """
+    host = copy.deepcopy(template)
     address = f'127.0.1.{number + 1}'
     host['name'] = f'entry-{number + 1}'
     host['address'] = host['admin_address'] = address
@@ -44,44 +49,56 @@
 
 
 def probe(sizes, seconds, target):
-    """Start deployments of several sizes and watch them while idle.
+    """Start deployments of several sizes and measure them while idle.
 
     :param sizes: numbers of nodes
-    :param seconds: how long each is watched
-    :param target: number of nodes to work the cost out for
+    :param seconds: length of each measurement
+    :param target: number of nodes to extrapolate the cost to
     :return: list of :class:`magnoliadyke.lab.slopes.Series`
     """
-    taken = {}
+    points_by_name = {}
     for size in sizes:
         with tempfile.TemporaryDirectory() as directory:
-            for name, value in watch(size, seconds, directory).items():
-                taken.setdefault(name, []).append((size, value))
+            for name, value in measure_idle(size, seconds, directory).items():
+                points_by_name.setdefault(name, []).append((size, value))
     units = {
-        'processor': ('% of a core', 'one probe a period, one watch'),
-        'resident': ('MB', 'gevent, libraries and the code itself'),
+        'processor': (
+            '% of a core',
+            'one probe per period, one watch on the store',
+        ),
+        'resident': ('MB', 'gevent, libraries and the code'),
         'peer bytes sent': ('bytes/s', 'bounded datagrams'),
-        'store calls': ('calls/s of all nodes', 'one watch a node'),
+        'store calls': ('calls/s of all nodes', 'one watch per node'),
     }
     return [
         slopes.Series(
-            'node', f'idle: {name}', unit, 'nodes', taken[name], target, how
+            'node',
+            f'idle: {name}',
+            unit,
+            'nodes',
+            points_by_name[name],
+            target,
+            mechanism,
         )
-        for name, (unit, how) in units.items()
+        for name, (unit, mechanism) in units.items()
     ]
 
 
-def watch(size, seconds, directory):
-    """Start one deployment; figures per node, and of the store as a whole."""
+def measure_idle(size, seconds, directory):
+    """Start one deployment and measure it.
+
+    :return: means per node by name; `store calls` is the sum of all nodes
+    """
     options = cluster.Options(directory=directory)
     with cluster.Cluster(deployment(size), options) as running:
         running.start()
         gevent.sleep(SETTLE_S)
-        before = reading(running)
+        before = read_counters(running)
         gevent.sleep(seconds)
-        after = reading(running)
-    passed_s = after['at_s'] - before['at_s']
+        after = read_counters(running)
+    elapsed_s = after['at_s'] - before['at_s']
     rate = {
-        name: (after[name] - before[name]) / passed_s
+        name: (after[name] - before[name]) / elapsed_s
         for name in ('cpu_s', 'sent_bytes', 'store_calls')
     }
     return {
@@ -92,9 +109,9 @@
     }
 
 
-def reading(running):
-    """Sums over all nodes now."""
-    usage = [running.usage(name) for name in running.hosts]
+def read_counters(running):
+    """Return the time and the present counters, summed over all nodes."""
+    usage = [running.process_usage(name) for name in running.hosts]
     return {
         'at_s': time.monotonic(),
         'cpu_s': sum(each['cpu_s'] for each in usage),
@@ -105,15 +122,18 @@
 
 
 def sent_bytes(running, name):
-    """Bytes that a node has sent to its peers, by its own metrics."""
-    for line in metrics_of(running, name).splitlines():
-        if line.startswith(METRIC) and 'direction="sent"' in line:
+    """Return the bytes that a node sent to its peers, from its metrics.
+
+    :raises LookupError: if the node does not report the metric
+    """
+    for line in fetch_metrics(running, name).splitlines():
+        if line.startswith(PEER_BYTES_METRIC) and 'direction="sent"' in line:
             return float(line.rpartition(' ')[2])
-    raise LookupError(f'{name} does not report {METRIC}')
+    raise LookupError(f'{name} does not report {PEER_BYTES_METRIC}')
 
 
-def metrics_of(running, name):
-    """The metrics page of a node."""
+def fetch_metrics(running, name):
+    """Return the text of a node's metrics page."""
     address = running.admin_address(name)
     headers = {'Authorization': f'Bearer {cluster.ADMIN_TOKEN}'}
     request = urllib.request.Request(
@@ -124,7 +144,7 @@
 
 
 def store_calls(running):
-    """Calls that the key-value stand-in has counted."""
+    """Return the number of calls to the key-value stand-in."""
     status, body = cluster.call_json(
         running.address('keyvalue'), 'GET', '/ledger'
     )
