--- a/tests/test_moves.py
+++ b/tests/test_streammigration.py
@@ -7,7 +7,7 @@
 
 from magnoliadyke.core import jobs
 from magnoliadyke import errors
-from magnoliadyke import moves
+from magnoliadyke import streammigration
 from magnoliadyke import streams
 
 KV = {'address': '192.0.2.1:1', 'kv_id': 'k'}
@@ -30,10 +30,10 @@
 class Pump:
     """A connection on which an answer comes in."""
 
-    connections = types.SimpleNamespace(suspect=lambda: False)
+    connections = types.SimpleNamespace(is_suspect=lambda: False)
 
     def __init__(self, run):
-        self.run_ = run
+        self.target_run = run
 
     def check(self, now_s, suspect):
         """The connection is well."""
@@ -56,7 +56,7 @@
     run = streams.ModelRun('key', job, {}, 'digest', task, None)
     run.engine = Engine(outcome)
     run.attempt_id = 'digest-1'
-    run.number = 1
+    run.attempt_number = 1
     return run
 
 
@@ -64,7 +64,7 @@
     # The answer would end in the middle: its engine has stopped it, and no
     # other engine takes work.
     run = make_run([])
-    assert not moves.Move(run).done()
+    assert not streammigration.StreamMigration(run).wait_for_export()
     assert run.engine.exported == []
 
 
@@ -73,7 +73,7 @@
 )
 def test_a_stream_that_is_not_exported_stays(outcome):
     run = make_run(['e2'], outcome)
-    assert not moves.Move(run).done()
+    assert not streammigration.StreamMigration(run).wait_for_export()
 
 
 def test_an_engine_that_refuses_is_passed_over():
@@ -90,18 +90,18 @@
         return 'answer'
 
     run.decode = decode
-    run.moving = moves.Move(run)
+    run.migration = streammigration.StreamMigration(run)
     gevent.sleep(0)
-    assert run.read_on('e1') == 'answer'
+    assert run.resume_attempt('e1') == 'answer'
     assert asked == [('e2', 'digest-2', KV), ('e3', 'digest-3', KV)]
 
 
 def test_refusals_of_all_come_to_an_end():
     run = make_run(['e2'] * 9)
     run.decode = lambda name, work: jobs.Failed(name, 'decode', ran=False)
-    run.moving = moves.Move(run)
-    assert run.read_on('e1').ran is False
-    assert run.number == 1 + moves.MOST_PLACES
+    run.migration = streammigration.StreamMigration(run)
+    assert run.resume_attempt('e1').ran is False
+    assert run.attempt_number == 1 + streammigration.MAX_TARGETS
 
 
 def test_a_stream_that_found_no_place_at_first_is_moved_later():
