--- a/magnoliadyke/core/catalog.py
+++ b/magnoliadyke/core/catalog.py
@@ -33,7 +33,7 @@
     """One process of an endpoint; after a restart it has another id.
 
     :param slots: maximum number of requests that it runs at once
-    :param leaving: whether it is draining and takes no new work
+    :param leaving: whether it is draining and accepts no new requests
     :param published_name: its published name, which it keeps after a
         restart; empty if the name is its id
     :param started_ms: when the process started, in milliseconds of its own
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -288,7 +288,7 @@
     # Open engines.
 
     def refresh(self, now_s: float) -> None:
-        """Mark the engines as open that can be sent a prompt by now."""
+        """Mark the engines as open that can be sent a prompt at this time."""
         while self._opening_heap and self._opening_heap[0][0] <= now_s:
             _, engine_id = heapq.heappop(self._opening_heap)
             engine = self.engines.get(engine_id)
--- a/magnoliadyke/core/freshness.py
+++ b/magnoliadyke/core/freshness.py
@@ -121,7 +121,8 @@
     """Decides on one node whether its table is fresh.
 
     Both sides of a partition apply the same rule, so that every node that
-    takes work on one side has the edits that the other side has accepted.
+    accepts requests on one side has the edits that the other side has
+    accepted.
 
     A node is *fresh* while, within the last ``stale_s``, either
 
@@ -292,7 +293,7 @@
         return hosts | ({self.host} if self.rooted else set())
 
     def takes_work(self, now_s: float) -> bool:
-        """Whether the node takes new work.
+        """Whether the node accepts new requests.
 
         From a store that was restored from a backup, a starting node may
         read a table that has been replaced.  It therefore waits for a first
@@ -415,10 +416,10 @@
     def _idle_since_staged(
         self, recent: Mapping[str, _Evidence]
     ) -> frozenset[str]:
-        """Hosts that were seen to take no work after the edit was staged.
+        """Hosts seen not to accept requests after the edit was staged.
 
-        A host that was last seen idle before that may have started to take
-        work, so acceptance waits for it like for any other host.
+        A host that was last seen so before that may have started to accept
+        requests, so acceptance waits for it like for any other host.
         """
         return frozenset(
             host
@@ -428,7 +429,7 @@
         )
 
     def _hosts_outside_settings(self, revision: int) -> set[str]:
-        """Hosts outside the settings that may take work without the edit.
+        """Hosts outside the settings that may serve without the edit.
 
         They were found by the platform's list of hosts.  They do not count
         in the quorum, but acceptance waits until they have the edit or their
--- a/magnoliadyke/core/hostdiscovery.py
+++ b/magnoliadyke/core/hostdiscovery.py
@@ -98,10 +98,10 @@
 def without_leaving(
     members: Mapping[str, membership.Member], listed: HostList, own_host: str
 ) -> dict[str, membership.Member]:
-    """Return the members, with leaving ones marked as taking no work.
+    """Return the members, with leaving ones marked as accepting no requests.
 
-    If no member would take work, the list is ignored: it lags, and callers
-    would be left without any host.
+    If no member would accept requests, the list is ignored: it lags, and
+    callers would be left without any host.
 
     :param own_host: name of this host, whose entry in the list is ignored
     """
--- a/magnoliadyke/core/membership.py
+++ b/magnoliadyke/core/membership.py
@@ -306,7 +306,7 @@
         self.freshness.spare = spare
 
     def stop_taking_work(self) -> None:
-        """Announce permanently that this node takes no new work."""
+        """Announce permanently that this node accepts no new requests."""
         self.accepts = False
 
     def survey(self, now_s: float) -> list[Action]:
--- a/magnoliadyke/core/migrationtarget.py
+++ b/magnoliadyke/core/migrationtarget.py
@@ -16,9 +16,9 @@
 ) -> str:
     """Return the name of the engine with the smallest decode load.
 
-    Engines with the decode role come first; ``''`` if no other engine takes
-    work. Credits are not required: a stream that waited for credits would
-    pause, which the migration is meant to avoid.
+    Engines with the decode role come first; ``''`` if no other engine
+    accepts requests. Credits are not required: a stream that waited for
+    credits would pause, which the migration is meant to avoid.
 
     :param runs: :class:`magnoliadyke.core.runs.Run` by job id
     :param pools: :class:`magnoliadyke.core.pools.PoolQueue` by pool name
--- a/magnoliadyke/core/schema.py
+++ b/magnoliadyke/core/schema.py
@@ -84,7 +84,7 @@
 
 
 class HostRow(NamedTuple):
-    """Whether a host takes work."""
+    """Whether a host accepts requests."""
 
     state: str = 'in'
 
--- a/magnoliadyke/core/table.py
+++ b/magnoliadyke/core/table.py
@@ -95,10 +95,10 @@
     An edit is first *staged*: visible, but not in force, and not yet
     confirmed to the operator.  A second compare-and-swap makes it
     *accepted*, once
-    :mod:`magnoliadyke.core.freshness` finds that every node that takes work
-    has it.  Staged edits are accepted in the order of their revisions and
-    are never withdrawn; a later edit may revert them.  The functions of this
-    module never change a document: they return a new one.
+    :mod:`magnoliadyke.core.freshness` finds that every node that accepts
+    requests has it.  Staged edits are accepted in the order of their
+    revisions and are never withdrawn; a later edit may revert them.  The
+    functions of this module never change a document: they return a new one.
 
     ``changed`` has the revision of the last change of every cell ever set,
     so that a conflict with an edit made from an older base is detected even
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -227,7 +227,7 @@
 
 
 def endpoint_infos(settings):
-    """Return an :class:`EndpointInfo` for each endpoint of the settings."""
+    """Return the :class:`jobs.EndpointInfo` of each configured endpoint."""
     return [
         jobs.EndpointInfo(
             each.name,
--- a/magnoliadyke/gateway/codec.py
+++ b/magnoliadyke/gateway/codec.py
@@ -98,7 +98,8 @@
         that it is not the bytes that the endpoint generated
     :param idle_limit_s: idle time after which the endpoint closes the
         connection, in seconds; None if not given
-    :param leaving: whether the endpoint is draining and takes no new work
+    :param leaving: whether the endpoint is draining and accepts no new
+        requests
     :param backoff_s: how long this host must send it no requests, in seconds;
         0 if the endpoint requested no backoff
     """
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -17,7 +17,7 @@
 LOG = logs.get('promptreading')
 
 #: Timeout of one prefill as a share of the time left until the caller's
-#: deadline, unless the expected prefill time asks for more; the rest is for a
+#: deadline, unless the expected prefill time requires more; the rest is for a
 #: retry.  The timeout is long because an engine that is down is found sooner,
 #: by failing connections or by the leader's stall checks.  An engine that is
 #: only busy goes on with the prefill, which a retry would repeat elsewhere.
--- a/magnoliadyke/gateway/waitlimit.py
+++ b/magnoliadyke/gateway/waitlimit.py
@@ -42,7 +42,8 @@
         """Raise the error in the block now, if it is still running.
 
         The event loop raises it. The greenlet of the block does not run at
-        that time, so it is either inside the block or has left it for good.
+        that time, so it is either inside the block or has left it and will
+        not return to it.
 
         :param reason: text of the error
         """
--- a/magnoliadyke/lab/cluster.py
+++ b/magnoliadyke/lab/cluster.py
@@ -292,7 +292,7 @@
     def add_rule(self, **fault):
         """Add a rule to the fault proxy.
 
-        :param fault: fields of the rule; ``source`` stands for ``from``
+        :param fault: fields of the rule; ``source`` is sent as ``from``
         :returns: id of the rule
         """
         fault = {('from' if k == 'source' else k): v for k, v in fault.items()}
--- a/magnoliadyke/lab/evidence.py
+++ b/magnoliadyke/lab/evidence.py
@@ -93,7 +93,7 @@
 
 
 def foreign_key():
-    """A key such as callers without a ticket make."""
+    """Return an idempotency key as made by callers without a ticket."""
     return f'lab-{uuid.uuid4().hex}'
 
 
@@ -243,7 +243,7 @@
 
 
 def in_force_times(edits, faults):
-    """Times that edits took until in force, by the faults meanwhile.
+    """Return how long edits took to come into force, by concurrent faults.
 
     :returns: lists of seconds under 'store_away' for edits during faults of
         the store, 'fault' for those during others, 'quiet' for the rest
--- a/magnoliadyke/lab/faults.py
+++ b/magnoliadyke/lab/faults.py
@@ -63,7 +63,7 @@
 ROLE_CHANGE_S = 1.5
 DWELL_S = 2.0
 FINISH_TIMEOUT_S = 40.0
-#: One model call in so many is not repeatable.
+#: One of this many model calls is not repeatable.
 UNREPEATABLE_EVERY = 3
 
 
@@ -206,7 +206,7 @@
 
 
 def plans_of(args):
-    """The plans of the runs that the command line asks for.
+    """Return the plans of the runs that the arguments request.
 
     :raises UsageError: the directory of a run exists already
     """
--- a/magnoliadyke/lab/injector.py
+++ b/magnoliadyke/lab/injector.py
@@ -49,7 +49,7 @@
         self.undrained = []
 
     def inject(self, fault):
-        """Inject a fault, and record it with its begin and end."""
+        """Inject a fault, and record it with its start and end."""
         if fault.detail.get('holder'):
             fault = fault._replace(target=self.holder() or fault.target)
         at_s = time.time()
@@ -257,7 +257,7 @@
     # Endpoints.
 
     def endpoint_leaves(self, fault):
-        """Have an endpoint announce that it leaves, leave, and come back."""
+        """Have an endpoint announce its departure, leave, and return."""
         at_s = time.time()
         index = len(self.departures)
         self.departures.append(checker.Departure(fault.target, at_s, NEVER_S))
--- a/magnoliadyke/lab/load.py
+++ b/magnoliadyke/lab/load.py
@@ -169,7 +169,7 @@
 
 
 def is_waiting(record, now_s):
-    """Whether a completion was due and has no token or outcome yet."""
+    """Whether a completion was scheduled and has no token or outcome yet."""
     return (
         record.job.kind == 'model'
         and record.call.at_s <= now_s
--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -72,7 +72,7 @@
     """Reads streams with little CPU load, to leave the CPU to the node.
 
     :ivar tokens: tokens of all streams so far
-    :ivar samples: :class:`Sample` of each stream that had a token
+    :ivar samples: :class:`HostSample` of each stream that had a token
     """
 
     def __init__(self):
--- a/magnoliadyke/lab/platformcaller.py
+++ b/magnoliadyke/lab/platformcaller.py
@@ -25,7 +25,7 @@
 #: Longest pause of callers with long work between two requests, in addition
 #: to that of all callers, in seconds.
 MAX_LASTING_PAUSE_S = 3.0
-#: Connections that are held open to a host that is told to stop.  Each is
+#: Connections that are held open to a host about to be stopped.  Each is
 #: used once; the requests are spread over the grace period of the stop.
 HELD_CONNECTIONS = 12
 #: Callers with long work use an answer of the directory for its time to live
@@ -208,7 +208,7 @@
         self.refresh_at_s = 0.0
 
     def pick(self) -> str:
-        """Choose the host of the next connection; refresh the list if due."""
+        """Choose the host of the next connection; refresh an expired list."""
         if time.monotonic() >= self.refresh_at_s:
             self._refresh(self.rng.choice(self.cached_hosts))
         return self.rng.choice(self.cached_hosts)
--- a/magnoliadyke/lab/platformcheck.py
+++ b/magnoliadyke/lab/platformcheck.py
@@ -167,7 +167,7 @@
     :param endpoints: endpoints of the whole run, with what reached them
     :param disturbed: times in which requests may fail
     :param leaving: announcements of endpoints in their entries
-    :param calm_s: begin of the final check, in monotonic seconds
+    :param calm_s: start of the final check, in monotonic seconds
     :param events: number of events of each stream
     :param ended: exit status of nodes that ended by themselves, by host
     :param unstopped: hosts that had to be killed, and when their stop began
--- a/magnoliadyke/lab/platformendpoint.py
+++ b/magnoliadyke/lab/platformendpoint.py
@@ -130,7 +130,7 @@
         self.next_handle = 0
 
     def crash(self) -> None:
-        """End without notice, with all requests that are executed."""
+        """Exit without notice and abort all requests in execution."""
         for arrival in self.runs:
             if arrival.until_s == math.inf:
                 arrival.aborted = True
--- a/magnoliadyke/lab/platformfleet.py
+++ b/magnoliadyke/lab/platformfleet.py
@@ -185,7 +185,7 @@
         self.store.put(f'servers/{name}', endpoint.entry())
 
     def crash_endpoint(self, name: str) -> None:
-        """End an endpoint without notice; its entry stays in the store."""
+        """Crash an endpoint without notice; its entry stays in the store."""
         endpoint = self.endpoints.pop(name)
         self.crashed.append(endpoint)
         endpoint.crash()
--- a/magnoliadyke/lab/platformstore.py
+++ b/magnoliadyke/lab/platformstore.py
@@ -127,7 +127,7 @@
         return self.revision
 
     def remove(self, key: str) -> None:
-        """Remove an item, if it is there."""
+        """Remove an item, if it exists."""
         if self.items.pop(key, None) is None:
             return
         self.revision += 1
--- a/magnoliadyke/lab/proxy.py
+++ b/magnoliadyke/lab/proxy.py
@@ -194,7 +194,7 @@
             gevent.sleep(POLL_S)
 
     def takes_lost_reply(self, link, forward):
-        """Whether a rule has the reply lost; the rule's count goes down."""
+        """Return whether a rule drops the reply, and count it down if so."""
         if forward:
             link.request_forwarded = True
             return False
--- a/magnoliadyke/lab/schedules.py
+++ b/magnoliadyke/lab/schedules.py
@@ -25,7 +25,7 @@
 class Kind(typing.NamedTuple):
     """A kind of fault.
 
-    :param target: sort of its target, as :meth:`Targets.names_of` takes it
+    :param target: kind of its target, as :meth:`Targets.names_of` takes it
     :param duration_range_s: range from which its duration is drawn
     :param effect: description for people, with its arguments
     :param planned: an operator's planned change, not a failure
@@ -217,10 +217,10 @@
 def read(lines, path, targets, rng):
     """Read a schedule file.
 
-    :param lines: of the file
-    :param path: of the file, for messages
+    :param lines: lines of the file
+    :param path: path of the file, for messages
     :param targets: :class:`Targets`
-    :param rng: random number generator for what a line leaves out
+    :param rng: random number generator for fields that a line omits
     :returns: list of :class:`Fault` in order of time
     :raises UsageError: for an invalid line, with its number and the remedy
     """
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -83,7 +83,7 @@
     :param settings: settings of this host
     :param rng: source of randomness for all components
     :ivar stopping: set once the host has received a signal to stop
-    :ivar own: entry of this host in the store and in gossip
+    :ivar own_record: entry of this host in the store and in gossip
     """
 
     def __init__(
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -249,7 +249,7 @@
 def test_a_stray_command_is_undone(fleet):
     # Requests would meet an engine in a role that nobody planned: a former
     # holder was stopped right before the system call that sends, and its
-    # command arrives when it goes on. The engine ignores fencing numbers,
+    # command arrives when it goes on. The engine ignores fencing tokens,
     # so the present holder compares it with the last intent and commands
     # again.
     press(fleet, 40, prefill=0.3, decode=2.6)
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -17,7 +17,7 @@
 def test_a_planner_that_lost_its_authority_is_not_heeded():
     # A stream would start on an engine in the middle of its change: the
     # former planner wakes from a pause and gives the engine back. Its lower
-    # fencing number shows that a successor has taken over.
+    # fencing token shows that a successor has taken over.
     known = notices.EngineNotices()
     known.apply(notices.EngineNotice('e1', 6, True, 3.0), 0.0)
     assert known.apply(notices.EngineNotice('e1', 5, False, 3.0), 1.0) == []
