--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -46,7 +46,7 @@
 ENGINES = 10
 
 
-class HostSample(typing.NamedTuple):
+class StreamSample(typing.NamedTuple):
     """Latency of one stream at the caller.
 
     :param time_to_first_token_s: time from the request to its first token
@@ -72,7 +72,7 @@
     """Reads streams with little CPU load, to leave the CPU to the node.
 
     :ivar tokens: tokens of all streams so far
-    :ivar samples: :class:`HostSample` of each stream that had a token
+    :ivar samples: :class:`StreamSample` of each stream that had a token
     """
 
     def __init__(self):
@@ -107,7 +107,7 @@
             last_s = now_s
         connection.close()
         if time_to_first_token_s is not None:
-            self.samples.append(HostSample(time_to_first_token_s, gaps_s))
+            self.samples.append(StreamSample(time_to_first_token_s, gaps_s))
 
 
 class Bench:
