--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -123,7 +123,7 @@
     # Routing by key.
 
     def route_request(self, request):
-        """Run, relay or replay a request, as its key says.
+        """Run, relay or replay a request, depending on its key.
 
         A request whose key has a record gets the recorded run, answer or
         outcome.
--- a/magnoliadyke/pumps.py
+++ b/magnoliadyke/pumps.py
@@ -13,7 +13,8 @@
 READABLE = 1
 RECEIVE_BYTES = 16384
 #: Time without a token, in spite of keep-alive comments, after which the
-#: engine has lost the request. A long prompt or a role change takes less.
+#: request counts as lost by the engine. A long prompt or a role change takes
+#: less.
 TOKEN_TIMEOUT_S = 90.0
 LINE_END = b'\r\n'
 #: Bytes of a chunk within which the line with its size ends.
