--- a/magnoliadyke/core/admission.py
+++ b/magnoliadyke/core/admission.py
@@ -230,6 +230,6 @@
     return outcomes.NotRun(
         'no_endpoint',
         'send it again after retry_after_s; see `status` for why no '
-        'endpoint of the pool takes work',
+        'endpoint of the pool accepts requests',
         retry_after_s(excess_s, rng),
     )
--- a/magnoliadyke/gateway/metricsregistry.py
+++ b/magnoliadyke/gateway/metricsregistry.py
@@ -52,7 +52,7 @@
         )
         self.caught_up = self._gauge(
             'caught_up',
-            'Times that other hosts knew more, by what ended it.',
+            'Times that this host lagged behind others, by what ended it.',
             'source',
         )
         self.restores = self._gauge(
@@ -64,7 +64,7 @@
         )
         self.proof_age = self._gauge(
             'confirmation_age_seconds',
-            'Time since the configuration was known to be the newest.',
+            'Time since the configuration was last confirmed as the newest.',
         )
         self.usage_window = self._gauge(
             'usage_window', 'Latest window of which the usage was fixed.'
