--- a/magnoliadyke/core/admission.py
+++ b/magnoliadyke/core/admission.py
@@ -60,7 +60,8 @@
     A job that cannot meet its deadline any more is refused at once with a
     retry-after: it would only take engine time from jobs that can.
 
-    :param deadline_s: when the first token is due, or the queue timeout ends
+    :param deadline_s: when the first token is due; for background jobs and
+        suspects, which have no such objective, when the queue timeout ends
     :param latest_start_s: the job is refused if not dispatched by then
     :param strict: whether the job is refused if its first token is
         predicted after ``deadline_s``
--- a/magnoliadyke/core/confirmation.py
+++ b/magnoliadyke/core/confirmation.py
@@ -95,10 +95,14 @@
         return version > own_version
 
     def record_proof(self, at_s: float, own_version: int) -> None:
-        """Record that a query at some moment found no newer version.
+        """Record that a query found no newer version of the configuration.
 
         Without effect if another host has reported a newer version: a store
         restored from a backup may not have it.
+
+        :param at_s: when the query was sent, or an earlier time if another
+            host sent it
+        :param own_version: version that this host uses
         """
         if own_version >= self.newest_peer_version:
             self.proved_s = max(self.proved_s, at_s)
--- a/magnoliadyke/core/crashhistory.py
+++ b/magnoliadyke/core/crashhistory.py
@@ -27,10 +27,10 @@
 class _RequestCrashes:
     """The crashes of one request.
 
-    :ivar endpoints: ids of the endpoint processes at which it failed
-    :ivar seen_s: when it last failed or was last refused
-    :ivar succeeded_s: when it was last answered completely, minus infinity
-        if never
+    :ivar endpoints: ids of the endpoint processes at which the request failed
+    :ivar seen_s: when the request last failed or was last refused
+    :ivar succeeded_s: when the request was last answered completely, minus
+        infinity if never
     """
 
     endpoints: set[str]
--- a/magnoliadyke/core/credits.py
+++ b/magnoliadyke/core/credits.py
@@ -140,9 +140,10 @@
         return self.peers.reported_s < MIN_PEER_PREFILL_S
 
     def add_prompt(self, job_id, priority, seconds, now_s):
-        """Record a sent prompt, after those of the same priority.
+        """Add a sent prompt to the estimated queue of the endpoint.
 
-        The endpoint prefills prompts by priority, the lowest number first.
+        The endpoint prefills prompts by priority, the lowest number first,
+        and those of the same priority in the order of arrival.
 
         :param seconds: estimated prefill time of the prompt
         """
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -95,8 +95,8 @@
     :param pool: checksum of the pool's name
     :param tokens_at_crash: output tokens before the crash, at most 255; a
         request with fewer is more suspect
-    :param cleared: whether the request was cleared of the crashes in
-        ``blames``
+    :param cleared: whether it was found that the request did not cause the
+        crashes in ``blames``
     :param waiting_age_s: seconds since the latest report that the request
         waits on any node; nodes forward the reports of other nodes
     :param running_age_s: seconds since the latest report that it runs on
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -342,9 +342,9 @@
         """Lower the slowness if a prompt sent to the idle engine disproves it.
 
         An engine that is regarded as slow gets few prompts, and is idle when
-        they arrive.  Without this it would be regarded as slow long after its
-        recovery, and with several such engines nearly all requests would be
-        refused while the engines are idle.
+        they arrive.  Without this bound, the engine would be regarded as slow
+        long after its recovery, and with several such engines nearly all
+        requests would be refused while the engines are idle.
 
         :param elapsed_s: time from arrival to completion, in seconds
         """
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -28,9 +28,10 @@
         yet prefilled, in case the estimates are wrong
     :param fetch_gain: a cached part is fetched from another engine if that
         takes at most this share of the time to prefill it again
-    :param candidates: engines that are compared for one prompt, divided
-        evenly among the stages, besides those that cache part of it; more
-        gain little and cost time
+    :param candidates: number of engines that are compared for one prompt,
+        divided evenly among the stages; engines that cache part of the
+        prompt are compared in addition.  A higher number costs time and
+        improves the choice little.
     """
 
     lead_s: float = 0.005
@@ -685,10 +686,11 @@
         return seconds
 
     def handoff_s(self, tokens: int) -> float:
-        """Return the time of a decode engine to receive a prefilled prompt.
+        """Return how long a decode engine takes to receive a KV cache.
 
-        The prompt is equally likely to come from each engine, so most
-        transfers come from another failure domain.
+        The KV cache is that of a prefilled prompt, and the time includes the
+        first decode step.  Each engine is equally likely to send the cache, so
+        most transfers come from another failure domain.
         """
         domains = {
             engine.endpoint.failure_domain for engine in self.engines.values()
--- a/magnoliadyke/core/expiredentries.py
+++ b/magnoliadyke/core/expiredentries.py
@@ -44,8 +44,9 @@
     :ivar grace_until_s: when the grace period of an endpoint without an entry
         ends, by endpoint id
     :ivar outage_began_s: when this host's last outage of the store began
-    :ivar regained_s: when the store last came back, for this host or for one
-        that relays changes to it
+    :ivar regained_s: when the store was last restored from a backup, or was
+        last reached again after an outage by this host or by one that relays
+        changes to it
     :ivar outage_unresolved: whether this host's last outage may have been
         local to it, and no other host has settled that yet
     """
@@ -87,8 +88,8 @@
     def record_peer_regained(self, ago_s: float | None, now_s: float) -> None:
         """Record a store outage of a host that relays changes to this one.
 
-        :param ago_s: how long ago the store came back, in seconds; None if
-            there was no outage
+        :param ago_s: how long ago that host reached the store again or the
+            store was restored, in seconds; None if neither was recent
         """
         if ago_s is not None:
             self.regained_s = max(self.regained_s, now_s - ago_s)
--- a/magnoliadyke/core/health.py
+++ b/magnoliadyke/core/health.py
@@ -149,7 +149,7 @@
     """Whether one more endpoint of a pool may be ejected.
 
     When most of a pool fails, the endpoints are hardly the cause.  Ejecting
-    them all would overload the remaining ones one after another.
+    each failing endpoint would overload the others, one after another.
 
     :param healths: health of each endpoint of the pool
     """
--- a/magnoliadyke/core/peerload.py
+++ b/magnoliadyke/core/peerload.py
@@ -29,9 +29,9 @@
     all reports.
 
     :ivar reported_s: seconds of peers' prompts in the last report
-    :ivar reported_at_s: when the last report was true
+    :ivar reported_at_s: time of the engine state in the last report
     :ivar sent_prompts: time and prefill seconds of the peers' prompts since
-        then
+        ``reported_at_s``
     """
 
     def __init__(self):
@@ -46,7 +46,7 @@
 
         :param seconds: prefill time of all queued prompts, less that of the
             prompts of this node
-        :param at_s: when the report was true
+        :param at_s: time of the engine state that the report describes
         """
         if at_s < self.reported_at_s:
             return
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -306,9 +306,9 @@
 
         Zero or less if the job may be sent to a decode engine now.  The
         engine that failed the job is chosen again only if no other decode
-        engine is available.  Retried there at once, a job would use up its
-        attempts within some hundredths of a second while the engine is down
-        for a second or two.
+        engine is available.  If it were retried at the same engine at once,
+        a job would use up its attempts within some hundredths of a second
+        while the engine is down for a second or two.
         """
         engine = self.pool.decode_engines.choose_for_short_prompt(
             job.avoid, now_s
--- a/magnoliadyke/core/position.py
+++ b/magnoliadyke/core/position.py
@@ -13,9 +13,8 @@
 class Position(NamedTuple):
     """A revision of the store within an era; later positions are larger.
 
-    The era is the store's epoch, raised at each restore from a backup.  A
-    restored store assigns the revisions that it lost a second time, in the
-    new era.
+    The era is the store's epoch, raised at each restore from a backup.  After
+    a restore, the store uses the lost revision numbers again, in the new era.
     """
 
     era: int
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -53,8 +53,8 @@
 class RoleChange:
     """Order to give an engine another role.
 
-    :param gain_tokens: tokens that the change is expected to gain, less its
-        cost
+    :param gain_tokens: additional tokens that the pool is expected to serve
+        because of the change, less the change's cost in tokens
     """
 
     endpoint: str
@@ -346,10 +346,10 @@
         return min(free, key=lambda engine: engine.load, default=None)
 
     def _gains(self, state):
-        """Return the tokens gained by a role change now, not a cell later.
+        """Return the tokens gained by a change now over one a step later.
 
-        :returns: by role to change to, the weighted mean over the sigma
-            points of the forecast error
+        :returns: by role to change to, the gain in tokens, as the weighted
+            mean over the sigma points of the forecast error
         """
         before = _split(state)
         cells = self._forecast()
@@ -375,7 +375,7 @@
         return {role: _weighted_mean(gains) for role, gains in found.items()}
 
     def _forecast(self):
-        """Return the forecast (prefill, decode) demand in each cell."""
+        """Return the forecast (prefill, decode) demand for each time step."""
         settings = self.settings
         prefill = self.prefill.forecast()
         decode = self.decode.forecast()
@@ -392,7 +392,7 @@
         return cells
 
     def _errors(self, count):
-        """Return the standard errors of the forecast in each cell."""
+        """Return the standard errors of the forecast for each time step."""
         least = self.prefill.forecast().error, self.decode.forecast().error
         cell_s = self.settings.cell_s
         share = self.settings.error_share
@@ -460,7 +460,7 @@
     price, and a change that gains more later is postponed.
 
     :param before: numbers of (prefill, decode) engines now
-    :param cells: (prefill, decode) demand in each cell
+    :param cells: (prefill, decode) demand in each time step of the horizon
     """
 
     def __init__(self, settings, before, cells, state):
@@ -479,7 +479,7 @@
         self._best = self._solve()
 
     def gain(self, role):
-        """Return the tokens gained by a role change now, not a cell later.
+        """Return the tokens gained by a change now over one a step later.
 
         The gain is over the best sequence without a change in the first cell.
 
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -99,7 +99,8 @@
 class PlacementContext(NamedTuple):
     """State of the queue and the job that a placement depends on.
 
-    :param credit_share: this node's share of the pool's stream credits
+    :param credit_share: this node's share of the streams that the pool's
+        engines may serve, 0 to 1
     :param spare_s: time left until the first token is due, in seconds
     :param backlog_s: time that the prefill engines need for the prompts
         queued before it, in seconds
--- a/magnoliadyke/core/scheduler.py
+++ b/magnoliadyke/core/scheduler.py
@@ -41,8 +41,8 @@
 MAX_UNPLACED_JOBS = 6
 #: Queued jobs of one customer that a dispatch round tries to place.
 LOOKAHEAD_JOBS = 4
-#: Interval, in seconds, at which a pool's share of the stream credits is
-#: recomputed.
+#: Interval, in seconds, at which this node's share of the streams that a
+#: pool's engines may serve is recomputed.
 CREDIT_SHARE_INTERVAL_S = 0.25
 #: Prefill capacity of a decode engine, as a fraction of a prefill engine.
 MIXED_PREFILL_CAPACITY = 0.2
@@ -618,7 +618,7 @@
         )
 
     def _credit_share(self, pool, now_s):
-        """This node's share of the stream credits of the engines it uses."""
+        """Return this node's share of the streams of a pool's engines."""
         if self.shares.nodes == 1:
             pool.credit_share = 1.0
         elif now_s >= pool.credit_share_due_s:
--- a/magnoliadyke/dispatch.py
+++ b/magnoliadyke/dispatch.py
@@ -479,7 +479,10 @@
             self.publish(now_s)
 
     def publish(self, now_s):
-        """Publish the node's digest and the demand of each pool."""
+        """Publish this node's gossip digest and the demand of each pool.
+
+        The digest summarizes the demand, the usage and the suspect requests.
+        """
         self.digest.publish(self.scheduler.digest(now_s))
         demands = {
             pool.name: self.scheduler.demand(pool.name, now_s)
--- a/magnoliadyke/edits.py
+++ b/magnoliadyke/edits.py
@@ -172,10 +172,11 @@
                 return self.write_staged(held, document, revision)
 
     def overridden_revision(self, document):
-        """Return the revision up to which an override accepts edits.
+        """Return the newest revision whose staged edits an override accepts.
 
-        It is that of the edit with the id of the override, or the newest
-        staged revision if there is no such edit.
+        The staged edits up to this revision are accepted although hosts are
+        missing.  The revision is that of the edit with the id of the
+        override, or the newest staged one if there is no such edit.
         """
         earlier = table.edit_revision(document, self.request.edit_id or '')
         if earlier is not None:
--- a/magnoliadyke/gateway/autoscaling.py
+++ b/magnoliadyke/gateway/autoscaling.py
@@ -77,7 +77,7 @@
         if self.greenlet is not None:
             self.greenlet.kill()
 
-    # The store.
+    # Target numbers read from the store.
 
     def changed(self, item: store.Item) -> None:
         """Record a service's target number of endpoints from the store."""
--- a/magnoliadyke/gateway/follower.py
+++ b/magnoliadyke/gateway/follower.py
@@ -464,7 +464,8 @@
     def _relay_idle(self) -> None:
         """Send an empty update if none was sent for bound_s * RELAY_SHARE.
 
-        It shows the other hosts that this one still reaches the store.
+        The update shows the other hosts that this host still reaches the
+        store.
         """
         if self.is_following_peers or self.failing_since_s is not None:
             return
--- a/magnoliadyke/gateway/http.py
+++ b/magnoliadyke/gateway/http.py
@@ -178,7 +178,9 @@
         return not self.parts
 
     def next_part(self) -> Part:
-        """Return the next part, reading from the socket as needed.
+        """Return the next part of a message: head, body piece or end.
+
+        Reads from the socket as needed.
 
         :raises BrokenMessage: the received bytes are not a valid message
         :raises PeerClosed: the connection ended
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -167,7 +167,7 @@
     def fencing(self) -> int:
         """Fencing token of this host's orders.
 
-        It grows with each leader and with each store epoch.
+        The token grows with each change of leader and each store epoch.
         """
         return self.held_position.packed
 
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -238,7 +238,7 @@
         return [r for r in self._domain()[WATCHERS:] if r != self.own]
 
     def _domain(self) -> list[HostRecord]:
-        """Return the hosts of this failure domain, the watching ones first.
+        """Return the hosts of this failure domain, first the store watchers.
 
         Empty in a small fleet.  While hosts disagree on the order, more hosts
         than necessary watch, or a host gets no updates and starts to watch.
--- a/magnoliadyke/gateway/peerstate.py
+++ b/magnoliadyke/gateway/peerstate.py
@@ -120,8 +120,9 @@
         """Return all keys, with the values written after a position.
 
         :param version: version of the caller's protocol; not checked
-        :param known_revision: revision of the position
-        :param known_era: era of the position, None if the caller sent none
+        :param known_revision: store revision up to which the caller has the
+            values
+        :param known_era: era of that revision, None if the caller sent none
         :raises TTransportException: the request has no era
         """
         if known_era is None:
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -24,7 +24,7 @@
 LOG = logs.get('usage')
 
 REPORTS_KEY = 'magnoliadyke/usage'
-#: Interval between messages with the counts, in seconds.
+#: Interval between messages that report request counts, in seconds.
 SEND_INTERVAL_S = 1.0
 #: Number of hosts that keep a copy of the leader's own counts.  The leader
 #: sends these to no other host, so without copies they would be lost with it.
@@ -233,7 +233,7 @@
         LOG.event('wall_time_corrected', by_ms=round(by_s * 1000))
         self.own_counts.shift(by_s)
 
-    # The store.
+    # Final reports read from the store.
 
     def changed(self, item: store.Item) -> None:
         """Merge final reports that were written to the store."""
@@ -258,7 +258,7 @@
         for item in items.values():
             self.changed(item)
 
-    # Reporting.
+    # Reports to the store and the platform.
 
     def _run_report_loop(self) -> None:
         while True:
--- a/magnoliadyke/gateway/waitlimit.py
+++ b/magnoliadyke/gateway/waitlimit.py
@@ -12,7 +12,8 @@
     """Context manager that raises an error in its block at a timeout.
 
     :param timeout_s: maximum time in the block, in seconds
-    :param error: makes the error to raise in the block, from a reason
+    :param error: function that takes the reason and returns the error to
+        raise in the block
     """
 
     def __init__(
--- a/magnoliadyke/handover.py
+++ b/magnoliadyke/handover.py
@@ -39,9 +39,9 @@
 
     A stopping node transfers its records twice. The first transfer is made
     at once; requests that still run are marked as running elsewhere. From
-    then on new keys of its tickets run at the successor. The second transfer
-    is made when those requests have ended or the stop's deadline has passed,
-    and has their outcomes.
+    then on, requests with new keys from its tickets run at the successor. The
+    second transfer is made when those requests have ended or the stop's
+    deadline has passed, and has their outcomes.
 
     :param issuer: :class:`tickets.TicketIssuer` of this node
     :param incarnation: incarnation of this node
@@ -49,7 +49,7 @@
     :param peers: :class:`magnoliadyke.peer.PeerClients`
     :param directory: :class:`magnoliadyke.homedirectory.HomeDirectory`
     :ivar adopted: :class:`Adopted` by home
-    :ivar incoming_lines: lines of hand-overs that are incomplete, by host and
+    :ivar incoming_lines: lines of handovers that are incomplete, by host and
         incarnation
     :ivar first_transfer_ended: event that is set when the first transfer has
         succeeded or failed; None while this node runs new keys itself
@@ -76,7 +76,7 @@
         """Receive a batch of records of a host that is stopping.
 
         :param lines: JSON lines, each as bytes
-        :param last: whether this batch completes the hand-over
+        :param last: whether this batch completes the handover
         :return: number of lines received
         """
         incoming_lines = self.incoming_lines.setdefault(
@@ -91,7 +91,7 @@
         return len(lines)
 
     def import_all(self, lines, now_s):
-        """Import the records of a complete hand-over, then its homes."""
+        """Import the records of a complete handover, then adopt its homes."""
         for line in lines:
             if not line.startswith(HOME_LINE):
                 self.table.import_line(line, now_s)
@@ -208,7 +208,7 @@
 
         :param address: ``ip:port`` of the peer
         :param batch: list of JSON lines
-        :param last: whether this batch completes the hand-over
+        :param last: whether this batch completes the handover
         :raises HostUnreachable: when the peer did not reply
         """
         accepted_count = self.peers.handover(
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -603,7 +603,7 @@
             return Settled(HOME_GONE)
         return self.relay(request, request.key, home, offset, True)
 
-    # Life cycle and hand-over of records.
+    # Life cycle and handover of records.
 
     def start(self):
         """Start the task that claims foreign keys in the store."""
@@ -618,7 +618,7 @@
         """Take over records of a host that is stopping.
 
         :param lines: JSON lines, each as bytes
-        :param last: whether this batch completes the hand-over
+        :param last: whether this batch completes the handover
         :return: number of lines accepted, or None when this node refuses,
             since it is stopping or accepts no new requests
         """
--- a/magnoliadyke/lab/baselines.py
+++ b/magnoliadyke/lab/baselines.py
@@ -18,10 +18,10 @@
   serves prefill at a fixed rate.
 
 The plan starts from the same split as greedy, hysteresis and the planner.  No
-online policy can compute it, since it uses future demand.  It is no strict
-upper bound: since the model differs from the fake engines, another plan may
-do better on them.  Experiments therefore compute a plan for each of several
-maximum utilizations and take the best run as the ceiling.
+online policy can compute the plan, since it depends on future demand.  The
+plan is no strict upper bound: since the model differs from the fake engines,
+another plan may do better on them.  Experiments therefore compute a plan for
+each of several maximum utilizations and take the best run as the ceiling.
 """
 
 from typing import NamedTuple
@@ -182,7 +182,7 @@
         """Ignore the demand, since the schedule is given."""
 
     def plan(self, state, now_s):
-        """Return a change towards the scheduled split."""
+        """Return a change towards the scheduled engines of each role."""
         started = [each for each in self.changes if each.at_s <= now_s]
         if not started:
             return None
@@ -232,7 +232,7 @@
     :param requests: :class:`traces.Request` by arrival time
     :param length_s: length of the trace
     :param engines: number of engines
-    :param price_tokens: price of a role change, in tokens
+    :param price_tokens: number of tokens deducted for each role change
     :param settings: :class:`magnoliadyke.core.roles.PlannerSettings`
     :param first: initial number of prefill engines; None to optimize it
     :returns: (initial number of prefill engines, list of :class:`Change`,
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -77,7 +77,7 @@
 def mean_cpu_s(call, rounds):
     """Return the mean CPU time of a call.
 
-    :param call: function of the number of the call
+    :param call: function to call; it is passed the call's index
     :param rounds: number of calls
     """
     start_s = time.process_time()
--- a/magnoliadyke/lab/engine.py
+++ b/magnoliadyke/lab/engine.py
@@ -221,7 +221,7 @@
                 if not run.end_reason:
                     run.notify()
 
-    # Requests.
+    # Handlers of HTTP requests.
 
     def handle(self, request):
         """Route one request to its handler."""
--- a/magnoliadyke/lab/evidence.py
+++ b/magnoliadyke/lab/evidence.py
@@ -295,7 +295,7 @@
 
 
 def takeover_times(deployment, injector):
-    """Times in which a duty of a killed host had no lease holder.
+    """Return how long each lease of a killed host had no new holder.
 
     :returns: seconds from the kill until another host wrote the lease
     """
--- a/magnoliadyke/lab/measures.py
+++ b/magnoliadyke/lab/measures.py
@@ -106,7 +106,7 @@
     :param weights: weight of each customer
     :param length_s: length of the trace
     :param role_changes: number of role changes
-    :param price_tokens: price of a role change, in tokens
+    :param price_tokens: number of tokens deducted for each role change
     """
     answers = list(answers)
     met = [answer for answer in answers if answer.met_objectives()]
--- a/magnoliadyke/lab/policy.py
+++ b/magnoliadyke/lab/policy.py
@@ -298,7 +298,7 @@
 
 
 def _variant_count(options, policy):
-    """Return the number of variants of a policy; the best run counts."""
+    """Return how many variants of a policy run; the best is reported."""
     if policy == 'fixed':
         return FIXED_SPLITS
     return len(HINDSIGHT_UTILIZATIONS) if policy == 'hindsight' else 1
--- a/magnoliadyke/lab/schedules.py
+++ b/magnoliadyke/lab/schedules.py
@@ -148,7 +148,8 @@
     :param at_s: seconds from the start of the load
     :param kind: key of :data:`KINDS`
     :param for_s: its duration
-    :param detail: further arguments, the line's ``with``
+    :param detail: further arguments, from the part of the schedule line after
+        ``with``
     """
 
     at_s: float
--- a/magnoliadyke/lab/traces.py
+++ b/magnoliadyke/lab/traces.py
@@ -129,7 +129,7 @@
     :param weights: weight of each customer, the large customer first
     :param queue_wait_s: longest time in the queue, by customer
     :param kinds: the :class:`JobKind` of its requests
-    :param price_tokens: price of a role change, in tokens
+    :param price_tokens: number of tokens deducted for each role change
     :param dwell_s: shortest time between two role changes of an engine
     """
 
--- a/magnoliadyke/lab/workload.py
+++ b/magnoliadyke/lab/workload.py
@@ -109,7 +109,8 @@
     One word is one token.  Its first ``prefix_tokens`` words are shared with
     all requests of the same ``prefix_id``; the others are its own.
 
-    :param number: of the request, so that its own words are unique
+    :param number: index of the request; makes the words that it shares with
+        no other request unique
     :param request: :class:`magnoliadyke.lab.traces.Request`
     """
     shared = short_digest(request.prefix_id)
--- a/magnoliadyke/mailbox.py
+++ b/magnoliadyke/mailbox.py
@@ -62,7 +62,7 @@
         """Block until ``condition(last)`` is true.
 
         :param timeout_s: longest wait in seconds
-        :return: whether it is true
+        :return: whether the condition became true in time
         """
         with gevent.Timeout(timeout_s, False):
             while not condition(self.last):
--- a/magnoliadyke/peer.py
+++ b/magnoliadyke/peer.py
@@ -199,8 +199,8 @@
         """Whether the connection still reaches the peer.
 
         An idle connection may be half-open, and a call on it would take its
-        whole timeout. A probe with a shorter timeout detects this, so that
-        the call can be made on a new connection.
+        whole timeout. A probe with a shorter timeout detects a half-open
+        connection, so that the call can be made on a new connection.
         """
         if self.clock.now_s() - self.last_used_s < PROBE_AFTER_IDLE_S:
             return True
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -368,8 +368,8 @@
         """Leave the system without aborting requests.
 
         Callers stop using this host once their cached directory responses
-        expire.  Until then it serves one request per connection; afterwards
-        it accepts only requests that end before the process does.
+        expire.  Until then this host serves one request per connection;
+        afterwards it accepts only requests that end before its process does.
         """
         course = shutdown.Shutdown(
             self.clock.now_s(), self.settings.stop_s, self.directory_ttl_s
--- a/magnoliadyke/porcelain.py
+++ b/magnoliadyke/porcelain.py
@@ -51,8 +51,8 @@
     'table_unset',
 ]
 
-#: Maximum number of edits that an import reads to restore the cells at the
-#: revision of the exported sheet.
+#: Maximum number of history entries that an import reads to reconstruct the
+#: table as it was when the sheet was exported.
 HISTORY_LIMIT = 1000
 
 
