--- a/magnoliadyke/core/admission.py
+++ b/magnoliadyke/core/admission.py
@@ -61,7 +61,7 @@
     retry-after: it would only take engine time from jobs that can.
 
     :param deadline_s: when the first token is due; for background jobs and
-        suspects, which have no such objective, when the queue timeout ends
+        suspect jobs, when the queue timeout ends
     :param latest_start_s: the job is refused if not dispatched by then
     :param strict: whether the job is refused if its first token is
         predicted after ``deadline_s``
@@ -120,7 +120,7 @@
     def add(self, customer, refused):
         """Record that a request was refused as overload or dispatched.
 
-        :param refused: whether it was refused
+        :param refused: whether the request was refused
         """
         share = self.shares.get(customer, 0.0)
         target = 1.0 if refused else 0.0
--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -102,8 +102,9 @@
         prefill engine, by the id of the latter
     :ivar last_success_s: when the engine last showed that it works
     :ivar freed_s: when it last completed a prefill, as far as reported
-    :ivar last_stalled_s: when it was last found stalled
-    :ivar no_fetch_until_s: no cached parts are fetched from it until then
+    :ivar last_stalled_s: when the engine was last found stalled
+    :ivar no_fetch_until_s: no cached parts are fetched from the engine until
+        then
     """
 
     def __init__(
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -346,7 +346,7 @@
         return min(free, key=lambda engine: engine.load, default=None)
 
     def _gains(self, state):
-        """Return the tokens gained by a change now over one a step later.
+        """Return the tokens gained if a role changes now rather than later.
 
         :returns: by role to change to, the gain in tokens, as the weighted
             mean over the sigma points of the forecast error
@@ -405,7 +405,10 @@
         ]
 
     def _add_backlog(self, cells):
-        """Return the cells, with the queued demand added to the first ones."""
+        """Return the demand by time step, with the queued demand added.
+
+        The queued demand is spread over the first ``backlog_s`` seconds.
+        """
         backlog_s = self.settings.backlog_s
         first = math.ceil(backlog_s / self.settings.cell_s)
         prefill = self.demand.queued_prefill_s / backlog_s
@@ -479,9 +482,10 @@
         self._best = self._solve()
 
     def gain(self, role):
-        """Return the tokens gained by a change now over one a step later.
+        """Return the tokens gained if a role changes now rather than later.
 
-        The gain is over the best sequence without a change in the first cell.
+        The gain is relative to the best sequence of changes that has none in
+        the first time step.
 
         :param role: role that one engine would change to
         """
@@ -504,9 +508,9 @@
         return known
 
     def _change(self, cell, start, after):
-        """Return the tokens served from a cell to the end of the horizon.
+        """Return the tokens served from a time step to the end of the horizon.
 
-        The role change begins in that cell.
+        The role change begins in that time step.
 
         :param start: prefill engines before the change
         :param after: prefill engines after the change
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -103,12 +103,12 @@
         engines may serve, 0 to 1
     :param spare_s: time left until the first token is due, in seconds
     :param backlog_s: time that the prefill engines need for the prompts
-        queued before it, in seconds
+        queued before the job, in seconds
     :param peers_share: share of the peers' prompts on an engine that are
-        prefilled before it
-    :param avoid: names of endpoints where it failed before
-    :param first: whether its customer has the lowest fair-queueing counter
-        of those whose jobs may start
+        prefilled before the job
+    :param avoid: names of endpoints at which the job failed before
+    :param first: whether the job's customer has the lowest fair-queueing
+        counter of those whose jobs may start
     """
 
     credit_share: float = 1.0
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -64,9 +64,9 @@
     :param host: name of the host
     :param incarnation: number of the process, higher after each restart
     :param address: IP address for gossip and for other hosts' calls
-    :param callers: ``ip:port`` at which it serves callers
+    :param callers: ``ip:port`` at which the host serves callers
     :param gossip_port: UDP port for gossip
-    :param capacity: prompts per second that it can place as the leader
+    :param capacity: prompts per second that the host can place as the leader
     """
 
     host: str
--- a/magnoliadyke/lab/engine.py
+++ b/magnoliadyke/lab/engine.py
@@ -116,7 +116,7 @@
         ):
             gevent.spawn(task)
 
-    # Tasks.
+    # Background tasks.
 
     def run_model(self):
         """Advance the model in real time and apply its events to the runs."""
