--- a/magnoliadyke/core/enginemodel.py
+++ b/magnoliadyke/core/enginemodel.py
@@ -102,8 +102,9 @@
         prefill engine, by the id of the latter
     :ivar last_success_s: when the engine last showed that it works
     :ivar freed_s: when it last completed a prefill, as far as reported
-    :ivar last_stalled_s: when it was last found stalled
-    :ivar no_fetch_until_s: no cached parts are fetched from it until then
+    :ivar last_stalled_s: when the engine was last found stalled
+    :ivar no_fetch_until_s: no cached parts are fetched from the engine until
+        then
     """
 
     def __init__(
@@ -342,9 +343,9 @@
         """Lower the slowness if a prompt sent to the idle engine disproves it.
 
         An engine that is regarded as slow gets few prompts, and is idle when
-        they arrive.  Without this it would be regarded as slow long after its
-        recovery, and with several such engines nearly all requests would be
-        refused while the engines are idle.
+        they arrive.  Without this bound, the engine would be regarded as slow
+        long after its recovery, and with several such engines nearly all
+        requests would be refused while the engines are idle.
 
         :param elapsed_s: time from arrival to completion, in seconds
         """
--- a/magnoliadyke/gateway/members.py
+++ b/magnoliadyke/gateway/members.py
@@ -64,9 +64,9 @@
     :param host: name of the host
     :param incarnation: number of the process, higher after each restart
     :param address: IP address for gossip and for other hosts' calls
-    :param callers: ``ip:port`` at which it serves callers
+    :param callers: ``ip:port`` at which the host serves callers
     :param gossip_port: UDP port for gossip
-    :param capacity: prompts per second that it can place as the leader
+    :param capacity: prompts per second that the host can place as the leader
     """
 
     host: str
@@ -238,7 +238,7 @@
         return [r for r in self._domain()[WATCHERS:] if r != self.own]
 
     def _domain(self) -> list[HostRecord]:
-        """Return the hosts of this failure domain, the watching ones first.
+        """Return the hosts of this failure domain, first the store watchers.
 
         Empty in a small fleet.  While hosts disagree on the order, more hosts
         than necessary watch, or a host gets no updates and starts to watch.
--- a/magnoliadyke/lab/engine.py
+++ b/magnoliadyke/lab/engine.py
@@ -116,7 +116,7 @@
         ):
             gevent.spawn(task)
 
-    # Tasks.
+    # Background tasks.
 
     def run_model(self):
         """Advance the model in real time and apply its events to the runs."""
@@ -221,7 +221,7 @@
                 if not run.end_reason:
                     run.notify()
 
-    # Requests.
+    # Handlers of HTTP requests.
 
     def handle(self, request):
         """Route one request to its handler."""
