--- a/magnoliadyke/burnreport.py
+++ b/magnoliadyke/burnreport.py
@@ -42,19 +42,22 @@
     others = fleetqueries.query_other_hosts(
         node, token, '/admin/burn?scope=host'
     )
-    parts = [own, *(part for part in others.values() if part is not None)]
+    host_reports = [
+        own,
+        *(part for part in others.values() if part is not None),
+    ]
     missing = [host for host, part in others.items() if part is None]
-    snapshots = [_decode(part['counts']) for part in parts]
+    snapshots = [_decode(part['counts']) for part in host_reports]
     view = node.configuration.views.last
     objectives = {
         name: row.met_share
         for name, row in (view.customers if view else {}).items()
     }
-    reach_s = max(part['covered_s'] for part in parts)
+    reach_s = max(part['covered_s'] for part in host_reports)
     customers = burn.evaluate(burn.merge(snapshots), objectives, reach_s)
     report = {
         'customers': [_customer(customer) for customer in customers],
-        'hosts': [part['host'] for part in parts],
+        'hosts': [part['host'] for part in host_reports],
         'missing': missing,
         'covered_s': reach_s,
     }
--- a/magnoliadyke/caller_codec.py
+++ b/magnoliadyke/caller_codec.py
@@ -262,7 +262,7 @@
     :param events: all events of the answer
     :param chat: whether the caller used the chat route
     """
-    start = events.rindex(attempts.OFFSET_START)
+    start = events.rindex(attempts.OFFSET_FIELD)
     document = json.loads(events[start + len(b'data: ') :])
     text = attempts.text_of(events)
     reason = document['choices'][0]['finish_reason']
--- a/magnoliadyke/callerroutes.py
+++ b/magnoliadyke/callerroutes.py
@@ -56,16 +56,16 @@
 
 def send_error(req, resp, error, params):
     """Send the outcome that a :class:`caller_codec.OutcomeError` holds."""
-    send_outcome(resp, error.outcome)
+    set_response(resp, error.outcome)
 
 
 def send_caller_left(req, resp, error, params):
     """Send an outcome to a caller that shut down its sending side only."""
     req.env[HANDLER].close_connection = True
-    send_outcome(resp, CALLER_LEFT)
+    set_response(resp, CALLER_LEFT)
 
 
-def send_outcome(resp, outcome):
+def set_response(resp, outcome):
     """Set the response to an outcome."""
     answer = outcomes.to_http(outcome)
     resp.set_header('X-Outcome', type(outcome).__name__)
@@ -242,7 +242,7 @@
         """
         match routed:
             case homes.Settled(outcome):
-                send_outcome(self.resp, outcome)
+                set_response(self.resp, outcome)
             case homes.KeptAnswer(answer):
                 self.send_key(self.key)
                 self.send_answer(answer, stream)
@@ -264,7 +264,7 @@
         if isinstance(outcome, records.Answer):
             self.send_answer(outcome, False)
         else:
-            send_outcome(self.resp, outcome)
+            set_response(self.resp, outcome)
 
     def send_answer(self, answer, stream):
         """Send a complete answer, as a stream of events or as one document.
@@ -272,7 +272,7 @@
         If the answer is a service's, the key was used for a service before.
         """
         if answer.kind != 'model':
-            send_outcome(self.resp, records.KEY_REUSED)
+            set_response(self.resp, records.KEY_REUSED)
             return
         events = streams.model_events(answer)
         if stream:
@@ -345,7 +345,7 @@
         routed = self.homes.route_request(request)
         match routed:
             case homes.Settled(outcome):
-                send_outcome(resp, outcome)
+                set_response(resp, outcome)
             case homes.KeptAnswer(answer):
                 self.send_answer(resp, request.key, answer)
             case homes.Following(key=key):
@@ -353,7 +353,7 @@
                 if isinstance(outcome, records.Answer):
                     self.send_answer(resp, request.key or key, outcome)
                 else:
-                    send_outcome(resp, outcome)
+                    set_response(resp, outcome)
 
     def send_answer(self, resp, key, answer):
         """Send the response of the service."""
--- a/magnoliadyke/claiming.py
+++ b/magnoliadyke/claiming.py
@@ -202,7 +202,7 @@
         Unlike a claim, this writes nothing: a lookup of an answer does not
         take the key from a request that may still arrive.
         """
-        found = self.store.get(self.store_key(self.claims.name_of(digest)))
+        found = self.store.get(self.store_key(self.claims.bucket_name(digest)))
         if not isinstance(found, keyvalue.Found):
             return ''
         entry = claims.decode(found.value).get(digest)
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -285,7 +285,7 @@
 
     # Periodic work.
 
-    def spawn_once(self, name, work):
+    def spawn_unless_running(self, name, work):
         """Run ``work`` in a greenlet unless one of that name is running."""
         if name in self.background_work:
             return
@@ -311,7 +311,7 @@
         waited_s = now_s - self.behind_since_s
         if waited_s >= FETCH_DELAY_S and now_s >= self.next_fetch_s:
             self.next_fetch_s = now_s + FETCH_INTERVAL_S
-            self.spawn_once('fetch', lambda: self.fetch(address))
+            self.spawn_unless_running('fetch', lambda: self.fetch(address))
 
     def fetch(self, address):
         """Fetch the table from one peer.
@@ -369,7 +369,7 @@
         if held.document is not None or held.store_revision != 0:
             return
         if self.standing.newest_revision == 0 and waited_s >= JOIN_WAIT_S:
-            self.spawn_once('initialise', self.initialise)
+            self.spawn_unless_running('initialise', self.initialise)
 
     def initialise(self):
         """Write the table of the settings if there is still no other."""
@@ -402,7 +402,9 @@
 
         :param found: 'older' or 'absent', for the log
         """
-        self.spawn_once('restore', lambda: self.restore_if_still_older(found))
+        self.spawn_unless_running(
+            'restore', lambda: self.restore_if_still_older(found)
+        )
 
     def restore_if_still_older(self, found):
         """Read again after a random delay; write if still older or absent.
@@ -444,11 +446,13 @@
             return
         match self.standing.acceptance:
             case freshness.Accept(revision=revision) if self.is_acceptor():
-                self.spawn_once('accept', lambda: self.accept(revision, ''))
+                self.spawn_unless_running(
+                    'accept', lambda: self.accept(revision, '')
+                )
             case freshness.Blocked(revision=revision):
                 author = self.overriding_operator(revision)
                 if author:
-                    self.spawn_once(
+                    self.spawn_unless_running(
                         'accept', lambda: self.accept(revision, author)
                     )
 
--- a/magnoliadyke/core/attempts.py
+++ b/magnoliadyke/core/attempts.py
@@ -15,12 +15,12 @@
 
 EVENT_END = b'\n\n'
 DONE = b'data: [DONE]\n\n'
-OFFSET_START = b'data: {"offset":'
-OFFSET_LENGTH = len(OFFSET_START)
+OFFSET_FIELD = b'data: {"offset":'
+OFFSET_LENGTH = len(OFFSET_FIELD)
 END_FIELD = b',"end":'
 #: Start of the usual next event, which holds one token. Only such events
 #: take the fast path of :meth:`Assembly.feed_next_event`.
-NEXT_EVENT_START = OFFSET_START + b'%d' + END_FIELD + b'%d,'
+NEXT_EVENT_START = OFFSET_FIELD + b'%d' + END_FIELD + b'%d,'
 UNFINISHED = b'"finish_reason":null'
 TEXT = re.compile(rb'"text":\s*("(?:[^"\\]|\\.)*")')
 # An engine that never ends an event must not exhaust memory.
@@ -136,7 +136,7 @@
 
     def apply_event(self, event):
         """Apply one complete event; return whether to pass it on."""
-        if not event.startswith(OFFSET_START):
+        if not event.startswith(OFFSET_FIELD):
             self.record_error(event)
             return False
         offset = int(event[OFFSET_LENGTH : event.index(b',', OFFSET_LENGTH)])
@@ -194,7 +194,7 @@
     :param events: complete events in order, as bytes
     :param offset: output tokens that the receiver has already
     """
-    mark = events.find(OFFSET_START + b'%d,' % offset)
+    mark = events.find(OFFSET_FIELD + b'%d,' % offset)
     return events[mark:] if mark > 0 else events
 
 
--- a/magnoliadyke/core/claims.py
+++ b/magnoliadyke/core/claims.py
@@ -196,14 +196,14 @@
         self.buckets = {}
         self.pending = {}
 
-    def name_of(self, digest):
+    def bucket_name(self, digest):
         """Return the name of the bucket that a claim belongs to."""
         number = int(digest[:BUCKET_DIGITS], 16) % self.settings.buckets
         return f'{number:03x}'
 
     def bucket_of(self, digest):
         """Return the bucket that a claim belongs to."""
-        name = self.name_of(digest)
+        name = self.bucket_name(digest)
         return self.buckets.setdefault(name, Bucket(name))
 
     def add(self, digest):
--- a/magnoliadyke/core/enginepool.py
+++ b/magnoliadyke/core/enginepool.py
@@ -293,8 +293,8 @@
             _, engine_id = heapq.heappop(self._opening_heap)
             engine = self.engines.get(engine_id)
             if engine is not None:
-                for lost in engine.expire(now_s):
-                    self.caches.abandon(lost)
+                for job_id in engine.expire(now_s):
+                    self.caches.abandon(job_id)
                 self._update_open(engine, now_s)
 
     def next_opening_s(self) -> float | None:
--- a/magnoliadyke/core/limits.py
+++ b/magnoliadyke/core/limits.py
@@ -227,8 +227,8 @@
         reporting = min(1 + len(demands), self.nodes)
         total = own + sum(demands)
         part = own / total if total > 0 else 1.0 / (1 + len(demands))
-        split = (1.0 - BASE_SHARE) * reporting / self.nodes * part
-        return BASE_SHARE / self.nodes + split
+        demand_based_share = (1.0 - BASE_SHARE) * reporting / self.nodes * part
+        return BASE_SHARE / self.nodes + demand_based_share
 
     def _fresh_peers(self, now_s):
         oldest_s = now_s - self.settings.fresh_s
--- a/magnoliadyke/core/placement.py
+++ b/magnoliadyke/core/placement.py
@@ -521,7 +521,7 @@
         capacity = self.pool.capacity(now_s)
         if not capacity.speed:
             return
-        factor = self._late_share_factor()
+        factor = self._late_wait_factor()
         longest: list[tuple[float, int]] = []
         work_s = 0.0
         for job in self.on_time.in_order():
@@ -537,7 +537,7 @@
             if refused is not None:
                 decisions.append(refused)
 
-    def _late_share_factor(self) -> float:
+    def _late_wait_factor(self) -> float:
         """Return the factor by which late jobs' placements lengthen a wait."""
         if len(self.late) or len(self.resubmitted):
             return 1 + 1 / (self.settings.late_placement_interval - 1)
@@ -592,7 +592,7 @@
         if not capacity.speed:
             return refusals.NO_ENGINE_S
         work_s = self.on_time.need_before_s(job.latest_start_s)
-        work_s *= self._late_share_factor()
+        work_s *= self._late_wait_factor()
         return capacity.wait_s(work_s) * self.placing_hosts
 
     def _late_wait_s(self, now_s: float) -> float:
--- a/magnoliadyke/core/roles.py
+++ b/magnoliadyke/core/roles.py
@@ -489,9 +489,9 @@
         after = start + (1 if role == PREFILL else -1)
         if start not in self.splits or after not in self.splits:
             return 0.0
-        stay = self._tokens(0, start, self.total - start)
-        stay += self._best[1][start]
-        return self._change(0, start, after) - stay
+        tokens_without_change = self._tokens(0, start, self.total - start)
+        tokens_without_change += self._best[1][start]
+        return self._change(0, start, after) - tokens_without_change
 
     def _tokens(self, cell, prefills, decodes):
         key = prefills, decodes
@@ -525,8 +525,10 @@
         for cell in range(count - 1, 0, -1):
             best = {}
             for start in self.splits:
-                stay = self._tokens(cell, start, self.total - start)
-                options = [stay + self._best[cell + 1][start]]
+                tokens_without_change = self._tokens(
+                    cell, start, self.total - start
+                )
+                options = [tokens_without_change + self._best[cell + 1][start]]
                 for after in (start - 1, start + 1):
                     if after in self.splits:
                         options.append(self._change(cell, start, after))
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -38,7 +38,7 @@
 #: Share of the time to live during which the leader may send orders, counted
 #: from before the renewal was sent.  The remainder allows for drift between
 #: its clock and the store's.
-ORDER_SHARE = 0.8
+ORDER_TTL_SHARE = 0.8
 #: Interval between checks for a vacant lease on other hosts, in seconds.
 TICK_S = 0.1
 #: The leader yields after it has not reached the store for this long, in
@@ -501,7 +501,7 @@
         self.held_position = written
         self._record_holder(self.own.host, self.own.incarnation, written)
         self.order_from_s = self._first_order_s()
-        self.order_until_s = asked_s + granted.ttl_s * ORDER_SHARE
+        self.order_until_s = asked_s + granted.ttl_s * ORDER_TTL_SHARE
         self.yielding = False
         self.renew_s = now_s + RENEW_S
         self.placer.lead()
@@ -522,7 +522,7 @@
         asked_s = self.clock.now_s()
         match self.store.renew(self.lease):
             case store.Granted(_, ttl_s):
-                self.order_until_s = asked_s + ttl_s * ORDER_SHARE
+                self.order_until_s = asked_s + ttl_s * ORDER_TTL_SHARE
             case store.NoLease():
                 # Keep placing until another host leads: no other host has a
                 # record of the jobs in flight at the engines.
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -392,7 +392,7 @@
         self._record_crash(result, engine.id)
         return result
 
-    def _wait_for_engine(self, wait, min_stall_s):
+    def _wait_for_engine(self, wait, min_stall_timeout_s):
         """Wait for the next part of an answer.
 
         The wait has a stall timeout if another engine could resume the
@@ -407,7 +407,7 @@
             return wait()
         if self.caller.answer_started and not self._can_resume():
             return wait()
-        stall_s = max(min_stall_s, self.route.pause_s * STALL_FACTOR)
+        stall_s = max(min_stall_timeout_s, self.route.pause_s * STALL_FACTOR)
         with gevent.Timeout(stall_s, http.OutOfTime('the engine is silent')):
             return wait()
 
@@ -454,8 +454,8 @@
         splitter = events.EventSplitter()
         first = True
         while True:
-            min_stall_s = FIRST_STALL_S if first else MIN_STALL_S
-            part = self._wait_for_engine(used.part, min_stall_s)
+            min_stall_timeout_s = FIRST_STALL_S if first else MIN_STALL_S
+            part = self._wait_for_engine(used.part, min_stall_timeout_s)
             if isinstance(part, http.MessageEnd):
                 break
             complete = splitter.feed(part.data)
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -42,7 +42,7 @@
 #: by then the hosts have sent their counts for the window twice.
 SETTLE_S = 2.5
 #: Pause after a failed write or a call that was not accepted, in seconds.
-RETRY_S = 1.0
+RETRY_PAUSE_S = 1.0
 
 
 class UsageSettings(NamedTuple):
@@ -266,7 +266,7 @@
             if not self.placer.leading:
                 self.sent.clear()
             elif self.leadership.may_order() and not self._step():
-                self.clock.sleep(RETRY_S)
+                self.clock.sleep(RETRY_PAUSE_S)
 
     def _step(self) -> bool:
         """Store the reports of past windows, and send them to the platform.
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -39,7 +39,7 @@
 #: A quorum counts as lasting if its evidence stays valid for this share of
 #: ``stale_after_s``. Otherwise the store is read, and if it does not answer,
 #: all members are probed.
-MIN_REMAINING_SHARE = 0.5
+MIN_QUORUM_VALIDITY_SHARE = 0.5
 #: The store counts as unreachable when its last confirmation is older than
 #: this share of ``stale_after_s``.
 STORE_UNREACHABLE_SHARE = 0.7
@@ -407,7 +407,7 @@
         evidence expires.
         """
         evidence = self.membership.freshness
-        lasts_s = MIN_REMAINING_SHARE * evidence.settings.stale_s
+        lasts_s = MIN_QUORUM_VALIDITY_SHARE * evidence.settings.stale_s
         soon_s = self.clock.now_s() + lasts_s
         return len(evidence.group(soon_s)) >= evidence.quorum
 
--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -380,7 +380,7 @@
     }
 
 
-def remove_limits(document):
+def prepare_for_streams(document):
     """Remove the limits that would restrict the streams.
 
     Every pool of engines gets decode engines only, and the customer gets high
@@ -419,7 +419,7 @@
     :param run: second octet of the loopback addresses
     :return: mapping for JSON
     """
-    document = remove_limits(json.loads(EXAMPLE.read_text()))
+    document = prepare_for_streams(json.loads(EXAMPLE.read_text()))
     with tempfile.TemporaryDirectory() as directory:
         options = cluster.Options(
             run=run,
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -559,7 +559,7 @@
 
 def model_events(answer):
     """Return the events of a recorded model answer as bytes."""
-    if answer.body.startswith(attempts.OFFSET_START):
+    if answer.body.startswith(attempts.OFFSET_FIELD):
         return answer.body
     return zlib.decompress(answer.body)
 
