--- a/magnoliadyke/callers.py
+++ b/magnoliadyke/callers.py
@@ -94,11 +94,11 @@
 
     def handle_one_response(self):
         """Serve one request, which counts as active meanwhile."""
-        self.owner.active += 1
+        self.owner.active_requests += 1
         try:
             super().handle_one_response()
         finally:
-            self.owner.active -= 1
+            self.owner.active_requests -= 1
 
     def handle_error(self, t, v, tb):
         """Close the connection without a response if the outcome is unknown.
@@ -155,7 +155,7 @@
         self.key_ring = None
         self.key_ring_view = None
         self.subscribers = set()
-        self.active = 0
+        self.active_requests = 0
         self.ticker = None
         self.app = callerroutes.build_app(self)
         self.server = None
@@ -230,7 +230,7 @@
 
         :param end_s: deadline in monotonic seconds
         """
-        while self.active and self.clock.now_s() < end_s:
+        while self.active_requests and self.clock.now_s() < end_s:
             self.clock.sleep(0.05)
 
     def tick_forever(self):
--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -141,8 +141,8 @@
                 self.handle_members(message)
             case tablemessages.EditCells():
                 gevent.spawn(edits.EditTask(message, self).run)
-            case edits.Override(revision, author):
-                self.overrides[revision] = author
+            case edits.Override(revision, operator):
+                self.overrides[revision] = operator
                 self.accept_staged_if_allowed()
             case tablemessages.ShowTable():
                 message.reply(self.show())
@@ -262,8 +262,8 @@
         LOG.event('table', revision=document['revision'], staged=staged)
         self.publish_view(table.view(document))
         self.overrides = {
-            revision: author
-            for revision, author in self.overrides.items()
+            revision: operator
+            for revision, operator in self.overrides.items()
             if revision > document['revision']
         }
 
@@ -450,10 +450,10 @@
                     'accept', lambda: self.accept(revision, '')
                 )
             case freshness.Blocked(revision=revision):
-                author = self.overriding_operator(revision)
-                if author:
+                operator = self.overriding_operator(revision)
+                if operator:
                     self.spawn_unless_running(
-                        'accept', lambda: self.accept(revision, author)
+                        'accept', lambda: self.accept(revision, operator)
                     )
 
     def is_acceptor(self):
@@ -470,9 +470,9 @@
 
     def overriding_operator(self, revision):
         """Return the operator who overrides for a revision, '' if none."""
-        for overridden, author in self.overrides.items():
+        for overridden, operator in self.overrides.items():
             if overridden >= revision:
-                return author
+                return operator
         return ''
 
     def accept(self, revision, override):
--- a/magnoliadyke/core/routing.py
+++ b/magnoliadyke/core/routing.py
@@ -400,11 +400,11 @@
         else:
             members = [each for each in members if each.takes_work(now_s)]
         for endpoint in _excluding(members, context.avoid):
-            busy = len(endpoint.load.jobs)
-            if busy >= slots:
+            job_count = len(endpoint.load.jobs)
+            if job_count >= slots:
                 continue
             is_remote = endpoint.info.failure_domain != self.failure_domain
-            key = (busy * endpoint.slowness, is_remote, self.rng.random())
+            key = (job_count * endpoint.slowness, is_remote, self.rng.random())
             if best is None or key < best[0]:
                 best = key, endpoint
         if best is None:
--- a/magnoliadyke/duties.py
+++ b/magnoliadyke/duties.py
@@ -233,9 +233,9 @@
         if not held:
             self.release.reply(True)
             return
-        in_time = now_s < self.release.end_s - 2 * TICK_INTERVAL_S
+        can_wait = now_s < self.release.end_s - 2 * TICK_INTERVAL_S
         for duty in held:
-            duty.release(in_time)
+            duty.release(can_wait)
 
     def is_candidate(self, pool):
         """Whether this node stands for election for a pool."""
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -102,7 +102,7 @@
         self.deadline_s = arrived_s + wait_s
         self.service = self._pick_service()
         self.runs = 0
-        self.sends = 0
+        self.send_count = 0
         self.tried: set[str] = set()
         self.endpoint = ''
         self.start_recorded = False
@@ -118,7 +118,7 @@
     @property
     def is_waiting(self) -> bool:
         """Whether the request has not been sent to any endpoint yet."""
-        return not self.sends
+        return not self.send_count
 
     @property
     def left_s(self) -> float:
@@ -221,15 +221,15 @@
 
         The first attempt of a request is not a retry and always allowed.
         """
-        self.sends += 1
-        return self.sends == 1 or self._budget().try_acquire(
+        self.send_count += 1
+        return self.send_count == 1 or self._budget().try_acquire(
             self.parts.clock.now_s()
         )
 
     def _may_retry(self) -> bool:
         if self.runs >= self.route.max_attempts:
             return False
-        if self.sends > self.route.max_attempts:
+        if self.send_count > self.route.max_attempts:
             return False
         if self.parts.crashreports.block_remaining_s(self.request):
             return False
--- a/magnoliadyke/gateway/ingress.py
+++ b/magnoliadyke/gateway/ingress.py
@@ -150,7 +150,7 @@
                 age_ms=round((now_s - active.arrived_s) * 1000),
                 left_ms=round(active.left_s * 1000),
                 endpoint=active.endpoint or 'none',
-                sends=active.sends,
+                sends=active.send_count,
                 begun=active.caller.answer_started,
             )
 
@@ -478,7 +478,7 @@
             'outcome': type(outcome).__name__.lower(),
             'took_ms': round(took_s * 1000, 1),
             'endpoint': active.endpoint or 'none',
-            'sends': active.sends,
+            'sends': active.send_count,
         }
         if active.request.workspace is not None:
             fields['workspace'] = active.request.workspace.name
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -126,7 +126,7 @@
         self._record_crash(result, prefill_engine.id)
         match result:
             case outcomes.NotRun(reason) | outcomes.Lost(reason):
-                self.sends += 1
+                self.send_count += 1
                 return self._record_prefill_failure(
                     prefill_engine.id, reason, True
                 )
--- a/magnoliadyke/homes.py
+++ b/magnoliadyke/homes.py
@@ -131,7 +131,7 @@
         :return: :class:`Following`, :class:`KeptAnswer` or :class:`Settled`
         """
         if not request.key:
-            return self.route_own(request)
+            return self.run_without_key(request)
         key = tickets.parse_key(request.key)
         if key is None:
             return self.route_foreign(request)
@@ -149,7 +149,7 @@
             )
         return self.route_elsewhere(request, key.raw, key.home)
 
-    def route_own(self, request):
+    def run_without_key(self, request):
         """Run a request that has no key, and so can't be resent."""
         now_s = self.clock.now_s()
         key = f'{self.issuer.issue(now_s)}/0'
--- a/magnoliadyke/lab/evidence.py
+++ b/magnoliadyke/lab/evidence.py
@@ -216,7 +216,9 @@
     """
     by_outcome = collections.Counter(call.outcome for call in evidence.calls)
     once = [call for call in evidence.calls if not call.repeatable]
-    unknown = sum(call.outcome == checker.UNKNOWN for call in once)
+    unknown_unrepeatable_calls = sum(
+        call.outcome == checker.UNKNOWN for call in once
+    )
     services = sum(
         isinstance(record.call, workload.ServiceCall)
         for record in load.records
@@ -224,7 +226,7 @@
     return {
         'calls': dict(by_outcome),
         'service_calls': services,
-        'once': {'sent': len(once), 'unknown': unknown},
+        'once': {'sent': len(once), 'unknown': unknown_unrepeatable_calls},
         'role_changes': runs.role_changes(deployment),
         'commands': len(evidence.commands),
         'edits': dict(collections.Counter(e.state for e in editors.edits)),
--- a/magnoliadyke/lab/measures.py
+++ b/magnoliadyke/lab/measures.py
@@ -129,8 +129,8 @@
     }
 
 
-def _count_outcomes(answers, kind):
-    return sum(isinstance(answer.outcome, kind) for answer in answers)
+def _count_outcomes(answers, outcome_type):
+    return sum(isinstance(answer.outcome, outcome_type) for answer in answers)
 
 
 def _customer_figures(answers):
--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -349,17 +349,17 @@
         raise RuntimeError(answer[:300].decode('latin-1'))
 
 
-def percentile(values, share):
+def percentile(values, quantile):
     """Return the value below which ``share`` of the values lie, 0 if none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
-def milliseconds(values_s, share):
+def milliseconds(values_s, quantile):
     """Return a percentile of seconds, in milliseconds."""
-    return round(1000 * percentile(values_s, share), 2)
+    return round(1000 * percentile(values_s, quantile), 2)
 
 
 def summary(samples):
--- a/magnoliadyke/metrics.py
+++ b/magnoliadyke/metrics.py
@@ -174,14 +174,16 @@
         :returns: the :class:`magnoliadyke.core.burn.Verdict`
         """
         timings = timings or burn.Timings()
-        verdict = burn.Verdict(True)
+        objective_result = burn.Verdict(True)
         if outcome not in UNSCORED_OUTCOMES:
-            verdict = burn.judge(timings, outcome == 'answered')
-            self.burn_counters.record(customer, verdict, self.clock.now_s())
+            objective_result = burn.judge(timings, outcome == 'answered')
+            self.burn_counters.record(
+                customer, objective_result, self.clock.now_s()
+            )
         self.totals[customer][outcome] += 1
         labels = {'customer': customer}
         self.requests.add(
-            1, labels | {'outcome': outcome, 'cause': verdict.cause}
+            1, labels | {'outcome': outcome, 'cause': objective_result.cause}
         )
         self.queued.record(timings.queued_s, labels)
         if timings.first_token_s is not None:
@@ -191,7 +193,7 @@
         if prompt_tokens or output_tokens:
             self.tokens.add(prompt_tokens, labels | {'direction': 'prompt'})
             self.tokens.add(output_tokens, labels | {'direction': 'output'})
-        return verdict
+        return objective_result
 
     def record_role_change(self, pool, endpoint, role):
         """Count a role change that this node has commanded.
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -649,14 +649,14 @@
         """Whether a change that relies on the lease is in progress."""
         return any(each.commands.under_way for each in self.engines.values())
 
-    def release(self, in_time):
+    def release(self, can_wait):
         """Release the lease once no change is in progress.
 
         :param in_time: whether there is time to wait for a change in
             progress. If not, the authority is dropped and the lease expires;
             the next holder waits for commands that may still be in flight.
         """
-        if not in_time:
+        if not can_wait:
             self.lease.drop()
         elif not self.has_change_in_progress():
             self.lease.release()
