--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -475,7 +475,7 @@
                 return operator
         return ''
 
-    def accept(self, revision, override):
+    def accept(self, revision, overriding_operator):
         """Write the document with the edits up to ``revision`` accepted.
 
         :param override: operator who accepts although hosts are missing, or
@@ -485,7 +485,7 @@
         if held.store_revision is None:
             self.watch.reader.read()
             return
-        document = table.accept(held.document, revision, override)
+        document = table.accept(held.document, revision, overriding_operator)
         if document is not held.document:
             self.writer.write(document, held.store_revision)
 
--- a/magnoliadyke/core/digests.py
+++ b/magnoliadyke/core/digests.py
@@ -242,9 +242,9 @@
         _encode_age(report.running_age_s),
     )
     parts = [SUSPECT.pack(*fields, *ages)]
-    for crash, age_s in report.blames:
+    for endpoint_checksum, age_s in report.blames:
         age = min(max(0, round(age_s / AGE_UNIT_S)), MAX_UINT16)
-        parts.append(BLAME.pack(crash, age))
+        parts.append(BLAME.pack(endpoint_checksum, age))
     return b''.join(parts)
 
 
@@ -264,8 +264,8 @@
     offset += SUSPECT.size
     blames = []
     for _ in range(flags & COUNT_BITS):
-        crash, age = BLAME.unpack_from(data, offset)
-        blames.append((crash, age * AGE_UNIT_S))
+        endpoint_checksum, age = BLAME.unpack_from(data, offset)
+        blames.append((endpoint_checksum, age * AGE_UNIT_S))
         offset += BLAME.size
     return SuspectReport(
         fingerprint,
@@ -289,7 +289,8 @@
         entry.cleared_blames[-MAX_BLAMES:] if cleared else entry.blames
     )
     blames = tuple(
-        (blame.crash, now_s - blame.at_s) for blame in blames_to_send
+        (blame.endpoint_checksum, now_s - blame.at_s)
+        for blame in blames_to_send
     )
     return SuspectReport(
         fingerprint,
@@ -305,6 +306,6 @@
 def blames_of(report, now_s):
     """The crashes of a report, with times of this node's clock."""
     return [
-        quarantine.Blame(crash, now_s - age_s)
-        for crash, age_s in report.blames
+        quarantine.Blame(endpoint_checksum, now_s - age_s)
+        for endpoint_checksum, age_s in report.blames
     ]
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -44,10 +44,10 @@
     :param settings: the admission settings
     """
 
-    def __init__(self, endpoints, settings):
-        self.name = endpoints.name
-        self.endpoints = endpoints
-        self.name_checksum = quarantine.name_checksum(endpoints.name)
+    def __init__(self, pool, settings):
+        self.name = pool.name
+        self.endpoints = pool
+        self.name_checksum = quarantine.name_checksum(pool.name)
         self.queue = fairness.FairQueue()
         self.arrivals = {}
         self.lateness = admission.ErrorQuantile(
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -78,7 +78,7 @@
     :param at_s: time of the crash, in this node's monotonic seconds
     """
 
-    crash: int
+    endpoint_checksum: int
     at_s: float
 
 
@@ -158,13 +158,13 @@
         :param pool: name of its pool
         :param batch: (fingerprint, output tokens so far) of each request
         """
-        crash = name_checksum(endpoint)
+        endpoint_checksum = name_checksum(endpoint)
         for fingerprint, tokens in batch:
             tokens_at_crash = min(int(tokens), MAX_TOKENS_AT_CRASH)
             entry = self._entry(
                 fingerprint, tokens_at_crash, name_checksum(pool), now_s
             )
-            self._add_blame(entry, Blame(crash, now_s))
+            self._add_blame(entry, Blame(endpoint_checksum, now_s))
         self._clear_bystanders(now_s)
         self._trim()
 
@@ -295,7 +295,7 @@
         for index, known in enumerate(entry.blames):
             if self._is_same_crash(known, blame):
                 earlier = min(known.at_s, blame.at_s)
-                entry.blames[index] = Blame(known.crash, earlier)
+                entry.blames[index] = Blame(known.endpoint_checksum, earlier)
                 return
         entry.blames.append(blame)
         entry.blames.sort(key=lambda known: known.at_s)
@@ -338,7 +338,10 @@
         """Return whether two reports are of the same crash."""
         apart_s = abs(one.at_s - other.at_s)
         limit_s = self.settings.same_crash_s
-        return one.crash == other.crash and apart_s < limit_s
+        return (
+            one.endpoint_checksum == other.endpoint_checksum
+            and apart_s < limit_s
+        )
 
     def _is_expired(self, entry, now_s):
         keep_s = self.settings.suspect_s
--- a/magnoliadyke/gateway/placementservice.py
+++ b/magnoliadyke/gateway/placementservice.py
@@ -595,9 +595,11 @@
                     waiting.acknowledged.set()
                     waiting.decided.set(decision)
             case _:
-                self._pass_on(message, sender)
+                self._call_listener(message, sender)
 
-    def _pass_on(self, message: placement_codec.Message, sender: str) -> None:
+    def _call_listener(
+        self, message: placement_codec.Message, sender: str
+    ) -> None:
         listener = self.listeners.get(type(message))
         reply = listener(message) if listener is not None else None
         if reply is not None:
--- a/magnoliadyke/lab/fakes.py
+++ b/magnoliadyke/lab/fakes.py
@@ -140,7 +140,7 @@
         engines = self.engines.values()
         return sum(each.role == enginemodel.PREFILL for each in engines)
 
-    def fail_changes(self, until_s):
+    def crash_during_role_changes(self, until_s):
         """Make engines crash half-way through their role changes.
 
         :param until_s: virtual time; changes that start later succeed
--- a/magnoliadyke/lab/trial.py
+++ b/magnoliadyke/lab/trial.py
@@ -304,7 +304,7 @@
             case 'no_authority':
                 self.no_authority_until_s = now_s + duration_s
             case 'change_fails':
-                self.pool.fail_changes(now_s + duration_s)
+                self.pool.crash_during_role_changes(now_s + duration_s)
             case _:
                 raise errors.UsageError(
                     f'unknown kind of fault {fault.kind!r}'
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -226,7 +226,7 @@
         """Report to the scheduler that the job was completed."""
         self.dispatcher.post(dispatch.JobFinished(self.job.id, finished))
 
-    def record_failure(self, name, stage, ran, crashed=False):
+    def record_failure(self, endpoint_name, stage, ran, crashed=False):
         """Count a failed attempt; return its :class:`jobs.Failed`.
 
         :param name: name of the endpoint
@@ -237,7 +237,7 @@
         self.failures += 1
         if ran:
             self.sent = True
-        return jobs.Failed(name, stage, ran, crashed)
+        return jobs.Failed(endpoint_name, stage, ran, crashed)
 
     def headers(self):
         """Return headers by which endpoints identify request and sender."""
@@ -303,38 +303,40 @@
             work['kv'] = kv
         return self.decode(action.endpoint, work)
 
-    def prefill(self, name, work):
+    def prefill(self, endpoint_name, work):
         """Compute the KV cache of the prompt on a prefill engine.
 
         :param name: name of the prefill engine
         :param work: request body
         :return: handle of the KV cache as a dict, or ``jobs.Failed``
         """
-        self.engine = self.dispatcher.endpoints[name]
+        self.engine = self.dispatcher.endpoints[endpoint_name]
         try:
             reply = self.engine.prefill(work, self.headers())
         except errors.EndpointUnreachable as error:
             crashed = error.sent and self.engine.refuses_connections()
-            return self.record_failure(name, 'prefill', error.sent, crashed)
+            return self.record_failure(
+                endpoint_name, 'prefill', error.sent, crashed
+            )
         if reply.error_code() == NOT_RUN_CODE:
-            return self.record_failure(name, 'prefill', False)
+            return self.record_failure(endpoint_name, 'prefill', False)
         self.sent = True
         try:
             kv_id = reply.json()['kv_id']
         except (ValueError, KeyError, TypeError):
-            return self.record_failure(name, 'prefill', True)
+            return self.record_failure(endpoint_name, 'prefill', True)
         now_s = self.clock.now_s()
         self.dispatcher.post(dispatch.PrefillDone(self.job.id, now_s))
         return {'address': self.engine.info.address, 'kv_id': kv_id}
 
-    def decode(self, name, work):
+    def decode(self, endpoint_name, work):
         """Start or continue the answer on a decode engine; read it to its end.
 
         :param name: name of the decode engine
         :param work: request body
         :return: the answer, ``Rejected`` or ``jobs.Failed``
         """
-        self.engine = self.dispatcher.endpoints[name]
+        self.engine = self.dispatcher.endpoints[endpoint_name]
         if self.assembly.offset:
             # The engine continues the text that callers already have.
             work['offset'] = self.assembly.offset
@@ -344,12 +346,12 @@
             reply = self.engine.complete(work, self.headers(), fresh)
         except errors.EndpointUnreachable as error:
             if not error.sent:
-                return self.record_failure(name, 'connect', False)
+                return self.record_failure(endpoint_name, 'connect', False)
             self.sent = True
-            return self.resume_attempt(name)
-        return self.handle_response(name, reply)
+            return self.resume_attempt(endpoint_name)
+        return self.handle_response(endpoint_name, reply)
 
-    def handle_response(self, name, reply):
+    def handle_response(self, endpoint_name, reply):
         """Read the answer to a new attempt, as its status requires.
 
         :param reply: :class:`magnoliadyke.endpoint.StreamReply`
@@ -359,33 +361,35 @@
             self.sent = self.stream_started = True
             if self.read(reply):
                 return self.complete_answer()
-            return self.resume_attempt(name)
+            return self.resume_attempt(endpoint_name)
         try:
             response = reply.read_whole()
         except errors.EndpointUnreachable:
-            return self.record_failure(name, 'decode', True)
+            return self.record_failure(endpoint_name, 'decode', True)
         code = response.error_code()
         if code == DUPLICATE_CODE:
             self.sent = True
-            return self.resume_attempt(name)
+            return self.resume_attempt(endpoint_name)
         if code == NOT_RUN_CODE:
-            return self.record_failure(name, 'decode', False)
+            return self.record_failure(endpoint_name, 'decode', False)
         if response.status < STATUS_SERVER_ERROR:
-            return self.reject_request(name, code)
-        return self.record_failure(name, 'decode', True)
+            return self.reject_request(endpoint_name, code)
+        return self.record_failure(endpoint_name, 'decode', True)
 
     @property
     def connections(self):
         """Return the connections to the engine of the current attempt."""
         return self.engine.connections
 
-    def reject_request(self, name, code):
+    def reject_request(self, endpoint_name, code):
         """Report a request that the engine rejects as invalid.
 
         :param code: error code of the engine, or ``''``
         :return: ``Rejected``
         """
-        failed = without_retry(self.record_failure(name, 'decode', False))
+        failed = without_retry(
+            self.record_failure(endpoint_name, 'decode', False)
+        )
         self.dispatcher.post(dispatch.JobFinished(self.job.id, failed))
         return outcomes.Rejected(
             code or 'bad_request', 'correct the request as the engine asks'
@@ -407,7 +411,7 @@
                 reply.connection.close()
         return is_complete
 
-    def resume_attempt(self, name):
+    def resume_attempt(self, endpoint_name):
         """Resume reading the running attempt, on new connections.
 
         This starts nothing on the engine, so it is no second attempt. A
@@ -429,7 +433,7 @@
             except errors.EndpointUnreachable:
                 if self.engine.refuses_connections():
                     return self.record_failure(
-                        name, 'decode', True, crashed=True
+                        endpoint_name, 'decode', True, crashed=True
                     )
                 if self.job.repeatable:
                     # The engine doesn't respond on a new connection either:
@@ -443,7 +447,7 @@
                 # An engine that has no record of a stream it had started
                 # has been restarted: it crashed, even if it is up again.
                 return self.record_failure(
-                    name, 'decode', True, self.stream_started
+                    endpoint_name, 'decode', True, self.stream_started
                 )
             self.stream_started = True
             if self.read(reply):
@@ -452,7 +456,7 @@
             failures = 0 if has_progress else failures + 1
             self.clock.sleep(RESUME_PAUSE_S * failures)
         self.cancel_attempt()
-        return self.record_failure(name, 'decode', True)
+        return self.record_failure(endpoint_name, 'decode', True)
 
     def start_migration(self, again=False):
         """Start to migrate the stream to another engine, if it has tokens.
@@ -477,7 +481,7 @@
         :param migration: completed
             :class:`magnoliadyke.streammigration.StreamMigration`
         """
-        name = migration.target
+        endpoint_name = migration.target
         while True:
             self.attempt_number += 1
             self.stream_started = False
@@ -485,11 +489,11 @@
                 self.digest, self.attempt_number
             )
             work = {**self.work, 'id': self.attempt_id, 'kv': migration.kv}
-            result = self.decode(name, work)
+            result = self.decode(endpoint_name, work)
             if not isinstance(result, jobs.Failed) or result.ran:
                 return result
-            name = migration.request_next_target()
-            if not name:
+            endpoint_name = migration.request_next_target()
+            if not endpoint_name:
                 return result
 
     def max_resumes(self):
@@ -593,8 +597,8 @@
 
     def attempt(self, action):
         """Make the call once, on the endpoint that was chosen."""
-        name = action.endpoint
-        server = self.dispatcher.endpoints[name]
+        endpoint_name = action.endpoint
+        server = self.dispatcher.endpoints[endpoint_name]
         call = self.call
         self.attempt_number += 1
         attempt = attempts.attempt_id(self.digest, self.attempt_number)
@@ -611,10 +615,10 @@
             )
         except errors.EndpointUnreachable as error:
             stage = 'decode' if error.sent else 'connect'
-            return self.record_failure(name, stage, error.sent)
+            return self.record_failure(endpoint_name, stage, error.sent)
         refused = reply.status == STATUS_UNAVAILABLE
         if refused and reply.error_code() == NOT_RUN_CODE:
-            return self.record_failure(name, 'decode', False)
+            return self.record_failure(endpoint_name, 'decode', False)
         self.first_output_s = self.clock.now_s()
         self.record_finished(jobs.Finished())
         return records.Answer(
