--- a/magnoliadyke/gateway/autoscaling.py
+++ b/magnoliadyke/gateway/autoscaling.py
@@ -50,14 +50,14 @@
     def __init__(
         self,
         leader: leadership.Leadership,
-        placer: placementservice.PlacementService,
+        placement_service: placementservice.PlacementService,
         endpoint_catalog: catalog.Catalog,
         kv_store: store.Store,
         calls: operatorcalls.OperatorCalls | None,
         clock: clocks.Clock,
     ) -> None:
         self.leadership = leader
-        self.placer = placer
+        self.placement_service = placement_service
         self.catalog = endpoint_catalog
         self.store = kv_store
         self.calls = calls
@@ -95,7 +95,7 @@
     def _run(self) -> None:
         while True:
             self.clock.sleep(TICK_S)
-            if not self.placer.leading:
+            if not self.placement_service.leading:
                 self.plans.clear()
                 continue
             configuration = self.catalog.configuration
--- a/magnoliadyke/gateway/confirming.py
+++ b/magnoliadyke/gateway/confirming.py
@@ -56,7 +56,7 @@
         kv_store: store.Store,
         followed: follower.Follower,
         others: members.Members,
-        placer: placementservice.PlacementService,
+        placement_service: placementservice.PlacementService,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
@@ -66,7 +66,7 @@
         self.store = kv_store
         self.follower = followed
         self.members = others
-        self.placer = placer
+        self.placement_service = placement_service
         self.clock = clock
         self.rng = rng
         self.was_valid = True
@@ -111,7 +111,7 @@
 
     def _renew(self) -> None:
         now_s = self.clock.boot_s()
-        match self.proof.source(now_s, self.placer.leading):
+        match self.proof.source(now_s, self.placement_service.leading):
             case confirmation.Source.STORE:
                 self._ask_peers(self._sample_peers())
                 if self._may_ask_store() and not self._ask_store():
@@ -119,7 +119,7 @@
             case confirmation.Source.PEERS:
                 self._ask_peers(self._sample_peers())
             case confirmation.Source.LEADER:
-                leader = self.placer.leader
+                leader = self.placement_service.leader
                 self._ask_peers([leader] if leader else self._sample_peers())
 
     def _sample_peers(self) -> list[str]:
@@ -134,7 +134,7 @@
         store itself and reaches it.  During an outage its follower retries
         the store anyway, and the first successful read is a proof.
         """
-        if self.placer.leading:
+        if self.placement_service.leading:
             return True
         return (
             not self.follower.is_following_peers
@@ -218,7 +218,9 @@
         for address in addresses:
             nonce = self.rng.getrandbits(62)
             self.proof.record_query(nonce, self.clock.boot_s())
-            self.placer.send(address, duty_codec.ConfirmationRequest(nonce))
+            self.placement_service.send(
+                address, duty_codec.ConfirmationRequest(nonce)
+            )
 
     def handle_request(
         self, request: duty_codec.ConfirmationRequest
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -63,7 +63,7 @@
     upstream: upstream.Upstream
     balancer: balance.Balancer
     budgets: dict[str, retrybudget.RetryBudget]
-    placer: placementservice.PlacementService
+    placement_service: placementservice.PlacementService
     crashreports: crashreports.CrashReporter
     backoffs: backoffs.Backoffs
     rng: random.Random
--- a/magnoliadyke/gateway/leadership.py
+++ b/magnoliadyke/gateway/leadership.py
@@ -127,7 +127,7 @@
         self,
         own: members.HostRecord,
         others: members.Members,
-        placer: placementservice.PlacementService,
+        placement_service: placementservice.PlacementService,
         kv_store: store.Store,
         min_lease_s: float,
         order_gap_s: float,
@@ -137,7 +137,7 @@
     ) -> None:
         self.own = own
         self.members = others
-        self.placer = placer
+        self.placement_service = placement_service
         self.store = kv_store
         self.lease_s = max(LEASE_S, min_lease_s)
         self.order_gap_s = order_gap_s
@@ -184,7 +184,7 @@
     def resign(self) -> None:
         """Revoke the lease so that another host can take over."""
         lease, self.lease = self.lease, None
-        self.placer.leading = False
+        self.placement_service.leading = False
         if lease is not None:
             self.store.revoke(lease)
 
@@ -242,7 +242,7 @@
             fields['host'], fields['incarnation'], item.position
         )
         if self.holder != self.own.host or self.lease is None:
-            self.placer.follow(fields['address'], item.position)
+            self.placement_service.follow(fields['address'], item.position)
             LOG.event('leader', leader=self.holder, position=item.position)
 
     def removed(self, key: str) -> None:
@@ -295,7 +295,7 @@
             self.changed(item)
             return
         self._record_vacancy(position.START if item is None else item.position)
-        if not self.placer.leading:
+        if not self.placement_service.leading:
             self.vacant_since_s += REACQUIRE_GRACE_S
 
     def _record_holder(
@@ -338,7 +338,7 @@
             LOG.warning_event('leadership_taken', by=message.host)
             self.lease = None
             self.yielding = False
-        self.placer.follow(message.address, announced)
+        self.placement_service.follow(message.address, announced)
         LOG.event('leader', leader=self.holder, position=announced)
 
     def _announcement(self) -> placement_codec.LeaderAnnouncement:
@@ -377,7 +377,7 @@
     def _contend(self) -> None:
         if self.members.leaving:
             return
-        if not self.members.listed and not self.placer.leading:
+        if not self.members.listed and not self.placement_service.leading:
             return
         now_s = self.clock.now_s()
         if self.holder is not None and not self._holder_is_dead():
@@ -390,7 +390,7 @@
         vacant_s = now_s - max(self.vacant_since_s, self.gathered_s)
         # A host that already places has the state of the engines, so it
         # contends first.
-        rank = 0 if self.placer.leading else 1 + self._rank()
+        rank = 0 if self.placement_service.leading else 1 + self._rank()
         if vacant_s >= rank * RANK_DELAY_S:
             self._acquire()
 
@@ -410,7 +410,9 @@
         if member.incarnation > self.holder_incarnation:
             return True
         if member.state == membership.SUSPECT:
-            return self.clock.now_s() < self.placer.leader_retry_at_s
+            return (
+                self.clock.now_s() < self.placement_service.leader_retry_at_s
+            )
         return member.state in (membership.DEAD, membership.LEFT)
 
     def _is_unknown_and_silent(self) -> bool:
@@ -427,7 +429,7 @@
         now_s = self.clock.now_s()
         if now_s - self.holder_since_s < UNKNOWN_LEADER_TIMEOUT_S:
             return False
-        return now_s < self.placer.leader_retry_at_s
+        return now_s < self.placement_service.leader_retry_at_s
 
     def _is_store_reachable(self) -> bool:
         return (
@@ -504,7 +506,7 @@
         self.order_until_s = asked_s + granted.ttl_s * ORDER_TTL_SHARE
         self.yielding = False
         self.renew_s = now_s + RENEW_S
-        self.placer.lead()
+        self.placement_service.lead()
         self.broadcast(self._announcement())
         LOG.event(
             'leading',
--- a/magnoliadyke/gateway/metricscollector.py
+++ b/magnoliadyke/gateway/metricscollector.py
@@ -37,7 +37,7 @@
     follower: follower.Follower
     ingress: ingress.Ingress
     members: members.Members
-    placer: placementservice.PlacementService
+    placement_service: placementservice.PlacementService
     store: store.Store
     upstream: upstream.Upstream
     usage: usageduty.UsageDuty
@@ -74,7 +74,7 @@
 
     def _gather(self) -> None:
         gauges, parts = self.registry, self.sources
-        for by, count in parts.placer.counts.items():
+        for by, count in parts.placement_service.counts.items():
             gauges.placed.labels(by).set(count)
         for call, count in parts.store.calls.items():
             gauges.store_calls.labels(call).set(count)
@@ -119,8 +119,8 @@
     def log(self) -> None:
         """Log the metrics, and the placement state while this host leads."""
         parts = self.sources
-        if parts.placer.leading:
-            for service, pool in parts.placer.served.items():
+        if parts.placement_service.leading:
+            for service, pool in parts.placement_service.served.items():
                 LOG.event(
                     'placement',
                     service=service,
@@ -132,8 +132,13 @@
             open=parts.ingress.open_requests,
             processor_s=round(time.process_time(), 3),
             opened=parts.upstream.opened,
-            after_reading_ms=round(parts.placer.transfer_s.high_s * 1000, 1),
+            after_reading_ms=round(
+                parts.placement_service.transfer_s.high_s * 1000, 1
+            ),
             **self.outcomes,
-            **{f'placed_{k}': v for k, v in parts.placer.counts.items()},
+            **{
+                f'placed_{k}': v
+                for k, v in parts.placement_service.counts.items()
+            },
             **{f'store_{k}': v for k, v in parts.store.calls.items()},
         )
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -66,13 +66,15 @@
             if backoff_s:
                 return self._refused(exchange.BACKOFF_REASON, backoff_s)
             job = self._job(avoid, resume_after is not None)
-            decision = self.parts.placer.place(self.service, job)
+            decision = self.parts.placement_service.place(self.service, job)
             self._log_decision(job, decision)
             if isinstance(decision, promptjobs.Refused):
                 return self._refused(decision.reason, decision.retry_after_s)
             excluded = self._engine_in_backoff(decision)
             if excluded is not None:
-                self.parts.placer.record_end(self.service, job.id, True)
+                self.parts.placement_service.record_end(
+                    self.service, job.id, True
+                )
                 self.rejections += 1
                 if (
                     excluded in job.avoid
@@ -90,11 +92,13 @@
                     isinstance(result, outcomes.NotRun | outcomes.Lost)
                     and not self.budget_spent
                 ):
-                    self.parts.placer.record_failure(
+                    self.parts.placement_service.record_failure(
                         self.service, job.id, self.endpoint
                     )
             finally:
-                self.parts.placer.record_end(self.service, job.id, report_end)
+                self.parts.placement_service.record_end(
+                    self.service, job.id, report_end
+                )
             match result:
                 case outcomes.Answered() | outcomes.Failed():
                     return result
@@ -129,7 +133,7 @@
     ) -> None:
         fields = {
             'id': self.request.id.decode('latin-1'),
-            'by': self.parts.placer.decided_by(job.id),
+            'by': self.parts.placement_service.decided_by(job.id),
             'catalog': self.parts.catalog.generation,
             'tokens': job.tokens,
             'output_tokens': job.output_tokens,
@@ -227,7 +231,7 @@
         objective_s = self.arrived_s + self.route.objective_s
         if is_retry:
             objective_s -= self.route.timeout_s - wait_s
-        objective_s -= self.parts.placer.transfer_s.high_s
+        objective_s -= self.parts.placement_service.transfer_s.high_s
         return promptjobs.Job(
             id=self.parts.rng.getrandbits(62),
             parts=prompt.parts,
@@ -312,9 +316,9 @@
         either may be at fault. A decode engine that can't be reached is
         reported alone: its failure says nothing about the prefill engine.
         """
-        placer = self.parts.placer
+        placement_service = self.parts.placement_service
         if result.was_received:
-            placer.record_rejection(
+            placement_service.record_rejection(
                 self.service,
                 job.id,
                 placed.prefill_engine,
@@ -322,7 +326,9 @@
             )
             self._log_attempt('turned away after reading', 'not run')
         else:
-            placer.record_failure(self.service, job.id, placed.decode_engine)
+            placement_service.record_failure(
+                self.service, job.id, placed.decode_engine
+            )
             self._log_attempt(result.reason, 'not run')
 
     def _alternative_engine(self, failed: str) -> catalog.Endpoint | None:
@@ -439,7 +445,7 @@
     ) -> None:
         """Report, at the first event, that the engine finished the prefill."""
         if job.tokens > placementservice.SHORT_TOKENS:
-            self.parts.placer.record_prefill_done(
+            self.parts.placement_service.record_prefill_done(
                 self.service, job.id, engine.id
             )
 
@@ -467,7 +473,7 @@
                 self._report_prefill_done(job, engine)
             elif first and self.prefill_done_s is not None:
                 took_s = self.parts.clock.now_s() - self.prefill_done_s
-                self.parts.placer.record_kv_transfer(
+                self.parts.placement_service.record_kv_transfer(
                     self.service, job.id, engine.id, took_s
                 )
             first = False
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -117,7 +117,9 @@
         )
         limit = waitlimit.WaitLimit(wait_s, http.OutOfTime)
         try:
-            with self.parts.placer.track_prefill(prefill_engine.id, limit):
+            with self.parts.placement_service.track_prefill(
+                prefill_engine.id, limit
+            ):
                 result = self._send_request(
                     prefill_engine, used, headers, limit
                 )
@@ -142,7 +144,7 @@
             return self._record_prefill_failure(
                 prefill_engine.id, ENGINE_LEFT, True
             )
-        self.parts.placer.record_prefill_done(
+        self.parts.placement_service.record_prefill_done(
             self.service, job.id, prefill_engine.id
         )
         self.prefill_done_s = self.parts.clock.now_s()
--- a/magnoliadyke/gateway/stages.py
+++ b/magnoliadyke/gateway/stages.py
@@ -83,14 +83,14 @@
         self,
         host: str,
         leader: leadership.Leadership,
-        placer: placementservice.PlacementService,
+        placement_service: placementservice.PlacementService,
         endpoint_catalog: catalog.Catalog,
         control: enginecontrol.EngineControl,
         clock: clocks.Clock,
     ) -> None:
         self.host = host
         self.leadership = leader
-        self.placer = placer
+        self.placement_service = placement_service
         self.catalog = endpoint_catalog
         self.control = control
         self.clock = clock
@@ -113,11 +113,11 @@
     def _run(self) -> None:
         while True:
             self.clock.sleep(TICK_S)
-            if not self.placer.leading:
+            if not self.placement_service.leading:
                 self.plans.clear()
                 self.outages.clear()
                 continue
-            for service, pool in list(self.placer.served.items()):
+            for service, pool in list(self.placement_service.served.items()):
                 self._plan(service, pool.placement)
 
     def _plan(self, service: str, placement) -> None:
--- a/magnoliadyke/gateway/usageduty.py
+++ b/magnoliadyke/gateway/usageduty.py
@@ -79,7 +79,7 @@
         settings: UsageSettings,
         leader: leadership.Leadership,
         others: members.Members,
-        placer: placementservice.PlacementService,
+        placement_service: placementservice.PlacementService,
         kv_store: store.Store,
         calls: operatorcalls.OperatorCalls | None,
         clock: clocks.Clock,
@@ -88,7 +88,7 @@
         self.members = others
         self.settings = settings
         self.leadership = leader
-        self.placer = placer
+        self.placement_service = placement_service
         self.store = kv_store
         self.calls = calls
         self.clock = clock
@@ -152,16 +152,18 @@
             for process, windows in self.copies.by_process(since).items()
             for message in self._messages(process, windows, None)
         ]
-        if self.placer.leading:
+        if self.placement_service.leading:
             for message in counted + copied:
                 self.handle_usage(message)
             for address in self._copy_holders():
                 for message in counted:
-                    self.placer.send(address, message)
-        elif self.placer.leader is not None:
+                    self.placement_service.send(address, message)
+        elif self.placement_service.leader is not None:
             self.last_sent_s = self.clock.boot_s()
             for message in counted + copied:
-                self.placer.send(self.placer.leader, message)
+                self.placement_service.send(
+                    self.placement_service.leader, message
+                )
 
     def _messages(
         self,
@@ -191,7 +193,7 @@
         :returns: the corrected time of day to send to the host if its clock
             is off, else None
         """
-        ledger = self.ledger if self.placer.leading else self.copies
+        ledger = self.ledger if self.placement_service.leading else self.copies
         present = self._window(0.0)
         for window, begun in message.windows.items():
             # Windows of a clock far off would displace other hosts' windows.
@@ -199,7 +201,7 @@
                 ledger.record_counts(
                     message.host, message.incarnation, window, begun
                 )
-        if not self.placer.leading:
+        if not self.placement_service.leading:
             return None
         if message.host == self.host or message.wall_s is None:
             return None
@@ -263,7 +265,7 @@
     def _run_report_loop(self) -> None:
         while True:
             self.clock.sleep(TICK_S)
-            if not self.placer.leading:
+            if not self.placement_service.leading:
                 self.sent.clear()
             elif self.leadership.may_order() and not self._step():
                 self.clock.sleep(RETRY_PAUSE_S)
--- a/magnoliadyke/lab/capacity.py
+++ b/magnoliadyke/lab/capacity.py
@@ -230,10 +230,14 @@
     placed, state = [], []
     for size in ENDPOINT_SIZES:
         with TracedMemory() as memory:
-            placer = scheduler.Scheduler(engine_infos(size), random.Random(1))
+            placement_service = scheduler.Scheduler(
+                engine_infos(size), random.Random(1)
+            )
         state.append((size, memory.bytes))
-        placer.set_table(table_view(2), 0.0)
-        seconds = mean_cpu_s(lambda n, s=placer: place_request(s, n), 2000)
+        placement_service.set_table(table_view(2), 0.0)
+        seconds = mean_cpu_s(
+            lambda n, s=placement_service: place_request(s, n), 2000
+        )
         placed.append((size, 1e6 * seconds))
     return [
         slopes.Series(
@@ -247,7 +251,7 @@
     ]  # fmt: skip
 
 
-def place_request(placer, number):
+def place_request(placement_service, number):
     """Submit a job and record its successful end."""
     now_s = number * 0.01
     job = jobs.Job(
@@ -260,10 +264,10 @@
         prefix_blocks=(f'block-{number % 50}',),
         arrived_s=now_s,
     )
-    placer.submit(job, now_s)
-    placer.record_prefill_done(job.id, now_s)
-    placer.record_first_token(job.id, now_s)
-    placer.record_result(job.id, jobs.Finished(500, 50, 0), now_s)
+    placement_service.submit(job, now_s)
+    placement_service.record_prefill_done(job.id, now_s)
+    placement_service.record_first_token(job.id, now_s)
+    placement_service.record_result(job.id, jobs.Finished(500, 50, 0), now_s)
 
 
 def probe_planner():
--- a/magnoliadyke/platform/node.py
+++ b/magnoliadyke/platform/node.py
@@ -111,7 +111,7 @@
         self.members = members.Members(
             self.own_record, self.store, clock, rng, settings.link_mbps
         )
-        self.placer = placementservice.PlacementService(
+        self.placement_service = placementservice.PlacementService(
             settings.ip,
             first_port + 1,
             self.catalog,
@@ -122,7 +122,7 @@
         self.leadership = leadership.Leadership(
             self.own_record,
             self.members,
-            self.placer,
+            self.placement_service,
             self.store,
             settings.min_lease_s,
             settings.order_gap_s,
@@ -133,7 +133,7 @@
         self.stages = stages.Stages(
             settings.name,
             self.leadership,
-            self.placer,
+            self.placement_service,
             self.catalog,
             engines.PlatformEngines(),
             clock,
@@ -163,8 +163,10 @@
         )
         self.store.era_changed = self.follower.era_changed
         self.members.on_peer_position = self.follower.record_peer_position
-        self.members.send_updates = self.placer.send
-        self.follower.is_always_watcher = lambda: self.placer.leading
+        self.members.send_updates = self.placement_service.send
+        self.follower.is_always_watcher = lambda: (
+            self.placement_service.leading
+        )
         self.leadership.contact = self.follower
         self.confirming = confirming.ConfigurationConfirmer(
             settings.revoke_s,
@@ -173,15 +175,15 @@
             self.store,
             self.follower,
             self.members,
-            self.placer,
+            self.placement_service,
             clock,
             rng,
         )
         self.follower.on_full_read = self.confirming.record_full_read
         self.follower.not_relayed = frozenset((usageduty.REPORTS_KEY,))
         self.crashreports = crashreports.CrashReporter(clock, self._broadcast)
-        self.placer.broadcast = self._broadcast
-        self.placer.listeners = {
+        self.placement_service.broadcast = self._broadcast
+        self.placement_service.listeners = {
             placement_codec.CrashNotification: self.crashreports.handle_report,
             placement_codec.LeaderAnnouncement: (
                 self.leadership.handle_announcement
@@ -199,7 +201,7 @@
             self.upstream,
             self.balancer,
             self.budgets,
-            self.placer,
+            self.placement_service,
             self.crashreports,
             backoffs.Backoffs(),
             rng,
@@ -222,7 +224,7 @@
             self.follower,
             self.ingress,
             self.members,
-            self.placer,
+            self.placement_service,
             self.store,
             self.upstream,
             self.usage,
@@ -235,7 +237,7 @@
         state_address = f'{settings.ip}:{first_port}'
         metrics_address = f'{settings.ip}:{settings.metrics_port}'
         for component in (
-            self.placer,
+            self.placement_service,
             self.members,
             peerstate.StateServer(state_address, self.follower.state),
             self.follower,
@@ -282,14 +284,14 @@
             usage_settings,
             self.leadership,
             self.members,
-            self.placer,
+            self.placement_service,
             self.store,
             calls if USAGE in names else None,
             self.clock,
         )
         fleet = autoscaling.AutoscalingDuty(
             self.leadership,
-            self.placer,
+            self.placement_service,
             self.catalog,
             self.store,
             calls if SCALING in names else None,
@@ -299,7 +301,7 @@
 
     def _broadcast(self, message: placement_codec.Message) -> None:
         for address in self.members.reachable_addresses():
-            self.placer.send(address, message)
+            self.placement_service.send(address, message)
 
     def _addresses(self) -> list[str]:
         """Return the addresses of hosts that accept requests.
@@ -358,7 +360,7 @@
             hosts = self.members.count()
             self.upstream.hosts = hosts
             self.budgets.set_hosts(hosts)
-            self.placer.hosts = hosts
+            self.placement_service.hosts = hosts
             self.upstream.trim()
             self.balancer.drop_unlisted(set(self.catalog.endpoints))
             if ticks % 10 == 0:
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -127,9 +127,9 @@
     world.endpoint('e2', 'model', 'decode')
     for _ in range(2):
         node = world.node()
-        send = node.placer.send
+        send = node.placement_service.send
         monkeypatch.setattr(
-            node.placer,
+            node.placement_service,
             'send',
             lambda to, m, send=send: (datagrams.append(m), send(to, m)),
         )
@@ -266,7 +266,10 @@
     for _ in range(4):
         strict_node(world)
     gatewayworld.wait_for(
-        lambda: all(n.placer.leading or n.placer.leader for n in world.nodes),
+        lambda: all(
+            n.placement_service.leading or n.placement_service.leader
+            for n in world.nodes
+        ),
         'who leads',
     )
     gevent.sleep(1.0)
--- a/tests/test_gateway_leadership.py
+++ b/tests/test_gateway_leadership.py
@@ -61,9 +61,10 @@
     )
     (leader,) = [n for n in others if n.leadership.lease is not None]
     gatewayworld.wait_for(
-        lambda: first.placer.leader == leader.own_record.address, 'word of it'
+        lambda: first.placement_service.leader == leader.own_record.address,
+        'word of it',
     )
-    assert not first.placer.leading
+    assert not first.placement_service.leading
     assert not first.leadership.may_order()
     assert leader.leadership.fencing > first.leadership.fencing
 
@@ -87,7 +88,7 @@
         lambda: not first.leadership.yielding, 'the store in reach'
     )
     gevent.sleep(1.5)
-    assert first.placer.leading
+    assert first.placement_service.leading
     assert first.leadership.fencing == fencing
 
 
@@ -163,7 +164,7 @@
         word._replace(host='old', position=position.Position(1, 1))
     )
     assert second.leadership.holder == first.own_record.host
-    assert second.placer.leader == first.own_record.address
+    assert second.placement_service.leader == first.own_record.address
 
 
 def test_leader_that_comes_first_is_not_replaced(world):
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -149,19 +149,20 @@
     world.endpoint('d2', 'model', 'decode')
     nodes = [world.node(), world.node()]
     gatewayworld.wait_for(
-        lambda: any(each.placer.leading for each in nodes), 'a placing host'
+        lambda: any(each.placement_service.leading for each in nodes),
+        'a placing host',
     )
-    other = min(nodes, key=lambda each: each.placer.leading)
-    gatewayworld.wait_for(lambda: other.placer.leader, 'its word')
+    other = min(nodes, key=lambda each: each.placement_service.leading)
+    gatewayworld.wait_for(lambda: other.placement_service.leader, 'its word')
     other.catalog.mark_leaving('d1')
     placed = []
-    place = other.placer.place
+    place = other.placement_service.place
 
     def noted(service, job):
         placed.append(place(service, job))
         return placed[-1]
 
-    other.placer.place = noted
+    other.placement_service.place = noted
     for number in range(10):
         head = world.ask(
             '/chat/a',
--- a/tests/test_gateway_platform.py
+++ b/tests/test_gateway_platform.py
@@ -187,9 +187,14 @@
     world.endpoint('p1')
     first, second = world.node(), world.node()
     gatewayworld.wait_for(
-        lambda: first.placer.leading != second.placer.leading, 'one leader'
+        lambda: (
+            first.placement_service.leading != second.placement_service.leading
+        ),
+        'one leader',
+    )
+    dead, left = (
+        (first, second) if first.placement_service.leading else (second, first)
     )
-    dead, left = (first, second) if first.placer.leading else (second, first)
     gatewayworld.wait_for(
         lambda: (
             left.leadership.holder == dead.own_record.host
@@ -197,15 +202,22 @@
         ),
         'the word of the leader',
     )
-    for part in (dead.leadership, dead.members, dead.placer, dead.follower):
+    for part in (
+        dead.leadership,
+        dead.members,
+        dead.placement_service,
+        dead.follower,
+    ):
         part.stop = lambda _: None
     dead.leadership.greenlet.kill()
     dead.members.greenlets[0].kill()
     dead.members.greenlets[1].kill()
     dead.members.registering.kill()
     dead.members.socket.close()
-    left.placer.leader_retry_at_s = float('inf')
-    gatewayworld.wait_for(lambda: left.placer.leading, 'the new leader')
+    left.placement_service.leader_retry_at_s = float('inf')
+    gatewayworld.wait_for(
+        lambda: left.placement_service.leading, 'the new leader'
+    )
     assert not left.leadership.may_order()
     gatewayworld.wait_for(left.leadership.may_order, 'the right to order')
 
@@ -220,22 +232,27 @@
     first, second = world.node(), world.node()
     gatewayworld.wait_for(
         lambda: (
-            first.placer.leading != second.placer.leading
-            and (first.placer.leader or second.placer.leader)
+            first.placement_service.leading != second.placement_service.leading
+            and (
+                first.placement_service.leader
+                or second.placement_service.leader
+            )
         ),
         'one leader, known to both',
     )
-    old, new = (first, second) if first.placer.leading else (second, first)
-    gatewayworld.wait_for(lambda: new.placer.leader, 'the leader')
+    old, new = (
+        (first, second) if first.placement_service.leading else (second, first)
+    )
+    gatewayworld.wait_for(lambda: new.placement_service.leader, 'the leader')
     client = gatewayworld.Client(old)
     prompt = gatewayworld.prompt((0xA, 2000), (0xB, 3000), (0xC, 500))
     head, _ = client.call('POST', '/once/x', 'r1', b'text', **prompt)
     assert head.status == 200
-    new.placer.lead()
-    old.placer.follow(new.settings.ip, position.Position(9, 1))
+    new.placement_service.lead()
+    old.placement_service.follow(new.settings.ip, position.Position(9, 1))
 
     def has_learned():
-        pool = new.placer.served.get('model')
+        pool = new.placement_service.served.get('model')
         return pool is not None and 0xB in pool.placement.pool.caches.by_part
 
     gatewayworld.wait_for(has_learned, 'the memory')
@@ -264,7 +281,7 @@
 
 
 def only_engine(node):
-    pool = node.placer._pool(node.placer.served, 'model')
+    pool = node.placement_service._pool(node.placement_service.served, 'model')
     (engine,) = pool.placement.pool.engines.values()
     return pool.placement, engine
 
@@ -279,7 +296,9 @@
     world.endpoint('d1', 'model', 'decode')
     reborn(world, 'd1', BORN_MS)
     node = world.node()
-    gatewayworld.wait_for(lambda: node.placer.leading, 'the placing host')
+    gatewayworld.wait_for(
+        lambda: node.placement_service.leading, 'the placing host'
+    )
     core, engine = only_engine(node)
     former = engine.endpoint.id
     parts = (promptcache.PromptPart(1, 4000),)
@@ -308,16 +327,18 @@
     world.endpoint('d1', 'model', 'decode')
     reborn(world, 'd1', BORN_MS)
     node = world.node()
-    gatewayworld.wait_for(lambda: node.placer.leading, 'the placing host')
+    gatewayworld.wait_for(
+        lambda: node.placement_service.leading, 'the placing host'
+    )
     former = only_engine(node)[1].endpoint.id
     reborn(world, 'd1', BORN_MS + 5000)
     gatewayworld.wait_for(
         lambda: former not in node.catalog.endpoints, 'the new process'
     )
     only_engine(node)
-    node.placer.record_failure('model', 1, former)
-    node.placer.record_prefill_done('model', 2, former)
-    node.placer.record_kv_transfer('model', 3, former, 0.5)
+    node.placement_service.record_failure('model', 1, former)
+    node.placement_service.record_prefill_done('model', 2, former)
+    node.placement_service.record_kv_transfer('model', 3, former, 0.5)
     _, engine = only_engine(node)
     assert engine.failures == 0
     assert engine.last_success_s == float('-inf')
@@ -405,15 +426,26 @@
     world.endpoint('d1', 'model', 'decode')
     first, second = world.node(), world.node()
     gatewayworld.wait_for(
-        lambda: first.placer.leading != second.placer.leading, 'one leader'
+        lambda: (
+            first.placement_service.leading != second.placement_service.leading
+        ),
+        'one leader',
     )
-    old, new = (first, second) if first.placer.leading else (second, first)
-    core = old.placer._pool(old.placer.served, 'model').placement
+    old, new = (
+        (first, second) if first.placement_service.leading else (second, first)
+    )
+    core = old.placement_service._pool(
+        old.placement_service.served, 'model'
+    ).placement
     reading = core.pool.costs[catalog.Stage.PREFILL]
     reading.set_coefficients(0.04, 0.009, 0.0002)
     reading.count = 1000
-    gatewayworld.wait_for(lambda: new.placer.learned_costs, 'what was learned')
-    new.placer.lead()
-    core = new.placer._pool(new.placer.served, 'model').placement
+    gatewayworld.wait_for(
+        lambda: new.placement_service.learned_costs, 'what was learned'
+    )
+    new.placement_service.lead()
+    core = new.placement_service._pool(
+        new.placement_service.served, 'model'
+    ).placement
     found = core.pool.costs[catalog.Stage.PREFILL].coefficients
     assert [round(each, 6) for each in found] == [0.04, 0.009, 0.0002]
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -483,7 +483,10 @@
     client.close()
 
     def is_free():
-        pools = [*node.placer.served.values(), *node.placer.local.values()]
+        pools = [
+            *node.placement_service.served.values(),
+            *node.placement_service.local.values(),
+        ]
         return all(
             not engine.pending_prefills
             for pool in pools
@@ -591,11 +594,13 @@
     world.endpoint('d2', 'model', 'decode')
     node = world.node()
     told = []
-    node.placer.place = lambda service, job: promptjobs.Placed(
+    node.placement_service.place = lambda service, job: promptjobs.Placed(
         job.id, 'p1', 'd1', None, 5500, 0.05, False
     )
-    node.placer.record_rejection = lambda *what: told.append('turned away')
-    node.placer.record_failure = lambda *what: told.append(what[2])
+    node.placement_service.record_rejection = lambda *what: told.append(
+        'turned away'
+    )
+    node.placement_service.record_failure = lambda *what: told.append(what[2])
     assert run(world, '/chat/1', **PROMPT)[0].status == 200
     assert len(reader.arrivals) == 1
     assert told == ['d1']
@@ -611,14 +616,16 @@
     silent = world.endpoint('p1', 'model', 'prefill')
     silent.mode = 'silent'
     node = world.node()
-    gatewayworld.wait_for(lambda: node.placer.leading, 'the placing host')
+    gatewayworld.wait_for(
+        lambda: node.placement_service.leading, 'the placing host'
+    )
     client = gatewayworld.Client(node)
     world.endpoint('d1', 'model', 'decode')
     gatewayworld.wait_for(
         lambda: len(node.catalog.endpoints) == 2, 'both engines'
     )
-    node.placer._pool(
-        node.placer.served, 'model'
+    node.placement_service._pool(
+        node.placement_service.served, 'model'
     ).placement.answers.reserve_slot(99, 'd1', 100, node.clock.now_s())
     headers = PROMPT | {'X_Deadline_Ms': '2000'}
     client.request('POST', '/chat/1', 'r1', b'text', **headers)
@@ -638,7 +645,7 @@
     reader, runner = engines
     reader.work_s = 0.5
     node = world.node()
-    node.placer.place = lambda service, job: promptjobs.Placed(
+    node.placement_service.place = lambda service, job: promptjobs.Placed(
         job.id, 'e1', 'e2', None, 5500, 0.05, False
     )
     assert run(world, '/chat/1', 'POST', b'x', **PROMPT)[0].status == 200
@@ -658,10 +665,10 @@
     node = world.node()
     decided = iter(('p1', 'p2'))
     told = []
-    node.placer.place = lambda service, job: promptjobs.Placed(
+    node.placement_service.place = lambda service, job: promptjobs.Placed(
         job.id, next(decided), 'd1', None, 5500, 0.05, False
     )
-    node.placer.record_failure = lambda *what: told.append(what[2])
+    node.placement_service.record_failure = lambda *what: told.append(what[2])
     assert run(world, '/chat/1', **PROMPT)[0].status == 200
     assert len(reader.arrivals) == 1
     assert told == ['p1']
@@ -675,15 +682,19 @@
     take every prompt away from engines that are well.
     """
     node = world.node()
-    gatewayworld.wait_for(lambda: node.placer.leading, 'the placing host')
+    gatewayworld.wait_for(
+        lambda: node.placement_service.leading, 'the placing host'
+    )
     told = []
-    node.placer.broadcast = told.append
-    core = node.placer._pool(node.placer.served, 'model').placement
+    node.placement_service.broadcast = told.append
+    core = node.placement_service._pool(
+        node.placement_service.served, 'model'
+    ).placement
     core.pool.adopt(1, 'e1', 5000, node.clock.now_s() - 60.0)
-    node.placer.leading = False
+    node.placement_service.leading = False
     node.clock.sleep(0.3)
     assert not told
-    node.placer.leading = True
+    node.placement_service.leading = True
     gatewayworld.wait_for(lambda: told, 'the word of a silent engine')
 
 
@@ -696,10 +707,14 @@
     reader, runner = engines
     reader.work_s = 0.9
     node = world.node()
-    gatewayworld.wait_for(lambda: node.placer.leading, 'the placing host')
-    node.placer.leading = False
-    node.placer.leader = None
-    core = node.placer._pool(node.placer.local, 'model').placement
+    gatewayworld.wait_for(
+        lambda: node.placement_service.leading, 'the placing host'
+    )
+    node.placement_service.leading = False
+    node.placement_service.leader = None
+    core = node.placement_service._pool(
+        node.placement_service.local, 'model'
+    ).placement
     core.answers.reserve_slot(99, 'e2', 100, node.clock.now_s())
     assert run(world, '/chat/1', 'POST', b'x', **PROMPT)[0].status == 200
     assert len(reader.arrivals) == 1
@@ -718,16 +733,26 @@
     world.node()
     world.node()
     gatewayworld.wait_for(
-        lambda: all(n.placer.leading or n.placer.leader for n in world.nodes),
+        lambda: all(
+            n.placement_service.leading or n.placement_service.leader
+            for n in world.nodes
+        ),
         'the placing host',
     )
-    leader, other = sorted(world.nodes, key=lambda n: not n.placer.leading)
-    other.placer.leader_retry_at_s = other.clock.now_s() + 60.0
+    leader, other = sorted(
+        world.nodes, key=lambda n: not n.placement_service.leading
+    )
+    other.placement_service.leader_retry_at_s = other.clock.now_s() + 60.0
     for node in world.nodes:
-        for pools in (node.placer.served, node.placer.local):
-            core = node.placer._pool(pools, 'model').placement
+        for pools in (
+            node.placement_service.served,
+            node.placement_service.local,
+        ):
+            core = node.placement_service._pool(pools, 'model').placement
             core.answers.reserve_slot(99, 'e2', 100, node.clock.now_s())
-    model = leader.placer.served['model'].placement.pool.engines['e1']
+    model = leader.placement_service.served['model'].placement.pool.engines[
+        'e1'
+    ]
     client = gatewayworld.Client(other)
     client.request('POST', '/chat/1', 'r1', b'text', **PROMPT)
     gatewayworld.wait_for(lambda: model.pending_prefills, 'word of the prompt')
@@ -750,9 +775,11 @@
     node = world.node()
     firsts = set()
     for seed in range(20):
-        node.placer.rng.seed(seed)
-        node.placer.local.clear()
-        core = node.placer._pool(node.placer.local, 'model').placement
+        node.placement_service.rng.seed(seed)
+        node.placement_service.local.clear()
+        core = node.placement_service._pool(
+            node.placement_service.local, 'model'
+        ).placement
         firsts.add(next(iter(core.pool.open[catalog.Stage.PREFILL])))
     assert len(firsts) >= 4
 
@@ -768,7 +795,7 @@
     leaver = world.endpoint('d1', 'model', 'decode')
     stays = world.endpoint('d2', 'model', 'decode')
     node = world.node()
-    node.placer.place = lambda service, job: promptjobs.Placed(
+    node.placement_service.place = lambda service, job: promptjobs.Placed(
         job.id, 'p1', 'd1', None, 5500, 0.5, False
     )
     client = gatewayworld.Client(node)
@@ -795,7 +822,7 @@
     runner = world.endpoint('d1', 'model', 'decode')
     node = world.node()
     former = node.catalog.by_name['p1']
-    node.placer.place = lambda service, job: promptjobs.Placed(
+    node.placement_service.place = lambda service, job: promptjobs.Placed(
         job.id,
         None if job.avoid else former,
         'd1',
@@ -825,13 +852,13 @@
     world.endpoint('d1', 'model', 'decode').stop()
     node = world.node()
     asked = []
-    place = node.placer.place
+    place = node.placement_service.place
 
     def counted(service, job):
         asked.append(job.id)
         return place(service, job)
 
-    node.placer.place = counted
+    node.placement_service.place = counted
     head, _ = run(world, '/chat/1', 'POST', b'x', **CHAT)
     assert head.status == 503
     assert head.value(b'retry-after') is not None
--- a/tests/test_gateway_restart.py
+++ b/tests/test_gateway_restart.py
@@ -21,9 +21,10 @@
         world.engine('d0', 'decode')
         nodes = [world.node(), world.node()]
         gatewayworld.wait_for(
-            lambda: any(each.placer.leading for each in nodes), 'a leader'
+            lambda: any(each.placement_service.leading for each in nodes),
+            'a leader',
         )
-        nodes.sort(key=lambda each: not each.placer.leading)
+        nodes.sort(key=lambda each: not each.placement_service.leading)
         for node in nodes:
             world.kill(node)
         assert leadership.LEADER_KEY in world.store.items
@@ -67,7 +68,8 @@
     world, nodes = restarted
     world.store.remove('servers/d0')
     gatewayworld.wait_for(
-        lambda: any(each.placer.leading for each in nodes), 'the new holder'
+        lambda: any(each.placement_service.leading for each in nodes),
+        'the new holder',
     )
 
     def asked_until_changed():
@@ -92,7 +94,7 @@
 
     def asked_until_led():
         ask(node, 9)
-        return node.placer.leading
+        return node.placement_service.leading
 
     gatewayworld.wait_for(asked_until_led, 'a new holder')
 
@@ -105,7 +107,9 @@
     """
     world, (holder, other) = killed
     first = world.start_again(holder)
-    gatewayworld.wait_for(lambda: first.placer.leading, 'the holder again')
+    gatewayworld.wait_for(
+        lambda: first.placement_service.leading, 'the holder again'
+    )
     node = world.start_again(other)
     led = node.leadership
     gatewayworld.wait_for(
@@ -115,12 +119,12 @@
     node.members.membership.members.pop(first.own_record.host, None)
     node.members.membership._view = None
     now_s = node.clock.now_s()
-    node.placer.leader_retry_at_s = now_s + 60
+    node.placement_service.leader_retry_at_s = now_s + 60
     led.holder_since_s = now_s
     assert not led._holder_is_dead()
     led.holder_since_s = now_s - leadership.UNKNOWN_LEADER_TIMEOUT_S
     assert led._holder_is_dead()
-    node.placer.leader_retry_at_s = 0.0
+    node.placement_service.leader_retry_at_s = 0.0
     assert not led._holder_is_dead()
 
 
@@ -132,9 +136,12 @@
     """
     _, nodes = restarted
     gatewayworld.wait_for(
-        lambda: any(each.placer.leading for each in nodes), 'the new holder'
+        lambda: any(each.placement_service.leading for each in nodes),
+        'the new holder',
+    )
+    leader, other = sorted(
+        nodes, key=lambda each: not each.placement_service.leading
     )
-    leader, other = sorted(nodes, key=lambda each: not each.placer.leading)
     met = leader.members.membership.members
     met.pop(other.own_record.host, None)
     leader.members.membership._view = None
@@ -156,18 +163,22 @@
     """
     _, nodes = restarted
     gatewayworld.wait_for(
-        lambda: any(each.placer.leading for each in nodes), 'the new holder'
+        lambda: any(each.placement_service.leading for each in nodes),
+        'the new holder',
+    )
+    leader, other = sorted(
+        nodes, key=lambda each: not each.placement_service.leading
     )
-    leader, other = sorted(nodes, key=lambda each: not each.placer.leading)
     gatewayworld.wait_for(
-        lambda: other.placer.leader == leader.own_record.address, 'the holder'
+        lambda: other.placement_service.leader == leader.own_record.address,
+        'the holder',
     )
-    other.placer.leader_retry_at_s = other.clock.now_s() + 60.0
+    other.placement_service.leader_retry_at_s = other.clock.now_s() + 60.0
     word = leader.leadership._announcement()
     other.leadership.handle_announcement(word)
-    assert other.placer.leader_retry_at_s > 0.0
+    assert other.placement_service.leader_retry_at_s > 0.0
     other.leadership.handle_announcement(_next_term(word))
-    assert other.placer.leader_retry_at_s == 0.0
+    assert other.placement_service.leader_retry_at_s == 0.0
 
 
 def _next_term(word):
--- a/tests/test_gateway_stages.py
+++ b/tests/test_gateway_stages.py
@@ -29,7 +29,7 @@
 
 def served(node):
     """The placement of the service that has engines."""
-    return node.placer._pool(node.placer.served, 'model')
+    return node.placement_service._pool(node.placement_service.served, 'model')
 
 
 def press(node):
@@ -65,7 +65,9 @@
     assert order['fence'] == node.leadership.fencing
     assert order['precondition'] == 0
     (changed,) = [e for e in world.endpoints.values() if e.orders]
-    engine = node.placer.served['model'].placement.pool.engines[changed.name]
+    engine = node.placement_service.served['model'].placement.pool.engines[
+        changed.name
+    ]
     # The engine has the order before the host has its answer.
     gatewayworld.wait_for(
         lambda: engine.cooldown_until_s > node.clock.now_s(), 'the rest'
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -126,9 +126,11 @@
     """It got its place when its host had no time left to answer it."""
     stopping = Stopping(world)
     place = event.Event()
-    waits = stopping.node.placer.place
+    waits = stopping.node.placement_service.place
     monkeypatch.setattr(
-        stopping.node.placer, 'place', lambda *job: place.wait() or waits(*job)
+        stopping.node.placement_service,
+        'place',
+        lambda *job: place.wait() or waits(*job),
     )
     monkeypatch.setattr(stopping.node.ingress, 'interrupt_all', lambda: None)
     client = gatewayworld.Client(stopping.node)
@@ -394,6 +396,6 @@
         'the end of the lease',
         2.0,
     )
-    assert not node.placer.leading
+    assert not node.placement_service.leading
     clock.skipped_s += node.settings.stop_s
     ended.get(timeout=gatewayworld.WAIT_S)
--- a/tests/test_inflightjobs.py
+++ b/tests/test_inflightjobs.py
@@ -137,7 +137,7 @@
     Of the jobs that the other one placed meanwhile it knows by the hosts'
     word only; what it had accounted before has long ended.
     """
-    placer = gatewayplacing.PlacementService(
+    placement_service = gatewayplacing.PlacementService(
         '127.0.0.1',
         1,
         catalog.Catalog(),
@@ -145,10 +145,10 @@
         None,
         1000.0,
     )
-    placer.lead()
-    placer.served['model'] = before = object()
-    placer.lead()
-    assert placer.served['model'] is before
-    placer.follow('127.0.0.2', position.Position(1, 1))
-    placer.lead()
-    assert not placer.served
+    placement_service.lead()
+    placement_service.served['model'] = before = object()
+    placement_service.lead()
+    assert placement_service.served['model'] is before
+    placement_service.follow('127.0.0.2', position.Position(1, 1))
+    placement_service.lead()
+    assert not placement_service.served
--- a/tests/test_leadership_model.py
+++ b/tests/test_leadership_model.py
@@ -149,14 +149,14 @@
             self.name, incarnation, self.name, f'{self.name}:1', 1, 'd', 1.0
         )
         self.client = Client(standin, clock)
-        self.placer = Placer()
+        self.placement_service = Placer()
         self.members = Members(own)
         self.asked = None
         self.checked = None
         self.leadership = leadership.Leadership(
             own,
             self.members,
-            self.placer,
+            self.placement_service,
             self.client,
             0.5,
             ORDER_GAP_S,
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -241,7 +241,7 @@
     assert leader(world) is present
     assert present.leadership.fencing > fencing
     assert all(
-        n.placer.leader == present.own_record.address
+        n.placement_service.leader == present.own_record.address
         for n in world.nodes
         if n is not present
     )
@@ -258,7 +258,7 @@
     advance_until(clock, lambda: leadership.LEADER_KEY in world.store.items)
     advance_until(clock, lambda: in_era(world, 2) and is_settled(world))
     assert leader(world) is node
-    assert node.placer.leading
+    assert node.placement_service.leading
     assert node.leadership.fencing > fencing
 
 
