--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -478,8 +478,8 @@
     def accept(self, revision, overriding_operator):
         """Write the document with the edits up to ``revision`` accepted.
 
-        :param override: operator who accepts although hosts are missing, or
-            ''
+        :param overriding_operator: operator who accepts although hosts are
+            missing, or ''
         """
         held = self.documents.last
         if held.store_revision is None:
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -40,7 +40,7 @@
 class PoolQueue:
     """Queue, demand and endpoints of one pool.
 
-    :param endpoints: the pool's endpoints
+    :param pool: the pool's endpoints
     :param settings: the admission settings
     """
 
--- a/magnoliadyke/core/quarantine.py
+++ b/magnoliadyke/core/quarantine.py
@@ -74,7 +74,7 @@
 class Blame(NamedTuple):
     """A crash during which a request ran on the engine.
 
-    :param crash: checksum of the endpoint's name
+    :param endpoint_checksum: checksum of the endpoint's name
     :param at_s: time of the crash, in this node's monotonic seconds
     """
 
--- a/magnoliadyke/gateway/exchange.py
+++ b/magnoliadyke/gateway/exchange.py
@@ -77,7 +77,8 @@
         seconds
     :ivar deadline_s: when the caller's timeout ends, in monotonic seconds
     :ivar runs: number of attempts that ran the request, or may have
-    :ivar sends: number of attempts, including those that endpoints rejected
+    :ivar send_count: number of attempts, including those that endpoints
+        rejected
     :ivar tried: ids of endpoints that the request was sent to
     :ivar endpoint: id of the last endpoint tried, empty if none
     :ivar start_recorded: whether the request was recorded as usage
--- a/magnoliadyke/gateway/promptexchange.py
+++ b/magnoliadyke/gateway/promptexchange.py
@@ -406,7 +406,7 @@
         its engine can still complete the answer.
 
         :param wait: waits for the part and returns it
-        :param min_stall_s: minimum stall timeout in seconds
+        :param min_stall_timeout_s: minimum stall timeout in seconds
         :raises http.OutOfTime: the engine has stalled
         """
         if not self.route.resumable:
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -157,7 +157,7 @@
     :param fresh: whether the node may rely on its table
     :param takes_work: whether the node accepts requests
     :param has_quorum: whether the evidence from enough peers that they hold no
-        newer table stays valid for ``MIN_REMAINING_SHARE``
+        newer table stays valid for ``MIN_QUORUM_VALIDITY_SHARE``
     :param is_store_read_due: whether the store has to be read
     :param acts_on_staged: whether the last confirmation by the store is so old
         that staged edits may have to be put in force
@@ -403,8 +403,8 @@
     def has_quorum(self):
         """Whether the evidence from a quorum stays valid for long enough.
 
-        It has to last for ``MIN_REMAINING_SHARE`` of the time after which
-        evidence expires.
+        It has to last for ``MIN_QUORUM_VALIDITY_SHARE`` of the time after
+        which evidence expires.
         """
         evidence = self.membership.freshness
         lasts_s = MIN_QUORUM_VALIDITY_SHARE * evidence.settings.stale_s
--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -350,7 +350,7 @@
 
 
 def percentile(values, quantile):
-    """Return the value below which ``share`` of the values lie, 0 if none."""
+    """Return a quantile (0 to 1) of the values, 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -358,7 +358,7 @@
 
 
 def milliseconds(values_s, quantile):
-    """Return a percentile of seconds, in milliseconds."""
+    """Return a quantile of seconds, in milliseconds."""
     return round(1000 * percentile(values_s, quantile), 2)
 
 
--- a/magnoliadyke/poolduty.py
+++ b/magnoliadyke/poolduty.py
@@ -652,7 +652,7 @@
     def release(self, can_wait):
         """Release the lease once no change is in progress.
 
-        :param in_time: whether there is time to wait for a change in
+        :param can_wait: whether there is time to wait for a change in
             progress. If not, the authority is dropped and the lease expires;
             the next holder waits for commands that may still be in flight.
         """
--- a/magnoliadyke/streams.py
+++ b/magnoliadyke/streams.py
@@ -229,7 +229,7 @@
     def record_failure(self, endpoint_name, stage, ran, crashed=False):
         """Count a failed attempt; return its :class:`jobs.Failed`.
 
-        :param name: name of the endpoint
+        :param endpoint_name: name of the endpoint
         :param stage: ``connect``, ``prefill`` or ``decode``
         :param ran: whether a byte of it may have reached the endpoint
         :param crashed: whether the endpoint has crashed
@@ -306,7 +306,7 @@
     def prefill(self, endpoint_name, work):
         """Compute the KV cache of the prompt on a prefill engine.
 
-        :param name: name of the prefill engine
+        :param endpoint_name: name of the prefill engine
         :param work: request body
         :return: handle of the KV cache as a dict, or ``jobs.Failed``
         """
@@ -332,7 +332,7 @@
     def decode(self, endpoint_name, work):
         """Start or continue the answer on a decode engine; read it to its end.
 
-        :param name: name of the decode engine
+        :param endpoint_name: name of the decode engine
         :param work: request body
         :return: the answer, ``Rejected`` or ``jobs.Failed``
         """
@@ -417,7 +417,7 @@
         This starts nothing on the engine, so it is no second attempt. A
         stream that has been migrated is continued on its new engine.
 
-        :param name: name of the engine
+        :param endpoint_name: name of the engine
         :return: the answer, or ``jobs.Failed`` after too many resumes
             without a new token
         """
