--- a/magnoliadyke/configuration.py
+++ b/magnoliadyke/configuration.py
@@ -141,8 +141,8 @@
                 self.handle_members(message)
             case tablemessages.EditCells():
                 gevent.spawn(edits.EditTask(message, self).run)
-            case edits.Override(revision, author):
-                self.overrides[revision] = author
+            case edits.Override(revision, operator):
+                self.overrides[revision] = operator
                 self.accept_staged_if_allowed()
             case tablemessages.ShowTable():
                 message.reply(self.show())
@@ -262,8 +262,8 @@
         LOG.event('table', revision=document['revision'], staged=staged)
         self.publish_view(table.view(document))
         self.overrides = {
-            revision: author
-            for revision, author in self.overrides.items()
+            revision: operator
+            for revision, operator in self.overrides.items()
             if revision > document['revision']
         }
 
@@ -285,7 +285,7 @@
 
     # Periodic work.
 
-    def spawn_once(self, name, work):
+    def spawn_unless_running(self, name, work):
         """Run ``work`` in a greenlet unless one of that name is running."""
         if name in self.background_work:
             return
@@ -311,7 +311,7 @@
         waited_s = now_s - self.behind_since_s
         if waited_s >= FETCH_DELAY_S and now_s >= self.next_fetch_s:
             self.next_fetch_s = now_s + FETCH_INTERVAL_S
-            self.spawn_once('fetch', lambda: self.fetch(address))
+            self.spawn_unless_running('fetch', lambda: self.fetch(address))
 
     def fetch(self, address):
         """Fetch the table from one peer.
@@ -369,7 +369,7 @@
         if held.document is not None or held.store_revision != 0:
             return
         if self.standing.newest_revision == 0 and waited_s >= JOIN_WAIT_S:
-            self.spawn_once('initialise', self.initialise)
+            self.spawn_unless_running('initialise', self.initialise)
 
     def initialise(self):
         """Write the table of the settings if there is still no other."""
@@ -402,7 +402,9 @@
 
         :param found: 'older' or 'absent', for the log
         """
-        self.spawn_once('restore', lambda: self.restore_if_still_older(found))
+        self.spawn_unless_running(
+            'restore', lambda: self.restore_if_still_older(found)
+        )
 
     def restore_if_still_older(self, found):
         """Read again after a random delay; write if still older or absent.
@@ -444,12 +446,14 @@
             return
         match self.standing.acceptance:
             case freshness.Accept(revision=revision) if self.is_acceptor():
-                self.spawn_once('accept', lambda: self.accept(revision, ''))
+                self.spawn_unless_running(
+                    'accept', lambda: self.accept(revision, '')
+                )
             case freshness.Blocked(revision=revision):
-                author = self.overriding_operator(revision)
-                if author:
-                    self.spawn_once(
-                        'accept', lambda: self.accept(revision, author)
+                operator = self.overriding_operator(revision)
+                if operator:
+                    self.spawn_unless_running(
+                        'accept', lambda: self.accept(revision, operator)
                     )
 
     def is_acceptor(self):
@@ -466,22 +470,22 @@
 
     def overriding_operator(self, revision):
         """Return the operator who overrides for a revision, '' if none."""
-        for overridden, author in self.overrides.items():
+        for overridden, operator in self.overrides.items():
             if overridden >= revision:
-                return author
+                return operator
         return ''
 
-    def accept(self, revision, override):
+    def accept(self, revision, overriding_operator):
         """Write the document with the edits up to ``revision`` accepted.
 
-        :param override: operator who accepts although hosts are missing, or
-            ''
+        :param overriding_operator: operator who accepts although hosts are
+            missing, or ''
         """
         held = self.documents.last
         if held.store_revision is None:
             self.watch.reader.read()
             return
-        document = table.accept(held.document, revision, override)
+        document = table.accept(held.document, revision, overriding_operator)
         if document is not held.document:
             self.writer.write(document, held.store_revision)
 
--- a/magnoliadyke/core/pools.py
+++ b/magnoliadyke/core/pools.py
@@ -40,14 +40,14 @@
 class PoolQueue:
     """Queue, demand and endpoints of one pool.
 
-    :param endpoints: the pool's endpoints
+    :param pool: the pool's endpoints
     :param settings: the admission settings
     """
 
-    def __init__(self, endpoints, settings):
-        self.name = endpoints.name
-        self.endpoints = endpoints
-        self.name_checksum = quarantine.name_checksum(endpoints.name)
+    def __init__(self, pool, settings):
+        self.name = pool.name
+        self.endpoints = pool
+        self.name_checksum = quarantine.name_checksum(pool.name)
         self.queue = fairness.FairQueue()
         self.arrivals = {}
         self.lateness = admission.ErrorQuantile(
--- a/magnoliadyke/gateway/remoteprefill.py
+++ b/magnoliadyke/gateway/remoteprefill.py
@@ -117,7 +117,9 @@
         )
         limit = waitlimit.WaitLimit(wait_s, http.OutOfTime)
         try:
-            with self.parts.placer.track_prefill(prefill_engine.id, limit):
+            with self.parts.placement_service.track_prefill(
+                prefill_engine.id, limit
+            ):
                 result = self._send_request(
                     prefill_engine, used, headers, limit
                 )
@@ -126,7 +128,7 @@
         self._record_crash(result, prefill_engine.id)
         match result:
             case outcomes.NotRun(reason) | outcomes.Lost(reason):
-                self.sends += 1
+                self.send_count += 1
                 return self._record_prefill_failure(
                     prefill_engine.id, reason, True
                 )
@@ -142,7 +144,7 @@
             return self._record_prefill_failure(
                 prefill_engine.id, ENGINE_LEFT, True
             )
-        self.parts.placer.record_prefill_done(
+        self.parts.placement_service.record_prefill_done(
             self.service, job.id, prefill_engine.id
         )
         self.prefill_done_s = self.parts.clock.now_s()
--- a/magnoliadyke/gossip.py
+++ b/magnoliadyke/gossip.py
@@ -39,7 +39,7 @@
 #: A quorum counts as lasting if its evidence stays valid for this share of
 #: ``stale_after_s``. Otherwise the store is read, and if it does not answer,
 #: all members are probed.
-MIN_REMAINING_SHARE = 0.5
+MIN_QUORUM_VALIDITY_SHARE = 0.5
 #: The store counts as unreachable when its last confirmation is older than
 #: this share of ``stale_after_s``.
 STORE_UNREACHABLE_SHARE = 0.7
@@ -157,7 +157,7 @@
     :param fresh: whether the node may rely on its table
     :param takes_work: whether the node accepts requests
     :param has_quorum: whether the evidence from enough peers that they hold no
-        newer table stays valid for ``MIN_REMAINING_SHARE``
+        newer table stays valid for ``MIN_QUORUM_VALIDITY_SHARE``
     :param is_store_read_due: whether the store has to be read
     :param acts_on_staged: whether the last confirmation by the store is so old
         that staged edits may have to be put in force
@@ -403,11 +403,11 @@
     def has_quorum(self):
         """Whether the evidence from a quorum stays valid for long enough.
 
-        It has to last for ``MIN_REMAINING_SHARE`` of the time after which
-        evidence expires.
+        It has to last for ``MIN_QUORUM_VALIDITY_SHARE`` of the time after
+        which evidence expires.
         """
         evidence = self.membership.freshness
-        lasts_s = MIN_REMAINING_SHARE * evidence.settings.stale_s
+        lasts_s = MIN_QUORUM_VALIDITY_SHARE * evidence.settings.stale_s
         soon_s = self.clock.now_s() + lasts_s
         return len(evidence.group(soon_s)) >= evidence.quorum
 
--- a/magnoliadyke/lab/pathcost.py
+++ b/magnoliadyke/lab/pathcost.py
@@ -349,17 +349,17 @@
         raise RuntimeError(answer[:300].decode('latin-1'))
 
 
-def percentile(values, share):
-    """Return the value below which ``share`` of the values lie, 0 if none."""
+def percentile(values, quantile):
+    """Return a quantile (0 to 1) of the values, 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
-def milliseconds(values_s, share):
-    """Return a percentile of seconds, in milliseconds."""
-    return round(1000 * percentile(values_s, share), 2)
+def milliseconds(values_s, quantile):
+    """Return a quantile of seconds, in milliseconds."""
+    return round(1000 * percentile(values_s, quantile), 2)
 
 
 def summary(samples):
@@ -380,7 +380,7 @@
     }
 
 
-def remove_limits(document):
+def prepare_for_streams(document):
     """Remove the limits that would restrict the streams.
 
     Every pool of engines gets decode engines only, and the customer gets high
@@ -419,7 +419,7 @@
     :param run: second octet of the loopback addresses
     :return: mapping for JSON
     """
-    document = remove_limits(json.loads(EXAMPLE.read_text()))
+    document = prepare_for_streams(json.loads(EXAMPLE.read_text()))
     with tempfile.TemporaryDirectory() as directory:
         options = cluster.Options(
             run=run,
